--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -6,8 +6,7 @@
 import threading
 import time
 
-import structlog
-
+from . import lines
 from . import place as places
 from .clients import Gate
 from .counters import Counters
@@ -26,19 +25,12 @@
 def main():
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     threading.stack_size(STACK)
-    structlog.configure(
-        processors=[
-            structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
-        ],
-        logger_factory=structlog.PrintLoggerFactory(sys.stdout), cache_logger_on_first_use=True,
-    )
     try:
         place = places.read()
     except places.Unfit as error:
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
-    log, counters, crew = structlog.get_logger(gateway=place.name), Counters(), Crew()
+    log, counters, crew = lines.opened(gateway=place.name), Counters(), Crew()
     desk = Desk(place.start, log, counters)
     desk.instances = Instances(place, desk, crew, log, counters)
     desk.discovery = discovery = Discovery(place, desk, log, counters)
--- /dev/null
+++ b/tests/test_start.py
@@ -0,0 +1,210 @@
+"""A gateway's start: what it imports, what its log's lines are, and that it serves in time whatever discovery
+does meanwhile."""
+
+import contextlib
+import io
+import os
+import re
+import select
+import shutil
+import socket
+import subprocess
+import sys
+import threading
+import time
+import tomllib
+from datetime import UTC, datetime
+from pathlib import Path
+
+import pytest
+import structlog
+from hypothesis import given
+from hypothesis import strategies as some
+from lemonlead.gateway import lines, resp
+from lemonlead.standins.fleet import gateway
+from lemonlead.standins.instances import InstanceServer
+from lemonlead.standins.server import Server, until
+
+ROOT = Path(__file__).parents[1]
+READY = 10.0  # seconds in which nine of ten restarted gateways have to be ready
+HEAVY = "asyncio concurrent ctypes email html http logging.config logging.handlers multiprocessing"
+HEAVY = set(f"{HEAVY} sqlite3 ssl subprocess unittest urllib uuid xml".split())
+NAMES = some.text("abcxyz_", min_size=1).filter(lambda name: name not in ("event", "level", "timestamp"))
+VALUES = some.none() | some.booleans() | some.integers() | some.floats() | some.text(' ="\\\nab\u00e9%{}')
+
+
+# ---- what is imported
+
+
+LOADED = """
+import runpy, sys
+before = set(sys.modules)
+try:
+    runpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)
+except SystemExit as ended:
+    print(ended.code, *set(sys.modules) - before)
+"""
+
+
+def test_a_gateway_imports_the_standard_library_alone_and_nothing_heavy_of_it():
+    """Guards against a start that pays for them from its share of a core. This one ends where it reads its
+    configuration, which is past all that it imports with no rules and no ledger."""
+    environment = {**os.environ, "ROUTER_CONFIG": "/none"}
+    ran = subprocess.run([sys.executable, "-c", LOADED], capture_output=True, text=True, env=environment)
+    code, *found = ran.stdout.split()
+    assert code == "2" and {"lemonlead.gateway.clients", "logging"} <= set(found)
+    tops = {name.split(".")[0] for name in found}
+    assert tops - sys.stdlib_module_names == {"lemonlead"}
+    assert {one for one in found if {one, one.split(".")[0]} & HEAVY} == set()
+
+
+def test_a_start_from_what_build_leaves_compiles_nothing_of_ours(tmp_path):
+    """Guards against paying for it at each start, as `run` sees a file system that it cannot write to."""
+    shutil.copytree(ROOT / "lemonlead", tmp_path / "lemonlead", ignore=shutil.ignore_patterns("__pycache__"))
+    (tmp_path / ".venv" / "bin").mkdir(parents=True)
+    (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
+    build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
+    subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True)
+    for source in tmp_path.glob("lemonlead/**/*.py"):
+        os.utime(source, (1, 1))  # a copy of the folder need not keep the times
+    words = [sys.executable, "-B", "-v", "-c", "import lemonlead.gateway.__main__"]
+    ran = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True, check=True)
+    read = [line.split("'")[1] for line in ran.stderr.splitlines() if line.startswith("# code object from '")]
+    ours = [path for path in read if path.startswith(str(tmp_path))]
+    assert len(ours) > 15 and [path for path in ours if not path.endswith(".pyc")] == []
+    changed = tmp_path / "lemonlead" / "gateway" / "lines.py"
+    changed.write_text("raise SystemExit(7)")  # what is kept never stands for a source that has changed
+    assert subprocess.run(words, cwd=tmp_path, capture_output=True).returncode == 7
+
+
+# ---- the log
+
+
+LEVELS = some.sampled_from(["info", "warning", "error"])
+
+
+@given(some.text(' ="\\\nab%s{}'), some.dictionaries(NAMES, VALUES), LEVELS)
+def test_a_line_is_what_the_library_of_the_members_makes_of_it(event, told, level):
+    """Members log by structlog, and what reads logs reads both."""
+    stream = io.StringIO()
+    getattr(lines.opened(stream, gateway="g 0"), level)(event, **told)
+    stamp = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
+    render = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])
+    told = {"gateway": "g 0", **told, "event": event, "level": level, "timestamp": stamp}
+    assert stream.getvalue() == render(None, level, told) + "\n"
+
+
+def test_a_line_tells_the_moment_in_utc_to_the_microsecond():
+    stream, before = io.StringIO(), datetime.now(UTC)
+    lines.opened(stream).info("serving")
+    text = stream.getvalue().split()[0].removeprefix("timestamp=")
+    moment = datetime.strptime(text, "%Y-%m-%dT%H:%M:%S.%f%z")
+    assert before <= moment <= datetime.now(UTC)
+    assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z", text)
+
+
+def test_lines_of_many_threads_are_each_whole_and_one_that_cannot_be_written_ends_none(capsys):
+    class Full(io.StringIO):
+        def write(self, text):
+            if "lost" in text:
+                raise OSError(28, "No space left on device")
+            return super().write(text)
+
+    stream = Full()
+    log = lines.opened(stream, gateway="g0")
+
+    def tell(number):
+        for n in range(50):
+            log.info("lost" if n == 25 else "kept", number=number, n=n)
+
+    threads = [threading.Thread(target=tell, args=(number,)) for number in range(8)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
+    ends = sorted(line.partition(" event=")[2] for line in stream.getvalue().splitlines())
+    kept = [(number, n) for number in range(8) for n in range(50) if n != 25]
+    assert ends == sorted(f"kept gateway=g0 number={number} n={n}" for number, n in kept)
+    assert capsys.readouterr().err.count("\nOSError: [Errno 28]") == 8
+
+
+# ---- the wait for a first list
+
+
+class Peer(Server):
+    """Discovery that takes each call and sends this, then nothing more until the test is over."""
+
+    def __init__(self, data):
+        super().__init__()
+        self.data, self.called, self.over = data, threading.Event(), threading.Event()
+
+    def serve(self, sock):
+        sock.recv(4096)
+        sock.sendall(self.data)
+        self.called.set()
+        self.over.wait()
+
+    def close(self):
+        self.over.set()
+        super().close()
+
+
+class Refuses:
+    """An address where nobody listens, kept from others."""
+
+    def __init__(self):
+        self.sock, self.called = socket.socket(), threading.Event()
+        self.sock.bind(("127.0.0.1", 0))
+        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
+        self.called.set()
+
+    def close(self):
+        self.sock.close()
+
+
+class Deaf(Refuses):
+    """One whose queue of connections is full, so that no new one comes up."""
+
+    def __init__(self):
+        super().__init__()
+        self.sock.listen(0)
+        self.filling = []
+        while True:
+            self.filling.append(socket.socket())
+            self.filling[-1].setblocking(False)
+            with contextlib.suppress(BlockingIOError):
+                self.filling[-1].connect(self.sock.getsockname())
+            if not select.select([], self.filling[-1:], [], 0.2)[1]:
+                return
+
+    def close(self):
+        for sock in [self.sock, *self.filling]:
+            sock.close()
+
+
+HALF = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n{"version": 9,\r\n'
+TROUBLES = {
+    "refuses": Refuses,
+    "takes no connection": Deaf,
+    "says nothing": lambda: Peer(b""),
+    "half a head of a refusal": lambda: Peer(b"HTTP/1.1 503 Busy\r\nContent-"),
+    "too many callers": lambda: Peer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+    "half a list": lambda: Peer(HALF),
+}
+
+
+@pytest.mark.parametrize("setting", ["push", "ask"])
+@pytest.mark.parametrize("trouble", TROUBLES)
+def test_it_serves_in_time_from_what_it_knew_whatever_discovery_does(tmp_path, trouble, setting):
+    """The trouble lasts until the gateway has answered: only its own bound ends the wait."""
+    discovery, server = TROUBLES[trouble](), InstanceServer().start()
+    if isinstance(discovery, Peer):
+        discovery.start()
+    begun = time.monotonic()
+    more = {"Discovery": setting, "Balancers": 200}
+    with gateway(tmp_path, server, settings=more, source=discovery) as ran:
+        client = ran.client()
+        assert client.write(resp.command([b"PING"])).read() == b"PONG"
+        assert time.monotonic() - begun < READY
+        assert client.ask(b"key").read() == b"key"
+        assert setting == "ask" or until(discovery.called.is_set)
