--- a/lemonlead/commands/serve.py
+++ b/lemonlead/commands/serve.py
@@ -1,7 +1,5 @@
 """`lemonlead gateway`."""
 
-import sys
-
 import click
 
 
@@ -14,4 +12,4 @@
     """
     from ..gateway import __main__ as gateway
 
-    sys.exit(gateway.main())
+    gateway.run()
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -20,7 +20,9 @@
 STACK = 256 * 1024
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
-SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
+TICK = 0.02  # seconds between looks, while it starts or stops, for what it waits for
+ENDS = {signal.SIGTERM, signal.SIGINT}
+SIGNALS = ENDS | {signal.SIGUSR1, signal.SIGHUP}
 
 
 def main():
@@ -76,7 +78,11 @@
         threading.Thread(target=thread, daemon=True).start()
     if place.pushed:  # no lookup goes by the list of before our start, unless discovery cannot be reached
         discovery.ask()
-        discovery.tried.wait(FIRST_LIST)
+        until = time.monotonic() + FIRST_LIST
+        while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
+            pass
+    if ending():  # before anybody was let in: what came from now on might find no end before SIGKILL
+        return ended(desk, log, follower, time.monotonic())
     gate.open()
     threading.Thread(target=gate.run, daemon=True).start()
     host, port = gate.listener.getsockname()
@@ -93,6 +99,11 @@
     return stop(gate, desk, log, follower)
 
 
+def ending():
+    """Whether the signal has come that ends the process; it is still there to be taken."""
+    return not ENDS.isdisjoint(signal.sigpending())
+
+
 def move(discovery, releases, log):
     """To discovery and the platform where the configuration now has them; all else goes on as it is."""
     try:
@@ -119,13 +130,23 @@
     time.sleep(LINGER)
     gate.close()
     until = time.monotonic() + max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
-    while (gate.close_idle() or desk.asks) and time.monotonic() < until:
-        time.sleep(0.02)
+    while (gate.close_idle() or not gate.closed.is_set() or desk.asks) and time.monotonic() < until:
+        time.sleep(TICK)
+    return ended(desk, log, follower, until)
+
+
+def ended(desk, log, follower, until):
     if follower is not None:
         follower.leave(until)
     log.info("stopped", **figures(desk, follower))
     return 0
 
 
+def run():
+    """The whole process. It ends at once: were the interpreter taken down while a thread writes a log line,
+    it would find the stream's lock held by a thread that never goes on, and abort."""
+    os._exit(main())
+
+
 if __name__ == "__main__":
-    sys.exit(main())
+    run()
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -306,13 +306,19 @@
         self.listener.listen(1024)
 
     def run(self):
+        try:
+            self.accept()
+        finally:
+            self.closed.set()
+
+    def accept(self):
         while True:
-            self.listener.setblocking(not self.closing)
             try:
+                self.listener.setblocking(not self.closing)
                 sock, _ = self.listener.accept()
             except BlockingIOError:  # none came for as long as KNOCKS
                 if self.closing:
-                    return self.closed.set()
+                    return
                 continue
             except OSError as error:
                 if self.listener.fileno() < 0:
--- a/lemonlead/standins/fleet.py
+++ b/lemonlead/standins/fleet.py
@@ -75,11 +75,12 @@
 @contextlib.contextmanager
 def gateway(
     tmp_path, *servers, settings=None, limits=None, entries=None, rules=None, extra=None, source=None,
-    follow=None,
+    follow=None, program=None, serves=True,
 ):
     """A gateway that runs among these instances; all of it ends with the block. `rules`: the text of a set of
     rules to switch on, `extra` further settings of rules, as `{"shadow": text, "shadow_share": share}`.
-    `source`: the discovery that it starts with. `follow`: the text of the settings of a ledger to follow."""
+    `source`: the discovery that it starts with. `follow`: the text of the settings of a ledger to follow.
+    `program`: Python text that is run in place of the module. `serves`: whether to wait until it does."""
     discovery, platform = source or DiscoveryServer().start(), PlatformServer().start()
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
@@ -104,7 +105,7 @@
         environment["LEMONLEAD_SETTINGS"] = str(tmp_path / "follow.cue")
     with open(tmp_path / "log", "w") as log:
         process = subprocess.Popen(
-            [sys.executable, "-m", "lemonlead.gateway"],
+            [sys.executable, *(["-c", program] if program else ["-m", "lemonlead.gateway"])],
             stdout=log,
             stderr=subprocess.STDOUT,
             env=environment,
@@ -128,8 +129,9 @@
 
     ran.client, ran.counters, ran.reload, ran.config = client, counters, reload, config
     try:
-        serving = until(lambda: [line for line in ran.log().splitlines() if "event=serving" in line])
-        ran.port = int(dict(word.split("=", 1) for word in serving[0].split() if "=" in word)["port"])
+        if serves:
+            serving = until(lambda: [line for line in ran.log().splitlines() if "event=serving" in line])
+            ran.port = int(dict(word.split("=", 1) for word in serving[0].split() if "=" in word)["port"])
         yield ran
         assert "event=fault" not in ran.log() and "Traceback" not in ran.log()
     finally:
