--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -20,6 +20,10 @@
 STACK = 256 * 1024
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
+# SIGKILL comes no sooner after SIGTERM than the longest hard stop, counted as this many seconds where it is
+# longer, and 0.7 s; a lookup that came in the last of these must have its answer by then.
+COUNTED = 3.0
+LAST = 0.2  # seconds in which the last answers go out
 TICK = 0.02  # seconds between looks, while it starts or stops, for what it waits for
 ENDS = {signal.SIGTERM, signal.SIGINT}
 SIGNALS = ENDS | {signal.SIGUSR1, signal.SIGHUP}
@@ -125,14 +129,24 @@
 
 def stop(gate, desk, log, follower):
     """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
-    it tells the ledger that it sends no more."""
+    it tells the ledger that it sends no more. What came by the end of LINGER has until its hard stop. What
+    came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
+    process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
+    takes."""
     log.info("stopping", open=len(desk.asks))
+    longest = max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
+    closing = time.monotonic() + LINGER
+    soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
+    late = places.now()
     gate.close()
-    until = time.monotonic() + max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
-    while (gate.close_idle() or not gate.closed.is_set() or desk.asks) and time.monotonic() < until:
+    while gate.close_idle() or not gate.closed.is_set() or desk.asks:
+        if (moment := time.monotonic()) >= until + LAST:
+            break
+        if moment >= soon:
+            gate.hurry(late if moment < until else 0)
         time.sleep(TICK)
-    return ended(desk, log, follower, until)
+    return ended(desk, log, follower, until + LAST)
 
 
 def ended(desk, log, follower, until):
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -61,6 +61,7 @@
         self.unsent = bytearray()
         self.writing = False  # a thread writes out what the client did not take at once
         self.reason = None  # why we end it
+        self.last = False  # no more is read
         self.broken = False  # nothing more can be written
         self.since = time.monotonic()  # when it last got an answer
         self.part_since = None  # when what there is of a command was first seen
@@ -83,6 +84,10 @@
 
     def read(self):
         while True:
+            if self.last:
+                with self.room:
+                    self.room.wait_for(lambda: not (self.asks or self.unsent) or self.broken)
+                return self.reason
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
             except BlockingIOError:  # none for as long as LOOK
@@ -158,7 +163,8 @@
         """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
         self.gate.counters.add("bad lookups")
         self.faults += 1
-        time.sleep(min(self.faults * PENALTY, MOST_PENALTY))
+        if not self.gate.stopping:  # what came behind it may have no time left then
+            time.sleep(min(self.faults * PENALTY, MOST_PENALTY))
 
     def put(self, ask):
         with self.room:
@@ -388,20 +394,38 @@
         self.log.info("client ended", reason=client.reason)
 
     def close(self):
-        """Once none waits to be accepted, as one that does may have asked already."""
-        self.closing = True
+        """Once none waits to be accepted, as one that does may have asked already. Connections are ended as
+        they are answered from now on, which also makes room for those."""
+        self.closing = self.stopping = True
         self.closed.wait(10 * KNOCKS)  # some may go on coming
         self.listener.close()
 
     def close_idle(self):
-        """Ends the clients' connections as they stand between lookups, from now on; whether any are left."""
-        self.stopping = True
+        """Ends the clients' connections as they stand between lookups, whether any are left. One that never
+        asked is given a moment, as it was made to ask."""
         with self.room:
             clients = list(self.clients)
+        asking = time.monotonic() - MUTE
         for client in clients:
-            client.leave("stopping")
+            if client.asked or client.since < asking:
+                client.leave("stopping")
         return bool(clients)
 
+    def hurry(self, since):
+        """Has each lookup that came after `since` answered now, with those before it on its connection, from
+        which no more is read. Guards against clients whose connection stands between lookups at no moment:
+        what SIGKILL finds unanswered there would be lost. It gives up what might have been served."""
+        with self.room:
+            clients = list(self.clients)
+        for client in clients:
+            with client.room, contextlib.suppress(OSError):
+                lookups = client.unanswered()
+                if not any(lookup.arrived > since for lookup in lookups):
+                    continue
+                client.last, client.reason = True, client.reason or "stopping"
+                client.sock.shutdown(socket.SHUT_RD)
+            self.desk.tell(self.desk.cut_short, lookups)
+
     def lookup(self, arrived, name, words):
         """A lookup from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no sense."""
         if len(words) not in WORDS.get(name, ()):
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -5,10 +5,20 @@
 own.
 """
 
+import contextlib
 import signal
-
-from lemonlead.standins.fleet import counted, gateway
-from lemonlead.standins.instances import InstanceServer
+import socket
+import threading
+import time
+from types import SimpleNamespace
+
+import pytest
+from lemonlead.gateway import __main__ as gateways
+from lemonlead.gateway import resp
+from lemonlead.gateway.clients import MUTE, Client, Gate
+from lemonlead.gateway.counters import Counters
+from lemonlead.standins.fleet import SETTINGS, counted, gateway
+from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
 
 GATEWAY = 'import runpy\nrunpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)\n'
@@ -99,3 +109,147 @@
         assert client.read() == b"aa" and client.read() is None
         assert ran.process.wait(60) == 0
         assert counted(ran.log(), "stopped")["succeeded"] == 1
+
+
+# ---- what comes on connections that stay open
+
+STOPS = {"Lanes": [{**lane, "GiveUp": 1500.0} for lane in SETTINGS["Lanes"]]}
+
+
+def refused(port):
+    """Whether the listener is closed."""
+    try:
+        socket.create_connection(("127.0.0.1", port), 60).close()
+    except ConnectionRefusedError:
+        return True
+    return False
+
+
+def stopping(ran):
+    """SIGTERM; returns once the listener is closed."""
+    ran.process.send_signal(signal.SIGTERM)
+    until(lambda: refused(ran.port))
+
+
+# A connection whose answer is out is looked at, whether it can be closed, only once the next lookup has come.
+NEXT_COMES_FIRST = """
+import socket
+from lemonlead.gateway.clients import Client
+
+leave = Client.leave
+
+def late(client, reason):
+    if client.answered and client.reason is None:
+        client.sock.recv(1, socket.MSG_PEEK)
+    leave(client, reason)
+
+Client.leave = late
+"""
+
+
+def test_a_lookup_that_crosses_the_closing_of_its_connection_is_answered_before_sigkill(tmp_path):
+    hold = threading.Event()
+    answers = {b"first": lambda: hold.wait(60) and gives(b"first"), b"next": lambda: time.sleep(60)}
+    server = InstanceServer(lambda words: answers[words[1]]()).start()
+    with gateway(tmp_path, server, settings=STOPS, program=NEXT_COMES_FIRST + GATEWAY) as ran:
+        client = ran.client().ask(b"first")
+        until(lambda: server.got)
+        stopping(ran)
+        hold.set()
+        assert client.read() == b"first"
+        assert client.ask(b"next", wait=1500).read().startswith(b"BUSY") and client.read() is None
+        assert ran.process.wait(60) == 0 and counted(ran.log(), "stopped")["open"] == 0
+
+
+def test_a_client_that_always_has_a_second_lookup_out_gets_an_answer_to_each_that_was_read(tmp_path):
+    """The instance answers each lookup only once the next one has come."""
+    came, over = [threading.Event() for _ in range(50_000)], threading.Event()
+
+    def react(words):
+        number = int(words[1])
+        came[number].set()
+        while not (came[number + 1].wait(0.1) or over.is_set()):
+            pass
+        return gives(words[1])
+
+    answers = []
+    with gateway(tmp_path, InstanceServer(react).start(), settings=STOPS) as ran:
+        client = ran.client().ask(b"0")
+
+        def go_on():
+            with contextlib.suppress(OSError):
+                for number in range(1, len(came) - 1):
+                    if (answer := client.ask(b"%d" % number, wait=1500).read()) is None:
+                        return
+                    answers.append(answer)
+                while (answer := client.read()) is not None:
+                    answers.append(answer)
+
+        thread = threading.Thread(target=go_on, daemon=True)
+        thread.start()
+        until(lambda: len(answers) > 2)
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(60) == 0
+        thread.join(60)
+        over.set()
+        said = counted(ran.log(), "stopped")
+        assert said["open"] == 0 and said.get("left", 0) == 0
+        assert len(answers) == said["taken"] == said["succeeded"] + said["pushed_back"]
+
+
+def test_what_comes_behind_nonsense_after_sigterm_is_read_at_once(tmp_path):
+    hold = threading.Event()
+    server = InstanceServer(lambda words: hold.wait(60) and gives(words[1])).start()
+    with gateway(tmp_path, server, settings=STOPS) as ran:
+        client = ran.client().ask(b"first")
+        until(lambda: server.got)
+        stopping(ran)
+        client.write(resp.command([b"HELLO"]) * 8).ask(b"last")
+        hold.set()
+        answers = [client.read() for _ in range(10)]
+        assert answers[0] == b"first" and answers[9] == b"last" and client.read() is None
+        assert ran.process.wait(60) == 0
+
+
+@pytest.mark.parametrize(
+    "asked, before, stays", [(False, 0.0, True), (False, MUTE, False), (True, 0.0, False)]
+)
+def test_a_new_connection_is_given_a_moment_for_its_first_lookup(asked, before, stays):
+    ours, theirs = socket.socketpair()
+    gate = SimpleNamespace(clients=set(), room=threading.Condition())
+    client = Client(ours, gate, False)
+    client.asked, client.since = asked, time.monotonic() + (-before if before else 60)  # no time runs out
+    gate.clients.add(client)
+    assert Gate.close_idle(gate) and (client.reason is None) is stays
+    for sock in (ours, theirs):
+        sock.close()
+
+
+@pytest.mark.parametrize(
+    "longest, hurries, all_of_it, ends", [(2.5, 3.0, 3.0, 3.2), (20.0, 3.5, 20.5, 20.7), (0.0, 0.5, 0.5, 0.7)]
+)
+def test_when_what_came_late_is_answered_and_when_the_process_ends(
+    monkeypatch, longest, hurries, all_of_it, ends
+):
+    """Seconds after SIGTERM, with a client that does not read its answers and so is left until the end.
+    SIGKILL comes no sooner than at 0.7 and the longest stop, counted as 3 where it is longer."""
+    clock, seen = SimpleNamespace(at=0.0), []
+    clock.monotonic = lambda: clock.at
+    clock.sleep = lambda seconds: setattr(clock, "at", clock.at + seconds)
+    monkeypatch.setattr(gateways, "time", clock)
+    monkeypatch.setattr(gateways.places, "now", lambda: clock.at * 1e9)
+    gate = SimpleNamespace(
+        place=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
+        close=lambda: None,
+        close_idle=lambda: True,
+        closed=threading.Event(),
+        hurry=lambda since: seen.append((clock.at, since / 1e9)),
+    )
+    desk = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
+    assert gateways.stop(gate, desk, SimpleNamespace(info=lambda *_, **__: None), None) == 0
+    moments = [at for at, _ in seen]
+    assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
+    assert min(at for at, since in seen if since == 0) == pytest.approx(all_of_it, abs=2 * gateways.TICK)
+    assert {since for _, since in seen} - {0} == ({gateways.LINGER} if all_of_it > hurries else set())
+    assert clock.at == pytest.approx(ends, abs=2 * gateways.TICK)
+    assert moments[0] + gateways.LAST <= 0.7 + min(longest, 3.0) + gateways.TICK
