--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -1,10 +1,12 @@
 """`python -m lemonlead.gateway`: one gateway, as its environment and configuration say."""
 
+import errno
 import os
 import signal
 import sys
 import threading
 import time
+import traceback
 
 import structlog
 
@@ -19,6 +21,7 @@
 
 STACK = 256 * 1024
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
+TAKEN = 5.0  # seconds for which our address is waited for, while a process before us still listens there
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
 # SIGKILL comes no sooner after SIGTERM than the longest hard stop, counted as this many seconds where it is
 # longer, and 0.7 s; a lookup that came in the last of these must have its answer by then.
@@ -76,7 +79,8 @@
             print(f"lemonlead.gateway: no ledger can be followed: {error}; {error.do}", file=sys.stderr)
             return 2
         follower.start(discovery, known[1], known[2])
-    threads = [desk.keep_time, discovery.run]
+    changed = threading.Event()
+    threads = [desk.keep_time, discovery.run, lambda: reread(changed, gate, discovery, releases, desk, log)]
     threads += [releases.hear, releases.poll] if place.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
@@ -85,9 +89,12 @@
         until = time.monotonic() + FIRST_LIST
         while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
             pass
-    if ending():  # before anybody was let in: what came from now on might find no end before SIGKILL
-        return ended(desk, log, follower, time.monotonic())
-    gate.open()
+    try:
+        if not opened(gate, log):  # nobody was let in: what came from now on might find no end before SIGKILL
+            return ended(desk, log, follower, time.monotonic())
+    except OSError as error:
+        print(f"lemonlead.gateway: cannot start: {type(error).__name__}: {error}", file=sys.stderr)
+        return 2
     threading.Thread(target=gate.run, daemon=True).start()
     host, port = gate.listener.getsockname()
     log.info("serving", listen=host, port=port, instances=len(known[1]))
@@ -97,9 +104,7 @@
             if gate.sorting is not None:
                 gate.sorting.tell()
         else:
-            move(discovery, releases, log)
-            if gate.sorting is not None:
-                gate.sorting.load(places.now())
+            changed.set()
     return stop(gate, desk, log, follower)
 
 
@@ -108,6 +113,39 @@
     return not ENDS.isdisjoint(signal.sigpending())
 
 
+def opened(gate, log):
+    """Whether it listens; not if the process is to end before it can. A process before us under our address
+    goes on listening for 1.5 s after SIGTERM at most. Raises OSError where the address is not to be had, also
+    after TAKEN."""
+    until = None
+    while not ending():
+        try:
+            gate.open()
+            return True
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE or until is not None and time.monotonic() > until:
+                raise
+        if until is None:
+            until = time.monotonic() + TAKEN
+            log.info("address taken")
+        time.sleep(TICK)
+    return False
+
+
+def reread(changed, gate, discovery, releases, desk, log):
+    """The thread that reads anew after SIGHUP: a large set of rules takes a while, and SIGTERM must not wait
+    for it."""
+    while True:
+        changed.wait()
+        changed.clear()
+        try:
+            move(discovery, releases, log)
+            if gate.sorting is not None:
+                gate.sorting.load(places.now())
+        except Exception:  # the next SIGHUP depends on the thread
+            desk.fault(traceback.format_exc())
+
+
 def move(discovery, releases, log):
     """To discovery and the platform where the configuration now has them; all else goes on as it is."""
     try:
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -306,9 +306,13 @@
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(KNOCKS))
-        self.listener.bind(place.listen)
+        self.bound = False
 
     def open(self):
+        """Raises OSError where another process listens at the address, or it is none of ours."""
+        if not self.bound:
+            self.listener.bind(self.place.listen)
+            self.bound = True
         self.listener.listen(1024)
 
     def run(self):
@@ -348,10 +352,18 @@
         with self.room:
             self.clients.add(client)
         self.counters.add("clients accepted")
-        try:
-            self.crew.do(client.run)
-        except RuntimeError:
-            client.close("no thread")
+        self.hire(client, time.monotonic() + PART)
+
+    def hire(self, client, until):
+        """A thread for it; where none is to be had for so long, it is closed. What comes next waits to be
+        accepted meanwhile."""
+        while True:
+            try:
+                return self.crew.do(client.run)
+            except RuntimeError:
+                if time.monotonic() > until:
+                    return client.close("no thread")
+            time.sleep(HARDLY_USED)
 
     def made_room(self):
         """Whether there is room within the bound; past the extra clients it waits until one is gone. Those
--- a/lemonlead/standins/fleet.py
+++ b/lemonlead/standins/fleet.py
@@ -75,17 +75,18 @@
 @contextlib.contextmanager
 def gateway(
     tmp_path, *servers, settings=None, limits=None, entries=None, rules=None, extra=None, source=None,
-    follow=None, program=None, serves=True,
+    follow=None, program=None, serves=True, listen="127.0.0.1:0",
 ):
     """A gateway that runs among these instances; all of it ends with the block. `rules`: the text of a set of
     rules to switch on, `extra` further settings of rules, as `{"shadow": text, "shadow_share": share}`.
     `source`: the discovery that it starts with. `follow`: the text of the settings of a ledger to follow.
-    `program`: Python text that is run in place of the module. `serves`: whether to wait until it does."""
+    `program`: Python text that is run in place of the module. `serves`: whether to wait until it does.
+    `listen`: its address."""
     discovery, platform = source or DiscoveryServer().start(), PlatformServer().start()
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
         "name": "g0",
-        "listen": "127.0.0.1:0",
+        "listen": listen,
         "discovery": discovery.address,
         "seed": "8c1f30d27a5be964",
         "limits": limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -14,9 +14,10 @@
 
 import pytest
 from lemonlead.gateway import __main__ as gateways
-from lemonlead.gateway import resp
+from lemonlead.gateway import clients, resp
 from lemonlead.gateway.clients import MUTE, Client, Gate
 from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
 from lemonlead.standins.fleet import SETTINGS, counted, gateway
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
@@ -253,3 +254,185 @@
     assert {since for _, since in seen} - {0} == ({gateways.LINGER} if all_of_it > hurries else set())
     assert clock.at == pytest.approx(ends, abs=2 * gateways.TICK)
     assert moments[0] + gateways.LAST <= 0.7 + min(longest, 3.0) + gateways.TICK
+
+
+# ---- SIGHUP
+
+READS_FOR_GOOD = """
+import threading
+from lemonlead.gateway import place
+
+def read_again():
+    print("reads the configuration", flush=True)
+    threading.Event().wait()
+
+place.read_again = read_again
+"""
+
+
+def test_sigterm_is_heeded_while_a_configuration_is_read(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=READS_FOR_GOOD + GATEWAY) as ran:
+        ran.process.send_signal(signal.SIGHUP)
+        until(lambda: "reads the configuration" in ran.log())
+        assert ran.client().ask().read() == b"aa"
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(20) == 0
+
+
+# ---- one process after another under the same address
+
+
+def test_a_gateway_waits_for_its_address_while_another_process_listens_there(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        where = f"127.0.0.1:{other.getsockname()[1]}"
+        with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
+            until(lambda: 'event="address taken"' in ran.log())
+            other.close()
+            until(lambda: "event=serving" in ran.log())
+            ran.port = int(where.split(":")[1])
+            assert ran.client().ask().read() == b"aa"
+
+
+def test_sigterm_ends_a_gateway_that_waits_for_its_address(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        where = f"127.0.0.1:{other.getsockname()[1]}"
+        with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
+            until(lambda: 'event="address taken"' in ran.log())
+            ran.process.send_signal(signal.SIGTERM)
+            assert ran.process.wait(60) == 0
+
+
+@pytest.mark.parametrize("taken, waits", [(True, True), (False, False)])
+def test_an_address_that_is_not_to_be_had_ends_the_start(monkeypatch, taken, waits):
+    clock, slept = SimpleNamespace(at=0.0), []
+    clock.monotonic = lambda: clock.at
+    clock.sleep = lambda seconds: slept.append(seconds) or setattr(clock, "at", clock.at + seconds)
+    monkeypatch.setattr(gateways, "time", clock)
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        listen = other.getsockname() if taken else ("192.0.2.1", 9)  # one that no machine has
+        place = SimpleNamespace(connections=8, memory=16000, listen=listen)
+        gate = Gate(place, None, None, None, Counters())
+        with pytest.raises(OSError):
+            gateways.opened(gate, SimpleNamespace(info=lambda *_, **__: None))
+        gate.listener.close()
+    assert (sum(slept) >= gateways.TAKEN) is waits and bool(slept) is waits
+
+
+def test_the_next_process_serves_while_the_one_before_it_ends(tmp_path):
+    hold = threading.Event()
+    server = InstanceServer(lambda words: (words[1] != b"held" or hold.wait(60)) and gives(words[1])).start()
+    folders = [tmp_path / name for name in ("old", "new")]
+    for folder in folders:
+        folder.mkdir()
+    with gateway(folders[0], server) as old:
+        held = old.client().ask(b"held")
+        until(lambda: server.got)
+        old.process.send_signal(signal.SIGTERM)
+        with gateway(folders[1], InstanceServer().start(), listen=f"127.0.0.1:{old.port}") as new:
+            assert new.client().ask().read() == b"aa"
+            assert old.process.poll() is None
+            hold.set()
+            assert held.read() == b"held" and held.read() is None
+            assert old.process.wait(60) == 0
+
+
+def test_a_killed_process_is_followed_at_once_though_clients_hold_its_connections(tmp_path):
+    server = InstanceServer().start()
+    with gateway(tmp_path, server) as old:
+        client = old.client()
+        assert client.ask().read() == b"aa"
+        old.process.kill()
+        old.process.wait()
+        with gateway(tmp_path, InstanceServer().start(), listen=f"127.0.0.1:{old.port}") as new:
+            assert new.client().ask().read() == b"aa"
+        with contextlib.suppress(ConnectionResetError):
+            assert client.read() is None
+
+
+# ---- the listener out of descriptors or threads
+
+NO_DESCRIPTORS = """
+import os, resource, threading
+from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
+
+accept, read, held = Gate.accept, Counters.read, []
+
+def without(gate):
+    resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
+    try:
+        while True:
+            held.append(os.open("/dev/null", os.O_RDONLY))
+    except OSError:
+        accept(gate)
+
+def asked(counters):
+    while held:
+        os.close(held.pop())
+    return read(counters)
+
+Gate.accept, Counters.read = without, asked
+"""
+
+
+def test_a_connection_that_no_descriptor_is_left_for_waits_and_is_served(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=NO_DESCRIPTORS + GATEWAY) as ran:
+        client = ran.client().ask()
+        until(lambda: 'event="accept failed"' in ran.log())
+        ran.counters()  # frees them
+        assert client.read() == b"aa"
+
+
+def crew_that_fails(times):
+    crew, left = Crew(), [None] * times
+
+    def do(*work):
+        if left:
+            left.pop()
+            raise RuntimeError("can't start new thread")
+        Crew.do(crew, *work)
+
+    return SimpleNamespace(do=do, left=left)
+
+
+@pytest.mark.parametrize("times, served", [(3, True), (1000, False)])
+def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
+    monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
+    place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
+    crew, told = crew_that_fails(times), []
+    gate = Gate(place, None, crew, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters())
+    gate.open()
+    threading.Thread(target=gate.run, daemon=True).start()
+    with socket.create_connection(gate.listener.getsockname()) as theirs:
+        theirs.sendall(resp.command([b"PING"]))
+        if served:
+            assert theirs.recv(99) == b"+PONG\r\n" and not crew.left
+            theirs.shutdown(socket.SHUT_WR)
+        until(lambda: told)
+    assert told == [{"reason": "client closed" if served else "no thread"}]
+    gate.close()
+    assert gate.closed.is_set()
+
+
+def test_nothing_is_left_of_clients_that_came_and_went():
+    place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
+    desk, counters = SimpleNamespace(tell=None), Counters()
+    gate = Gate(place, desk, Crew(), SimpleNamespace(info=lambda *_, **__: None), counters)
+    gate.open()
+    before = threading.active_count()
+    threading.Thread(target=gate.run, daemon=True).start()
+
+    def come_and_go(count):
+        for _ in range(count):
+            with socket.create_connection(gate.listener.getsockname()) as theirs:
+                theirs.sendall(resp.command([b"PING"]))
+                assert theirs.recv(99) == b"+PONG\r\n"
+        until(lambda: not gate.clients)
+        return counters.read()
+
+    few, many = come_and_go(5), come_and_go(200)
+    assert set(few) == set(many) and many["clients ended: client closed"] == 205
+    gate.close()
+    until(lambda: threading.active_count() <= before)
+    assert gate.closed.is_set() and gate.held == 0
