--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -173,7 +173,7 @@
     machines = [Machine(slots=8).start() for _ in range(2)]
 
     def ask(client, number):
-        key = os.urandom(4).hex().encode()
+        key = os.urandom(8).hex().encode()  # 4 bytes came twice in one run of five, as two effects
         client.ask(key, ("look", "hold", "buy")[number % 3], k=key.decode())
         return key
 
