--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -35,7 +35,8 @@
 
     def run(self):
         while True:
-            self.wanted.wait()
+            if not self.upkeep.moving:  # else a list that the old address told late may have cleared it
+                self.wanted.wait()
             self.wanted.clear()
             reason, detail = self.upkeep.run(self.watch)
             self.counters.add(f"watches ended: {reason}")
@@ -45,8 +46,7 @@
             self.desk.tell(self.desk.balancer.list_failed)
 
     def watch(self):
-        sock = self.upkeep.connected(SILENCE)
-        source = self.upkeep.address
+        sock, source = self.upkeep.connected(SILENCE)
         query = f"/api/targets?stream=1&index={self.version}"
         sock.sendall(f"GET {query} HTTP/1.1\r\nHost: {source[0]}:{source[1]}\r\n\r\n".encode())
         answer, objects, begun = http.Answer(), http.Objects(), time.monotonic()
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -32,7 +32,7 @@
             self.upkeep.wait()
 
     def listen(self):
-        sock, reader = self.upkeep.connected(SILENCE), platform.Reader()
+        (sock, _), reader = self.upkeep.connected(SILENCE), platform.Reader()
         sock.sendall(b"NOTIFY\r\n")
         while (words := self.words(sock, reader)) is not None:
             if words[:2] == ["*", "stage"]:
--- a/lemonlead/gateway/upkeep.py
+++ b/lemonlead/gateway/upkeep.py
@@ -22,13 +22,18 @@
         self.sock, self.moving = None, False
 
     def connected(self, silence):
-        """A socket to the address as it is now, on which a silence of so many seconds is an error."""
+        """A socket to the address as it is now, on which a silence of so many seconds is an error, and that
+        address. OSError if it was to move meanwhile: what is not connected yet can't be shut down."""
         with self.room:
-            self.moving, self.sock, address = False, socket.socket(), self.address
+            self.moving, address = False, self.address  # first: without a socket, `wait` is to pause
+            self.sock = socket.socket()
         self.sock.settimeout(CONNECTS)
         self.sock.connect(address)
         self.sock.settimeout(silence)
-        return self.sock
+        with self.room:
+            if self.moving:
+                raise OSError("moved while it was opened")
+        return self.sock, address
 
     def run(self, work):
         """Has `work` make a connection and use it until it ends; the reason as a code, and what else is to be
@@ -67,8 +72,8 @@
     def wait(self, crowded=False):
         """`crowded`: the other side had too many callers. What waits there in vain takes the place of what
         would be served, so that all must come less often until each gets through; it learns later then."""
-        if crowded:
-            self.length = max(self.length, self.longest)
-        with self.room:
-            self.room.wait_for(lambda: self.moving, self.length * self.random.uniform(0.5, 1.0))
-        self.length = min(2 * self.length, self.crowded if crowded else self.longest)
+        with self.room:  # all of it: what the old address did is to lengthen no pause at a new one
+            if crowded and not self.moving:
+                self.length = max(self.length, self.longest)
+            if not self.room.wait_for(lambda: self.moving, self.length * self.random.uniform(0.5, 1.0)):
+                self.length = min(2 * self.length, self.crowded if crowded else self.longest)
--- a/lemonlead/standins/discovery.py
+++ b/lemonlead/standins/discovery.py
@@ -22,7 +22,8 @@
             self.changed.notify_all()
 
     def serve(self, sock):
-        head = sock.recv(65536).decode()
+        if not (head := sock.recv(65536).decode()):
+            return  # a caller that thought better of it
         self.asked.append(head.split()[1])
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         index = int(self.asked[-1].rsplit("=", 1)[1])
--- /dev/null
+++ b/tests/test_crossings_watch.py
@@ -0,0 +1,235 @@
+"""SIGHUP, watches of the list and news of builds: each bad order of two events, forced (`docs/crossings.md`).
+
+Times are seconds.
+"""
+
+import errno
+import socket
+import threading
+from types import SimpleNamespace
+
+import pytest
+from helpers import NOW
+from lemonlead.gateway import upkeep
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.discovery import Discovery
+from lemonlead.gateway.place import address
+from lemonlead.gateway.releases import Releases
+from lemonlead.standins.discovery import DiscoveryServer, entry
+from lemonlead.standins.fleet import SETTINGS
+from lemonlead.standins.platform import PlatformServer
+from lemonlead.standins.server import until
+from lemonlead.told import started
+
+SOON = 20  # a bound on waits that fails a test; no verdict depends on it where the code is right
+
+
+class Quiet:
+    def info(self, *_, **more):
+        pass
+
+
+class Desk:
+    """Takes down what the drivers tell. `gates`: by an input's name, what is called before it is taken."""
+
+    def __init__(self):
+        self.lists, self.failures, self.stages, self.gates = [], [], [], {}
+        self.instances = SimpleNamespace(pools={}, listed=lambda *_: None)
+        self.balancer = SimpleNamespace(listed=self.listed, list_failed=self.failures.append)
+
+    def listed(self, now, lines, whole, fresh):
+        self.lists.append([row.id for row in lines])
+
+    def stage_told(self, now, *news):
+        self.stages.append(news[0])
+
+    def tell(self, happened, *values):
+        self.gates.get(getattr(happened, "__name__", ""), lambda: None)()
+        happened(NOW, *values)
+
+
+@pytest.fixture
+def servers():
+    """Makes stand-ins, which end with the test."""
+    made = []
+
+    def make(server):
+        made.append(server.start())
+        return server
+
+    yield make
+    for server in made:
+        server.close()
+
+
+def place(discovery=None, platform=None):
+    where = {"discovery": discovery and address(discovery.address)}
+    where["platform"] = platform and address(platform.address)
+    return SimpleNamespace(start=started(SETTINGS, 7, NOW), zones={}, kinds={}, **where)
+
+
+def run(work):
+    threading.Thread(target=work, daemon=True).start()
+
+
+def watch(server, ask=True):
+    """The driver of discovery and its desk; it is asked for the list, and its thread waits to be run."""
+    desk = Desk()
+    made = Discovery(place(server), desk, Quiet(), Counters())
+    if ask:
+        made.ask()
+    return made, desk
+
+
+# ---- SIGHUP against a watch that is being opened
+
+
+@pytest.fixture
+def sockets(monkeypatch):
+    """What is called before a socket connects, after it has, and before it is shut down. An unconnected one's
+    shutdown is an error and nothing more, as POSIX has it; Linux ends it all the same."""
+    calls = SimpleNamespace(before=lambda: None, after=lambda: None, shutting=lambda: None)
+
+    class Posix(socket.socket):
+        up = False
+
+        def connect(self, where):
+            calls.before()
+            super().connect(where)
+            self.up = True
+            calls.after()
+
+        def shutdown(self, how):
+            calls.shutting()
+            if not self.up:
+                raise OSError(errno.ENOTCONN, "not connected")
+            super().shutdown(how)
+
+    monkeypatch.setattr(upkeep, "socket", SimpleNamespace(socket=Posix, SHUT_RDWR=socket.SHUT_RDWR))
+    return calls
+
+
+def once(action):
+    """The action at the first call, and nothing at those after it."""
+    left = [action]
+    return lambda: left.pop()() if left else None
+
+
+def test_a_watch_that_was_being_opened_at_sighup_does_not_go_on_at_the_old_address(servers, sockets):
+    old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
+    made, desk = watch(old)
+    sockets.before = once(lambda: made.move(address(new.address)))
+    new.tell(entry("new", new), full=True)
+    run(made.run)
+    until(lambda: desk.lists == [["new"]], SOON)
+    assert not old.asked and made.counters.read() == {"lists told": 1, "watches ended: moved": 1}
+
+
+def test_news_that_were_being_asked_for_at_sighup_are_not_heard_from_the_old_address(servers, sockets):
+    old, new = servers(PlatformServer()), servers(PlatformServer())
+    new.state = "2 0 trial 0.5 0"
+    desk = Desk()
+    made = Releases(place(platform=old), desk, Quiet(), Counters())
+    sockets.before = once(lambda: made.upkeep.move(address(new.address)))
+    run(made.hear)
+    until(lambda: desk.stages == [2], SOON)
+    assert not old.asked and made.counters.read() == {"news told": 1, "news ended: moved": 1}
+
+
+def test_sighup_there_and_back_while_a_watch_is_opened_ends_at_the_first_address(servers, sockets):
+    first, second = servers(DiscoveryServer()), servers(DiscoveryServer())
+    made, desk = watch(first)
+    there_and_back = [lambda: made.move(address(first.address)), lambda: made.move(address(second.address))]
+    sockets.before = lambda: there_and_back.pop()() if there_and_back else None
+    first.tell(entry("a", first), full=True)
+    run(made.run)
+    until(lambda: desk.lists == [["a"]], SOON)
+    assert not there_and_back and not second.asked and len(first.asked) == 1
+
+
+def test_a_list_of_the_old_service_is_not_taken_for_one_of_the_new(servers, sockets):
+    """SIGHUP just after the connection came up: the new address stands, the old connection does too."""
+    old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
+    made, desk = watch(old)
+    moving, waits = threading.Event(), threading.Event()
+
+    class Room(threading.Condition):
+        def __enter__(self):
+            if moving.is_set():
+                waits.set()
+            return super().__enter__()
+
+    def move():
+        run(lambda: made.move(address(new.address)))
+        assert moving.wait(SOON)
+
+    def shut():
+        moving.set()
+        until(lambda: waits.is_set() or desk.lists, SOON)
+
+    made.upkeep.room = Room()
+    sockets.after, sockets.shutting = once(move), once(shut)
+    old.tell(entry("old", old), full=True, version=41)
+    new.tell(entry("new", new), full=True, version=5)  # a service that counts anew
+    run(made.run)
+    until(lambda: new.asked and desk.lists and desk.lists != [["old"]], SOON)
+    assert desk.lists[-1] == ["new"] and made.version == 5
+
+
+def test_a_list_that_the_old_address_told_late_does_not_keep_the_new_one_waiting(servers):
+    old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
+    made, desk = watch(old)
+    read, moved = threading.Event(), threading.Event()
+    desk.gates["listed"] = once(lambda: (read.set(), moved.wait(SOON)))
+    old.tell(entry("old", old), full=True)
+    new.tell(entry("old", old), full=True)
+    new.tell(entry("new", new), full=True)  # one service at two addresses: its versions go on
+    run(made.run)
+    assert read.wait(SOON)
+    made.move(address(new.address))
+    moved.set()
+    until(lambda: desk.lists == [["old"], ["new"]], SOON)  # no one asks anew
+
+
+# ---- SIGHUP against a pause
+
+
+def test_too_many_callers_at_the_old_address_lengthen_no_pause_at_the_new_one():
+    """The move comes between the end of the old connection and its pause."""
+    kept = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0)
+    kept.run(lambda: None)
+    kept.move(("127.0.0.1", 2))
+    kept.wait(crowded=True)
+    assert kept.length == kept.shortest
+
+
+def test_a_pause_that_ends_as_the_address_moves_does_not_bring_back_its_length():
+    kept = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0)
+    at_end = once(lambda: kept.move(("127.0.0.1", 2)))
+
+    class Room(threading.Condition):
+        def wait_for(self, moving, seconds):
+            return moving()  # the time is over
+
+        def __exit__(self, *error):
+            super().__exit__(*error)
+            at_end()
+
+    kept.room, kept.length = Room(), 8.0
+    kept.wait(crowded=True)
+    assert kept.moving and kept.length == kept.shortest
+
+
+def test_a_move_for_which_no_socket_is_to_be_had_is_tried_after_a_pause(monkeypatch):
+    """Else the thread would turn without a rest until a descriptor is free."""
+    kept, waited = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0), []
+    kept.move(("127.0.0.1", 2))
+
+    def none():
+        raise OSError(errno.EMFILE, "too many")
+
+    monkeypatch.setattr(upkeep, "socket", SimpleNamespace(socket=none))
+    assert kept.run(lambda: kept.connected(1.0))[0] == "unreachable"
+    kept.room.wait_for = lambda moving, seconds: waited.append((moving(), seconds))
+    kept.wait()
+    assert waited[0][0] is False and waited[0][1] > 0
