--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -9,9 +9,9 @@
 from ..told import in_ns
 from . import http
 from .place import address
-from .upkeep import CROWDED, Upkeep
+from .upkeep import CROWDED, Upkeep, read_until
 
-SILENCE = 4.5  # seconds without a line after which a watch is dead; one comes every 2 s
+SILENCE = 4.5  # seconds without a whole line or list after which a watch is dead; one comes every 2 s
 
 
 class Discovery:
@@ -53,6 +53,9 @@
         heard = False
         while True:
             while (line := answer.next()) is http.MORE:
+                if answer.status not in (0, 200):
+                    return "unavailable"  # before the rest of it, which may be long in coming
+                read_until(sock, begun + SILENCE)
                 if not answer.buffer.fill(sock.recv_into):
                     return "closed"
             if answer.status != 200:
@@ -62,13 +65,12 @@
             if text := objects.add(line):
                 heard = True
                 self.told(text, source)
-            elif not (heard or line or objects.lines) and source == self.source:
-                heard = True  # a sign of life first: nothing has changed, so the list that we have is current
-                self.desk.tell(self.current)
-            if not objects.lines:
+            elif not (heard or line or objects.lines):
+                self.upkeep.worked()
+                if heard := source == self.source:  # nothing has changed, so the list that we have is current
+                    self.desk.tell(self.current)
+            if not objects.lines:  # else half an object, and then signs of life alone
                 begun = time.monotonic()
-            elif time.monotonic() - begun > SILENCE:
-                return "silent"  # half an object, then signs of life alone
 
     def told(self, text, source):
         try:
@@ -116,7 +118,6 @@
     def current(self, now):
         """Under the desk's lock. The list as it is here is the one that discovery has."""
         self.wanted.clear()
-        self.upkeep.worked()
         self.tried.set()
         self.desk.balancer.listed(now, [], False, True)
 
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -7,9 +7,9 @@
 
 from .. import interface as at
 from . import platform
-from .upkeep import Upkeep
+from .upkeep import Upkeep, read_until
 
-SILENCE = 3.5  # seconds without a sign of life after which news are cut off; one comes each second
+SILENCE = 3.5  # seconds without a whole sign of life after which news are cut off; one comes each second
 
 
 class Releases:
@@ -34,7 +34,7 @@
     def listen(self):
         (sock, _), reader = self.upkeep.connected(SILENCE), platform.Reader()
         sock.sendall(b"NOTIFY\r\n")
-        while (words := self.words(sock, reader)) is not None:
+        while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
                 self.desk.tell(self.desk.stage_told, *platform.stage(words[2:]))
@@ -43,10 +43,9 @@
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
         return "closed"
 
-    def words(self, sock, reader, until=None):
+    def words(self, sock, reader, until):
         while (words := reader.next()) is None:
-            if until is not None:
-                sock.settimeout(max(until - time.monotonic(), 0.001))
+            read_until(sock, until)
             if not reader.buffer.fill(sock.recv_into):
                 return None
         return words
--- a/lemonlead/gateway/upkeep.py
+++ b/lemonlead/gateway/upkeep.py
@@ -4,12 +4,21 @@
 import random
 import socket
 import threading
+import time
 
 CROWDED = 8.0  # seconds: the longest pause after one that had too many callers
 CONNECTS = 1.0  # seconds; what has not come up by then is tried anew, to be early once it can be reached
 REASONS = {ConnectionRefusedError: "refused", ConnectionResetError: "reset", BrokenPipeError: "reset"}
 
 
+def read_until(sock, until):
+    """Bounds the socket's next read by this moment of `time.monotonic`; TimeoutError once it has come. Guards
+    against a peer that sends bytes but nothing whole: each of them would count as a sign of life."""
+    if (left := until - time.monotonic()) <= 0:
+        raise TimeoutError
+    sock.settimeout(left)
+
+
 class Upkeep:
     """One such connection at a time. The pause before the next grows with each failure and is spread by
     chance; a new address ends both the connection and the pause."""
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -6,11 +6,13 @@
 import errno
 import socket
 import threading
+import time
 from types import SimpleNamespace
 
 import pytest
 from helpers import NOW
-from lemonlead.gateway import upkeep
+from lemonlead import interface as at
+from lemonlead.gateway import discovery, releases, upkeep
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.place import address
@@ -18,7 +20,7 @@
 from lemonlead.standins.discovery import DiscoveryServer, entry
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.platform import PlatformServer
-from lemonlead.standins.server import until
+from lemonlead.standins.server import Server, until
 from lemonlead.told import started
 
 SOON = 20  # a bound on waits that fails a test; no verdict depends on it where the code is right
@@ -62,8 +64,8 @@
         server.close()
 
 
-def place(discovery=None, platform=None):
-    where = {"discovery": discovery and address(discovery.address)}
+def place(lists=None, platform=None):
+    where = {"discovery": lists and address(lists.address)}
     where["platform"] = platform and address(platform.address)
     return SimpleNamespace(start=started(SETTINGS, 7, NOW), zones={}, kinds={}, **where)
 
@@ -233,3 +235,105 @@
     kept.room.wait_for = lambda moving, seconds: waited.append((moving(), seconds))
     kept.wait()
     assert waited[0][0] is False and waited[0][1] > 0
+
+
+# ---- silence that is broken by bytes, but by nothing whole
+
+
+class Drip(Server):
+    """Answers what is asked with `head`, then with one more byte every 10 ms, until it is told that it is
+    over or cut off."""
+
+    def __init__(self, head, byte):
+        super().__init__()
+        self.head, self.byte, self.over, self.cut_off = head, byte, threading.Event(), threading.Event()
+
+    def serve(self, sock):
+        sock.recv(4096)
+        sock.sendall(self.head)
+        try:
+            while not self.over.wait(0.01):
+                sock.sendall(self.byte)
+        finally:
+            self.cut_off.set()
+
+    def close(self):
+        self.over.set()
+        super().close()
+
+
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    "head, byte",
+    [
+        (b"", b"H"), (b"HTTP/1.1 200 OK\r\n", b"x"), (b"HTTP/1.1 200 OK\r\n\r\n", b" "), (CHUNKED, b"0"),
+        (CHUNKED + b"1;", b"x"), (CHUNKED + b"ffff\r\n", b"["), (CHUNKED + b"1\r\n\n\r\n", b"0"),
+    ],
+    ids=["status", "header", "body", "chunk size", "chunk extension", "chunk", "after a sign of life"],
+)
+def test_bytes_that_never_make_a_line_do_not_keep_a_watch_alive(head, byte, servers, monkeypatch):
+    monkeypatch.setattr(discovery, "SILENCE", 0.2)
+    server = servers(Drip(head, byte))
+    made, desk = watch(server)
+    run(made.run)
+    until(lambda: desk.failures, SOON)
+    assert made.counters.read() == {"watches ended: silent": 1} and server.cut_off.wait(SOON)
+
+
+@pytest.mark.parametrize("head", [b"", b"OK\r\n", b"OK\r\n*\r\n* stage 1 0"])
+def test_bytes_that_never_make_a_line_do_not_keep_news_alive(head, servers, monkeypatch):
+    monkeypatch.setattr(releases, "SILENCE", 0.2)
+    server = servers(Drip(head, b" "))
+    made = Releases(place(platform=server), Desk(), Quiet(), Counters())
+    run(made.hear)
+    until(lambda: made.counters.read().get("news ended: silent"), SOON)
+    assert server.cut_off.wait(SOON)
+
+
+def test_a_vote_whose_answer_comes_byte_by_byte_is_unanswered_once_its_time_is_over(servers):
+    server = servers(Drip(b"OK 1 0 trial 0.5 ", b"0"))
+    made = Releases(place(platform=server), Desk(), Quiet(), Counters())
+    assert made.cast(time.monotonic() + 0.2, (1, 0, at.ON)) == (at.UNANSWERED, None)
+    assert server.cut_off.wait(SOON)
+
+
+def test_a_read_past_its_moment_is_refused_though_bytes_are_there():
+    """Else a peer that always has some more would be read for good."""
+    ours, theirs = socket.socketpair()
+    with ours, theirs:
+        theirs.sendall(b"x")
+        with pytest.raises(TimeoutError):
+            upkeep.read_until(ours, time.monotonic())
+        upkeep.read_until(ours, time.monotonic() + SOON)
+        assert ours.recv(1) == b"x"
+
+
+# ---- an answer that is no list, whatever comes of its body
+
+
+@pytest.mark.parametrize("status", [b"503 Busy", b"302 Found", b"500 "])
+@pytest.mark.parametrize(
+    "rest",
+    [b"", b"Retry-After", b"\r\n{", b"Transfer-Encoding: chunked\r\n\r\n9\r\n{"],
+    ids=["nothing", "header", "body", "chunk"],
+)
+def test_too_many_callers_are_known_by_the_status_alone(status, rest, servers):
+    """A body that never ends would have it taken for silence, and the gateway come again sooner."""
+    server = servers(Drip(b"HTTP/1.1 " + status + b"\r\n" + rest, b""))
+    made, desk = watch(server)
+    made.upkeep.random.uniform = lambda least, most: 0
+    run(made.run)
+    until(lambda: desk.failures, SOON)
+    assert made.counters.read() == {"watches ended: unavailable": 1} and not desk.lists
+
+
+def test_signs_of_life_of_a_new_service_end_the_long_pauses_though_they_tell_of_no_list(servers):
+    """Else a watch there that fell silent would be opened anew after up to 8 s, as after too many callers."""
+    server = servers(DiscoveryServer())
+    made, desk = watch(server)
+    made.source, made.upkeep.length = ("127.0.0.1", 1), upkeep.CROWDED  # the list in hand is another's
+    run(made.run)
+    until(lambda: made.upkeep.length == made.upkeep.shortest, SOON)
+    assert not desk.lists and not desk.failures
