--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -18,6 +18,7 @@
         self.answer_time = place.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
         self.upkeep = Upkeep(place.platform, place.start.seed, 0.1, 2.0)
+        self.began = 0  # nanoseconds: since when the state of the last news stands; under the desk's lock
 
     def vote(self, *vote):
         self.votes.put((time.monotonic() + self.answer_time, vote))
@@ -37,7 +38,7 @@
         while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
-                self.desk.tell(self.desk.stage_told, *platform.stage(words[2:]))
+                self.desk.tell(self.told, *platform.stage(words[2:]))
                 self.upkeep.worked()
             elif words not in (["*"], ["OK"]):
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
@@ -50,6 +51,10 @@
                 return None
         return words
 
+    def told(self, now, *news):
+        self.began = now - news[-1]
+        self.desk.stage_told(now, *news)
+
     # ---- votes
 
     def poll(self):
@@ -80,6 +85,8 @@
                 return at.UNANSWERED, None  # it may have been carried out
 
     def answered(self, now, outcome, news):
+        """Guards against an answer that later news overtook on their own connection: the cap and phase from
+        before would stand until the next news. An answer's state that is older than theirs is left."""
         self.desk.balancer.vote_answered(now, outcome)
-        if news is not None:
+        if news is not None and now - news[-1] >= self.began:
             self.desk.stage_told(now, *news)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -4,21 +4,26 @@
 """
 
 import errno
+import json
+import signal
 import socket
 import threading
 import time
 from types import SimpleNamespace
 
 import pytest
-from helpers import NOW
+from helpers import MS, NOW, balancer
 from lemonlead import interface as at
+from lemonlead.gateway import __main__ as program
 from lemonlead.gateway import discovery, releases, upkeep
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.place import address
 from lemonlead.gateway.releases import Releases
 from lemonlead.standins.discovery import DiscoveryServer, entry
+from lemonlead.standins import fleet
 from lemonlead.standins.fleet import SETTINGS
+from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.platform import PlatformServer
 from lemonlead.standins.server import Server, until
 from lemonlead.told import started
@@ -30,24 +35,29 @@
     def info(self, *_, **more):
         pass
 
+    warning = info
+
 
 class Desk:
     """Takes down what the drivers tell. `gates`: by an input's name, what is called before it is taken."""
 
     def __init__(self):
         self.lists, self.failures, self.stages, self.gates = [], [], [], {}
+        self.outcomes, self.taken = [], []  # of votes; the names of all inputs, once they are taken
         self.instances = SimpleNamespace(pools={}, listed=lambda *_: None)
         self.balancer = SimpleNamespace(listed=self.listed, list_failed=self.failures.append)
+        self.balancer.vote_answered = lambda now, outcome: self.outcomes.append(outcome)
 
     def listed(self, now, lines, whole, fresh):
         self.lists.append([row.id for row in lines])
 
     def stage_told(self, now, *news):
-        self.stages.append(news[0])
+        self.stages.append(news)
 
     def tell(self, happened, *values):
         self.gates.get(getattr(happened, "__name__", ""), lambda: None)()
         happened(NOW, *values)
+        self.taken.append(getattr(happened, "__name__", ""))
 
 
 @pytest.fixture
@@ -134,7 +144,7 @@
     made = Releases(place(platform=old), desk, Quiet(), Counters())
     sockets.before = once(lambda: made.upkeep.move(address(new.address)))
     run(made.hear)
-    until(lambda: desk.stages == [2], SOON)
+    until(lambda: desk.stages == [(2, 0, at.ON_TRIAL, 0.5, 0)], SOON)
     assert not old.asked and made.counters.read() == {"news told": 1, "news ended: moved": 1}
 
 
@@ -310,6 +320,34 @@
         assert ours.recv(1) == b"x"
 
 
+# ---- news against the answer to a vote
+
+
+@pytest.mark.parametrize("overtaken", [True, False])
+def test_an_answer_to_a_vote_does_not_bring_back_what_news_have_ended(overtaken, servers):
+    """Both tell the state of builds, on connections of their own. The answer waits, read, until news of the
+    way back were told; or it is the first to tell of it."""
+    server, desk = servers(PlatformServer()), Desk()
+    made = Releases(place(platform=server), desk, Quiet(), Counters())
+    server.state = "1 1 trial 0.5 5000"
+    trial, back = (1, 1, at.ON_TRIAL, 0.5, 5000 * MS), (1, 1, at.GOING_BACK, 0.0, 100 * MS)
+    run(made.hear)
+    until(lambda: desk.stages == [trial], SOON)
+
+    def overtake():
+        server.tell("1 1 rolling_back 0 100")
+        until(lambda: desk.stages == [trial, back], SOON)
+
+    if overtaken:
+        desk.gates["answered"] = once(overtake)
+    else:
+        server.answer = lambda ballot: "OK 1 1 rolling_back 0 100"
+    run(made.poll)
+    made.vote(1, 1, at.ON)
+    until(lambda: "answered" in desk.taken, SOON)
+    assert desk.stages == [trial, back] and desk.outcomes == [at.COUNTED]
+
+
 # ---- an answer that is no list, whatever comes of its body
 
 
@@ -337,3 +375,137 @@
     run(made.run)
     until(lambda: made.upkeep.length == made.upkeep.shortest, SOON)
     assert not desk.lists and not desk.failures
+
+
+# ---- SIGHUP and SIGTERM at the start, and SIGHUP after SIGHUP
+
+
+class Asked(DiscoveryServer):
+    """Ends each watch as soon as it is asked for, after `then`."""
+
+    def serve(self, sock):
+        sock.recv(4096)
+        self.then()
+
+
+@pytest.mark.parametrize("signals", [(signal.SIGHUP,), (signal.SIGTERM,), (signal.SIGTERM, signal.SIGHUP)])
+def test_signals_in_the_wait_for_the_first_list_are_heeded_after_it(signals, tmp_path, servers, monkeypatch):
+    """The signals are there before the wait ends, as the watch ends only after them."""
+    started_ones, popen = [], fleet.subprocess.Popen
+
+    def start(*words, **more):
+        started_ones.append(popen(*words, **more))
+        return started_ones[0]
+
+    monkeypatch.setattr(fleet.subprocess, "Popen", start)
+    old, new = InstanceServer().start(), InstanceServer(lambda words: gives(b"new")).start()
+    first, second = Asked(), servers(DiscoveryServer())
+    second.tell(entry("i0", old, "draining"), entry("i1", new), full=True, version=5)
+
+    def then():
+        config = json.loads((tmp_path / "config.json").read_text())
+        (tmp_path / "config.json").write_text(json.dumps({**config, "discovery": second.address}))
+        for one in signals:
+            until(lambda: started_ones)[0].send_signal(one)
+
+    first.then = once(then)
+    pushed = {"Discovery": "push", "Balancers": 200}
+    with fleet.gateway(
+        tmp_path, old, new, entries=[entry("i0", old)], settings=pushed, source=first.start()
+    ) as ran:
+        if signal.SIGTERM in signals:
+            assert ran.process.wait(60) == 0 and "event=stopped" in ran.log()
+        else:
+            client = ran.client()
+            until(lambda: client.ask().read() == b"new", SOON)
+        assert ("configuration read" in ran.log()) == (signal.SIGHUP in signals)
+
+
+def test_of_two_sighups_in_a_row_one_with_a_file_that_is_unfit_changes_nothing(tmp_path, monkeypatch):
+    at_first = SimpleNamespace(start=started(SETTINGS, 7, NOW), discovery=("h", 1), platform=("h", 2))
+    made, news = (one(at_first, Desk(), Quiet(), Counters()) for one in (Discovery, Releases))
+    monkeypatch.setenv("ROUTER_CONFIG", str(tmp_path / "config.json"))
+    at_where = []
+    for lists, desk in [("h:3", "h:4"), ("h:5", "no"), ("no", "h:6"), (None, "h:6"), ("h:1", "h:2")]:
+        config = {"discovery": lists, "release_api": {"address": desk}}
+        (tmp_path / "config.json").write_text(json.dumps(config))
+        program.move(made, news, Quiet())
+        at_where.append((made.upkeep.address[1], news.upkeep.address[1]))
+    assert at_where == [(3, 4)] * 4 + [(1, 2)]
+
+
+# ---- lists that cross each other
+
+
+def test_an_older_list_at_the_same_address_brings_nothing_back(servers):
+    """Lists may come late, the first of a new watch too: what was told to drain is not sent to again."""
+    server = servers(DiscoveryServer())
+    made, desk = watch(server)
+    server.tell(entry("a", server), entry("b", server), full=True)
+    server.tell(entry("b", server, "draining"))
+    run(made.run)
+    until(lambda: len(desk.lists) == 2, SOON)
+    server.cut()
+    until(lambda: desk.failures, SOON)
+    server.updates = server.updates[:1]
+    made.ask()
+    until(lambda: len(desk.lists) == 3, SOON)
+    assert desk.lists == [["a", "b"], ["b"], []] and made.version == 3
+
+
+@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize(
+    "entries, there",
+    [
+        ([("up", 1, 0), ("draining", 1, 0)], None), ([("draining", 1, 0), ("up", 1, 0)], (1, 0)),
+        ([("removed", 1, 0), ("up", 2, 9)], (2, 9)), ([("up", 1, 0), ("up", 2, 9)], (2, 9)),
+        ([("up", 2, 9), ("removed", 2, 9)], None),
+    ],
+)
+def test_of_an_id_that_is_twice_in_a_list_the_last_entry_counts_everywhere(entries, there, whole, servers):
+    server, pools = servers(DiscoveryServer()), {}
+    made, desk = watch(server)
+    desk.balancer, desk.instances.listed = balancer(), lambda id, where, since: pools.update({id: where})
+    lines = [entry("a", server, state, build, since) for state, build, since in entries]
+    made.told(json.dumps({"version": 2, "full": whole, "servers": lines}).encode(), made.source)
+    members = desk.balancer.members
+    rows = {id: (one.build.number, one.started // 10**6) for id, one in members.items()}
+    assert rows == ({"a": there} if there else {})
+    assert pools == {"a": address(server.address) if there else None}
+
+
+def test_a_list_in_hand_is_old_from_a_503_until_discovery_says_that_nothing_changed(servers):
+    """And what failed is told before the next watch is begun, so that it can't follow that watch's list."""
+    server, over = servers(Drip(b"HTTP/1.1 503 Busy\r\n", b"")), threading.Event()
+    made, desk = watch(server)
+    desk.balancer = balancer(ask_for_list=True)
+    desk.gates["list_failed"] = once(lambda: over.wait(SOON))
+    made.upkeep.random.uniform = lambda least, most: 0
+    ages = []  # whether it was old just before discovery was heard
+    desk.gates["current"] = once(lambda: ages.append(desk.balancer.ask_at is not None))
+    desk.balancer.listed(NOW, [], False, True)
+    run(made.run)
+    until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
+    server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
+    made.ask()  # early: while the failure is not told yet
+    over.set()
+    until(lambda: ages and desk.balancer.ask_at is None, SOON)
+    assert ages == [True] and made.counters.read() == {"watches ended: unavailable": 1}
+
+
+def test_discovery_that_is_down_at_the_start_is_waited_for_no_longer_and_heard_once_it_is_up(servers):
+    server = DiscoveryServer()
+    server.listener.close()
+    with socket.socket() as listener:  # bound, so that the address stays ours; refused until it listens
+        listener.bind(address(server.address))
+        made, desk = watch(server)
+        run(made.run)
+        assert made.tried.wait(SOON)
+        until(lambda: desk.failures, SOON)
+        assert made.counters.read() == {"watches ended: refused": 1} and not desk.lists
+        server.tell(entry("a", server), full=True)
+        server.listener = listener
+        listener.listen()
+        servers(server)
+        made.ask()  # as the balancer does in its time
+        until(lambda: desk.lists == [["a"]], SOON)
