--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -22,7 +22,7 @@
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
         crowded = min(place.start.ask_within / 1e9 or CROWDED, CROWDED)
         self.upkeep = Upkeep(place.discovery, place.start.seed, 0.05, 1.0, crowded)
-        self.tried = threading.Event()  # a list has come, or the first watch has ended
+        self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
         self.source = place.discovery  # whose list was last taken
         self.merge = None  # with what a ledger says, where one is followed
 
@@ -41,7 +41,8 @@
             reason, detail = self.upkeep.run(self.watch)
             self.counters.add(f"watches ended: {reason}")
             self.log.info("watch ended", reason=reason, detail=detail, version=self.version)
-            self.tried.set()
+            if reason != "unavailable":  # else it has a list, which counts
+                self.tried.set()
             self.upkeep.wait(crowded=reason == "unavailable")
             self.desk.tell(self.desk.balancer.list_failed)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -509,3 +509,16 @@
         servers(server)
         made.ask()  # as the balancer does in its time
         until(lambda: desk.lists == [["a"]], SOON)
+
+
+def test_too_many_callers_at_the_start_do_not_let_clients_in_before_the_list(servers):
+    """What discovery has counts as told from the first moment, though it had no time to tell it yet."""
+    server = servers(Drip(b"HTTP/1.1 503 Busy\r\n", b""))
+    made, desk = watch(server)
+    made.upkeep.random.uniform = lambda least, most: 0
+    run(made.run)
+    until(lambda: desk.failures, SOON)
+    assert not made.tried.is_set()
+    server.head = CHUNKED + b"2d\r\n" + b'{"version": 9, "full": true, "servers": []}\r\n\r\n'
+    made.ask()
+    assert made.tried.wait(SOON) and desk.lists == [[]]
