--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -23,7 +23,7 @@
         crowded = min(place.start.ask_within / 1e9 or CROWDED, CROWDED)
         self.upkeep = Upkeep(place.discovery, place.start.seed, 0.05, 1.0, crowded)
         self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
-        self.source = place.discovery  # whose list was last taken
+        self.source = place.discovery  # whose list was last taken, or known to be ours
         self.merge = None  # with what a ledger says, where one is followed
 
     def ask(self):
@@ -67,9 +67,9 @@
                 heard = True
                 self.told(text, source)
             elif not (heard or line or objects.lines):
-                self.upkeep.worked()
-                if heard := source == self.source:  # nothing has changed, so the list that we have is current
-                    self.desk.tell(self.current)
+                heard = True  # a sign of life first: nothing has changed, so the list that we have is current
+                self.source = source  # also at a new address: who did not know our version would tell all
+                self.desk.tell(self.current)
             if not objects.lines:  # else half an object, and then signs of life alone
                 begun = time.monotonic()
 
@@ -119,6 +119,7 @@
     def current(self, now):
         """Under the desk's lock. The list as it is here is the one that discovery has."""
         self.wanted.clear()
+        self.upkeep.worked()
         self.tried.set()
         self.desk.balancer.listed(now, [], False, True)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -367,14 +367,25 @@
     assert made.counters.read() == {"watches ended: unavailable": 1} and not desk.lists
 
 
-def test_signs_of_life_of_a_new_service_end_the_long_pauses_though_they_tell_of_no_list(servers):
-    """Else a watch there that fell silent would be opened anew after up to 8 s, as after too many callers."""
-    server = servers(DiscoveryServer())
-    made, desk = watch(server)
-    made.source, made.upkeep.length = ("127.0.0.1", 1), upkeep.CROWDED  # the list in hand is another's
+def test_signs_of_life_alone_at_a_new_address_show_that_the_list_is_current(servers):
+    """The service has the version that it was asked for, else it would tell a list. Without this the balancer
+    votes no stage on until the next change, and a watch there that fell silent keeps the long pauses."""
+    old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
+    made, desk = watch(old)
+    desk.balancer = balancer(ask_for_list=True)
+    old.tell(entry("a", old), full=True)
+    new.tell(entry("a", old), full=True)
     run(made.run)
-    until(lambda: made.upkeep.length == made.upkeep.shortest, SOON)
-    assert not desk.lists and not desk.failures
+    until(lambda: desk.taken == ["listed"], SOON)
+
+    def late():
+        made.upkeep.length = upkeep.CROWDED  # as after too many callers there
+
+    desk.gates["list_failed"] = once(late)
+    made.move(address(new.address))
+    until(lambda: desk.taken == ["listed", "list_failed", "current"], SOON)
+    assert new.asked == ["/api/targets?stream=1&index=2"] and list(desk.balancer.members) == ["a"]
+    assert desk.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
 
 
 # ---- SIGHUP and SIGTERM at the start, and SIGHUP after SIGHUP
