--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -19,7 +19,7 @@
     def __init__(self, pool):
         self.pool, self.sock = pool, socket.socket()
         self.reader = resp.Reader()
-        self.used = 0  # when its last answer came
+        self.used = now()  # when its last answer came or, before the first, when it was begun
 
     def connect(self, until):
         self.sock.settimeout(left(until) / 1e9)
@@ -154,8 +154,11 @@
             keep = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT) and not trip.withdrawn
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
-                connection.used = now()
-                pool.unused.append(connection)
+                if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
+                    pool.unused.appendleft(connection)
+                else:
+                    connection.used = now()
+                    pool.unused.append(connection)
             elif connection is not None:
                 # More than an answer, or half of one, would be taken for the next lookup's.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
--- /dev/null
+++ b/tests/test_crossings_attempts.py
@@ -0,0 +1,148 @@
+"""Crossings of an attempt with all that can happen to it, each in its bad order, on loopback connections."""
+
+import threading
+from types import SimpleNamespace
+
+import pytest
+from helpers import MS
+
+from lemonlead import interface as at
+from lemonlead.gateway import instances
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
+from lemonlead.gateway.desk import Desk
+from lemonlead.gateway.instances import Instances
+from lemonlead.gateway.place import now
+from lemonlead.standins.fleet import SETTINGS
+from lemonlead.standins.instances import InstanceServer
+from lemonlead.standins.server import until
+from lemonlead.told import started
+
+WAIT = 20000 * MS
+
+
+class Quiet:
+    def info(self, *_, **more):
+        pass
+
+    warning = error = info
+
+
+class World:
+    """A desk and its instances among stand-ins, without the doors to clients, discovery and the platform."""
+
+    def __init__(self, *servers, limits=()):
+        settings = {**SETTINGS, "Limits": {**SETTINGS["Limits"], **dict(limits)}}
+        place = SimpleNamespace(start=started(settings, 7, now()), connections=64)
+        self.desk = Desk(place.start, Quiet(), Counters())
+        counters = self.desk.counters
+        self.instances = self.desk.instances = Instances(place, self.desk, Crew(), Quiet(), counters)
+        self.desk.discovery = SimpleNamespace(ask=lambda: None)
+        self.desk.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
+        self.balancer, self.lanes = self.desk.balancer, {lane.number: lane for lane in place.start.lanes}
+        self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
+        self.asked, self.lines = [], {}
+        for number, server in enumerate(servers):
+            self.list(f"i{number}", server)
+
+    def list(self, id, server, state=at.READY, since=0, build=1):
+        """Discovery's news of one instance."""
+        host, port = server.address.split(":")
+        where = (host, int(port)) if state == at.READY else None
+        line = at.Instance(id, 0, 0, build, 0, state, 1.0, since)
+
+        def listed(moment):
+            self.instances.listed(id, where, since)
+            self.balancer.listed(moment, [line], False, True)
+
+        self.desk.tell(listed)
+
+    def ask(self, lane=0, body=b"BODY", left=WAIT, key=None):
+        """A lookup that a client sends; its answer is put into what is given back."""
+        id = key or b"%d" % len(self.asked)
+        words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
+        ask = SimpleNamespace(words=words, answer=None, answers=0)
+        ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
+        moment = now()
+        ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + left)
+        self.asked.append(ask)
+        self.desk.tell(self.desk.lookup_arrived, ask, ask.lookup)
+        return ask
+
+    def answered(self, ask):
+        until(lambda: ask.answers)
+        return ask.answer
+
+    def ended(self):
+        """Once no send is under way."""
+        until(lambda: not self.instances.trips)
+
+    def unused(self, id="i0"):
+        return list(self.instances.pools[id].unused)
+
+
+class Gate:
+    """Holds whoever calls a method, before or after it ran, until it is opened."""
+
+    def __init__(self, monkeypatch, owner, name, after=False):
+        self.reached, self.opened = threading.Event(), threading.Event()
+        method = getattr(owner, name)
+
+        def held(*given, **named):
+            result = method(*given, **named) if after else None
+            self.reached.set()
+            assert self.opened.wait(60)
+            return result if after else method(*given, **named)
+
+        monkeypatch.setattr(owner, name, held)
+
+
+@pytest.fixture
+def world():
+    made, servers = [], []
+
+    def make(*given, **more):
+        servers.extend(given)
+        made.append(World(*given, **more))
+        return made[-1]
+
+    yield make
+    for server in servers:
+        server.close()
+    assert not any(one.desk.counters.read().get("faults") for one in made)
+
+
+def test_an_attempt_that_is_not_sent_leaves_its_connection_as_long_unused_as_it_was(world, monkeypatch):
+    made = world(server := InstanceServer().start())
+    assert made.answered(made.ask()) == b"$1\r\n0\r\n"
+    made.ended()
+    (connection,), = [made.unused()]
+    answered = connection.used
+    gate = Gate(monkeypatch, made.instances, "reach", after=True)
+    given_up = made.ask()
+    assert gate.reached.wait(60)
+    made.desk.tell(made.desk.client_left, [given_up.lookup])
+    late = answered + made.instances.idle_time
+    monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
+    gate.opened.set()
+    made.ended()
+    assert made.unused() == [connection] and connection.used == answered
+    monkeypatch.setattr(instances, "now", lambda: late + MS)
+    made.ask()
+    until(lambda: len(server.got) == 2)
+    assert len(server.connections) == 2 and connection.sock.fileno() < 0
+
+
+def test_a_new_connection_is_unused_from_before_the_instance_could_count(world, monkeypatch):
+    made = world(server := InstanceServer().start())
+    begun = now()
+    gate = Gate(monkeypatch, made.instances, "reach", after=True)
+    given_up = made.ask()
+    assert gate.reached.wait(60)
+    until(lambda: server.connections)
+    accepted = now()
+    made.desk.tell(made.desk.client_left, [given_up.lookup])
+    gate.opened.set()
+    made.ended()
+    (connection,) = made.unused()
+    assert begun < connection.used < accepted and not server.got
