--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -109,6 +109,7 @@
         self.ask_at = now + int(self.rng.uniform(300, 900) * MS)
 
     def lookup_arrived(self, now, lookup):
+        self.wake(lookup.hard_stop, lookup)  # first of all: it ends then, also if a decision on it fails
         lookup.work = lookup.work or int(self.lane_work[lookup.lane.number])
         for counted in self.counts_of(lookup):
             self.taken.setdefault(counted, deque()).append(now)
@@ -235,9 +236,9 @@
             self.ask_at = now + 5000 * MS  # should no answer come at all
             door.watch_list()
             return True
-        if self.look and self.cast_vote(now, door):
+        look, self.look = self.look, False
+        if look and self.cast_vote(now, door):
             return True
-        self.look = False
         while self.due:
             if not (lookup := self.due.popleft()).over and self.settle(lookup, now, door):
                 return True
@@ -273,7 +274,6 @@
             member.build.credit = max(member.build.credit - 1.0, -3.0)
         member.cold_from, member.cold_due = self.work_in, lookup.work * len(self.members)
         door.send(lookup, member.id, lookup.hard_stop - now)
-        self.wake(lookup.hard_stop, lookup)
         self.wake(self.overdue_at(send), lookup)
         return True
 
--- a/lemonlead/gateway/desk.py
+++ b/lemonlead/gateway/desk.py
@@ -9,6 +9,8 @@
 from . import resp
 from .place import now
 
+MOST_FAULTS = 8  # of one turn, and one for each open lookup: then the rest waits for the next
+AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
 UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of sends of which no instance has had all
 
 
@@ -43,21 +45,28 @@
                 self.fault(traceback.format_exc())
 
     def turn(self, happened, *values):
-        moment = now()
-        try:
-            happened(moment, *values)
-            while self.balancer.decide(moment, self):
-                pass
-            wake = self.balancer.wake_at()
-        except Exception:  # no input may end the thread that brought it
-            self.chores.append((self.fault, traceback.format_exc()))
-            wake = moment + 1000 * NS
+        moment, faults = now(), MOST_FAULTS + len(self.asks)
+        self.guarded(happened, moment, *values)
+        # A decision takes what it is about off its list first, so after a fault the others are still made.
+        while (more := self.guarded(self.balancer.decide, moment, self)) or more is None and faults > 0:
+            faults -= more is None
+        wake = self.guarded(self.balancer.wake_at) or 0
+        if wake <= moment:
+            wake = moment + AFTER_FAULT
         if wake < self.wake:
             self.lock.notify()
         self.wake = wake
         chores, self.chores = self.chores, []
         return chores
 
+    def guarded(self, call, *values):
+        """What it gives, None after a fault: no input may end the thread that brought it."""
+        try:
+            return call(*values)
+        except Exception:
+            self.chores.append((self.fault, traceback.format_exc()))
+            return None
+
     def keep_time(self):
         """The timer's thread: asks again when the balancer said, though nothing happened."""
         while True:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -41,7 +41,7 @@
         self.desk.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
         self.balancer, self.lanes = self.desk.balancer, {lane.number: lane for lane in place.start.lanes}
         self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
-        self.asked, self.lines = [], {}
+        self.asked, self.faulty = [], False
         for number, server in enumerate(servers):
             self.list(f"i{number}", server)
 
@@ -57,18 +57,25 @@
 
         self.desk.tell(listed)
 
-    def ask(self, lane=0, body=b"BODY", left=WAIT, key=None):
+    def ask(self, **more):
         """A lookup that a client sends; its answer is put into what is given back."""
-        id = key or b"%d" % len(self.asked)
+        ask = self.made(**more)
+        self.desk.tell(self.desk.lookup_arrived, ask, ask.lookup)
+        return ask
+
+    def made(self, lane=0, body=b"BODY", left=WAIT):
+        id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
         ask = SimpleNamespace(words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
         ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + left)
         self.asked.append(ask)
-        self.desk.tell(self.desk.lookup_arrived, ask, ask.lookup)
         return ask
 
+    def keep_time(self):
+        threading.Thread(target=self.desk.keep_time, daemon=True).start()
+
     def answered(self, ask):
         until(lambda: ask.answers)
         return ask.answer
@@ -109,7 +116,7 @@
     yield make
     for server in servers:
         server.close()
-    assert not any(one.desk.counters.read().get("faults") for one in made)
+    assert [one.desk.counters.read().get("faults", 0) > 0 for one in made] == [one.faulty for one in made]
 
 
 def test_an_attempt_that_is_not_sent_leaves_its_connection_as_long_unused_as_it_was(world, monkeypatch):
@@ -146,3 +153,47 @@
     made.ended()
     (connection,) = made.unused()
     assert begun < connection.used < accepted and not server.got
+
+
+@pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
+def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
+    made = world(InstanceServer().start())
+    made.faulty, spoilt, method = True, made.made(left=300 * MS), getattr(made.balancer, name)
+
+    def fails(*given):
+        if spoilt.lookup in [getattr(one, "lookup", one) for one in given]:
+            raise ZeroDivisionError
+        return method(*given)
+
+    monkeypatch.setattr(made.balancer, name, fails)
+    others = [made.made() for _ in range(2)]
+
+    def arrive(moment):
+        for ask in (spoilt, *others):
+            made.desk.lookup_arrived(moment, ask, ask.lookup)
+
+    made.keep_time()
+    made.desk.tell(arrive)  # all three are due at once
+    assert [made.answered(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
+    made.answered(spoilt)
+    made.ended()
+    assert spoilt.answers == 1 and spoilt.answer[:5] == (b"$1\r\n0" if name == "overdue_at" else b"-BUSY")
+
+
+@pytest.mark.parametrize("name", ["tick", "cast_vote", "wake_at"])
+def test_a_decision_that_always_fails_keeps_no_request_from_its_own(world, monkeypatch, name):
+    made = world(InstanceServer().start())
+    made.faulty = True
+    made.balancer.next_tick, made.balancer.look = 0, True
+
+    method = getattr(made.balancer, name)
+
+    def fails(*given):
+        method(*given)
+        raise ZeroDivisionError
+
+    monkeypatch.setattr(made.balancer, name, fails)
+    made.keep_time()
+    assert made.answered(made.ask()) == b"$1\r\n0\r\n"
+    monkeypatch.undo()
+    assert made.answered(made.ask()) == b"$1\r\n1\r\n"
