--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -4,6 +4,7 @@
 import socket
 import struct
 import threading
+import time
 import traceback
 from collections import deque
 
@@ -13,6 +14,10 @@
 from .place import now
 
 IDLE_SHARE = 0.9  # an unused connection is closed after this part of the time told, before the instance does
+# A connection is not used again for so long after its last answer: a second one may come milliseconds late,
+# and one that came between the last look and the next answer would be taken for that. It costs a request
+# that finds no other so much time; a new connection would cost the instance more.
+SETTLE = 10 * NS
 
 
 class Connection:
@@ -27,6 +32,10 @@
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
+    def settle(self):
+        if (wait := self.used + SETTLE - now()) > 0:
+            time.sleep(wait / 1e9)
+
     def quiet(self):
         """Whether nothing has come while it was unused: neither its end nor an answer that nobody awaits."""
         try:
@@ -175,7 +184,8 @@
         """How the send ended, and the value if it succeeded."""
         try:
             while True:
-                made = self.reach(trip)
+                if (made := self.reach(trip)) is False:
+                    trip.connection.settle()
                 if made is None or trip.withdrawn or not self.desk.may_begin(trip.send):
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -1,5 +1,7 @@
 """Crossings of an attempt with all that can happen to it, each in its bad order, on loopback connections."""
 
+import contextlib
+import socket
 import threading
 from types import SimpleNamespace
 
@@ -11,10 +13,10 @@
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk
-from lemonlead.gateway.instances import Instances
+from lemonlead.gateway.instances import Connection, Instances
 from lemonlead.gateway.place import now
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.standins.instances import InstanceServer
+from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import until
 from lemonlead.told import started
 
@@ -155,6 +157,52 @@
     assert begun < connection.used < accepted and not server.got
 
 
+def arrived(sock):
+    """Once something has come that is not read yet."""
+
+    def looked():
+        with contextlib.suppress(BlockingIOError):
+            return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+
+    until(looked)
+
+
+def test_a_second_answer_that_comes_late_is_not_read_as_the_next_requests(world, monkeypatch):
+    made = world(server := InstanceServer().start())
+    made.answered(made.ask())
+    made.ended()
+    (connection,), write, late = made.unused(), Connection.write, []
+
+    def second_answer():
+        if not late:
+            late.append(server.connections[0].sendall(gives(b"0")))
+            arrived(connection.sock)
+
+    def written(self, data, until):
+        second_answer()  # after the last look, unless it came while the connection rested
+        write(self, data, until)
+
+    monkeypatch.setattr(instances, "now", lambda: connection.used)  # the next request is there at once
+    sleeps = SimpleNamespace(sleep=lambda seconds: second_answer())
+    monkeypatch.setattr(instances, "time", sleeps, raising=False)
+    monkeypatch.setattr(Connection, "write", written)
+    assert made.answered(made.ask()) == b"$1\r\n1\r\n" and late
+    made.ended()
+    assert len(server.connections) == 2 and connection.sock.fileno() < 0 and len(server.got) == 2
+
+
+@pytest.mark.parametrize("rested, wait", [(0, 10), (4, 6), (10, 0), (11, 0)])
+def test_a_connection_rests_after_an_answer_for_what_is_left_of_its_time(world, monkeypatch, rested, wait):
+    made, slept = world(InstanceServer().start()), []
+    made.answered(made.ask())
+    made.ended()
+    (connection,) = made.unused()
+    monkeypatch.setattr(instances, "now", lambda: connection.used + rested * MS)
+    monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
+    made.answered(made.ask())
+    assert slept == [wait / 1e3] * (wait > 0)
+
+
 @pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
 def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
     made = world(InstanceServer().start())
