--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -4,6 +4,7 @@
 import socket
 import struct
 import threading
+import time
 import traceback
 from collections import deque
 
@@ -13,13 +14,17 @@
 from .place import now
 
 IDLE_SHARE = 0.9  # an unused connection is closed after this part of the time told, before the instance does
+# A connection is not used again for so long after its last answer: a second one may come milliseconds late,
+# and one that came between the last look and the next answer would be taken for that. It costs a request
+# that finds no other so much time; a new connection would cost the instance more.
+SETTLE = 10 * NS
 
 
 class Connection:
     def __init__(self, pool):
         self.pool, self.sock = pool, socket.socket()
         self.reader = resp.Reader()
-        self.used = 0  # when its last answer came
+        self.used = now()  # when its last answer came or, before the first, when it was begun
 
     def connect(self, until):
         self.sock.settimeout(left(until) / 1e9)
@@ -27,6 +32,10 @@
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
+    def settle(self):
+        if (wait := self.used + SETTLE - now()) > 0:
+            time.sleep(wait / 1e9)
+
     def quiet(self):
         """Whether nothing has come while it was unused: neither its end nor an answer that nobody awaits."""
         try:
@@ -154,8 +163,11 @@
             keep = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT) and not trip.withdrawn
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
-                connection.used = now()
-                pool.unused.append(connection)
+                if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
+                    pool.unused.appendleft(connection)
+                else:
+                    connection.used = now()
+                    pool.unused.append(connection)
             elif connection is not None:
                 # More than an answer, or half of one, would be taken for the next lookup's.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
@@ -172,7 +184,8 @@
         """How the send ended, and the value if it succeeded."""
         try:
             while True:
-                made = self.reach(trip)
+                if (made := self.reach(trip)) is False:
+                    trip.connection.settle()
                 if made is None or trip.withdrawn or not self.desk.may_begin(trip.send):
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
