--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -45,8 +45,7 @@
 
     def __init__(self, client, words, answer=None, lookup=None):
         self.client, self.words, self.answer, self.lookup = client, words, answer, lookup
-        size = sum(map(len, words))
-        self.weight = size if size > LARGE else 0
+        self.weight = 0  # its bytes, where they are counted against the room for all
 
 
 class Client:
@@ -138,18 +137,20 @@
         arrived, name = now(), words[0].upper()
         self.asked = True
         if name == b"PING":
-            return self.put(Ask(self, words, b"+PONG\r\n"))
+            return self.put(Ask(self, (), b"+PONG\r\n"))
         try:
             lookup = self.gate.lookup(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
             self.put(Ask(self, (), resp.error(f"ERR no lookup: {text}")))
             return self.fault()
-        ask = Ask(self, words, None, lookup)
+        ask, size = Ask(self, words, None, lookup), sum(map(len, words))
         self.put(ask)
         desk, turned_away = self.gate.desk, self.extra and self.gate.crowded()
-        if ask.weight and not self.gate.weigh(ask.weight):
-            ask.weight, turned_away = 0, True
+        if size > LARGE and self.gate.weigh(size):
+            ask.weight = size
+        elif size > LARGE:
+            turned_away = True
         desk.tell(desk.lookup_turned_away if turned_away else desk.lookup_arrived, ask, lookup)
         if ask.answer is desk.TWICE:
             self.fault()
@@ -194,7 +195,8 @@
 
     def idle(self):
         """Whether it stands between lookups, as far as can be seen from outside."""
-        part = self.part_since is not None and time.monotonic() - self.part_since < PART
+        since = self.part_since  # once: its thread may end the part meanwhile
+        part = since is not None and time.monotonic() - since < PART
         return not (self.asks or self.unsent or part or self.reason)
 
     def leave(self, reason):
