--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -1,7 +1,9 @@
 """Clients: a thread for each connection reads its commands; each answer goes out in its command's turn."""
 
 import contextlib
+import math
 import re
+import select
 import socket
 import struct
 import threading
@@ -29,6 +31,7 @@
 # Of a client that sent what cannot be read: for so long lookups from before it are waited for; so many bytes
 # are still taken, for so long, that the error reaches it.
 PATIENCE, DREGS, DREGS_TIME = 0.5, 1 << 18, 0.2
+GLANCE = 0.1  # seconds between looks, while nothing more is read of a client, whether it has gone
 REST_OF_IT = 0.01  # seconds between looks for it on a connection whose reading side we have ended
 PENALTY, MOST_PENALTY = 0.1, 1.0  # seconds before more is read after a command that makes no sense; they grow
 LARGE = 8192  # bytes past which a command counts against the room for all
@@ -72,7 +75,8 @@
             reason = self.read()
         except resp.Malformed as error:
             reason = "malformed"
-            self.turn_away(error)
+            with contextlib.suppress(OSError):
+                self.turn_away(error)
         except OSError:
             reason = RESET
         except Exception:
@@ -85,14 +89,13 @@
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
             except BlockingIOError:  # none for as long as LOOK
-                if (reason := self.rests()) is not None:
-                    return reason
+                self.rests()
             else:
                 if not count and (self.reason is None or self.broken or self.done()):
                     return self.reason or LEFT
                 if not count:  # we end it, and it had asked before it could know
                     with self.room:
-                        self.room.wait_for(lambda: not (self.asks or self.unsent) or self.broken)
+                        self.wait(lambda: not (self.asks or self.unsent))
                     if not self.reader.empty():
                         time.sleep(REST_OF_IT)  # the other half of a command is on its way
             while (words := self.reader.next()) is not resp.MORE:
@@ -106,17 +109,14 @@
             return not (self.asks or self.unsent) and self.reader.empty()
 
     def rests(self):
-        """Why it is ended, if it has stood between lookups, or without the first, for too long. Clients may
-        have a bound of their own, and those that hold theirs for good keep out all others, long before there
-        is no room here. It could end some that are used again: they come anew."""
+        """Ends it if it has stood between lookups, or without the first, for too long; what has come by then
+        is read first. Clients may have a bound of their own, and those that hold theirs for good keep out all
+        others, long before there is no room here. It could end some that are used again: they come anew."""
         rest = REST if len(self.gate.clients) < self.gate.most // 2 else SHORT_REST
         with self.room:
-            if self.asks or self.unsent or not self.reader.empty():
-                return None
-            if time.monotonic() - self.since < (rest if self.asked else PART):
-                return None
-            self.reason = self.reason or ("rest" if self.asked else "silent")
-            return self.reason
+            rested = time.monotonic() - self.since >= (rest if self.asked else PART)
+            if rested and not (self.asks or self.unsent) and self.reader.empty():
+                self.stop_reading("rest" if self.asked else "silent")
 
     def weigh(self):
         """Guards against halves of commands that never end, and against many large ones at once."""
@@ -159,12 +159,27 @@
         """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
         self.gate.counters.add("bad lookups")
         self.faults += 1
-        time.sleep(min(self.faults * PENALTY, MOST_PENALTY))
+        with self.room:
+            self.wait(lambda: False, min(self.faults * PENALTY, MOST_PENALTY))
+
+    def wait(self, ready, length=math.inf):
+        """Waits, with `room` held, until it is ready or the connection broken, for so many seconds at most.
+        Guards against a client that goes while its thread reads nothing more: then its end shows here alone,
+        and what it asked would still be sent on. Past our own SHUT_RD only a reset shows."""
+        until = time.monotonic() + length
+        while not (self.broken or ready()) and (left := until - time.monotonic()) > 0:
+            self.room.wait(min(left, GLANCE))
+            ends = select.poll()
+            ends.register(self.sock, 0 if self.reason else select.POLLRDHUP)  # a reset shows in any case
+            if ends.poll(0):  # unlike by `recv`, also where unread bytes lie before the end
+                self.end(LEFT)
 
     def put(self, ask):
+        """Queues a command once there is room; OSError where its client can get no answer any more."""
         with self.room:
-            while (len(self.asks) >= MOST_ASKS or len(self.unsent) > MOST_UNSENT) and not self.broken:
-                self.room.wait()
+            self.wait(lambda: len(self.asks) < MOST_ASKS and len(self.unsent) <= MOST_UNSENT)
+            if self.broken:
+                raise ConnectionResetError
             self.asks.append(ask)
         if ask.answer is not None:
             self.flush()
@@ -172,13 +187,15 @@
     def turn_away(self, error):
         """What cannot be read gets an error, soon though earlier lookups wait; then the connection ends."""
         with self.room:
-            self.room.wait_for(lambda: not self.asks or self.broken, PATIENCE)
+            self.wait(lambda: not self.asks, PATIENCE)
+            if self.broken:
+                return
             lookups = self.unanswered()
         if lookups:
             self.gate.desk.tell(self.gate.desk.cut_short, lookups)
         self.put(Ask(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
-            self.room.wait_for(lambda: not (self.asks or self.writing) or self.broken, SLOWEST)
+            self.wait(lambda: not (self.asks or self.writing), SLOWEST)
             self.sock.shutdown(socket.SHUT_WR)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(DREGS_TIME / 2))
         # Closed with bytes unread, the connection would be reset, and the error might not be read.
@@ -201,10 +218,14 @@
 
     def leave(self, reason):
         """Has its thread close it if it stands between lookups; what has come by now is read first."""
-        with self.room, contextlib.suppress(OSError):
+        with self.room:
             if self.idle():
-                self.reason = reason
-                self.sock.shutdown(socket.SHUT_RD)
+                self.stop_reading(reason)
+
+    def stop_reading(self, reason):
+        self.reason = self.reason or reason
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RD)
 
     def flush(self):
         """Writes what is next to be answered; what the client does not take at once goes by a thread."""
@@ -268,9 +289,9 @@
         return False
 
     def close(self, reason):
-        if reason not in (LEFT, RESET) and self.in_vain():
-            self.gate.counters.add("new connections ended in vain")
         self.end(reason)
+        if not {reason, self.reason} & {LEFT, RESET} and self.in_vain():
+            self.gate.counters.add("new connections ended in vain")
         with self.room:
             while self.writing:
                 self.room.wait()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -2,11 +2,15 @@
 
 import contextlib
 import json
+import socket
+import struct
 import threading
 import time
 from types import SimpleNamespace
 
 import pytest
+from lemonlead import interface as at
+from lemonlead.gateway import clients
 from lemonlead.gateway import place as places
 from lemonlead.gateway import resp
 from lemonlead.gateway.clients import Gate
@@ -35,14 +39,16 @@
 
 
 @contextlib.contextmanager
-def gateway(tmp_path, *servers, limits=None, **settings):
+def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
     """A gateway in this process among these instances, all on loopback: `gate`, `desk`, `log`, `count(name)`,
-    and `client()`, which connects one and waits until ours stands; `ours(client)` is that."""
+    `tell(*entries)` changes its list, `client()` connects one and waits until ours stands, which is
+    `ours(client)`."""
+    known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
         "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
         "limits": limits or {"memory_mb": 192, "sockets": 1024},
         "release_api": {"news": {"release": 1, "tranche": 0, "mode": "released", "exposure": 1, "old_ms": 9}},
-        "known": {"version": 1, "servers": [entry(f"i{n}", server) for n, server in enumerate(servers)]},
+        "known": {"version": 1, "servers": known},
         "settings": {**SETTINGS, **settings},
     }
     (tmp_path / "config.json").write_text(json.dumps(config))
@@ -74,9 +80,13 @@
     def count(name):
         return counters.read().get(name, 0)
 
+    def tell(*entries):
+        whole = {"version": 2, "full": False, "servers": list(entries)}
+        desk.tell(discovery.listed, *discovery.read(whole), False, True)
+
     try:
         yield SimpleNamespace(
-            gate=gate, desk=desk, log=log, count=count, client=client, ours=ours, port=port, thread=thread
+            gate=gate, desk=desk, log=log, count=count, client=client, ours=ours, tell=tell, thread=thread
         )
         assert not [line for line in log.lines if line[0] == "fault"] and thread.is_alive()
     finally:
@@ -150,3 +160,199 @@
             client.sock.close()
         until(lambda: not ran.gate.clients)
         assert ran.gate.held == 0
+
+
+# ---- a client that goes, with its thread held and what it asked not yet sent on
+
+SLOW = [{**lane, "Slo": 400_000.0, "GiveUp": 400_000.0} for lane in SETTINGS["Lanes"]]  # for minutes
+
+
+@pytest.fixture
+def waiting(tmp_path):
+    """A gateway whose one instance drains, so that what it takes waits for its first attempt."""
+    server = InstanceServer().start()
+    with gateway(tmp_path, server, entries=[entry("i0", server, "draining")], Lanes=SLOW) as ran:
+        ran.server = server
+        yield ran
+
+
+def left_at_once(ran, asked):
+    """Whether all that its client asked is dropped soon after its end, and nothing of it is sent on then."""
+    until(lambda: ran.count("left") == asked, 20)
+    until(lambda: not ran.gate.clients, 20)
+    ran.tell(entry("i0", ran.server))
+    assert ran.client().ask(b"other").read() == b"other"
+    return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
+
+
+def reset(client):
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.sock.close()
+
+
+ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_though_it_asked_more_than_is_read(waiting, end):
+    client = waiting.client()
+    for _ in range(clients.MOST_ASKS + 9):
+        client.ask(wait=400_000)
+    until(lambda: waiting.count("taken") == clients.MOST_ASKS)
+    end(client)
+    assert left_at_once(waiting, clients.MOST_ASKS)
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_while_it_is_made_to_wait_for_nonsense(waiting, end, monkeypatch):
+    monkeypatch.setattr(clients, "PENALTY", 60)
+    monkeypatch.setattr(clients, "MOST_PENALTY", 60)
+    client = waiting.client().ask(wait=400_000).write(resp.command([b"NONSENSE"])).ask()
+    until(lambda: waiting.count("bad lookups"))
+    end(client)
+    assert left_at_once(waiting, 1)
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_while_it_is_turned_away(waiting, end, monkeypatch):
+    monkeypatch.setattr(clients, "PATIENCE", 60)
+    client = waiting.client().ask(wait=400_000).write(b"noise\r\n")
+    until(lambda: waiting.count("taken") and not len(waiting.ours(client).reader.buffer))
+    end(client)
+    assert left_at_once(waiting, 1)
+
+
+@ENDS
+@pytest.mark.parametrize("where", ["start", "reach"])
+def test_what_waits_for_a_thread_or_a_connection_when_its_client_goes_is_not_sent(
+    tmp_path, monkeypatch, where, end
+):
+    real, met, go, server = getattr(Instances, where), threading.Event(), threading.Event(), Held()
+
+    def held(instances, trip):
+        made = real(instances, trip) if where == "reach" else None  # the connection stands
+        met.set()
+        assert go.wait(60)
+        return made if where == "reach" else real(instances, trip)
+
+    with gateway(tmp_path, server.start()) as ran:
+        monkeypatch.setattr(Instances, where, held)
+        if where == "start":  # its client's own thread would hand it over
+            monkeypatch.setattr(Instances, "start", lambda *trip: ran.gate.crew.do(held, *trip))
+        client = ran.client().ask()
+        assert met.wait(60)
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        go.set()
+        until(lambda: ran.count(f"sends {at.NOT_SENT}"))
+        assert not server.got
+
+
+@ENDS
+def test_what_is_turned_away_after_its_client_went_is_not_sent_anew(tmp_path, end):
+    gone = threading.Event()
+    servers = [InstanceServer(lambda words: gone.wait(60) and b"-BUSY\r\n").start() for _ in range(2)]
+    with gateway(tmp_path, *servers) as ran:
+        client = ran.client().ask()
+        until(lambda: any(server.got for server in servers))
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        gone.set()
+        until(lambda: ran.count(f"sends {at.REJECTED}"))
+        with ran.desk.lock:  # so all that was decided on it is
+            assert sum(len(server.got) for server in servers) == 1 and ran.count("sends") == 1
+
+
+# ---- a connection that we end as its client writes
+
+
+class Paused:
+    """A client's socket whose reads wait from now on, until `go` is set; `met` once one does."""
+
+    def __init__(self, ours):
+        self.sock, self.met, self.go = ours.sock, threading.Event(), threading.Event()
+        ours.sock = self
+        assert self.met.wait(60)
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+    def recv_into(self, room):
+        self.met.set()
+        assert self.go.wait(60)
+        return self.sock.recv_into(room)
+
+    def come(self):
+        """Waits until what was written has come."""
+        self.sock.recv(1, socket.MSG_PEEK)
+
+
+def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_lookup_came(waiting):
+    client = waiting.client()
+    ours = waiting.ours(client)
+    paused = Paused(ours)
+    ours.leave("made room")
+    client.ask(wait=400_000)
+    paused.come()
+    paused.go.set()
+    until(lambda: waiting.count("taken") and ours.room._waiters)  # its thread waits for the answer
+    reset(client)
+    assert left_at_once(waiting, 1)
+
+
+@pytest.mark.parametrize("reason", ["made room", "stopping"])
+def test_what_comes_after_we_ask_to_end_an_idle_connection_is_answered(tmp_path, reason):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        paused = Paused(ours)
+        ours.leave(reason)
+        client.ask().ask(b"bb")
+        paused.come()
+        paused.go.set()
+        assert [client.read() for _ in range(3)] == [b"aa", b"bb", None] and ours.reason == reason
+
+
+@pytest.mark.parametrize("asked, reason", [(True, "rest"), (False, "silent")])
+def test_what_comes_just_as_its_connection_has_rested_for_long_is_answered(
+    tmp_path, monkeypatch, asked, reason
+):
+    rests, written = clients.Client.rests, threading.Event()
+
+    def decided(ours):
+        ended = rests(ours)
+        if (ended or ours.reason) and not written.is_set():
+            client.ask(b"late")
+            ours.sock.recv(1, socket.MSG_PEEK)  # it has come
+            written.set()
+        return ended
+
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        if asked:
+            assert client.ask().read() == b"aa"
+        monkeypatch.setattr(clients.Client, "rests", decided)
+        ours = ran.ours(client)
+        ours.since = time.monotonic() - 60
+        assert client.read() == b"late" and client.read() is None and ours.reason == reason
+        assert ran.count("new connections ended in vain") == 0
+
+
+def test_what_comes_after_the_last_look_at_it_is_never_begun_and_asked_anew(tmp_path, monkeypatch):
+    close, server = clients.Client.close, InstanceServer().start()
+
+    def late(ours, reason):
+        if reason == "made room":
+            client.ask()
+            until(lambda: ours.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+        close(ours, reason)
+
+    monkeypatch.setattr(clients.Client, "close", late)
+    with gateway(tmp_path, server) as ran:
+        client = ran.client()
+        assert client.ask(b"first").read() == b"first"
+        ran.ours(client).leave("made room")
+        with contextlib.suppress(ConnectionResetError):
+            assert client.read() is None
+        assert ran.client().ask(b"anew").read() == b"anew"
+        assert [words[1] for words in server.got] == [b"first", b"anew"] and ran.count("taken") == 2
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -247,7 +247,8 @@
     gate, (ours, theirs) = Gate(place, None, None, Quiet(), Counters()), socket.socketpair()
     client, gate.clients = Client(ours, gate, False), set(range(others))
     client.asked, client.since = asked, time.monotonic() - rested
-    assert client.rests() == ends
+    client.rests()
+    assert client.reason == ends
     gate.listener.close()
     theirs.close()
 
