--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -119,12 +119,13 @@
                 self.stop_reading("rest" if self.asked else "silent")
 
     def weigh(self):
-        """Guards against halves of commands that never end, and against many large ones at once."""
+        """Guards against halves of commands that never end, and against many large ones at once. What came
+        while we were held up is read before a half counts as late: a command's length is bounded."""
         if self.reader.empty():
             self.part_since = None
         elif self.part_since is None:
             self.part_since = time.monotonic()
-        elif time.monotonic() - self.part_since > PART:
+        elif time.monotonic() - self.part_since > PART and not self.unread():
             raise resp.Malformed("half a command")
         size = len(self.reader.buffer.data)
         size = size if size > LARGE else 0
@@ -271,6 +272,7 @@
             else:
                 with self.room:
                     del self.unsent[:sent]
+                    self.since = time.monotonic()
                     self.room.notify_all()
 
     def end(self, reason):
@@ -282,8 +284,10 @@
 
     def in_vain(self):
         """Whether some of a lookup has come and nothing was answered, though it is a new connection."""
-        if self.answered or self.asked or not self.reader.empty():
-            return not self.answered
+        return not self.answered and (self.asked or not self.reader.empty() or self.unread())
+
+    def unread(self):
+        """Whether bytes have come that were not read."""
         with contextlib.suppress(OSError):
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         return False
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -356,3 +356,166 @@
             assert client.read() is None
         assert ran.client().ask(b"anew").read() == b"anew"
         assert [words[1] for words in server.got] == [b"first", b"anew"] and ran.count("taken") == 2
+
+
+@pytest.mark.parametrize("whole", [True, False])
+def test_a_long_command_that_has_come_in_time_is_read_though_we_were_held_up(tmp_path, monkeypatch, whole):
+    server = InstanceServer().start()
+    with gateway(tmp_path, server) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        paused, body = Paused(ours), b"x" * 60_000
+        data = resp.command([b"Q.DO", b"long", b"id", b"c=buy,t=acme,d=20000", body])
+        client.write(data if whole else data[:-1])
+        until(lambda: len(ours.sock.recv(1 << 17, socket.MSG_PEEK)) >= len(data) - 1)
+        monkeypatch.setattr(clients, "PART", -1)  # all that is not whole at once is late
+        paused.go.set()
+        if whole:
+            assert client.read() == b"long" and server.got[0][4] == body
+        else:
+            assert client.read() == b"ERR half a command" and client.read() is None
+
+
+# ---- answers that are written by several threads
+
+
+class Trickling:
+    """A client's socket whose sends, in turn, take so many bytes, find no room (OSError), or wait until `go`
+    is set ("held"), with `met` set once one does; later ones take all."""
+
+    def __init__(self, sock, *takes):
+        self.sock, self.takes, self.met, self.go = sock, list(takes), threading.Event(), threading.Event()
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+    def send(self, data, *flags):
+        take = self.takes.pop(0) if self.takes else len(data)
+        if take is OSError:
+            raise BlockingIOError
+        if take == "held":
+            self.met.set()
+            assert self.go.wait(60)
+            take = 3
+        return self.sock.send(data[:take], *flags)
+
+
+@pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)])
+@pytest.mark.parametrize("takes", [(), (1,), (OSError,), (5, 2, 1, 7)])
+def test_answers_go_out_whole_and_in_their_order_whoever_writes_them(tmp_path, order, takes):
+    held = {key: threading.Event() for key in (b"0", b"1", b"2")}
+    server = InstanceServer(lambda words: held[words[1]].wait(60) and gives(words[1] * 9))
+    with gateway(tmp_path, server.start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = Trickling(ours.sock, *takes)
+        for key in held:
+            client.ask(key)
+        for done, number in enumerate(order, 1):
+            held[b"%d" % number].set()
+            until(lambda done=done: ran.count("succeeded") == done)
+        assert [client.read() for _ in held] == [key * 9 for key in held]
+        until(lambda: not (ours.writing or ours.unsent))
+
+
+def test_an_answer_that_comes_while_an_earlier_one_is_written_out_goes_behind_it(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask(b"first")
+        assert slow.met.wait(60)  # a thread is in the midst of its send, without the lock
+        client.ask(b"second")
+        until(lambda: b"second" in ours.unsent)
+        slow.go.set()
+        assert [client.read(), client.read()] == [b"first", b"second"]
+
+
+def test_a_connection_is_not_closed_under_the_thread_that_writes_to_it(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask()
+        assert slow.met.wait(60)
+        client.sock.close()
+        until(lambda: ours.broken)
+        assert slow.sock.fileno() >= 0 and ran.gate.clients == {ours}
+        slow.go.set()
+        until(lambda: not ran.gate.clients)
+        assert slow.sock.fileno() < 0 and not ours.writing
+
+
+def test_a_client_that_took_a_long_answer_slowly_rests_from_its_last_byte_on(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask()
+        assert slow.met.wait(60)
+        ours.since, resumed = time.monotonic() - 60, time.monotonic()  # it has taken a minute so far
+        slow.go.set()
+        assert client.read() == b"aa"
+        until(lambda: not ours.writing)
+        assert ours.since >= resumed
+
+
+# ---- one id, asked twice
+
+
+def ask_by(client, key, id=b"id1"):
+    return client.write(resp.command([b"Q.ASK", key, id, b"c=look,t=acme,d=20000"]))
+
+
+def goes_on_with_nonsense(client):
+    client.write(b"nonsense\r\n")
+
+
+@pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), goes_on_with_nonsense])
+def test_the_id_of_an_open_lookup_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        usual, bad = ask_by(ran.client(), b"mine"), ran.client()
+        until(lambda: server.got)
+        assert ask_by(bad, b"theirs").read().startswith(b"ERR no lookup: its id")
+        end(bad)
+        until(lambda: len(ran.gate.clients) == 1)
+        other = ran.client()
+        assert ask_by(other, b"theirs").read().startswith(b"ERR no lookup: its id")  # it is still open
+        server.go.set()
+        assert usual.read() == b"mine" and ask_by(other, b"next").read() == b"next"
+        assert [words[1] for words in server.got] == [b"mine", b"next"]
+
+
+def test_an_id_is_free_again_once_its_answer_is_decided_though_not_yet_written(tmp_path, monkeypatch):
+    flush, go, first, slow = clients.Client.flush, threading.Event(), [], threading.Event()
+
+    def held(ours):
+        if first and ours is first[0] and not go.is_set():
+            slow.set()
+            go.wait(60)
+        flush(ours)
+
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client, other = ran.client(), ran.client()
+        first.append(ran.ours(client))
+        monkeypatch.setattr(clients.Client, "flush", held)
+        ask_by(client, b"first")
+        assert slow.wait(60) and ask_by(other, b"second").read() == b"second"
+        go.set()
+        assert client.read() == b"first"
+
+
+@ENDS
+def test_the_late_answer_of_a_client_that_went_is_not_given_to_the_next_with_its_id(tmp_path, end):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        client = ask_by(ran.client(), b"first")
+        until(lambda: server.got)
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        other = ask_by(ran.client(), b"second")
+        until(lambda: ran.count("taken") == 2)
+        server.go.set()
+        assert other.read() == b"second"
+        assert ask_by(other, b"third").read() == b"third"
