--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -45,9 +45,14 @@
     desk.releases = releases = Releases(place, desk, log, counters)
     try:
         gate = Gate(place, desk, crew, log, counters)
+    except OSError as error:
+        print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
+        return 2
+    try:
         known = discovery.read(place.known)
-    except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
-        print(f"lemonlead.gateway: cannot start: {type(error).__name__}: {error}", file=sys.stderr)
+    except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError) as error:
+        reason = f"known is no list as discovery gives it: {type(error).__name__}: {error}"[:200]
+        print(f"lemonlead.gateway: the configuration cannot be used: {reason}", file=sys.stderr)
         return 2
     with desk.lock:
         discovery.listed(places.now(), *known, True, False)
--- a/lemonlead/gateway/place.py
+++ b/lemonlead/gateway/place.py
@@ -3,12 +3,14 @@
 import contextlib
 import json
 import os
+import socket
 import time
+from collections import Counter
 from dataclasses import dataclass
 
 from .. import interface as at
-from ..told import started
-from . import platform
+from ..told import EFFECTS, Nonsense, Told, shown, started
+from .platform import PHASES
 
 EPOCH = time.time_ns() - time.monotonic_ns()  # all machines read one clock: instances' start times are on it
 
@@ -43,63 +45,131 @@
 
 
 def address(text):
+    """An IPv4 address and a port. A name is none: nothing here looks names up, as that could wait."""
     host, _, port = text.rpartition(":")
-    if not host or not 0 <= int(port) < 65536:
-        raise ValueError(f"no address: {text!r}")
+    try:
+        socket.inet_pton(socket.AF_INET, host)
+        if not (port.isascii() and port.isdecimal() and len(port) < 6 and int(port) < 65536):
+            raise ValueError
+    except (OSError, ValueError):  # a text with a zero byte is a ValueError, and so are letters beyond ASCII
+        raise ValueError(f"no address: {shown(text)}") from None
     return host, int(port)
 
 
+def address_of(told, key, given=None):
+    """The one in this object, or the one given in its place."""
+    text = given or told.text(key)
+    try:
+        return address(text)
+    except ValueError:
+        told.unfit(key, text, "an IPv4 address and a port, as 10.0.0.4:6379")
+
+
 def numbered(names):
     return {name: number for number, name in enumerate(names)}
 
 
+def names_of(told, key):
+    """The names that the entries of this list have, in its order."""
+    names = [entry.text("Name") for entry in told.parts(key)]
+    for name, count in Counter(names).items():
+        if count > 1:
+            raise Nonsense(f"settings.{key} names {shown(name)} twice; expected a name of its own for each")
+    return names
+
+
 @contextlib.contextmanager
 def unfit():
-    """Whatever makes the configuration one that cannot be used is said in one way."""
+    """Whatever makes the configuration one that cannot be used is said in one way, on one line."""
     try:
         yield
+    except RecursionError:
+        raise Unfit("it is nested too deep; expected a JSON object") from None
     except KeyError as error:
         raise Unfit(f"{error} is missing") from None
-    except (OSError, ValueError, TypeError, AttributeError, RecursionError) as error:
-        raise Unfit(str(error)[:200]) from None
+    except (OSError, ValueError) as error:
+        raise Unfit(" ".join(str(error).split())[:200]) from None
 
 
 def load(environment):
-    with open(environment["ROUTER_CONFIG"], encoding="utf-8") as file:
-        return json.load(file)
+    """The configuration as the file has it, with no more checked than that it is an object."""
+    path = environment["ROUTER_CONFIG"]
+    with open(path, encoding="utf-8") as file:
+        try:
+            return Told(json.load(file), "")
+        except Nonsense as error:
+            raise Unfit(f"{path}{error}"[:200]) from None
+        except ValueError as error:
+            raise Unfit(f"{path} is no JSON: {error}"[:200]) from None
 
 
 def platform_of(desk):
-    return address(desk["address"]) if "address" in desk else None
+    return address_of(desk, "address") if "address" in desk.values else None
+
+
+def news_of(desk):
+    """The state of the newest build, or None where there is no news of any."""
+    if desk.values.get("news") is None:
+        return None
+    news = desk.part("news")
+    build, stage = news.count("release", None), news.count("tranche", None)
+    phase = PHASES[news.one_of("mode", PHASES, None)]
+    return build, stage, phase, float(news.number("exposure", None, 0, 1)), news.time("old_ms", None)
+
+
+def optional(config, key):
+    """A part of the configuration that may be left out, or be null."""
+    return Told({}, key) if config.values.get(key) is None else config.part(key)
+
+
+def limits_of(config):
+    """Descriptors for clients and instances, half for each; bytes."""
+    limits = optional(config, "limits")
+    return limits.count("sockets", 1024, SPARE + 2) - SPARE, int(limits.number("memory_mb", 192, 1) * 2**20)
+
+
+def settings_of(config, seed):
+    """What the balancer is told, the names of lanes and of customers, and the settings as they stand."""
+    told = config.part("settings")
+    for lane in told.parts("Lanes"):
+        lane.one_of("Effect", EFFECTS, "at_most_once")
+    return started(told.values, seed, now()), names_of(told, "Lanes"), names_of(told, "Projects"), told
+
+
+def seed_of(config):
+    try:
+        return int(config.text("seed"), 16)
+    except ValueError:
+        config.unfit("seed", config.values["seed"], "a number in hexadecimal")
 
 
 def read(environment=os.environ):
     with unfit():
         config = load(environment)
-        told, desk = config["settings"], config.get("release_api") or {}
-        start = started(told, int(config["seed"], 16), now())
+        if "settings" not in config.values:
+            raise Nonsense("settings is missing; expected an object")
+        start, lanes, customers, told = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
-        limits, news = config.get("limits") or {}, desk.get("news")
-        names = ("release", "tranche", "mode", "exposure", "old_ms")
+        desk, known = optional(config, "release_api"), optional(config, "known")
+        connections, memory = limits_of(config)
         return Place(
-            name=environment.get("ROUTER_NAME") or config["name"],
-            listen=address(environment.get("ROUTER_LISTEN") or config["listen"]),
-            discovery=address(environment.get("ROUTER_DISCOVERY") or config["discovery"]),
-            platform=platform_of(desk),
-            connections=max(int(limits.get("sockets", 1024)) - SPARE, 2),
-            memory=int(float(limits.get("memory_mb", 192)) * 2**20), start=start,
-            lanes={lane["Name"]: start.lanes[n] for n, lane in enumerate(told.get("Lanes", []))},
-            customers=numbered(customer["Name"] for customer in told.get("Projects", [])),
-            zones=numbered(told.get("Areas", [])), kinds=numbered(told.get("Skus", [])),
-            known=config.get("known") or {"version": 0, "full": True, "servers": []},
-            news=platform.stage([news[name] for name in names]) if news else None,
-            pushed=told.get("Discovery") != "ask",
+            name=environment.get("ROUTER_NAME") or config.text("name"),
+            listen=address_of(config, "listen", environment.get("ROUTER_LISTEN")),
+            discovery=address_of(config, "discovery", environment.get("ROUTER_DISCOVERY")),
+            platform=platform_of(desk), connections=connections, memory=memory, start=start,
+            lanes=dict(zip(lanes, start.lanes, strict=True)), customers=numbered(customers),
+            zones=numbered(told.names("Areas")), kinds=numbered(told.names("Skus")),
+            known=known.values or {"version": 0, "full": True, "servers": []}, news=news_of(desk),
+            pushed=told.values.get("Discovery") != "ask",
         )
 
 
 def read_again(environment=os.environ):
     """Where discovery and the platform are by the configuration as it is now. The environment is that of the
-    start, so here the file wins; its list and news are no newer than what was told since, and are left."""
+    start, so here the file wins; its list and news are no newer than what was told since, and are left. The
+    settings and limits bind from the next start on, but where they make no sense nothing is changed."""
     with unfit():
         config = load(environment)
-        return address(config["discovery"]), platform_of(config.get("release_api") or {})
+        settings_of(config, 0)
+        limits_of(config)
+        return address_of(config, "discovery"), platform_of(optional(config, "release_api"))
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -5,50 +5,156 @@
 from . import interface as at
 
 NS = 1_000_000  # nanoseconds in one of the settings' and the wire's milliseconds
-EFFECTS = {"idempotent": at.HARMLESS, "deduplicated": at.STAMPED}
+LONGEST = 1e13  # milliseconds, some 300 years: no time told is longer, also where it counts from 1970
+MOST = 1e15  # no other figure told is larger: products of them stay finite
+EFFECTS = {"idempotent": at.HARMLESS, "deduplicated": at.STAMPED, "at_most_once": at.ONE_SHOT}
+
+
+class Nonsense(ValueError):
+    """The settings hold something that none can go by. The text says where, what it is, and what to write."""
 
 
 def in_ns(ms):
     return round(ms * NS) if math.isfinite(ms) else 0
 
 
-def started(told, salt, now):
-    """The settings as read, in our words; what is absent stays at the interface's default."""
-    limits, rules, info = told.get("Limits", {}), told.get("Obligations", {}), told.get("FamilyInfo", {})
-    lanes = [
-        at.Lane(
-            number=n, effect=EFFECTS.get(lane.get("Effect"), at.ONE_SHOT),
-            goal_time=in_ns(lane.get("Slo", 0)), hard_stop=in_ns(lane.get("GiveUp", 0)),
-            revenue=lane.get("Worth", 1.0), late_share=lane.get("LateWorth", 0.0),
-            goal_stretch=lane.get("AimStretch", 0.0), group=lane.get("Group", "all"),
-            memory=in_ns(lane.get("Window", 0)), streamed=bool(lane.get("Stream")),
-        )
-        for n, lane in enumerate(told.get("Lanes", []))
-    ]
-    release = at.Release(
-        control=info.get("Control", "by_count"), on_needed=info.get("AyesNeeded", 1),
-        back_needed=info.get("NoesNeeded", 1), bake=in_ns(info.get("Bake", 0)),
-        vote_life=in_ns(info.get("BallotTtl", 0)), answer_time=in_ns(info.get("ApiTimeout", 0)),
-        votes_per_s=info.get("VoteAllowance", 0.0), window=in_ns(info.get("ExposureWindow", 0)),
-        free_sends=info.get("SpareTries", 0.0), per_lane=info.get("CapScope") == "each_class",
-        guarded_stages=info.get("GuardedStages", 0), forward_only=bool(info.get("ForwardOnly")),
-        caps=info.get("StageCap", []), steps=info.get("Steps", []),
-        old_price=info.get("StaleBuildPrice", 0.0), harm_price=info.get("HarmFee", 0.0),
-        replaces=info.get("Style") == "replace",
+def shown(value):
+    """A value of a configuration on one short line."""
+    text = repr(value)
+    return text if len(text) <= 60 else f"{text[:57]}..."
+
+
+class Told:
+    """One object of the settings: `where` it stands, and its values by key, each checked as it is read. What
+    is absent is as the caller says. Nothing can be named that is not read: unknown keys harm none."""
+
+    def __init__(self, value, where):
+        self.where = where
+        if not isinstance(value, dict):
+            self.unfit("", value, "an object")
+        self.values = value
+
+    def unfit(self, key, value, wanted):
+        where = ".".join(part for part in (self.where, key) if part)
+        raise Nonsense(f"{where} is {shown(value)}; expected {wanted}")
+
+    def number(self, key, otherwise, least=0, most=MOST):
+        value = self.values.get(key, otherwise)
+        if type(value) not in (int, float) or not least <= value <= most:  # nor is NaN within any bounds
+            self.unfit(key, value, f"a number from {least} to {most:.15g}")
+        return value
+
+    def count(self, key, otherwise, least=0):
+        value = self.number(key, otherwise, least)
+        if value != int(value):
+            self.unfit(key, value, "a whole number")
+        return int(value)
+
+    def time(self, key, otherwise=0):
+        value = self.values.get(key, otherwise)
+        if type(value) not in (int, float) or not 0 <= value <= LONGEST:
+            self.unfit(key, value, f"milliseconds from 0 to {LONGEST:.15g}")
+        return in_ns(value)
+
+    def flag(self, key):
+        value = self.values.get(key, False)
+        if type(value) is not bool:
+            self.unfit(key, value, "true or false")
+        return value
+
+    def one_of(self, key, words, otherwise):
+        value = self.values.get(key, otherwise)
+        if type(value) is not str or value not in words:
+            self.unfit(key, value, f"one of {', '.join(words)}")
+        return value
+
+    def word(self, key):
+        value = self.values.get(key, "")
+        if type(value) is not str:
+            self.unfit(key, value, "a text")
+        return value
+
+    def text(self, key):
+        if key not in self.values:
+            raise Nonsense(f"{self.where}.{key} is missing; expected a text".lstrip("."))
+        if type(value := self.values[key]) is not str or not value:
+            self.unfit(key, value, "a text")
+        return value
+
+    def list(self, key):
+        value = self.values.get(key, [])
+        if type(value) is not list:
+            self.unfit(key, value, "a list")
+        return value
+
+    def part(self, key):
+        return Told(self.values.get(key, {}), f"{self.where}.{key}".lstrip("."))
+
+    def parts(self, key):
+        return [Told(value, f"{self.where}.{key}[{n}]") for n, value in enumerate(self.list(key))]
+
+    def names(self, key):
+        """The texts of this list, each but once."""
+        names = self.list(key)
+        if any(type(name) is not str for name in names) or len(set(names)) < len(names):
+            self.unfit(key, names, "a list of texts, none of them twice")
+        return names
+
+    def numbers(self, key, most=MOST):
+        values = self.list(key)
+        return [Told({key: value}, self.where).number(key, 0, 0, most) for value in values]
+
+
+def lane_of(told, number):
+    effect = EFFECTS.get(told.word("Effect"), at.ONE_SHOT)  # one unknown here is run once at most
+    stamped = effect == at.STAMPED  # for the others, group and memory mean nothing
+    if stamped and "Window" not in told.values:
+        raise Nonsense(f"{told.where}.Window is missing; a deduplicated class wants one, in milliseconds")
+    return at.Lane(
+        number=number, effect=effect, goal_time=told.time("Slo"), hard_stop=told.time("GiveUp"),
+        revenue=told.number("Worth", 1.0), late_share=told.number("LateWorth", 0.0),
+        goal_stretch=told.number("AimStretch", 0.0),
+        group=told.one_of("Group", ("all", "zone", "cell"), "all") if stamped else "all",
+        memory=told.time("Window") if stamped else 0, streamed=told.flag("Stream"),
+    )
+
+
+def release_of(told):
+    return at.Release(
+        control=told.one_of("Control", ("first_voice", "by_count", "automatic"), "by_count"),
+        on_needed=told.count("AyesNeeded", 1), back_needed=told.count("NoesNeeded", 1),
+        bake=told.time("Bake"), vote_life=told.time("BallotTtl"), answer_time=told.time("ApiTimeout"),
+        votes_per_s=told.number("VoteAllowance", 0.0), window=told.time("ExposureWindow"),
+        free_sends=told.number("SpareTries", 0.0),
+        per_lane=told.one_of("CapScope", ("all", "each_class"), "all") == "each_class",
+        guarded_stages=told.count("GuardedStages", 0), forward_only=told.flag("ForwardOnly"),
+        caps=told.numbers("StageCap", 1), steps=told.numbers("Steps"),
+        old_price=told.number("StaleBuildPrice", 0.0), harm_price=told.number("HarmFee", 0.0),
+        replaces=told.one_of("Style", ("parallel", "replace"), "parallel") == "replace",
     )
-    hold_off = in_ns(limits.get("MaxRetryAfter", 0)) if limits.get("RetryAfter") else 0
+
+
+def started(settings, salt, now):
+    """The settings as read, in our words; what is absent stays at the interface's default. Nonsense where
+    they hold what none can go by."""
+    told = Told(settings, "settings")
+    limits, rules, prices = told.part("Limits"), told.part("Obligations"), told.part("Tariffs")
+    hold_off = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
     return at.Start(
-        now=now, seed=salt, me=told.get("Me", 0), balancers=told.get("Balancers", 1),
-        zone=told.get("Az", 0), step=in_ns(told.get("Step", 0)), lanes=lanes, release=release,
-        customer_shares=[customer.get("QuotaPerS", 0.0) for customer in told.get("Projects", [])],
-        over_share_worth=told.get("OverShareWorth", 1.0), ask_for_list=told.get("Discovery") == "ask",
-        sends_cap=limits.get("AttemptsCap", 1), may_withdraw=bool(limits.get("Cancel")),
-        may_duplicate=bool(limits.get("MayDuplicate")), may_probe=bool(limits.get("Probes")),
-        hold_off_cap=hold_off, connect_time=in_ns(limits.get("ConnectTimeout", 0)),
-        idle_time=in_ns(limits.get("IdleClose", 0)),
-        ask_within=in_ns(rules.get("AskWithin", 0)),
-        drain_grace=in_ns(rules.get("DrainGrace", 0)), cold_time=in_ns(rules.get("Cold", 0)),
-        cold_share=rules.get("ColdFrom", 1.0), cold_multiple=rules.get("OverloadFactor", 1.0),
-        cold_window=in_ns(rules.get("Fall", 0)), report_fields=told.get("Report", {}).get("Fields", []),
-        by_work=told.get("WorthBy") == "work", prices=told.get("Tariffs", {}),
+        now=now, seed=salt, me=told.count("Me", 0), balancers=told.count("Balancers", 1),
+        zone=told.count("Az", 0), step=told.time("Step"),
+        lanes=[lane_of(lane, number) for number, lane in enumerate(told.parts("Lanes"))],
+        release=release_of(told.part("FamilyInfo")),
+        customer_shares=[customer.number("QuotaPerS", 0.0) for customer in told.parts("Projects")],
+        over_share_worth=told.number("OverShareWorth", 1.0),
+        ask_for_list=told.one_of("Discovery", ("push", "ask"), "push") == "ask",
+        sends_cap=limits.count("AttemptsCap", 1, 1), may_withdraw=limits.flag("Cancel"),
+        may_duplicate=limits.flag("MayDuplicate"), may_probe=limits.flag("Probes"),
+        hold_off_cap=hold_off, connect_time=limits.time("ConnectTimeout"), idle_time=limits.time("IdleClose"),
+        ask_within=rules.time("AskWithin"), drain_grace=rules.time("DrainGrace"),
+        cold_time=rules.time("Cold"), cold_share=rules.number("ColdFrom", 1.0, 0, 1),
+        cold_multiple=rules.number("OverloadFactor", 1.0),
+        cold_window=rules.time("Fall"), report_fields=told.part("Report").names("Fields"),
+        by_work=told.one_of("WorthBy", ("request", "work"), "request") == "work",
+        prices={"CrossZone": prices.number("CrossZone", 0.0)},
     )
