--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -400,7 +400,7 @@
         """A lookup from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no sense."""
         if len(words) not in WORDS.get(name, ()):
             raise ValueError("no such command")
-        key, id, extras = words[1], words[2], words[3].decode("ascii")
+        key, id, extras = words[1], words[2], words[3].decode()
         said = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
         if len(said) < len(pairs) or not 0 < len(id) <= LONGEST_ID or len(key) > LONGEST_KEY:
             raise ValueError("a name twice, or an id or key out of bounds")
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -215,3 +215,12 @@
         assert ran.process.wait(60) == 0
         assert ran.log().count('event="configuration unfit"') == 2 and not discovery.asked
     discovery.close()
+
+
+def test_names_of_any_letters_are_known_as_the_settings_give_them(tmp_path):
+    lanes = [{**SETTINGS["Lanes"][0], "Name": "pièce à vue"}, *SETTINGS["Lanes"][1:]]
+    settings = {"Lanes": lanes, "Projects": [{"Name": "Île = une"}]}
+    with gateway(tmp_path, InstanceServer().start(), settings=settings) as ran:
+        said = {"c": "pièce à vue", "t": "Île = une", "d": 20000}
+        assert ran.client().command(b"Q.ASK", b"aa", said).read() == b"aa"
+        assert ran.counters()["succeeded_lane_0"] == 1
