--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -46,7 +46,7 @@
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_withdraw = start.may_duplicate, start.may_withdraw
         self.sends_cap, self.hold_off_cap = start.sends_cap, start.hold_off_cap
-        self.resend_margin = start.connect_time + 2 * start.step
+        self.connect_time, self.spare = start.connect_time, 2 * start.step
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
         self.mean_revenue = sum(lane.revenue for lane in start.lanes) / max(len(start.lanes), 1) or 1.0
@@ -386,7 +386,7 @@
         if ran and lane.effect == STAMPED:
             group = lane.group
             same = group == "all" or all(getattr(s.instance, group) == getattr(member, group) for s in ran)
-            if not same or now - ran[0].at >= lane.memory - self.resend_margin:
+            if not same or now >= self.repeated_by(ran) - self.connect_time:
                 return False
         if (can := self.able(member, now)) < 1 and (self.work_in - member.cold_from) * can < member.cold_due:
             return False
@@ -396,10 +396,18 @@
         return not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now)
 
     def may_begin(self, now, send):
-        """Asked before the first byte of a send, by a host whose sends may wait for a connection."""
-        lookup, member = send.lookup, send.instance
-        fit = not lookup.over and now < lookup.hard_stop and self.members.get(member.id) is member
-        return fit and (not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now, 0))
+        """Asked before the first byte of a send, by a host whose sends may wait for a connection: until when
+        its last byte has to be written, 0 if it may not begin."""
+        lookup, member, by = send.lookup, send.instance, send.lookup.hard_stop
+        ran = [other for other in lookup.sends if other is not send and other.end not in NEVER_RAN]
+        if ran and lookup.lane.effect == STAMPED:
+            by = min(by, self.repeated_by(ran))
+        fit = not lookup.over and now < by and self.members.get(member.id) is member
+        fit = fit and (not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now, 0))
+        return by if fit else 0
+
+    def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
+        return ran[0].at + ran[0].lookup.lane.memory - self.spare
 
     def exposure_left(self, build, lookup, now, more=1):
         """The window is a little wider for sends than for lookups. A lower cap binds at once."""
--- a/lemonlead/gateway/desk.py
+++ b/lemonlead/gateway/desk.py
@@ -112,6 +112,7 @@
             if self.asks.pop(lookup, None) is not None:
                 self.ids.discard(lookup.id)
                 self.count("left", lookup)
+                self.drop(lookup)
                 self.balancer.lookup_left(moment, lookup)
 
     def send_ended(self, moment, send, end, value):
@@ -127,8 +128,9 @@
         (self.service or self.balancer).stage_told(moment, *news)
 
     def may_begin(self, send):
+        """The moment by which its last byte has to be written; 0 if it may not begin."""
         with self.lock:
-            return send.lookup in self.asks and self.balancer.may_begin(now(), send)
+            return self.balancer.may_begin(now(), send) if send.lookup in self.asks else 0
 
     def count(self, what, lookup):
         self.counters.add(what)
@@ -141,8 +143,13 @@
         self.ids.discard(lookup.id)
         self.count(ending, lookup)
         ask.answer = data
+        self.drop(lookup)  # before the answer goes out, so that no send of it is written whole after that
         self.chores.append((ask.client.flush,))
 
+    def drop(self, lookup):
+        if any(not send.end for send in lookup.sends):
+            self.chores.append((self.instances.drop, lookup.sends))
+
     def send(self, lookup, instance_id, time_out):
         self.counters.add("sends")
         until = now() + time_out
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -91,7 +91,8 @@
 
     def __init__(self, send, pool, words, until):
         self.send, self.pool, self.words, self.until = send, pool, words, until
-        self.connection, self.withdrawn, self.written = None, False, False
+        self.connection, self.withdrawn = None, False
+        self.begun = self.written = False  # from its first byte on, from its last
 
 
 class Instances:
@@ -112,6 +113,7 @@
             old = self.pools.get(id)
             if old is not None and (old.address, old.started) != (address, started):
                 del self.pools[id]
+                old.closed = True  # nothing new begins there
                 self.desk.chores.append((self.clear, old))
             if address is not None and id not in self.pools:
                 self.pools[id] = Pool(address, started)
@@ -126,7 +128,6 @@
 
     def clear(self, pool):
         with self.lock:
-            pool.closed = True
             unused, pool.unused = pool.unused, deque()
         for connection in unused:
             self.end(connection, "instance gone")
@@ -140,13 +141,20 @@
     def withdraw(self, send):
         with self.lock:
             if (trip := self.trips.get(send)) is not None:
-                trip.withdrawn = True
-                if trip.written:
-                    self.shut(trip.connection)
+                self.shut(trip)
 
-    def shut(self, connection):
-        with contextlib.suppress(OSError):
-            connection.sock.shutdown(socket.SHUT_RDWR)
+    def drop(self, sends):
+        """Their lookup is over: of those that are not written whole the last byte is written no more."""
+        with self.lock:
+            for trip in filter(None, map(self.trips.get, sends)):
+                if not trip.written:
+                    self.shut(trip)
+
+    def shut(self, trip):
+        trip.withdrawn = True
+        if trip.begun:
+            with contextlib.suppress(OSError):
+                trip.connection.sock.shutdown(socket.SHUT_RDWR)
 
     def carry(self, trip):
         try:
@@ -160,7 +168,8 @@
         connection, pool, ended = trip.connection, trip.pool, []
         with self.lock:
             del self.trips[trip.send]
-            keep = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT) and not trip.withdrawn
+            clean = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT)
+            keep = clean and not (trip.begun and trip.withdrawn)
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
                 if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
@@ -186,7 +195,8 @@
             while True:
                 if (made := self.reach(trip)) is False:
                     trip.connection.settle()
-                if made is None or trip.withdrawn or not self.desk.may_begin(trip.send):
+                by = 0 if made is None or trip.withdrawn else self.desk.may_begin(trip.send)
+                if not by:
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
                 # connection that has ended nothing of this send has been written.
@@ -194,14 +204,18 @@
                     break
                 self.end(trip.connection, "instance closed")
                 trip.connection = None
+            with self.lock:
+                if trip.withdrawn or trip.pool.closed:
+                    return at.NOT_SENT, None
+                trip.begun = True
             wait = max((trip.until - now()) // NS, 1)
-            trip.connection.write(resp.command(passed_on(trip.words, wait)), trip.until)
+            trip.connection.write(resp.command(passed_on(trip.words, wait)), min(trip.until, by))
         except OSError:
-            return at.UNCONNECTED, None
+            return (at.NOT_SENT if trip.begun and trip.withdrawn else at.UNCONNECTED), None
         with self.lock:
             trip.written = True
             if trip.withdrawn:
-                self.shut(trip.connection)
+                self.shut(trip)
         try:
             value = trip.connection.read(trip.until)
         except TimeoutError:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -529,7 +529,17 @@
     made.builds[2].sent[0] = deque([NOW])
     send = sent(asked, made.members[member])
     changed(made, asked)
-    assert made.may_begin(NOW, send) is allowed
+    assert made.may_begin(NOW, send) == (asked.hard_stop if allowed else 0)
+
+
+def test_a_repeat_is_written_whole_while_instances_still_drop_it():
+    stamped = lane(effect=at.STAMPED, memory=2000 * MS)
+    made, asked = balancer([line(1), line(2)], [stamped]), lookup(on=stamped)
+    first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
+    last = NOW + 1990 * MS  # two steps are spared
+    assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
+    first.end = at.REJECTED  # proven not to have run: it binds nothing
+    assert made.may_begin(last, again) == asked.hard_stop
 
 
 # ---- rules may give a lookup another lane and key
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -9,7 +9,7 @@
 from helpers import MS
 
 from lemonlead import interface as at
-from lemonlead.gateway import instances
+from lemonlead.gateway import desk, instances, resp
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk
@@ -17,7 +17,7 @@
 from lemonlead.gateway.place import now
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.instances import InstanceServer, gives
-from lemonlead.standins.server import until
+from lemonlead.standins.server import Server, until
 from lemonlead.told import started
 
 WAIT = 20000 * MS
@@ -65,13 +65,13 @@
         self.desk.tell(self.desk.lookup_arrived, ask, ask.lookup)
         return ask
 
-    def made(self, lane=0, body=b"BODY", left=WAIT):
+    def made(self, lane=0, body=b"BODY"):
         id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
         ask = SimpleNamespace(words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
-        ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + left)
+        ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + WAIT)
         self.asked.append(ask)
         return ask
 
@@ -84,7 +84,13 @@
 
     def ended(self):
         """Once no send is under way."""
-        until(lambda: not self.instances.trips)
+
+        def told():
+            with self.desk.lock:
+                sends = [send for ask in self.asked for send in ask.lookup.sends]
+                return not self.instances.trips and all(send.end for send in sends)
+
+        until(told)
 
     def unused(self, id="i0"):
         return list(self.instances.pools[id].unused)
@@ -203,10 +209,145 @@
     assert slept == [wait / 1e3] * (wait > 0)
 
 
+class Slow(Server):
+    """Reads nothing until it is told to, then all there is; its receive buffer holds a part of a command."""
+
+    def __init__(self):
+        super().__init__()
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        self.reading, self.ended, self.data = threading.Event(), threading.Event(), b""
+
+    def serve(self, sock):
+        self.reading.wait(60)
+        while data := sock.recv(65536):
+            self.data += data
+        self.ended.set()
+
+    def whole(self):
+        """Whether a command came in full, once its connection has ended."""
+        self.reading.set()
+        assert self.ended.wait(60)
+        reader = resp.Reader(commands=True)
+        reader.buffer.add(self.data)
+        return reader.next() is not resp.MORE
+
+
+@pytest.fixture
+def narrow(monkeypatch):
+    """New connections hold little that is unsent."""
+    connect = Connection.connect
+
+    def narrowed(self, until):
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        connect(self, until)
+
+    monkeypatch.setattr(Connection, "connect", narrowed)
+
+
+def stuck(made, server):
+    """A request of which a part is written to a slow instance."""
+    ask = made.ask(body=b"x" * 60000)
+    until(lambda: server.connections)
+    arrived(server.connections[0])
+    return ask
+
+
+def second(made, ask, id="i1"):
+    """Decides on another attempt."""
+    made.desk.tell(lambda moment: made.balancer.send(
+        ask.lookup, made.balancer.members[id], moment, made.desk))
+
+
+@pytest.mark.parametrize("by", ["an answer", "the client leaves", "withdrawn", "a break", "the hard stop"])
+def test_what_is_given_up_while_it_is_written_is_never_written_whole(world, narrow, monkeypatch, by):
+    made = world(server := Slow().start(), limits={"AttemptsCap": 2}.items())
+    if by == "the hard stop":
+        limit = instances.limit
+        monkeypatch.setattr(instances, "limit", lambda until: limit(now() + 50 * MS))
+    ask = stuck(made, server)
+    send, = ask.lookup.sends
+    if by == "an answer":
+        made.list("i1", other := InstanceServer().start())
+        second(made, ask)
+        assert made.answered(ask) == b"$1\r\n0\r\n"
+        other.close()
+    elif by == "the client leaves":
+        made.desk.tell(made.desk.client_left, [ask.lookup])
+    elif by == "withdrawn":
+        ask.lookup.over = True  # so that nothing follows
+        made.desk.tell(lambda moment: made.desk.withdraw(send))
+    elif by == "a break":
+        ask.lookup.over = True
+        (trip,) = made.instances.trips.values()
+        trip.connection.sock.shutdown(socket.SHUT_RDWR)
+    else:
+        made.ended()
+    assert not server.whole()
+    made.ended()
+    assert send.end == (at.UNCONNECTED if by in ("the hard stop", "a break") else at.NOT_SENT)
+    assert not made.unused() and made.instances.open == (by == "an answer")
+
+
+@pytest.mark.parametrize("at_point", ["may_begin", "passed_on"])
+def test_an_attempt_is_not_written_once_its_request_has_the_answer(world, monkeypatch, at_point):
+    made = world(server := InstanceServer().start())
+    owner = made.desk if at_point == "may_begin" else instances
+    gate = Gate(monkeypatch, owner, at_point, after=True)
+    ask = made.ask()
+    assert gate.reached.wait(60)
+    monkeypatch.undo()
+    made.list("i1", other := InstanceServer().start())
+    second(made, ask)
+    assert made.answered(ask) == b"$1\r\n0\r\n"
+    gate.opened.set()
+    made.ended()
+    other.close()
+    assert not server.got and ask.lookup.sends[0].end == at.NOT_SENT and ask.answers == 1
+
+
+@pytest.mark.parametrize("point", ["connect", "may_begin"])
+@pytest.mark.parametrize("since, build", [(0, 1), (5, 1), (0, 2)])
+def test_an_instance_that_returns_elsewhere_gets_nothing_at_its_old_address(
+    world, monkeypatch, point, since, build
+):
+    made = world(old := InstanceServer().start())
+    gate = Gate(monkeypatch, Connection if point == "connect" else made.desk, point, after=True)
+    ask = made.ask()
+    assert gate.reached.wait(60)
+    monkeypatch.undo()
+    new = InstanceServer().start()
+    made.balancer.stage_told(now(), 2, 0, at.RELEASED, 1.0, 0)
+    made.list("i0", new, since=since, build=build)
+    gate.opened.set()
+    assert made.answered(ask) == b"$1\r\n0\r\n"
+    made.ended()
+    new.close()
+    assert not old.got and len(new.got) == 1 and made.instances.open == 1 == len(made.unused())
+
+
+def test_a_repeat_does_not_begin_past_the_time_for_which_repeats_are_dropped(world, monkeypatch):
+    made = world(first := InstanceServer(lambda words: None).start())  # it may have run there
+    made.lanes[1].memory = 10000 * MS
+    gate = Gate(monkeypatch, Connection, "connect", after=True)
+    ask = made.ask(lane=1)
+    assert gate.reached.wait(60)
+    monkeypatch.undo()
+    made.list("i1", other := InstanceServer().start())
+    again = Gate(monkeypatch, made.instances, "reach", after=True)
+    gate.opened.set()
+    assert again.reached.wait(60) and [send.end for send in ask.lookup.sends] == [at.RESET, ""]
+    monkeypatch.setattr(desk, "now", lambda: ask.lookup.sends[0].at + 10000 * MS - 1)
+    again.opened.set()
+    made.ended()
+    other.close()
+    assert not other.got and len(first.got) == 1 and ask.lookup.sends[1].end == at.NOT_SENT
+    assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
+
+
 @pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
 def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
     made = world(InstanceServer().start())
-    made.faulty, spoilt, method = True, made.made(left=300 * MS), getattr(made.balancer, name)
+    made.faulty, spoilt, method = True, made.made(), getattr(made.balancer, name)
 
     def fails(*given):
         if spoilt.lookup in [getattr(one, "lookup", one) for one in given]:
@@ -217,6 +358,7 @@
     others = [made.made() for _ in range(2)]
 
     def arrive(moment):
+        spoilt.lookup.hard_stop = moment + 100 * MS
         for ask in (spoilt, *others):
             made.desk.lookup_arrived(moment, ask, ask.lookup)
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -122,6 +122,9 @@
     def withdraw(self, send):
         """It goes on: a withdrawn send may end anyhow."""
 
+    def drop(self, sends):
+        """None is ever half written here."""
+
     def vote(self, *told):
         if len(told) == 3:  # the platform's
             return self.real.append(told)
