--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -132,7 +132,7 @@
             self.part_since = time.monotonic()
         elif time.monotonic() - self.part_since > PART and not self.unread():
             raise resp.Malformed("half a command")
-        size = len(self.reader.buffer.data)
+        size = len(self.reader.buffer.data) if len(self.reader.buffer) else 0  # an empty one is cut
         size = size if size > LARGE else 0
         if size != self.weight:
             if not self.gate.weigh(size - self.weight):
@@ -425,11 +425,12 @@
             return True
 
     def gone(self, client):
+        """Last of all that its thread does, so that the bound on clients bounds threads."""
+        self.counters.add(f"clients ended: {client.reason}")
+        self.log.info("client ended", reason=client.reason)
         with self.room:
             self.clients.discard(client)
             self.room.notify_all()
-        self.counters.add(f"clients ended: {client.reason}")
-        self.log.info("client ended", reason=client.reason)
 
     def close(self):
         """Once none waits to be accepted, as one that does may have asked already. Connections are ended as
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -111,6 +111,38 @@
         super().close()
 
 
+def reset(client):
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.sock.close()
+
+
+ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
+
+
+SLOW = [{**lane, "Slo": 400_000.0, "GiveUp": 400_000.0} for lane in SETTINGS["Lanes"]]  # nor sent twice
+
+
+class Paused:
+    """A client's socket whose reads wait from now on, until `go` is set; `met` once one does."""
+
+    def __init__(self, ours):
+        self.sock, self.met, self.go = ours.sock, threading.Event(), threading.Event()
+        ours.sock = self
+        assert self.met.wait(60)
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+    def recv_into(self, room):
+        self.met.set()
+        assert self.go.wait(60)
+        return self.sock.recv_into(room)
+
+    def come(self):
+        """Waits until what was written has come."""
+        self.sock.recv(1, socket.MSG_PEEK)
+
+
 # ---- the listener's look at a client, and what its thread reads meanwhile
 
 
@@ -162,9 +194,52 @@
         assert ran.gate.held == 0
 
 
-# ---- a client that goes, with its thread held and what it asked not yet sent on
+def buys(client, id, size=60_000):
+    return client.write(resp.command([b"Q.DO", b"key", id, b"c=buy,t=acme,d=20000", b"x" * size]))
 
-SLOW = [{**lane, "Slo": 400_000.0, "GiveUp": 400_000.0} for lane in SETTINGS["Lanes"]]  # for minutes
+
+@ENDS
+@pytest.mark.parametrize("answered", [True, False])
+def test_each_large_command_gives_back_its_room_once_however_it_ends(tmp_path, end, answered):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        client, other = ran.client(), ran.client()
+        buys(client, b"id1")
+        until(lambda: server.got)
+        assert buys(other, b"id1").read().startswith(b"ERR no lookup: its id")
+        one = ran.gate.held - sum(theirs.weight for theirs in ran.gate.clients)  # less their buffers
+        assert 60_000 < one < 61_000
+        if answered:
+            server.go.set()
+            assert client.read() == b"key"
+        end(other)
+        end(client)
+        until(lambda: not ran.gate.clients)
+        assert ran.gate.held == 0
+
+
+@pytest.mark.parametrize(
+    "size, room, fits", [(60_000, 95_000, True), (60_000, 85_000, False), (6_000, 1, True)]
+)
+def test_a_large_command_is_pushed_back_where_there_is_no_room_and_never_cut_short_once_taken(
+    tmp_path, size, room, fits
+):
+    """While it is read, half of its buffer counts as well."""
+    server = InstanceServer().start()
+    with gateway(tmp_path, server) as ran:
+        client = ran.client()
+        assert ran.gate.weigh(others := ran.gate.most_held - room)
+        paused = Paused(ran.ours(client))
+        buys(client, b"id1", size)
+        until(lambda: len(paused.sock.recv(1 << 17, socket.MSG_PEEK)) > size)  # so each read fills its buffer
+        paused.go.set()
+        answer = client.read()
+        assert answer == b"key" if fits else answer.startswith(b"BUSY") and not server.got
+        assert client.write(resp.command([b"PING"])).read() == b"PONG"  # its connection stays
+        assert ran.gate.held == others
+
+
+# ---- a client that goes, with its thread held and what it asked not yet sent on
 
 
 @pytest.fixture
@@ -185,14 +260,6 @@
     return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
 
 
-def reset(client):
-    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    client.sock.close()
-
-
-ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
-
-
 @ENDS
 def test_the_end_of_a_client_is_seen_though_it_asked_more_than_is_read(waiting, end):
     client = waiting.client()
@@ -252,7 +319,7 @@
 def test_what_is_turned_away_after_its_client_went_is_not_sent_anew(tmp_path, end):
     gone = threading.Event()
     servers = [InstanceServer(lambda words: gone.wait(60) and b"-BUSY\r\n").start() for _ in range(2)]
-    with gateway(tmp_path, *servers) as ran:
+    with gateway(tmp_path, *servers, Lanes=SLOW) as ran:
         client = ran.client().ask()
         until(lambda: any(server.got for server in servers))
         end(client)
@@ -266,27 +333,6 @@
 # ---- a connection that we end as its client writes
 
 
-class Paused:
-    """A client's socket whose reads wait from now on, until `go` is set; `met` once one does."""
-
-    def __init__(self, ours):
-        self.sock, self.met, self.go = ours.sock, threading.Event(), threading.Event()
-        ours.sock = self
-        assert self.met.wait(60)
-
-    def __getattr__(self, name):
-        return getattr(self.sock, name)
-
-    def recv_into(self, room):
-        self.met.set()
-        assert self.go.wait(60)
-        return self.sock.recv_into(room)
-
-    def come(self):
-        """Waits until what was written has come."""
-        self.sock.recv(1, socket.MSG_PEEK)
-
-
 def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_lookup_came(waiting):
     client = waiting.client()
     ours = waiting.ours(client)
@@ -474,7 +520,7 @@
 @pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), goes_on_with_nonsense])
 def test_the_id_of_an_open_lookup_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
     server = Held()
-    with gateway(tmp_path, server.start()) as ran:
+    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
         usual, bad = ask_by(ran.client(), b"mine"), ran.client()
         until(lambda: server.got)
         assert ask_by(bad, b"theirs").read().startswith(b"ERR no lookup: its id")
@@ -519,3 +565,18 @@
         server.go.set()
         assert other.read() == b"second"
         assert ask_by(other, b"third").read() == b"third"
+
+
+# ---- the bound on clients
+
+
+def test_a_client_counts_until_its_thread_has_nothing_left_to_do(tmp_path, monkeypatch):
+    """Else threads that only have to write their line pile up past the bound, as new clients come."""
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client, met, go = ran.client(), threading.Event(), threading.Event()
+        ours = ran.ours(client)
+        monkeypatch.setattr(ran.log, "info", lambda *_, **__: met.set() or go.wait(60), raising=False)
+        client.sock.close()
+        assert met.wait(60) and ran.gate.clients == {ours}
+        go.set()
+        until(lambda: not ran.gate.clients)
