--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -192,9 +192,12 @@
 
 
 def run():
-    """The whole process. It ends at once: were the interpreter taken down while a thread writes a log line,
-    it would find the stream's lock held by a thread that never goes on, and abort."""
-    os._exit(main())
+    """The whole process. Where threads are left it ends at once: were the interpreter taken down while one
+    writes a log line, it would find the stream's lock held by a thread that never goes on, and abort."""
+    code = main()
+    if threading.active_count() > 1:
+        os._exit(code)
+    sys.exit(code)
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -134,14 +134,15 @@
 
 # A connection whose answer is out is looked at, whether it can be closed, only once the next lookup has come.
 NEXT_COMES_FIRST = """
-import socket
+import select
 from lemonlead.gateway.clients import Client
 
 leave = Client.leave
 
 def late(client, reason):
-    if client.answered and client.reason is None:
-        client.sock.recv(1, socket.MSG_PEEK)
+    while client.answered and client.reason is None and not client.asks:
+        if select.select([client.sock], [], [], 0.001)[0]:
+            break
     leave(client, reason)
 
 Client.leave = late
