--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -58,6 +58,10 @@
         self.guarded_stages, self.forward_only = release.guarded_stages, release.forward_only
         self.clocked = release.control == "automatic"
         self.vote_life, self.stage_time = release.vote_life, release.bake + 2 * WARM_UP  # none ends sooner
+        # Nor does the last, after which earlier machines go, before what is sent in it is due its answers.
+        goals = [lane.goal_time for lane in start.lanes] or [0]
+        self.last_time = max(self.stage_time, release.bake + sum(goals) // len(goals))
+        self.born = start.now
         # How often one balancer may be wrong, so that as many as send a build back are so by rare luck only.
         self.chance = max(max(release.back_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
         self.vote_wait = release.answer_time + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
@@ -553,7 +557,9 @@
         # Unjudged once a pair stood open for two pairs' time; a lagging list must pass nothing unmet.
         unmet = not build.pairs and (self.pair_at is None or now < self.pair_at + 2 * PAIR)
         # Nor by one whose list is old: on means that earlier machines go, and it may know none to come.
-        if now < build.began + self.stage_time or unmet or build.doubt or self.ask_at is not None:
+        # Nor by one that has just started: what it sent in this stage has not been answered yet either.
+        least = max(build.began, self.born) + (self.last_time if build.cap >= 1 else self.stage_time)
+        if now < least or unmet or build.doubt or self.ask_at is not None:
             return None
         # Errors too few for most pairs, as of a build that fails late, hold it all the same.
         earlier, ours, *_ = erring(list(build.seen) + self.pooled(True), self.pooled(False))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -391,6 +391,32 @@
     assert made.verdict(made.told, NOW + 9 * SECOND) == verdict
 
 
+@pytest.mark.parametrize(
+    "goal, cap, after, verdict",
+    [
+        (1, 1.0, 3, at.ON),  # where answers are due soon, bake and two seconds are enough
+        (8, 0.1, 3, at.ON),  # earlier machines stay after it
+        (8, 1.0, 8, None),
+        (8, 1.0, 9, at.ON),
+    ],
+)
+def test_the_last_stage_is_voted_on_once_what_was_sent_in_it_was_due_its_answers(goal, cap, after, verdict):
+    """Guards against a slow build that is released, where answers take seconds, before one has come."""
+    made = balancer([line(1), line(2, build=2)], [at.Lane(0, at.HARMLESS, goal * SECOND, 30 * SECOND, 1.0)])
+    made.stage_told(NOW, 2, 1, at.ON_TRIAL, cap, 0)
+    made.pair_at = NOW
+    assert made.verdict(made.judged, NOW + after * SECOND) == verdict
+
+
+@pytest.mark.parametrize("age, after, verdict", [(0, 3, at.ON), (60, 2, None), (60, 3, at.ON)])
+def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(age, after, verdict):
+    """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
+    made = balancer([line(1), line(2, build=2)], told=None)
+    made.stage_told(NOW, 2, 0, at.ON_TRIAL, 0.1, age * SECOND)
+    made.pair_at = NOW - 9 * SECOND
+    assert made.verdict(made.judged, NOW + after * SECOND) == verdict
+
+
 def test_errors_too_few_for_most_pairs_still_hold_a_build():
     """Guards against a build that starts to fail late and slips through to its release."""
     made = trial()
