--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -90,7 +90,7 @@
         if not opened(gate, log):  # nobody was let in: what came from now on might find no end before SIGKILL
             return ended(desk, log, follower, time.monotonic())
     except OSError as error:
-        print(f"lemonlead.gateway: cannot start: {type(error).__name__}: {error}", file=sys.stderr)
+        print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
     threading.Thread(target=gate.run, daemon=True).start()
     host, port = gate.listener.getsockname()
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -6,10 +6,14 @@
 """
 
 import contextlib
+import json
+import pathlib
 import signal
 import socket
+import subprocess
 import threading
 import time
+import tomllib
 from types import SimpleNamespace
 
 import pytest
@@ -18,10 +22,12 @@
 from lemonlead.gateway.clients import MUTE, Client, Gate
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.crew import Crew
+from lemonlead.standins import fleet
 from lemonlead.standins.fleet import SETTINGS, counted, gateway
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
 
+ROOT = pathlib.Path(__file__).parent.parent
 GATEWAY = 'import runpy\nrunpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)\n'
 
 # The thread of a client that has gone begins to log that once "stopped" has been written, and is still at it
@@ -437,3 +443,35 @@
     gate.close()
     until(lambda: threading.active_count() <= before)
     assert gate.closed.is_set() and gate.held == 0
+
+
+# ---- signals before the gateway waits for them
+
+NOT_YET = """
+import os, time
+print("starts", flush=True)
+while not os.path.exists(os.environ["ROUTER_CONFIG"] + ".go"):
+    time.sleep(0.01)
+"""
+
+
+def test_a_gateway_that_is_only_just_starting_outlives_sighup_and_then_heeds_it(tmp_path, monkeypatch):
+    """By the line of the deploy file, with a program that has not yet come to the gateway."""
+    run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+    line, popen = run.replace(".venv/bin/python -m lemonlead.gateway", '"$0" -c "$1"'), subprocess.Popen
+
+    def by_the_line(words, **more):
+        return popen(["sh", "-c", line, words[0], words[2]], **more)
+
+    monkeypatch.setattr(fleet.subprocess, "Popen", by_the_line)
+    with gateway(tmp_path, InstanceServer().start(), program=NOT_YET + GATEWAY, serves=False) as ran:
+        until(lambda: "starts" in ran.log())
+        for early in (signal.SIGHUP, signal.SIGUSR1):
+            ran.process.send_signal(early)
+        (tmp_path / "config.json.go").touch()
+        until(lambda: "event=serving" in ran.log() or ran.process.poll() is not None)
+        ran.reload(json.dumps(ran.config))
+        until(lambda: 'event="configuration read"' in ran.log() or ran.process.poll() is not None)
+        assert ran.process.poll() is None and "taken" not in ran.counters()
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(60) == 0
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -465,7 +465,7 @@
     """What the bench leads: other programs, Unix sockets and IPv6 are refused there."""
     root = pathlib.Path(__file__).parent.parent
     run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
-    assert re.fullmatch(r"(\w+=\S+ )*exec \.venv/bin/python -m lemonlead\.gateway", run)
+    assert re.fullmatch(r"trap '' HUP USR1; (\w+=\S+ )*exec \.venv/bin/python -m lemonlead\.gateway", run)
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
         assert client.ask().read() == b"aa"  # connections of all kinds stand
