--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -161,7 +161,7 @@
             end, value = self.outcome(trip)
         except Exception:  # a send always ends, and what may have run is never said not to have
             self.desk.fault(traceback.format_exc())
-            end, value = (at.RESET if trip.written else at.UNCONNECTED), None
+            end, value = (at.RESET if trip.begun else at.UNCONNECTED), None
         self.over(trip, end, value)
 
     def over(self, trip, end, value):
@@ -245,7 +245,7 @@
             return None
         try:
             trip.connection = Connection(pool)
-        except OSError:  # no descriptor to be had
+        except (OSError, MemoryError):  # no descriptor or no room to be had
             with self.lock:
                 self.open -= 1
             return None
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -344,6 +344,36 @@
     assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
 
 
+def test_a_fault_once_an_attempt_has_begun_is_no_proof_that_it_did_not_run(world, monkeypatch):
+    made, write = world(server := InstanceServer().start()), Connection.write
+    made.faulty = True
+
+    def fails(self, data, until):
+        write(self, data, until)
+        raise ValueError
+
+    monkeypatch.setattr(Connection, "write", fails)
+    made.keep_time()
+    ask = made.ask(lane=2)  # it may run only once
+    assert made.answered(ask) == b"-ERR aborted\r\n"
+    until(lambda: server.got)
+    assert [send.end for send in ask.lookup.sends] == [at.RESET] and made.instances.open == 0
+
+
+@pytest.mark.parametrize("error", [OSError, MemoryError])
+def test_a_connection_that_cannot_be_made_is_not_counted(world, monkeypatch, error):
+    made = world(InstanceServer().start())
+
+    def fails(pool):
+        raise error
+
+    monkeypatch.setattr(instances, "Connection", fails)
+    made.keep_time()
+    ask = made.ask()
+    made.answered(ask)
+    assert made.instances.open == 0 and {send.end for send in ask.lookup.sends} == {at.NOT_SENT}
+
+
 @pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
 def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
     made = world(InstanceServer().start())
