--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -78,6 +78,7 @@
         # Of each lane and customer: last times by goal time; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
         self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, timers
+        self.most_wakes = 1000  # past it those of lookups that are over go
         # The more start together, the longer they spread their first call for the list.
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.ask_within // 2 or 2000 * MS)
         first = start.now + int(self.rng.random() * spread)
@@ -451,6 +452,10 @@
         return (lookup.lane.number,) if lookup.asked is None else (lookup.asked.number, ~lookup.lane.number)
 
     def wake(self, at, lookup):
+        if len(self.wakes) >= self.most_wakes:  # guards against clients that say they wait for days
+            self.wakes = [wake for wake in self.wakes if not wake[2].over]
+            heapq.heapify(self.wakes)
+            self.most_wakes = 2 * len(self.wakes) + 1000
         heapq.heappush(self.wakes, (at, next(self.turns), lookup))
 
     # ---- the gate: the build on trial against the earlier one, in pairs of short windows
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -558,6 +558,18 @@
     assert made.may_begin(NOW, send) == (asked.hard_stop if allowed else 0)
 
 
+def test_lookups_that_are_over_are_forgotten_however_long_they_said_they_wait():
+    made, desk, days = balancer([line(1)]), Desk(), 10**9 * MS
+    open_ones = [lookup(id, left=days) for id in range(3)]
+    for number in range(5000):
+        made.lookup_arrived(NOW, asked := open_ones[number] if number < 3 else lookup(left=days))
+        asked.over = number >= 3
+    assert len(made.wakes) <= 1000 and {wake[2] for wake in made.wakes} >= set(open_ones)
+    made.due.clear()
+    desk.pull(made, NOW + days)
+    assert all(asked.over for asked in open_ones)
+
+
 def test_an_attempt_counts_against_the_cap_from_when_it_begins():
     made, asked = trial(), [lookup(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
