--- a/lemonlead/gateway/desk.py
+++ b/lemonlead/gateway/desk.py
@@ -142,13 +142,13 @@
         ask = self.asks.pop(lookup)
         self.ids.discard(lookup.id)
         self.count(ending, lookup)
+        self.drop(lookup)  # before the answer can go out, so that no send of it is written whole after that
         ask.answer = data
-        self.drop(lookup)  # before the answer goes out, so that no send of it is written whole after that
         self.chores.append((ask.client.flush,))
 
     def drop(self, lookup):
         if any(not send.end for send in lookup.sends):
-            self.chores.append((self.instances.drop, lookup.sends))
+            self.instances.drop(lookup.sends)
 
     def send(self, lookup, instance_id, time_out):
         self.counters.add("sends")
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -124,6 +124,13 @@
             self.trips[send] = trip
         return trip
 
+    def drop(self, sends):
+        """Their lookup is over: of those that are not written whole the last byte is written no more."""
+        with self.lock:
+            for trip in filter(None, map(self.trips.get, sends)):
+                if not trip.written:
+                    self.shut(trip)
+
     # ---- not under it
 
     def clear(self, pool):
@@ -143,13 +150,6 @@
             if (trip := self.trips.get(send)) is not None:
                 self.shut(trip)
 
-    def drop(self, sends):
-        """Their lookup is over: of those that are not written whole the last byte is written no more."""
-        with self.lock:
-            for trip in filter(None, map(self.trips.get, sends)):
-                if not trip.written:
-                    self.shut(trip)
-
     def shut(self, trip):
         trip.withdrawn = True
         if trip.begun:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -30,6 +30,16 @@
     warning = error = info
 
 
+class Ask(SimpleNamespace):
+    """A client's command; notes which attempts were still free to go on when its answer was set."""
+
+    def __setattr__(self, name, value):
+        if name == "answer":
+            trips = [self.world.instances.trips.get(send) for send in self.lookup.sends]
+            self.free = [trip for trip in trips if trip and not (trip.written or trip.withdrawn)]
+        super().__setattr__(name, value)
+
+
 class World:
     """A desk and its instances among stand-ins, without the doors to clients, discovery and the platform."""
 
@@ -68,7 +78,7 @@
     def made(self, lane=0, body=b"BODY"):
         id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
-        ask = SimpleNamespace(words=words, answer=None, answers=0)
+        ask = Ask(world=self, words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
         ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + WAIT)
@@ -302,7 +312,7 @@
     gate.opened.set()
     made.ended()
     other.close()
-    assert not server.got and ask.lookup.sends[0].end == at.NOT_SENT and ask.answers == 1
+    assert not server.got and ask.lookup.sends[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
 
 
 @pytest.mark.parametrize("point", ["connect", "may_begin"])
