--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -107,9 +107,8 @@
 
 def lane_of(told, number):
     effect = EFFECTS.get(told.word("Effect"), at.ONE_SHOT)  # one unknown here is run once at most
-    stamped = effect == at.STAMPED  # for the others, group and memory mean nothing
-    if stamped and "Window" not in told.values:
-        raise Nonsense(f"{told.where}.Window is missing; a deduplicated class wants one, in milliseconds")
+    # For the others, group and memory mean nothing; without a window repeats are told apart for no time.
+    stamped = effect == at.STAMPED
     return at.Lane(
         number=number, effect=effect, goal_time=told.time("Slo"), hard_stop=told.time("GiveUp"),
         revenue=told.number("Worth", 1.0), late_share=told.number("LateWorth", 0.0),
