--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -1,13 +1,14 @@
 """`python -m lemonlead.gateway`: one gateway, as its environment and configuration say."""
 
+import errno
 import os
 import signal
 import sys
 import threading
 import time
+import traceback
 
-import structlog
-
+from . import lines
 from . import place as places
 from .clients import Gate
 from .counters import Counters
@@ -19,35 +20,40 @@
 
 STACK = 256 * 1024
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
+TAKEN = 5.0  # seconds for which our address is waited for, while a process before us still listens there
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
-SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
+# SIGKILL comes no sooner after SIGTERM than the longest hard stop, counted as this many seconds where it is
+# longer, and 0.7 s; a lookup that came in the last of these must have its answer by then.
+COUNTED = 3.0
+LAST = 0.2  # seconds in which the last answers go out
+TICK = 0.02  # seconds between looks, while it starts or stops, for what it waits for
+ENDS = {signal.SIGTERM, signal.SIGINT}
+SIGNALS = ENDS | {signal.SIGUSR1, signal.SIGHUP}
 
 
 def main():
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     threading.stack_size(STACK)
-    structlog.configure(
-        processors=[
-            structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
-        ],
-        logger_factory=structlog.PrintLoggerFactory(sys.stdout), cache_logger_on_first_use=True,
-    )
     try:
         place = places.read()
     except places.Unfit as error:
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
-    log, counters, crew = structlog.get_logger(gateway=place.name), Counters(), Crew()
+    log, counters, crew = lines.opened(gateway=place.name), Counters(), Crew()
     desk = Desk(place.start, log, counters)
     desk.instances = Instances(place, desk, crew, log, counters)
     desk.discovery = discovery = Discovery(place, desk, log, counters)
     desk.releases = releases = Releases(place, desk, log, counters)
     try:
         gate = Gate(place, desk, crew, log, counters)
+    except OSError as error:
+        print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
+        return 2
+    try:
         known = discovery.read(place.known)
-    except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
-        print(f"lemonlead.gateway: cannot start: {type(error).__name__}: {error}", file=sys.stderr)
+    except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError) as error:
+        reason = f"known is no list as discovery gives it: {type(error).__name__}: {error}"[:200]
+        print(f"lemonlead.gateway: the configuration cannot be used: {reason}", file=sys.stderr)
         return 2
     with desk.lock:
         discovery.listed(places.now(), *known, True, False)
@@ -70,14 +76,22 @@
             print(f"lemonlead.gateway: no ledger can be followed: {error}; {error.do}", file=sys.stderr)
             return 2
         follower.start(discovery, known[1], known[2])
-    threads = [desk.keep_time, discovery.run]
+    changed = threading.Event()
+    threads = [desk.keep_time, discovery.run, lambda: reread(changed, gate, discovery, releases, desk, log)]
     threads += [releases.hear, releases.poll] if place.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
     if place.pushed:  # no lookup goes by the list of before our start, unless discovery cannot be reached
         discovery.ask()
-        discovery.tried.wait(FIRST_LIST)
-    gate.open()
+        until = time.monotonic() + FIRST_LIST
+        while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
+            pass
+    try:
+        if not opened(gate, log):  # nobody was let in: what came from now on might find no end before SIGKILL
+            return ended(desk, log, follower, time.monotonic())
+    except OSError as error:
+        print(f"lemonlead.gateway: cannot start: {type(error).__name__}: {error}", file=sys.stderr)
+        return 2
     threading.Thread(target=gate.run, daemon=True).start()
     host, port = gate.listener.getsockname()
     log.info("serving", listen=host, port=port, instances=len(known[1]))
@@ -87,10 +101,46 @@
             if gate.sorting is not None:
                 gate.sorting.tell()
         else:
+            changed.set()
+    return stop(gate, desk, log, follower)
+
+
+def ending():
+    """Whether the signal has come that ends the process; it is still there to be taken."""
+    return not ENDS.isdisjoint(signal.sigpending())
+
+
+def opened(gate, log):
+    """Whether it listens; not if the process is to end before it can. A process before us under our address
+    goes on listening for 1.5 s after SIGTERM at most. Raises OSError where the address is not to be had, also
+    after TAKEN."""
+    until = None
+    while not ending():
+        try:
+            gate.open()
+            return True
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE or until is not None and time.monotonic() > until:
+                raise
+        if until is None:
+            until = time.monotonic() + TAKEN
+            log.info("address taken")
+        time.sleep(TICK)
+    return False
+
+
+def reread(changed, gate, discovery, releases, desk, log):
+    """The thread that reads anew after SIGHUP: a large set of rules takes a while, and SIGTERM must not wait
+    for it."""
+    while True:
+        changed.wait()
+        changed.clear()
+        try:
             move(discovery, releases, log)
             if gate.sorting is not None:
                 gate.sorting.load(places.now())
-    return stop(gate, desk, log, follower)
+        except Exception:  # the next SIGHUP depends on the thread
+            desk.fault(traceback.format_exc())
 
 
 def move(discovery, releases, log):
@@ -114,18 +164,38 @@
 
 def stop(gate, desk, log, follower):
     """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
-    it tells the ledger that it sends no more."""
+    it tells the ledger that it sends no more. What came by the end of LINGER has until its hard stop. What
+    came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
+    process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
+    takes."""
     log.info("stopping", open=len(desk.asks))
+    longest = max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
+    closing = time.monotonic() + LINGER
+    soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
+    late = places.now()
     gate.close()
-    until = time.monotonic() + max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
-    while (gate.close_idle() or desk.asks) and time.monotonic() < until:
-        time.sleep(0.02)
+    while gate.close_idle() or not gate.closed.is_set() or desk.asks:
+        if (moment := time.monotonic()) >= until + LAST:
+            break
+        if moment >= soon:
+            gate.hurry(late if moment < until else 0)
+        time.sleep(TICK)
+    return ended(desk, log, follower, until + LAST)
+
+
+def ended(desk, log, follower, until):
     if follower is not None:
         follower.leave(until)
     log.info("stopped", **figures(desk, follower))
     return 0
 
 
+def run():
+    """The whole process. It ends at once: were the interpreter taken down while a thread writes a log line,
+    it would find the stream's lock held by a thread that never goes on, and abort."""
+    os._exit(main())
+
+
 if __name__ == "__main__":
-    sys.exit(main())
+    run()
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -9,9 +9,9 @@
 from ..told import in_ns
 from . import http
 from .place import address
-from .upkeep import CROWDED, Upkeep
+from .upkeep import CROWDED, Upkeep, read_until
 
-SILENCE = 4.5  # seconds without a line after which a watch is dead; one comes every 2 s
+SILENCE = 4.5  # seconds without a whole line or list after which a watch is dead; one comes every 2 s
 
 
 class Discovery:
@@ -22,8 +22,8 @@
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
         crowded = min(place.start.ask_within / 1e9 or CROWDED, CROWDED)
         self.upkeep = Upkeep(place.discovery, place.start.seed, 0.05, 1.0, crowded)
-        self.tried = threading.Event()  # a list has come, or the first watch has ended
-        self.source = place.discovery  # whose list was last taken
+        self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
+        self.source = place.discovery  # whose list was last taken, or known to be ours
         self.merge = None  # with what a ledger says, where one is followed
 
     def ask(self):
@@ -35,24 +35,28 @@
 
     def run(self):
         while True:
-            self.wanted.wait()
+            if not self.upkeep.moving:  # else a list that the old address told late may have cleared it
+                self.wanted.wait()
             self.wanted.clear()
             reason, detail = self.upkeep.run(self.watch)
             self.counters.add(f"watches ended: {reason}")
             self.log.info("watch ended", reason=reason, detail=detail, version=self.version)
-            self.tried.set()
+            if reason != "unavailable":  # else it has a list, which counts
+                self.tried.set()
             self.upkeep.wait(crowded=reason == "unavailable")
             self.desk.tell(self.desk.balancer.list_failed)
 
     def watch(self):
-        sock = self.upkeep.connected(SILENCE)
-        source = self.upkeep.address
+        sock, source = self.upkeep.connected(SILENCE)
         query = f"/api/targets?stream=1&index={self.version}"
         sock.sendall(f"GET {query} HTTP/1.1\r\nHost: {source[0]}:{source[1]}\r\n\r\n".encode())
         answer, objects, begun = http.Answer(), http.Objects(), time.monotonic()
         heard = False
         while True:
             while (line := answer.next()) is http.MORE:
+                if answer.status not in (0, 200):
+                    return "unavailable"  # before the rest of it, which may be long in coming
+                read_until(sock, begun + SILENCE)
                 if not answer.buffer.fill(sock.recv_into):
                     return "closed"
             if answer.status != 200:
@@ -62,13 +66,12 @@
             if text := objects.add(line):
                 heard = True
                 self.told(text, source)
-            elif not (heard or line or objects.lines) and source == self.source:
+            elif not (heard or line or objects.lines):
                 heard = True  # a sign of life first: nothing has changed, so the list that we have is current
+                self.source = source  # also at a new address: who did not know our version would tell all
                 self.desk.tell(self.current)
-            if not objects.lines:
+            if not objects.lines:  # else half an object, and then signs of life alone
                 begun = time.monotonic()
-            elif time.monotonic() - begun > SILENCE:
-                return "silent"  # half an object, then signs of life alone
 
     def told(self, text, source):
         try:
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -7,9 +7,9 @@
 
 from .. import interface as at
 from . import platform
-from .upkeep import Upkeep
+from .upkeep import Upkeep, read_until
 
-SILENCE = 3.5  # seconds without a sign of life after which news are cut off; one comes each second
+SILENCE = 3.5  # seconds without a whole sign of life after which news are cut off; one comes each second
 
 
 class Releases:
@@ -18,6 +18,7 @@
         self.answer_time = place.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
         self.upkeep = Upkeep(place.platform, place.start.seed, 0.1, 2.0)
+        self.began = 0  # nanoseconds: since when the state of the last news stands; under the desk's lock
 
     def vote(self, *vote):
         self.votes.put((time.monotonic() + self.answer_time, vote))
@@ -32,25 +33,28 @@
             self.upkeep.wait()
 
     def listen(self):
-        sock, reader = self.upkeep.connected(SILENCE), platform.Reader()
+        (sock, _), reader = self.upkeep.connected(SILENCE), platform.Reader()
         sock.sendall(b"NOTIFY\r\n")
-        while (words := self.words(sock, reader)) is not None:
+        while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
-                self.desk.tell(self.desk.stage_told, *platform.stage(words[2:]))
+                self.desk.tell(self.told, *platform.stage(words[2:]))
                 self.upkeep.worked()
             elif words not in (["*"], ["OK"]):
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
         return "closed"
 
-    def words(self, sock, reader, until=None):
+    def words(self, sock, reader, until):
         while (words := reader.next()) is None:
-            if until is not None:
-                sock.settimeout(max(until - time.monotonic(), 0.001))
+            read_until(sock, until)
             if not reader.buffer.fill(sock.recv_into):
                 return None
         return words
 
+    def told(self, now, *news):
+        self.began = now - news[-1]
+        self.desk.stage_told(now, *news)
+
     # ---- votes
 
     def poll(self):
@@ -81,6 +85,8 @@
                 return at.UNANSWERED, None  # it may have been carried out
 
     def answered(self, now, outcome, news):
+        """Guards against an answer that later news overtook on their own connection: the cap and phase from
+        before would stand until the next news. An answer's state that is older than theirs is left."""
         self.desk.balancer.vote_answered(now, outcome)
-        if news is not None:
+        if news is not None and now - news[-1] >= self.began:
             self.desk.stage_told(now, *news)
--- /dev/null
+++ b/tests/test_crossings_clients.py
@@ -0,0 +1,521 @@
+"""Events of a client's connection that can cross, each forced in its bad order: `docs/crossings.md`."""
+
+import contextlib
+import json
+import socket
+import struct
+import threading
+import time
+from types import SimpleNamespace
+
+import pytest
+from lemonlead import interface as at
+from lemonlead.gateway import clients
+from lemonlead.gateway import place as places
+from lemonlead.gateway import resp
+from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
+from lemonlead.gateway.desk import Desk
+from lemonlead.gateway.discovery import Discovery
+from lemonlead.gateway.instances import Instances
+from lemonlead.standins.clients import Client
+from lemonlead.standins.discovery import entry
+from lemonlead.standins.fleet import SETTINGS
+from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.server import until
+
+
+class Lines:
+    """A log that keeps its lines."""
+
+    def __init__(self):
+        self.lines = []
+
+    def info(self, event, **more):
+        self.lines.append((event, more))
+
+    warning = error = info
+
+
+@contextlib.contextmanager
+def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
+    """A gateway in this process among these instances, all on loopback: `gate`, `desk`, `log`, `count(name)`,
+    `tell(*entries)` changes its list, `client()` connects one and waits until ours stands, which is
+    `ours(client)`."""
+    known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
+    config = {
+        "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
+        "limits": limits or {"memory_mb": 192, "sockets": 1024},
+        "release_api": {"news": {"release": 1, "tranche": 0, "mode": "released", "exposure": 1, "old_ms": 9}},
+        "known": {"version": 1, "servers": known},
+        "settings": {**SETTINGS, **settings},
+    }
+    (tmp_path / "config.json").write_text(json.dumps(config))
+    place = places.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
+    log, counters, crew = Lines(), Counters(), Crew()
+    desk = Desk(place.start, log, counters)
+    desk.instances = Instances(place, desk, crew, log, counters)
+    desk.discovery = discovery = Discovery(place, desk, log, counters)
+    gate = Gate(place, desk, crew, log, counters)
+    with desk.lock:
+        discovery.listed(places.now(), *discovery.read(place.known), True, False)
+        desk.balancer.stage_told(places.now(), *place.news)
+    threading.Thread(target=desk.keep_time, daemon=True).start()
+    gate.open()
+    thread = threading.Thread(target=gate.run, daemon=True)
+    thread.start()
+    port, made = gate.listener.getsockname()[1], []
+
+    def client():
+        made.append(Client(port))
+        until(lambda: ours(made[-1]))
+        return made[-1]
+
+    def ours(client):
+        theirs = client.sock.getsockname()
+        with gate.room, contextlib.suppress(OSError):
+            return next((one for one in gate.clients if one.sock.getpeername() == theirs), None)
+
+    def count(name):
+        return counters.read().get(name, 0)
+
+    def tell(*entries):
+        whole = {"version": 2, "full": False, "servers": list(entries)}
+        desk.tell(discovery.listed, *discovery.read(whole), False, True)
+
+    try:
+        yield SimpleNamespace(
+            gate=gate, desk=desk, log=log, count=count, client=client, ours=ours, tell=tell, thread=thread
+        )
+        assert not [line for line in log.lines if line[0] == "fault"] and thread.is_alive()
+    finally:
+        for one in made:
+            one.sock.close()
+        gate.closing = True
+        thread.join(10)
+        gate.listener.close()
+        for server in servers:
+            server.close()
+
+
+class Held(InstanceServer):
+    """An instance that answers each lookup with its key once `go` is set."""
+
+    def __init__(self):
+        self.go = threading.Event()
+        super().__init__(lambda words: self.go.wait(60) and gives(words[1]))
+
+    def close(self):
+        self.go.set()
+        super().close()
+
+
+# ---- the listener's look at a client, and what its thread reads meanwhile
+
+
+class Ending:
+    """A moment that its owner sets to None between two looks at it."""
+
+    def __init__(self, first):
+        self.values = [first]
+
+    def __get__(self, client, kind):
+        return self.values.pop() if self.values else None
+
+    def __set__(self, client, value):
+        pass
+
+
+def test_half_a_command_that_becomes_whole_during_a_look_at_it_is_no_error(
+    tmp_path, monkeypatch
+):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        monkeypatch.setattr(type(ours), "part_since", Ending(time.monotonic()), raising=False)
+        assert ours.idle() is False
+        monkeypatch.undo()
+        assert client.ask().read() == b"aa"
+
+
+# ---- bytes counted against the room for all
+
+
+@pytest.mark.parametrize("behind", [False, True])
+def test_a_large_ping_gives_back_no_room_that_it_never_took(tmp_path, behind):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        client = ran.client()
+        if behind:
+            client.ask()
+        else:
+            server.go.set()
+        client.write(resp.command([b"PING", b"x" * 60_000]))
+        if behind:
+            until(lambda: len(ran.ours(client).asks) == 2)
+            client.sock.close()  # it is not answered, but dropped with its connection
+        else:
+            assert client.read() == b"PONG"
+            client.sock.close()
+        until(lambda: not ran.gate.clients)
+        assert ran.gate.held == 0
+
+
+# ---- a client that goes, with its thread held and what it asked not yet sent on
+
+SLOW = [{**lane, "Slo": 400_000.0, "GiveUp": 400_000.0} for lane in SETTINGS["Lanes"]]  # for minutes
+
+
+@pytest.fixture
+def waiting(tmp_path):
+    """A gateway whose one instance drains, so that what it takes waits for its first attempt."""
+    server = InstanceServer().start()
+    with gateway(tmp_path, server, entries=[entry("i0", server, "draining")], Lanes=SLOW) as ran:
+        ran.server = server
+        yield ran
+
+
+def left_at_once(ran, asked):
+    """Whether all that its client asked is dropped soon after its end, and nothing of it is sent on then."""
+    until(lambda: ran.count("left") == asked, 20)
+    until(lambda: not ran.gate.clients, 20)
+    ran.tell(entry("i0", ran.server))
+    assert ran.client().ask(b"other").read() == b"other"
+    return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
+
+
+def reset(client):
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    client.sock.close()
+
+
+ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_though_it_asked_more_than_is_read(waiting, end):
+    client = waiting.client()
+    for _ in range(clients.MOST_ASKS + 9):
+        client.ask(wait=400_000)
+    until(lambda: waiting.count("taken") == clients.MOST_ASKS)
+    end(client)
+    assert left_at_once(waiting, clients.MOST_ASKS)
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_while_it_is_made_to_wait_for_nonsense(waiting, end, monkeypatch):
+    monkeypatch.setattr(clients, "PENALTY", 60)
+    monkeypatch.setattr(clients, "MOST_PENALTY", 60)
+    client = waiting.client().ask(wait=400_000).write(resp.command([b"NONSENSE"])).ask()
+    until(lambda: waiting.count("bad lookups"))
+    end(client)
+    assert left_at_once(waiting, 1)
+
+
+@ENDS
+def test_the_end_of_a_client_is_seen_while_it_is_turned_away(waiting, end, monkeypatch):
+    monkeypatch.setattr(clients, "PATIENCE", 60)
+    client = waiting.client().ask(wait=400_000).write(b"noise\r\n")
+    until(lambda: waiting.count("taken") and not len(waiting.ours(client).reader.buffer))
+    end(client)
+    assert left_at_once(waiting, 1)
+
+
+@ENDS
+@pytest.mark.parametrize("where", ["start", "reach"])
+def test_what_waits_for_a_thread_or_a_connection_when_its_client_goes_is_not_sent(
+    tmp_path, monkeypatch, where, end
+):
+    real, met, go, server = getattr(Instances, where), threading.Event(), threading.Event(), Held()
+
+    def held(instances, trip):
+        made = real(instances, trip) if where == "reach" else None  # the connection stands
+        met.set()
+        assert go.wait(60)
+        return made if where == "reach" else real(instances, trip)
+
+    with gateway(tmp_path, server.start()) as ran:
+        monkeypatch.setattr(Instances, where, held)
+        if where == "start":  # its client's own thread would hand it over
+            monkeypatch.setattr(Instances, "start", lambda *trip: ran.gate.crew.do(held, *trip))
+        client = ran.client().ask()
+        assert met.wait(60)
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        go.set()
+        until(lambda: ran.count(f"sends {at.NOT_SENT}"))
+        assert not server.got
+
+
+@ENDS
+def test_what_is_turned_away_after_its_client_went_is_not_sent_anew(tmp_path, end):
+    gone = threading.Event()
+    servers = [InstanceServer(lambda words: gone.wait(60) and b"-BUSY\r\n").start() for _ in range(2)]
+    with gateway(tmp_path, *servers) as ran:
+        client = ran.client().ask()
+        until(lambda: any(server.got for server in servers))
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        gone.set()
+        until(lambda: ran.count(f"sends {at.REJECTED}"))
+        with ran.desk.lock:  # so all that was decided on it is
+            assert sum(len(server.got) for server in servers) == 1 and ran.count("sends") == 1
+
+
+# ---- a connection that we end as its client writes
+
+
+class Paused:
+    """A client's socket whose reads wait from now on, until `go` is set; `met` once one does."""
+
+    def __init__(self, ours):
+        self.sock, self.met, self.go = ours.sock, threading.Event(), threading.Event()
+        ours.sock = self
+        assert self.met.wait(60)
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+    def recv_into(self, room):
+        self.met.set()
+        assert self.go.wait(60)
+        return self.sock.recv_into(room)
+
+    def come(self):
+        """Waits until what was written has come."""
+        self.sock.recv(1, socket.MSG_PEEK)
+
+
+def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_lookup_came(waiting):
+    client = waiting.client()
+    ours = waiting.ours(client)
+    paused = Paused(ours)
+    ours.leave("made room")
+    client.ask(wait=400_000)
+    paused.come()
+    paused.go.set()
+    until(lambda: waiting.count("taken") and ours.room._waiters)  # its thread waits for the answer
+    reset(client)
+    assert left_at_once(waiting, 1)
+
+
+@pytest.mark.parametrize("reason", ["made room", "stopping"])
+def test_what_comes_after_we_ask_to_end_an_idle_connection_is_answered(tmp_path, reason):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        paused = Paused(ours)
+        ours.leave(reason)
+        client.ask().ask(b"bb")
+        paused.come()
+        paused.go.set()
+        assert [client.read() for _ in range(3)] == [b"aa", b"bb", None] and ours.reason == reason
+
+
+@pytest.mark.parametrize("asked, reason", [(True, "rest"), (False, "silent")])
+def test_what_comes_just_as_its_connection_has_rested_for_long_is_answered(
+    tmp_path, monkeypatch, asked, reason
+):
+    rests, written = clients.Client.rests, threading.Event()
+
+    def decided(ours):
+        ended = rests(ours)
+        if (ended or ours.reason) and not written.is_set():
+            client.ask(b"late")
+            ours.sock.recv(1, socket.MSG_PEEK)  # it has come
+            written.set()
+        return ended
+
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        if asked:
+            assert client.ask().read() == b"aa"
+        monkeypatch.setattr(clients.Client, "rests", decided)
+        ours = ran.ours(client)
+        ours.since = time.monotonic() - 60
+        assert client.read() == b"late" and client.read() is None and ours.reason == reason
+        assert ran.count("new connections ended in vain") == 0
+
+
+def test_what_comes_after_the_last_look_at_it_is_never_begun_and_asked_anew(tmp_path, monkeypatch):
+    close, server = clients.Client.close, InstanceServer().start()
+
+    def late(ours, reason):
+        if reason == "made room":
+            client.ask()
+            until(lambda: ours.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+        close(ours, reason)
+
+    monkeypatch.setattr(clients.Client, "close", late)
+    with gateway(tmp_path, server) as ran:
+        client = ran.client()
+        assert client.ask(b"first").read() == b"first"
+        ran.ours(client).leave("made room")
+        with contextlib.suppress(ConnectionResetError):
+            assert client.read() is None
+        assert ran.client().ask(b"anew").read() == b"anew"
+        assert [words[1] for words in server.got] == [b"first", b"anew"] and ran.count("taken") == 2
+
+
+@pytest.mark.parametrize("whole", [True, False])
+def test_a_long_command_that_has_come_in_time_is_read_though_we_were_held_up(tmp_path, monkeypatch, whole):
+    server = InstanceServer().start()
+    with gateway(tmp_path, server) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        paused, body = Paused(ours), b"x" * 60_000
+        data = resp.command([b"Q.DO", b"long", b"id", b"c=buy,t=acme,d=20000", body])
+        client.write(data if whole else data[:-1])
+        until(lambda: len(ours.sock.recv(1 << 17, socket.MSG_PEEK)) >= len(data) - 1)
+        monkeypatch.setattr(clients, "PART", -1)  # all that is not whole at once is late
+        paused.go.set()
+        if whole:
+            assert client.read() == b"long" and server.got[0][4] == body
+        else:
+            assert client.read() == b"ERR half a command" and client.read() is None
+
+
+# ---- answers that are written by several threads
+
+
+class Trickling:
+    """A client's socket whose sends, in turn, take so many bytes, find no room (OSError), or wait until `go`
+    is set ("held"), with `met` set once one does; later ones take all."""
+
+    def __init__(self, sock, *takes):
+        self.sock, self.takes, self.met, self.go = sock, list(takes), threading.Event(), threading.Event()
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+    def send(self, data, *flags):
+        take = self.takes.pop(0) if self.takes else len(data)
+        if take is OSError:
+            raise BlockingIOError
+        if take == "held":
+            self.met.set()
+            assert self.go.wait(60)
+            take = 3
+        return self.sock.send(data[:take], *flags)
+
+
+@pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)])
+@pytest.mark.parametrize("takes", [(), (1,), (OSError,), (5, 2, 1, 7)])
+def test_answers_go_out_whole_and_in_their_order_whoever_writes_them(tmp_path, order, takes):
+    held = {key: threading.Event() for key in (b"0", b"1", b"2")}
+    server = InstanceServer(lambda words: held[words[1]].wait(60) and gives(words[1] * 9))
+    with gateway(tmp_path, server.start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = Trickling(ours.sock, *takes)
+        for key in held:
+            client.ask(key)
+        for done, number in enumerate(order, 1):
+            held[b"%d" % number].set()
+            until(lambda done=done: ran.count("succeeded") == done)
+        assert [client.read() for _ in held] == [key * 9 for key in held]
+        until(lambda: not (ours.writing or ours.unsent))
+
+
+def test_an_answer_that_comes_while_an_earlier_one_is_written_out_goes_behind_it(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask(b"first")
+        assert slow.met.wait(60)  # a thread is in the midst of its send, without the lock
+        client.ask(b"second")
+        until(lambda: b"second" in ours.unsent)
+        slow.go.set()
+        assert [client.read(), client.read()] == [b"first", b"second"]
+
+
+def test_a_connection_is_not_closed_under_the_thread_that_writes_to_it(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask()
+        assert slow.met.wait(60)
+        client.sock.close()
+        until(lambda: ours.broken)
+        assert slow.sock.fileno() >= 0 and ran.gate.clients == {ours}
+        slow.go.set()
+        until(lambda: not ran.gate.clients)
+        assert slow.sock.fileno() < 0 and not ours.writing
+
+
+def test_a_client_that_took_a_long_answer_slowly_rests_from_its_last_byte_on(tmp_path):
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client = ran.client()
+        ours = ran.ours(client)
+        ours.sock = slow = Trickling(ours.sock, 2, "held")
+        client.ask()
+        assert slow.met.wait(60)
+        ours.since, resumed = time.monotonic() - 60, time.monotonic()  # it has taken a minute so far
+        slow.go.set()
+        assert client.read() == b"aa"
+        until(lambda: not ours.writing)
+        assert ours.since >= resumed
+
+
+# ---- one id, asked twice
+
+
+def ask_by(client, key, id=b"id1"):
+    return client.write(resp.command([b"Q.ASK", key, id, b"c=look,t=acme,d=20000"]))
+
+
+def goes_on_with_nonsense(client):
+    client.write(b"nonsense\r\n")
+
+
+@pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), goes_on_with_nonsense])
+def test_the_id_of_an_open_lookup_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        usual, bad = ask_by(ran.client(), b"mine"), ran.client()
+        until(lambda: server.got)
+        assert ask_by(bad, b"theirs").read().startswith(b"ERR no lookup: its id")
+        end(bad)
+        until(lambda: len(ran.gate.clients) == 1)
+        other = ran.client()
+        assert ask_by(other, b"theirs").read().startswith(b"ERR no lookup: its id")  # it is still open
+        server.go.set()
+        assert usual.read() == b"mine" and ask_by(other, b"next").read() == b"next"
+        assert [words[1] for words in server.got] == [b"mine", b"next"]
+
+
+def test_an_id_is_free_again_once_its_answer_is_decided_though_not_yet_written(tmp_path, monkeypatch):
+    flush, go, first, slow = clients.Client.flush, threading.Event(), [], threading.Event()
+
+    def held(ours):
+        if first and ours is first[0] and not go.is_set():
+            slow.set()
+            go.wait(60)
+        flush(ours)
+
+    with gateway(tmp_path, InstanceServer().start()) as ran:
+        client, other = ran.client(), ran.client()
+        first.append(ran.ours(client))
+        monkeypatch.setattr(clients.Client, "flush", held)
+        ask_by(client, b"first")
+        assert slow.wait(60) and ask_by(other, b"second").read() == b"second"
+        go.set()
+        assert client.read() == b"first"
+
+
+@ENDS
+def test_the_late_answer_of_a_client_that_went_is_not_given_to_the_next_with_its_id(tmp_path, end):
+    server = Held()
+    with gateway(tmp_path, server.start()) as ran:
+        client = ask_by(ran.client(), b"first")
+        until(lambda: server.got)
+        end(client)
+        until(lambda: ran.count("left") == 1)
+        other = ask_by(ran.client(), b"second")
+        until(lambda: ran.count("taken") == 2)
+        server.go.set()
+        assert other.read() == b"second"
+        assert ask_by(other, b"third").read() == b"third"
--- /dev/null
+++ b/tests/test_crossings_stop.py
@@ -0,0 +1,438 @@
+"""What can cross SIGTERM, the closing of the listener and the end of the process: each bad order is forced.
+
+Where the order is one of threads inside the gateway, the process runs a few lines of Python of the test's
+before it becomes the gateway (`program`): they hold a thread at a named point until another has passed its
+own.
+"""
+
+import contextlib
+import signal
+import socket
+import threading
+import time
+from types import SimpleNamespace
+
+import pytest
+from lemonlead.gateway import __main__ as gateways
+from lemonlead.gateway import clients, resp
+from lemonlead.gateway.clients import MUTE, Client, Gate
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
+from lemonlead.standins.fleet import SETTINGS, counted, gateway
+from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.server import Server, until
+
+GATEWAY = 'import runpy\nrunpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)\n'
+
+# The thread of a client that has gone begins to log that once "stopped" has been written, and is still at it
+# when the process ends.
+LOGS_TO_THE_END = """
+import io, os, sys, threading, time
+from lemonlead.gateway.clients import Gate
+
+stopped, writing = threading.Event(), threading.Event()
+gone = Gate.gone
+
+class Out(io.RawIOBase):
+    def writable(self):
+        return True
+
+    def write(self, data):
+        if stopped.is_set():
+            writing.set()
+            time.sleep(1000)
+        os.write(1, data)
+        if b"event=stopped" in bytes(data):
+            stopped.set()
+        return len(data)
+
+def log_late(gate, client):
+    with gate.room:
+        gate.clients.discard(client)
+    stopped.wait()
+    gone(gate, client)
+
+def after(leave):
+    return lambda code: writing.wait() and leave(code)
+
+Gate.gone, sys.exit, os._exit = log_late, after(sys.exit), after(os._exit)
+sys.stdout = io.TextIOWrapper(io.BufferedWriter(Out()))
+"""
+
+
+def test_the_process_ends_well_though_a_thread_writes_a_log_line_at_that_moment(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=LOGS_TO_THE_END + GATEWAY) as ran:
+        assert ran.client().ask().read() == b"aa"
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(60) == 0
+
+
+def test_sigterm_before_anybody_is_let_in_ends_the_process_at_once(tmp_path):
+    silent = Server().start()
+    silent.serve = lambda sock: sock.recv(1) and sock.recv(1 << 16) and sock.recv(1)  # asked, it says nothing
+    with gateway(tmp_path, settings={"Discovery": "push"}, source=silent, serves=False) as ran:
+        until(lambda: silent.connections)
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(60) == 0
+        assert "event=serving" not in ran.log() and counted(ran.log(), "stopped")["open"] == 0
+
+
+# The first connection is accepted, and not yet among the clients until the stop has looked at them twice.
+ADMITS_LATE = """
+import threading
+from lemonlead.gateway.clients import Gate
+
+looks, accepted = threading.Semaphore(0), threading.Event()
+made_room, close_idle, close = Gate.made_room, Gate.close_idle, Gate.close
+
+def late(gate):
+    accepted.set()
+    looks.acquire() and looks.acquire()
+    return made_room(gate)
+
+def look(gate):
+    left = close_idle(gate)
+    looks.release()
+    return left
+
+def closing(gate):
+    accepted.wait()
+    close(gate)
+
+Gate.made_room, Gate.close_idle, Gate.close = late, look, closing
+"""
+
+
+def test_a_connection_that_was_accepted_last_is_served_though_no_other_client_is_left(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=ADMITS_LATE + GATEWAY) as ran:
+        client = ran.client().ask()
+        ran.process.send_signal(signal.SIGTERM)
+        assert client.read() == b"aa" and client.read() is None
+        assert ran.process.wait(60) == 0
+        assert counted(ran.log(), "stopped")["succeeded"] == 1
+
+
+# ---- what comes on connections that stay open
+
+STOPS = {"Lanes": [{**lane, "GiveUp": 1500.0} for lane in SETTINGS["Lanes"]]}
+
+
+def refused(port):
+    """Whether the listener is closed."""
+    try:
+        socket.create_connection(("127.0.0.1", port), 60).close()
+    except ConnectionRefusedError:
+        return True
+    return False
+
+
+def stopping(ran):
+    """SIGTERM; returns once the listener is closed."""
+    ran.process.send_signal(signal.SIGTERM)
+    until(lambda: refused(ran.port))
+
+
+# A connection whose answer is out is looked at, whether it can be closed, only once the next lookup has come.
+NEXT_COMES_FIRST = """
+import socket
+from lemonlead.gateway.clients import Client
+
+leave = Client.leave
+
+def late(client, reason):
+    if client.answered and client.reason is None:
+        client.sock.recv(1, socket.MSG_PEEK)
+    leave(client, reason)
+
+Client.leave = late
+"""
+
+
+def test_a_lookup_that_crosses_the_closing_of_its_connection_is_answered_before_sigkill(tmp_path):
+    hold = threading.Event()
+    answers = {b"first": lambda: hold.wait(60) and gives(b"first"), b"next": lambda: time.sleep(60)}
+    server = InstanceServer(lambda words: answers[words[1]]()).start()
+    with gateway(tmp_path, server, settings=STOPS, program=NEXT_COMES_FIRST + GATEWAY) as ran:
+        client = ran.client().ask(b"first")
+        until(lambda: server.got)
+        stopping(ran)
+        hold.set()
+        assert client.read() == b"first"
+        assert client.ask(b"next", wait=1500).read().startswith(b"BUSY") and client.read() is None
+        assert ran.process.wait(60) == 0 and counted(ran.log(), "stopped")["open"] == 0
+
+
+def test_a_client_that_always_has_a_second_lookup_out_gets_an_answer_to_each_that_was_read(tmp_path):
+    """The instance answers each lookup only once the next one has come."""
+    came, over = [threading.Event() for _ in range(50_000)], threading.Event()
+
+    def react(words):
+        number = int(words[1])
+        came[number].set()
+        while not (came[number + 1].wait(0.1) or over.is_set()):
+            pass
+        return gives(words[1])
+
+    answers = []
+    with gateway(tmp_path, InstanceServer(react).start(), settings=STOPS) as ran:
+        client = ran.client().ask(b"0")
+
+        def go_on():
+            with contextlib.suppress(OSError):
+                for number in range(1, len(came) - 1):
+                    if (answer := client.ask(b"%d" % number, wait=1500).read()) is None:
+                        return
+                    answers.append(answer)
+                while (answer := client.read()) is not None:
+                    answers.append(answer)
+
+        thread = threading.Thread(target=go_on, daemon=True)
+        thread.start()
+        until(lambda: len(answers) > 2)
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(60) == 0
+        thread.join(60)
+        over.set()
+        said = counted(ran.log(), "stopped")
+        assert said["open"] == 0 and said.get("left", 0) == 0
+        assert len(answers) == said["taken"] == said["succeeded"] + said["pushed_back"]
+
+
+def test_what_comes_behind_nonsense_after_sigterm_is_read_at_once(tmp_path):
+    hold = threading.Event()
+    server = InstanceServer(lambda words: hold.wait(60) and gives(words[1])).start()
+    with gateway(tmp_path, server, settings=STOPS) as ran:
+        client = ran.client().ask(b"first")
+        until(lambda: server.got)
+        stopping(ran)
+        client.write(resp.command([b"HELLO"]) * 8).ask(b"last")
+        hold.set()
+        answers = [client.read() for _ in range(10)]
+        assert answers[0] == b"first" and answers[9] == b"last" and client.read() is None
+        assert ran.process.wait(60) == 0
+
+
+@pytest.mark.parametrize(
+    "asked, before, stays", [(False, 0.0, True), (False, MUTE, False), (True, 0.0, False)]
+)
+def test_a_new_connection_is_given_a_moment_for_its_first_lookup(asked, before, stays):
+    ours, theirs = socket.socketpair()
+    gate = SimpleNamespace(clients=set(), room=threading.Condition())
+    client = Client(ours, gate, False)
+    client.asked, client.since = asked, time.monotonic() + (-before if before else 60)  # no time runs out
+    gate.clients.add(client)
+    assert Gate.close_idle(gate) and (client.reason is None) is stays
+    for sock in (ours, theirs):
+        sock.close()
+
+
+@pytest.mark.parametrize(
+    "longest, hurries, all_of_it, ends", [(2.5, 3.0, 3.0, 3.2), (20.0, 3.5, 20.5, 20.7), (0.0, 0.5, 0.5, 0.7)]
+)
+def test_when_what_came_late_is_answered_and_when_the_process_ends(
+    monkeypatch, longest, hurries, all_of_it, ends
+):
+    """Seconds after SIGTERM, with a client that does not read its answers and so is left until the end.
+    SIGKILL comes no sooner than at 0.7 and the longest stop, counted as 3 where it is longer."""
+    clock, seen = SimpleNamespace(at=0.0), []
+    clock.monotonic = lambda: clock.at
+    clock.sleep = lambda seconds: setattr(clock, "at", clock.at + seconds)
+    monkeypatch.setattr(gateways, "time", clock)
+    monkeypatch.setattr(gateways.places, "now", lambda: clock.at * 1e9)
+    gate = SimpleNamespace(
+        place=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
+        close=lambda: None,
+        close_idle=lambda: True,
+        closed=threading.Event(),
+        hurry=lambda since: seen.append((clock.at, since / 1e9)),
+    )
+    desk = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
+    assert gateways.stop(gate, desk, SimpleNamespace(info=lambda *_, **__: None), None) == 0
+    moments = [at for at, _ in seen]
+    assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
+    assert min(at for at, since in seen if since == 0) == pytest.approx(all_of_it, abs=2 * gateways.TICK)
+    assert {since for _, since in seen} - {0} == ({gateways.LINGER} if all_of_it > hurries else set())
+    assert clock.at == pytest.approx(ends, abs=2 * gateways.TICK)
+    assert moments[0] + gateways.LAST <= 0.7 + min(longest, 3.0) + gateways.TICK
+
+
+# ---- SIGHUP
+
+READS_FOR_GOOD = """
+import threading
+from lemonlead.gateway import place
+
+def read_again():
+    print("reads the configuration", flush=True)
+    threading.Event().wait()
+
+place.read_again = read_again
+"""
+
+
+def test_sigterm_is_heeded_while_a_configuration_is_read(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=READS_FOR_GOOD + GATEWAY) as ran:
+        ran.process.send_signal(signal.SIGHUP)
+        until(lambda: "reads the configuration" in ran.log())
+        assert ran.client().ask().read() == b"aa"
+        ran.process.send_signal(signal.SIGTERM)
+        assert ran.process.wait(20) == 0
+
+
+# ---- one process after another under the same address
+
+
+def test_a_gateway_waits_for_its_address_while_another_process_listens_there(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        where = f"127.0.0.1:{other.getsockname()[1]}"
+        with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
+            until(lambda: 'event="address taken"' in ran.log())
+            other.close()
+            until(lambda: "event=serving" in ran.log())
+            ran.port = int(where.split(":")[1])
+            assert ran.client().ask().read() == b"aa"
+
+
+def test_sigterm_ends_a_gateway_that_waits_for_its_address(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        where = f"127.0.0.1:{other.getsockname()[1]}"
+        with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
+            until(lambda: 'event="address taken"' in ran.log())
+            ran.process.send_signal(signal.SIGTERM)
+            assert ran.process.wait(60) == 0
+
+
+@pytest.mark.parametrize("taken, waits", [(True, True), (False, False)])
+def test_an_address_that_is_not_to_be_had_ends_the_start(monkeypatch, taken, waits):
+    clock, slept = SimpleNamespace(at=0.0), []
+    clock.monotonic = lambda: clock.at
+    clock.sleep = lambda seconds: slept.append(seconds) or setattr(clock, "at", clock.at + seconds)
+    monkeypatch.setattr(gateways, "time", clock)
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        listen = other.getsockname() if taken else ("192.0.2.1", 9)  # one that no machine has
+        place = SimpleNamespace(connections=8, memory=16000, listen=listen)
+        gate = Gate(place, None, None, None, Counters())
+        with pytest.raises(OSError):
+            gateways.opened(gate, SimpleNamespace(info=lambda *_, **__: None))
+        gate.listener.close()
+    assert (sum(slept) >= gateways.TAKEN) is waits and bool(slept) is waits
+
+
+def test_the_next_process_serves_while_the_one_before_it_ends(tmp_path):
+    hold = threading.Event()
+    server = InstanceServer(lambda words: (words[1] != b"held" or hold.wait(60)) and gives(words[1])).start()
+    folders = [tmp_path / name for name in ("old", "new")]
+    for folder in folders:
+        folder.mkdir()
+    with gateway(folders[0], server) as old:
+        held = old.client().ask(b"held")
+        until(lambda: server.got)
+        old.process.send_signal(signal.SIGTERM)
+        with gateway(folders[1], InstanceServer().start(), listen=f"127.0.0.1:{old.port}") as new:
+            assert new.client().ask().read() == b"aa"
+            assert old.process.poll() is None
+            hold.set()
+            assert held.read() == b"held" and held.read() is None
+            assert old.process.wait(60) == 0
+
+
+def test_a_killed_process_is_followed_at_once_though_clients_hold_its_connections(tmp_path):
+    server = InstanceServer().start()
+    with gateway(tmp_path, server) as old:
+        client = old.client()
+        assert client.ask().read() == b"aa"
+        old.process.kill()
+        old.process.wait()
+        with gateway(tmp_path, InstanceServer().start(), listen=f"127.0.0.1:{old.port}") as new:
+            assert new.client().ask().read() == b"aa"
+        with contextlib.suppress(ConnectionResetError):
+            assert client.read() is None
+
+
+# ---- the listener out of descriptors or threads
+
+NO_DESCRIPTORS = """
+import os, resource, threading
+from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.counters import Counters
+from lemonlead.gateway.crew import Crew
+
+accept, read, held = Gate.accept, Counters.read, []
+
+def without(gate):
+    resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
+    try:
+        while True:
+            held.append(os.open("/dev/null", os.O_RDONLY))
+    except OSError:
+        accept(gate)
+
+def asked(counters):
+    while held:
+        os.close(held.pop())
+    return read(counters)
+
+Gate.accept, Counters.read = without, asked
+"""
+
+
+def test_a_connection_that_no_descriptor_is_left_for_waits_and_is_served(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=NO_DESCRIPTORS + GATEWAY) as ran:
+        client = ran.client().ask()
+        until(lambda: 'event="accept failed"' in ran.log())
+        ran.counters()  # frees them
+        assert client.read() == b"aa"
+
+
+def crew_that_fails(times):
+    crew, left = Crew(), [None] * times
+
+    def do(*work):
+        if left:
+            left.pop()
+            raise RuntimeError("can't start new thread")
+        Crew.do(crew, *work)
+
+    return SimpleNamespace(do=do, left=left)
+
+
+@pytest.mark.parametrize("times, served", [(3, True), (1000, False)])
+def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
+    monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
+    place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
+    crew, told = crew_that_fails(times), []
+    gate = Gate(place, None, crew, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters())
+    gate.open()
+    threading.Thread(target=gate.run, daemon=True).start()
+    with socket.create_connection(gate.listener.getsockname()) as theirs:
+        theirs.sendall(resp.command([b"PING"]))
+        if served:
+            assert theirs.recv(99) == b"+PONG\r\n" and not crew.left
+            theirs.shutdown(socket.SHUT_WR)
+        until(lambda: told)
+    assert told == [{"reason": "client closed" if served else "no thread"}]
+    gate.close()
+    assert gate.closed.is_set()
+
+
+def test_nothing_is_left_of_clients_that_came_and_went():
+    place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
+    desk, counters = SimpleNamespace(tell=None), Counters()
+    gate = Gate(place, desk, Crew(), SimpleNamespace(info=lambda *_, **__: None), counters)
+    gate.open()
+    before = threading.active_count()
+    threading.Thread(target=gate.run, daemon=True).start()
+
+    def come_and_go(count):
+        for _ in range(count):
+            with socket.create_connection(gate.listener.getsockname()) as theirs:
+                theirs.sendall(resp.command([b"PING"]))
+                assert theirs.recv(99) == b"+PONG\r\n"
+        until(lambda: not gate.clients)
+        return counters.read()
+
+    few, many = come_and_go(5), come_and_go(200)
+    assert set(few) == set(many) and many["clients ended: client closed"] == 205
+    gate.close()
+    until(lambda: threading.active_count() <= before)
+    assert gate.closed.is_set() and gate.held == 0
