--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -1,7 +1,9 @@
 """Clients: a thread for each connection reads its commands; each answer goes out in its command's turn."""
 
 import contextlib
+import math
 import re
+import select
 import socket
 import struct
 import threading
@@ -29,6 +31,7 @@
 # Of a client that sent what cannot be read: for so long lookups from before it are waited for; so many bytes
 # are still taken, for so long, that the error reaches it.
 PATIENCE, DREGS, DREGS_TIME = 0.5, 1 << 18, 0.2
+GLANCE = 0.1  # seconds between looks, while nothing more is read of a client, whether it has gone
 REST_OF_IT = 0.01  # seconds between looks for it on a connection whose reading side we have ended
 PENALTY, MOST_PENALTY = 0.1, 1.0  # seconds before more is read after a command that makes no sense; they grow
 LARGE = 8192  # bytes past which a command counts against the room for all
@@ -45,8 +48,7 @@
 
     def __init__(self, client, words, answer=None, lookup=None):
         self.client, self.words, self.answer, self.lookup = client, words, answer, lookup
-        size = sum(map(len, words))
-        self.weight = size if size > LARGE else 0
+        self.weight = 0  # its bytes, where they are counted against the room for all
 
 
 class Client:
@@ -61,6 +63,7 @@
         self.unsent = bytearray()
         self.writing = False  # a thread writes out what the client did not take at once
         self.reason = None  # why we end it
+        self.last = False  # no more is read
         self.broken = False  # nothing more can be written
         self.since = time.monotonic()  # when it last got an answer
         self.part_since = None  # when what there is of a command was first seen
@@ -73,7 +76,8 @@
             reason = self.read()
         except resp.Malformed as error:
             reason = "malformed"
-            self.turn_away(error)
+            with contextlib.suppress(OSError):
+                self.turn_away(error)
         except OSError:
             reason = RESET
         except Exception:
@@ -83,17 +87,20 @@
 
     def read(self):
         while True:
+            if self.last:
+                with self.room:
+                    self.room.wait_for(lambda: not (self.asks or self.unsent) or self.broken)
+                return self.reason
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
             except BlockingIOError:  # none for as long as LOOK
-                if (reason := self.rests()) is not None:
-                    return reason
+                self.rests()
             else:
                 if not count and (self.reason is None or self.broken or self.done()):
                     return self.reason or LEFT
                 if not count:  # we end it, and it had asked before it could know
                     with self.room:
-                        self.room.wait_for(lambda: not (self.asks or self.unsent) or self.broken)
+                        self.wait(lambda: not (self.asks or self.unsent))
                     if not self.reader.empty():
                         time.sleep(REST_OF_IT)  # the other half of a command is on its way
             while (words := self.reader.next()) is not resp.MORE:
@@ -107,25 +114,23 @@
             return not (self.asks or self.unsent) and self.reader.empty()
 
     def rests(self):
-        """Why it is ended, if it has stood between lookups, or without the first, for too long. Clients may
-        have a bound of their own, and those that hold theirs for good keep out all others, long before there
-        is no room here. It could end some that are used again: they come anew."""
+        """Ends it if it has stood between lookups, or without the first, for too long; what has come by then
+        is read first. Clients may have a bound of their own, and those that hold theirs for good keep out all
+        others, long before there is no room here. It could end some that are used again: they come anew."""
         rest = REST if len(self.gate.clients) < self.gate.most // 2 else SHORT_REST
         with self.room:
-            if self.asks or self.unsent or not self.reader.empty():
-                return None
-            if time.monotonic() - self.since < (rest if self.asked else PART):
-                return None
-            self.reason = self.reason or ("rest" if self.asked else "silent")
-            return self.reason
+            rested = time.monotonic() - self.since >= (rest if self.asked else PART)
+            if rested and not (self.asks or self.unsent) and self.reader.empty():
+                self.stop_reading("rest" if self.asked else "silent")
 
     def weigh(self):
-        """Guards against halves of commands that never end, and against many large ones at once."""
+        """Guards against halves of commands that never end, and against many large ones at once. What came
+        while we were held up is read before a half counts as late: a command's length is bounded."""
         if self.reader.empty():
             self.part_since = None
         elif self.part_since is None:
             self.part_since = time.monotonic()
-        elif time.monotonic() - self.part_since > PART:
+        elif time.monotonic() - self.part_since > PART and not self.unread():
             raise resp.Malformed("half a command")
         size = len(self.reader.buffer.data)
         size = size if size > LARGE else 0
@@ -138,18 +143,20 @@
         arrived, name = now(), words[0].upper()
         self.asked = True
         if name == b"PING":
-            return self.put(Ask(self, words, b"+PONG\r\n"))
+            return self.put(Ask(self, (), b"+PONG\r\n"))
         try:
             lookup = self.gate.lookup(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
             self.put(Ask(self, (), resp.error(f"ERR no lookup: {text}")))
             return self.fault()
-        ask = Ask(self, words, None, lookup)
+        ask, size = Ask(self, words, None, lookup), sum(map(len, words))
         self.put(ask)
         desk, turned_away = self.gate.desk, self.extra and self.gate.crowded()
-        if ask.weight and not self.gate.weigh(ask.weight):
-            ask.weight, turned_away = 0, True
+        if size > LARGE and self.gate.weigh(size):
+            ask.weight = size
+        elif size > LARGE:
+            turned_away = True
         desk.tell(desk.lookup_turned_away if turned_away else desk.lookup_arrived, ask, lookup)
         if ask.answer is desk.TWICE:
             self.fault()
@@ -158,12 +165,27 @@
         """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
         self.gate.counters.add("bad lookups")
         self.faults += 1
-        time.sleep(min(self.faults * PENALTY, MOST_PENALTY))
+        with self.room:  # not once it stops: what came behind it may have no time left then
+            self.wait(lambda: self.gate.stopping, min(self.faults * PENALTY, MOST_PENALTY))
+
+    def wait(self, ready, length=math.inf):
+        """Waits, with `room` held, until it is ready or the connection broken, for so many seconds at most.
+        Guards against a client that goes while its thread reads nothing more: then its end shows here alone,
+        and what it asked would still be sent on. Past our own SHUT_RD only a reset shows."""
+        until = time.monotonic() + length
+        while not (self.broken or ready()) and (left := until - time.monotonic()) > 0:
+            self.room.wait(min(left, GLANCE))
+            ends = select.poll()
+            ends.register(self.sock, 0 if self.reason else select.POLLRDHUP)  # a reset shows in any case
+            if ends.poll(0):  # unlike by `recv`, also where unread bytes lie before the end
+                self.end(LEFT)
 
     def put(self, ask):
+        """Queues a command once there is room; OSError where its client can get no answer any more."""
         with self.room:
-            while (len(self.asks) >= MOST_ASKS or len(self.unsent) > MOST_UNSENT) and not self.broken:
-                self.room.wait()
+            self.wait(lambda: len(self.asks) < MOST_ASKS and len(self.unsent) <= MOST_UNSENT)
+            if self.broken:
+                raise ConnectionResetError
             self.asks.append(ask)
         if ask.answer is not None:
             self.flush()
@@ -171,13 +193,15 @@
     def turn_away(self, error):
         """What cannot be read gets an error, soon though earlier lookups wait; then the connection ends."""
         with self.room:
-            self.room.wait_for(lambda: not self.asks or self.broken, PATIENCE)
+            self.wait(lambda: not self.asks, PATIENCE)
+            if self.broken:
+                return
             lookups = self.unanswered()
         if lookups:
             self.gate.desk.tell(self.gate.desk.cut_short, lookups)
         self.put(Ask(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
-            self.room.wait_for(lambda: not (self.asks or self.writing) or self.broken, SLOWEST)
+            self.wait(lambda: not (self.asks or self.writing), SLOWEST)
             self.sock.shutdown(socket.SHUT_WR)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(DREGS_TIME / 2))
         # Closed with bytes unread, the connection would be reset, and the error might not be read.
@@ -194,15 +218,20 @@
 
     def idle(self):
         """Whether it stands between lookups, as far as can be seen from outside."""
-        part = self.part_since is not None and time.monotonic() - self.part_since < PART
+        since = self.part_since  # once: its thread may end the part meanwhile
+        part = since is not None and time.monotonic() - since < PART
         return not (self.asks or self.unsent or part or self.reason)
 
     def leave(self, reason):
         """Has its thread close it if it stands between lookups; what has come by now is read first."""
-        with self.room, contextlib.suppress(OSError):
+        with self.room:
             if self.idle():
-                self.reason = reason
-                self.sock.shutdown(socket.SHUT_RD)
+                self.stop_reading(reason)
+
+    def stop_reading(self, reason):
+        self.reason = self.reason or reason
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RD)
 
     def flush(self):
         """Writes what is next to be answered; what the client does not take at once goes by a thread."""
@@ -248,6 +277,7 @@
             else:
                 with self.room:
                     del self.unsent[:sent]
+                    self.since = time.monotonic()
                     self.room.notify_all()
 
     def end(self, reason):
@@ -259,16 +289,18 @@
 
     def in_vain(self):
         """Whether some of a lookup has come and nothing was answered, though it is a new connection."""
-        if self.answered or self.asked or not self.reader.empty():
-            return not self.answered
+        return not self.answered and (self.asked or not self.reader.empty() or self.unread())
+
+    def unread(self):
+        """Whether bytes have come that were not read."""
         with contextlib.suppress(OSError):
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         return False
 
     def close(self, reason):
-        if reason not in (LEFT, RESET) and self.in_vain():
-            self.gate.counters.add("new connections ended in vain")
         self.end(reason)
+        if not {reason, self.reason} & {LEFT, RESET} and self.in_vain():
+            self.gate.counters.add("new connections ended in vain")
         with self.room:
             while self.writing:
                 self.room.wait()
@@ -300,19 +332,29 @@
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(KNOCKS))
-        self.listener.bind(place.listen)
+        self.bound = False
 
     def open(self):
+        """Raises OSError where another process listens at the address, or it is none of ours."""
+        if not self.bound:
+            self.listener.bind(self.place.listen)
+            self.bound = True
         self.listener.listen(1024)
 
     def run(self):
+        try:
+            self.accept()
+        finally:
+            self.closed.set()
+
+    def accept(self):
         while True:
-            self.listener.setblocking(not self.closing)
             try:
+                self.listener.setblocking(not self.closing)
                 sock, _ = self.listener.accept()
             except BlockingIOError:  # none came for as long as KNOCKS
                 if self.closing:
-                    return self.closed.set()
+                    return
                 continue
             except OSError as error:
                 if self.listener.fileno() < 0:
@@ -336,10 +378,18 @@
         with self.room:
             self.clients.add(client)
         self.counters.add("clients accepted")
-        try:
-            self.crew.do(client.run)
-        except RuntimeError:
-            client.close("no thread")
+        self.hire(client, time.monotonic() + PART)
+
+    def hire(self, client, until):
+        """A thread for it; where none is to be had for so long, it is closed. What comes next waits to be
+        accepted meanwhile."""
+        while True:
+            try:
+                return self.crew.do(client.run)
+            except RuntimeError:
+                if time.monotonic() > until:
+                    return client.close("no thread")
+            time.sleep(HARDLY_USED)
 
     def made_room(self):
         """Whether there is room within the bound; past the extra clients it waits until one is gone. Those
@@ -382,25 +432,43 @@
         self.log.info("client ended", reason=client.reason)
 
     def close(self):
-        """Once none waits to be accepted, as one that does may have asked already."""
-        self.closing = True
+        """Once none waits to be accepted, as one that does may have asked already. Connections are ended as
+        they are answered from now on, which also makes room for those."""
+        self.closing = self.stopping = True
         self.closed.wait(10 * KNOCKS)  # some may go on coming
         self.listener.close()
 
     def close_idle(self):
-        """Ends the clients' connections as they stand between lookups, from now on; whether any are left."""
-        self.stopping = True
+        """Ends the clients' connections as they stand between lookups, whether any are left. One that never
+        asked is given a moment, as it was made to ask."""
         with self.room:
             clients = list(self.clients)
+        asking = time.monotonic() - MUTE
         for client in clients:
-            client.leave("stopping")
+            if client.asked or client.since < asking:
+                client.leave("stopping")
         return bool(clients)
 
+    def hurry(self, since):
+        """Has each lookup that came after `since` answered now, with those before it on its connection, from
+        which no more is read. Guards against clients whose connection stands between lookups at no moment:
+        what SIGKILL finds unanswered there would be lost. It gives up what might have been served."""
+        with self.room:
+            clients = list(self.clients)
+        for client in clients:
+            with client.room, contextlib.suppress(OSError):
+                lookups = client.unanswered()
+                if not any(lookup.arrived > since for lookup in lookups):
+                    continue
+                client.last, client.reason = True, client.reason or "stopping"
+                client.sock.shutdown(socket.SHUT_RD)
+            self.desk.tell(self.desk.cut_short, lookups)
+
     def lookup(self, arrived, name, words):
         """A lookup from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no sense."""
         if len(words) not in WORDS.get(name, ()):
             raise ValueError("no such command")
-        key, id, extras = words[1], words[2], words[3].decode("ascii")
+        key, id, extras = words[1], words[2], words[3].decode()
         said = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
         if len(said) < len(pairs) or not 0 < len(id) <= LONGEST_ID or len(key) > LONGEST_KEY:
             raise ValueError("a name twice, or an id or key out of bounds")
