--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -408,12 +408,7 @@
         if ran and lookup.lane.effect == STAMPED:
             by = min(by, self.repeated_by(ran))
         fit = not lookup.over and now < by and self.members.get(member.id) is member
-        if fit and self.on_trial(member.build):
-            fit = self.exposure_left(member.build, lookup, now, 0)
-            for times in [member.build.sent.get(counted, ()) for counted in self.counts_of(lookup)]:
-                if fit and send.at in times:  # it is within the cap's window from now on
-                    times.remove(send.at)
-                    times.append(now)
+        fit = fit and (not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now, 0))
         return by if fit else 0
 
     def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
