--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -74,8 +74,11 @@
 
     def ours(client):
         theirs = client.sock.getsockname()
-        with gate.room, contextlib.suppress(OSError):
-            return next((one for one in gate.clients if one.sock.getpeername() == theirs), None)
+        with gate.room:
+            for one in gate.clients:
+                with contextlib.suppress(OSError):  # its own has ended
+                    if one.sock.getpeername() == theirs:
+                        return one
 
     def count(name):
         return counters.read().get(name, 0)
@@ -580,3 +583,52 @@
         assert met.wait(60) and ran.gate.clients == {ours}
         go.set()
         until(lambda: not ran.gate.clients)
+
+
+# ---- an answer that is decided just as its connection ends
+
+
+class Late:
+    """Has the desk told of this only once `go` is set; `met` from when it was to be told on."""
+
+    def __init__(self, monkeypatch, desk, name):
+        self.met, self.go, self.tell, self.name = threading.Event(), threading.Event(), desk.tell, name
+        monkeypatch.setattr(desk, "tell", self.told)
+
+    def told(self, happened, *values):
+        if happened.__name__ == self.name:
+            self.met.set()
+            assert self.go.wait(60)
+        self.tell(happened, *values)
+
+
+def test_an_answer_that_comes_as_its_connection_is_turned_away_is_the_only_one(tmp_path, monkeypatch):
+    monkeypatch.setattr(clients, "PATIENCE", 0)
+    server = Held()
+    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
+        late = Late(monkeypatch, ran.desk, "cut_short")
+        client = ran.client().ask(lane="buy").write(b"noise\r\n")
+        assert late.met.wait(60)
+        server.go.set()
+        assert client.read() == b"aa"
+        late.go.set()
+        assert client.read() == b"ERR a command is an array of bulk strings" and client.read() is None
+        assert (ran.count("taken"), ran.count("succeeded"), ran.count("aborted")) == (1, 1, 0)
+
+
+@ENDS
+def test_an_answer_that_comes_as_its_client_goes_is_counted_once_and_frees_its_id(tmp_path, monkeypatch, end):
+    server = Held()
+    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
+        late = Late(monkeypatch, ran.desk, "client_left")
+        client = ask_by(ran.client(), b"first")
+        until(lambda: server.got)
+        end(client)
+        assert late.met.wait(60)  # its connection is closed, and the desk does not know
+        server.go.set()
+        until(lambda: ran.count("succeeded") == 1)
+        other = ask_by(ran.client(), b"second")  # with the same id
+        assert other.read() == b"second"
+        late.go.set()
+        until(lambda: len(ran.gate.clients) == 1)
+        assert (ran.count("taken"), ran.count("succeeded"), ran.count("left")) == (2, 2, 0)
