--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -18,7 +18,7 @@
 from .odds import chance
 from .records import Builds, Group, Member
 
-MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged
+MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged; a fraction of any pair
 PAIRS, SEEN = 4, 200  # pairs in view; a build's last outcomes kept
 PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # a pair stays open for so long, and until each build has as many
 WARM_UP = 1000 * MS  # pairs start once each machine on trial has run for this long
@@ -42,6 +42,8 @@
 class Balancer:
     def __init__(self, start):
         release, balancers = start.release, max(start.balancers, 1)
+        for lane in start.lanes:  # where no aim is told, the deadline is one; only ratios of such times count
+            lane.goal_time = lane.goal_time or lane.hard_stop or 1000 * MS
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_withdraw = start.may_duplicate, start.may_withdraw
@@ -83,6 +85,7 @@
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.ask_within // 2 or 2000 * MS)
         first = start.now + int(self.rng.random() * spread)
         self.next_tick, self.ask_at = start.now, first if start.ask_for_list else None
+        self.ask_within = start.ask_within
         self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, lane)
         self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of sends left unconnected
         self.news = self.look = False  # an outcome came since the pair was last judged; a vote may be due
@@ -111,7 +114,8 @@
         self.see_trial()
 
     def list_failed(self, now):
-        self.ask_at = now + int(self.rng.uniform(300, 900) * MS)
+        longest = min(900 * MS, 2 * self.ask_within or 900 * MS)  # a call that failed holds for four times
+        self.ask_at = now + int(self.rng.uniform(longest / 3, longest))
 
     def lookup_arrived(self, now, lookup):
         self.wake(lookup.hard_stop, lookup)  # first of all: it ends then, also if a decision on it fails
@@ -173,7 +177,7 @@
             self.lane_work[number] += 0.01 * (lookup.work - self.lane_work[number])
         # Guards against queues, whatever fills them. The floor is for slow but idle machines.
         if end == REJECTED or not waits and member.slowness * self.lane_work[number] > goal / 2.5:
-            if now - member.cut_at > 200 * MS:
+            if now - member.cut_at > 200 * MS:  # one jam cuts once; what is told of times is in the ratios
                 member.cut_at, member.limit = now, max(member.limit * 0.8, 1.0)
         elif end == SUCCEEDED and 2 * (len(member.out) + 1) >= member.limit:
             member.limit += 0.25 / member.limit
@@ -195,6 +199,7 @@
     def strike(self, member, now, weight):
         """Guards against the dead, silent or cut off; one reset is no sign. It could harm slow connects."""
         member.strikes += weight
+        # Of the network and of restarts, not of lookups: whatever their deadlines, it is tried again in 3 s.
         wait = min(250 * MS << min(int(member.strikes), 4), 3000 * MS) if member.strikes >= 1 else 0
         member.shunned_until = now + int(wait * self.rng.uniform(0.7, 1.0))
 
@@ -238,7 +243,7 @@
             door.log(self.notes.popleft())
             return True
         if self.ask_at is not None and now >= self.ask_at:
-            self.ask_at = now + 5000 * MS  # should no answer come at all
+            self.ask_at = now + 5000 * MS  # should no answer come at all; a host's calls end sooner
             door.watch_list()
             return True
         look, self.look = self.look, False
@@ -263,7 +268,8 @@
         wait = int(lookup.lane.goal_time / 8 * min(lookup.lane.revenue / self.mean_revenue, 1.0))
         if now >= lookup.arrived + wait or len(lookup.sends) >= self.sends_cap:
             return self.give_up(lookup, door)
-        self.wake(min(lookup.arrived + wait, lookup.hard_stop, now + TICK // 4), lookup)
+        until = min(lookup.arrived + wait, lookup.hard_stop)  # the longer, the seldomer it is looked at
+        self.wake(min(until, now + max(TICK // 4, (until - lookup.arrived) // 32)), lookup)
         return False
 
     def send(self, lookup, member, now, door):
@@ -274,6 +280,7 @@
         member.out[send] = None
         member.held += lookup.work
         if self.on_trial(member.build):
+            send.counted = now
             for counted in self.counts_of(lookup):
                 member.build.sent.setdefault(counted, deque()).append(now)
             member.build.credit = max(member.build.credit - 1.0, -3.0)
@@ -377,7 +384,7 @@
         spoilt = member.build.bad and (lookup.lane.effect != HARMLESS or self.share < 0.5)
         if barred or spoilt or member.strikes >= 1 and (member.out or lookup.lane.effect == ONE_SHOT):
             return False
-        quiet = now - member.heard_at if member.out else 0
+        quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
         return quiet <= max(4 * (member.group.slowness or 2.0) * self.lane_work[lookup.lane.number], 300 * MS)
 
     def may_send(self, lookup, member, now):
@@ -395,9 +402,8 @@
                 return False
         if (can := self.able(member, now)) < 1 and (self.work_in - member.cold_from) * can < member.cold_due:
             return False
-        told, keys = self.told, (lookup.key, lookup.asked_key)  # keys are kept only where they bind
-        if told is not None and member.build.number < told.number and not told.keys.isdisjoint(keys):
-            return told.phase not in (ON_TRIAL, RELEASED)
+        if self.goes_back(lookup, member):
+            return False
         return not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now)
 
     def may_begin(self, now, send):
@@ -408,18 +414,26 @@
         if ran and lookup.lane.effect == STAMPED:
             by = min(by, self.repeated_by(ran))
         fit = not lookup.over and now < by and self.members.get(member.id) is member
-        if fit and self.on_trial(member.build):
-            fit = self.exposure_left(member.build, lookup, now, 0)
-            for times in [member.build.sent.get(counted, ()) for counted in self.counts_of(lookup)]:
-                if fit and send.at in times:  # it is within the cap's window from now on
-                    times.remove(send.at)
+        fit = fit and not self.goes_back(lookup, member)
+        if fit and self.on_trial(member.build):  # it counts from now on, as it may have waited past a window
+            sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(lookup)]
+            for times in [times for times in sent if send.counted in times]:
+                times.remove(send.counted)
+            if (fit := self.exposure_left(member.build, lookup, now)):
+                send.counted = now
+                for times in sent:
                     times.append(now)
         return by if fit else 0
 
+    def goes_back(self, lookup, member):  # keys are kept only where they bind
+        told, keys = self.told, (lookup.key, lookup.asked_key)
+        older = told is not None and member.build.number < told.number and told.phase in (ON_TRIAL, RELEASED)
+        return older and not told.keys.isdisjoint(keys)
+
     def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
         return ran[0].at + ran[0].lookup.lane.memory - self.spare
 
-    def exposure_left(self, build, lookup, now, more=1):
+    def exposure_left(self, build, lookup, now):
         """The window is a little wider for sends than for lookups. A lower cap binds at once."""
         stage = build.stage if build is self.told else 0
         if build.cap <= 0 or (stage < self.guarded_stages and lookup.lane.effect != HARMLESS):
@@ -427,7 +441,7 @@
         for counted in self.counts_of(lookup):
             sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
             taken = recent(self.taken.get(counted, ()), now - self.taken_window)
-            if sent + more > self.free_sends + build.cap * taken:
+            if sent + 1 > self.free_sends + build.cap * taken:
                 return False
         return True
 
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -115,6 +115,7 @@
     instance: object
     at: int
     end: str = ""  # how it ended; empty while it is out
+    counted: int = 0  # the moment from which it counts against a build's cap; 0: against none
 
 
 @dataclass(slots=True, eq=False)
--- /dev/null
+++ b/tests/any_settings.py
@@ -0,0 +1,493 @@
+"""A gateway's module played with settings drawn at random, on a made clock; what passed is written down, and
+judged from that alone. The judge shares no code with the module: it reads the settings as they are told."""
+
+import heapq
+import random
+from collections import Counter
+from itertools import count
+
+from lemonlead import interface as at
+from lemonlead.balance import Balancer
+from lemonlead.told import started
+
+MS = 1_000_000
+BEGIN = 1_700_000_000_000 * MS
+STATES = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
+PHASES = (at.ON_TRIAL, at.GOING_BACK, at.RELEASED, at.TAKEN_OFF)
+ENDS = (
+    at.SUCCEEDED, at.ERRED, at.REJECTED, at.RESET, at.UNCONNECTED, at.SPOILT, at.UNFIT, "silent",
+)  # of sends; silent ones time out
+NEVER = {at.REJECTED, at.UNCONNECTED, at.NOT_SENT}
+MOST_DECISIONS, MOST_WAKES = 2000, 30_000  # at one moment; in all
+
+
+class Stuck(AssertionError):
+    """The module decides without an end, or asks to be woken again and again at one moment."""
+
+
+class Play:
+    """`settings`: as told, in JSON's types. `world`: a seed, and how it is to go; see `WORLD`."""
+
+    def __init__(self, settings, world, make=Balancer):
+        self.settings, self.world, self.random = settings, world, random.Random(world["seed"])
+        self.now, self.events, self.turns, self.record = BEGIN, [], count(), []
+        self.start = started(settings, world["seed"], BEGIN)
+        self.balancer = make(self.start)
+        self.open, self.trips, self.armed, self.wakes = {}, {}, None, 0
+        self.machines, self.watching, self.latest = {}, False, BEGIN  # when the last client gives up
+        self.ahead = world["lookups"] + world["changes"]  # that are still to come
+        self.build, self.stage, self.phase, self.cap, self.since = 1, 0, at.RELEASED, 1.0, BEGIN
+        self.step = max(int(settings.get("Step", 0) * MS), 0)
+
+    # ---- the clock
+
+    def after(self, wait, happened, *values):
+        moment = self.now + max(int(wait), 0)
+        if self.world["in_steps"] and 0 < self.step < 1000 * MS:
+            moment = -(-moment // self.step) * self.step
+        heapq.heappush(self.events, (moment, next(self.turns), happened, values))
+
+    def note(self, what, *values):
+        self.record.append((self.now, what, *values))
+
+    def run(self):
+        world = self.world
+        for number in range(world["machines"]):
+            self.machines[number] = self.machine(number, 1, old=self.random.random() < 0.7)
+        self.list_told(True, False, stale=True)
+        if world["news"]:
+            self.stage_told()
+        self.pull()
+        at_ms = 0.0
+        for number in range(world["lookups"]):
+            if self.random.random() >= world["bursts"]:
+                at_ms += self.random.expovariate(1.0) * world["gap"]
+            self.after(at_ms * MS, self.arrive, number)
+        for _ in range(world["changes"]):
+            self.after(self.random.random() * at_ms * 1.2 * MS, self.change)
+        while self.ahead or (self.open or self.trips) and self.now < self.latest + 1000 * MS:
+            self.now = self.events[0][0]
+            while self.events and self.events[0][0] <= self.now:
+                _, _, happened, values = heapq.heappop(self.events)
+                happened(*values)
+                if self.random.random() < world["apart"]:
+                    self.pull()
+            self.pull()
+        return self.record
+
+    def pull(self):
+        for _ in range(MOST_DECISIONS):
+            if not self.balancer.decide(self.now, self):
+                break
+        else:
+            raise Stuck(f"{MOST_DECISIONS} decisions at one moment")
+        wake = self.balancer.wake_at()
+        if self.armed is None or wake < self.armed:
+            if wake <= self.now or self.wakes > MOST_WAKES:
+                raise Stuck(f"wake at {wake - self.now} ns from now, after {self.wakes}")
+            self.armed, self.wakes = wake, self.wakes + 1
+            self.after(wake - self.now, self.wake)
+
+    def wake(self):
+        self.armed = None
+
+    # ---- machines, lists and news
+
+    def machine(self, number, build, old=False):
+        zones, kinds = max(len(self.settings.get("Areas", [])), 1), max(len(self.settings.get("Skus", [])), 1)
+        age = 1 << 62 if old else 0
+        return {
+            "id": f"i{number}", "zone": number % zones, "kind": number // 2 % kinds, "build": build,
+            "cell": number // 2, "state": "up", "started": 0 if age else self.now,
+            "bad": self.random.random() < self.world["bad"], "speed": self.random.uniform(0.5, 2.0),
+        }
+
+    def list_told(self, whole, fresh, rows=None, stale=False):
+        rows = list(self.machines.values()) if rows is None else rows
+        if stale and self.random.random() < 0.2:
+            rows = rows[: len(rows) // 2]
+        lines = [
+            at.Instance(
+                r["id"], r["zone"], r["kind"], r["build"], r["cell"], STATES[r["state"]], 1.0, r["started"]
+            )
+            for r in rows
+        ]
+        said = [(r["id"], r["state"], r["build"], r["zone"], r["cell"], r["started"]) for r in rows]
+        self.note("list", whole, said)
+        self.balancer.listed(self.now, lines, whole, fresh)
+
+    def change(self):
+        """Something of the fleet or of the release changes, or the watch breaks."""
+        self.ahead -= 1
+        kind, some = self.random.random(), list(self.machines.values())
+        row = self.random.choice(some) if some else None
+        if kind < 0.12 and row:
+            row["state"] = "draining"
+        elif kind < 0.2 and row:
+            row["state"] = "removed"
+            self.tell_list([row])
+            del self.machines[int(row["id"][1:])]
+            return
+        elif kind < 0.4 and row:  # it starts anew, maybe with the newest build
+            number = int(row["id"][1:])
+            row = self.machines[number] = self.machine(number, self.random.choice([row["build"], self.build]))
+        elif kind < 0.5:
+            number = max(self.machines, default=0) + 1
+            row = self.machines[number] = self.machine(number, self.build)
+        elif kind < 0.6 and self.watching:
+            self.watching = False
+            self.note("watch broke")
+            return self.balancer.list_failed(self.now)
+        elif self.world["news"]:
+            return self.news(row)
+        self.tell_list([row] if row else [])
+
+    def tell_list(self, rows):
+        if self.watching or not self.start.ask_for_list:
+            whole = self.random.random() < 0.2
+            rows = [r for r in self.machines.values() if r["state"] != "removed"] if whole else rows
+            self.list_told(whole, True, rows)
+
+    def news(self, row):
+        caps = self.settings.get("FamilyInfo", {}).get("StageCap", [])
+        if self.phase in (at.RELEASED, at.TAKEN_OFF):
+            self.build, self.stage, self.phase = self.build + 1, 0, at.ON_TRIAL
+            if row:
+                number = int(row["id"][1:])
+                self.machines[number] = self.machine(number, self.build)
+                self.tell_list([self.machines[number]])
+        else:
+            go = self.random.random()
+            if go < 0.5 and self.stage + 1 < len(caps):
+                self.stage += 1
+            else:
+                self.phase = self.random.choice([at.GOING_BACK, at.RELEASED, at.TAKEN_OFF])
+        trial = caps[min(self.stage, len(caps) - 1)] if caps else 0.0
+        self.cap = 1.0 if self.phase == at.RELEASED else trial if self.phase == at.ON_TRIAL else 0.0
+        self.since = self.now
+        self.after(self.random.choice([0, 20 * MS]), self.stage_told)
+
+    def stage_told(self):
+        self.note("stage", self.build, self.stage, PHASES.index(self.phase), self.cap)
+        age = self.now - self.since
+        self.balancer.stage_told(self.now, self.build, self.stage, self.phase, self.cap, age)
+
+    # ---- lookups
+
+    def arrive(self, number):
+        self.ahead -= 1
+        lane = self.random.choice(self.start.lanes)
+        told = self.settings["Lanes"][lane.number].get("GiveUp", 0) or 1000.0
+        left = int(min(told, 40_000.0) * self.random.choice([0.2, 1.0, 1.0]) * MS)
+        customers = len(self.settings.get("Projects", []))
+        customer = self.random.randrange(-1, customers) if customers else self.random.choice([0, -1])
+        work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
+        key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
+        lookup = at.Lookup(number, lane, customer, key, self.now, self.now + left, work)
+        self.open[number], self.latest = lookup, max(self.latest, lookup.hard_stop)
+        self.note("taken", number, lane.number, left, key, work)
+        if self.random.random() < self.world["leave"]:
+            self.after(self.random.random() * left, self.leave, lookup)
+        self.balancer.lookup_arrived(self.now, lookup)
+
+    def leave(self, lookup):
+        if self.open.pop(lookup.id, None) is not None:
+            self.note("final", lookup.id, "left")
+            self.balancer.lookup_left(self.now, lookup)
+
+    # ---- the door
+
+    def send(self, lookup, instance_id, time_out):
+        send = lookup.sends[-1]
+        self.trips[send] = "new"
+        if self.world["connects"] and self.random.random() < self.world["connects"]:
+            most = min(self.start.connect_time, time_out, 2000 * MS)
+            return self.after(self.random.random() * most, self.begin, send, instance_id, time_out)
+        return self.begin(send, instance_id, time_out, False)
+
+    def begin(self, send, instance_id, time_out, asked=True):
+        lookup = send.lookup
+        withdrawn = self.trips.get(send) == "withdrawn"
+        if asked and (withdrawn or lookup.id not in self.open or not self.balancer.may_begin(self.now, send)):
+            return self.after(0, self.end, send, at.NOT_SENT)
+        self.trips[send] = "written"
+        self.note("send", lookup.id, send.number, instance_id)
+        row = self.machines.get(int(instance_id[1:]))
+        goal = min(lookup.lane.goal_time or 100 * MS, 1000 * MS)
+        takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
+        if row is None or row["bad"] and self.random.random() < 0.5:
+            end = self.random.choice([at.UNCONNECTED, at.RESET, "silent", at.ERRED, at.REJECTED])
+        else:
+            end = self.random.choices(
+                ENDS, [self.world["good"], 2, 3, 2, 2, 1, 0.5, 2]
+            )[0]
+        if end == at.UNCONNECTED:
+            takes = self.random.choice([0, min(self.start.connect_time, time_out)])
+        left = lookup.hard_stop - self.now if asked else time_out
+        if end == "silent" or takes >= left:
+            takes, end = left, at.TIMED_OUT
+        elif lookup.lane.streamed and end == at.SUCCEEDED:
+            self.after(takes / 2, self.first_byte, send)
+        self.after(takes, self.end, send, end)
+
+    def first_byte(self, send):
+        if send in self.trips and self.open.pop(send.lookup.id, None) is not None:
+            self.note("final", send.lookup.id, "streamed")
+            self.balancer.lookup_left(self.now, send.lookup)
+
+    def end(self, send, end):
+        if self.trips.pop(send, None) is None:
+            return
+        lookup = send.lookup
+        self.note("outcome", lookup.id, send.number, end)
+        if end == at.SUCCEEDED and self.open.pop(lookup.id, None) is not None:
+            self.note("final", lookup.id, "served")
+        over = lookup.id not in self.open
+        report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
+        self.balancer.send_ended(self.now, send, end, self.now - send.at, over, report)
+
+    def withdraw(self, send):
+        self.note("withdraw", send.lookup.id, send.number)
+        if self.trips.get(send) == "new":
+            self.trips[send] = "withdrawn"
+        elif send in self.trips:
+            self.after(self.random.choice([0, 3 * MS]), self.end, send, at.WITHDRAWN)
+
+    def push_back(self, lookup, hold_off):
+        assert self.open.pop(lookup.id, None) is lookup
+        self.note("final", lookup.id, "busy", hold_off)
+
+    def abort(self, lookup):
+        assert self.open.pop(lookup.id, None) is lookup
+        self.note("final", lookup.id, "failed")
+
+    def watch_list(self):
+        self.note("watch asked")
+        self.after(self.random.random() * 5 * MS, self.watched, self.random.random() < self.world["unheard"])
+
+    def watched(self, failed):
+        if failed:
+            self.note("watch failed")
+            return self.balancer.list_failed(self.now)
+        self.watching = True
+        self.note("now watching")
+        self.list_told(True, True, [r for r in self.machines.values() if r["state"] != "removed"])
+
+    def vote(self, build, stage, verdict):
+        self.note("vote", build, stage, verdict)
+        answer = self.random.choice([at.COUNTED, at.MOOT, at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED])
+        self.after(self.random.random() * 100 * MS, lambda: self.balancer.vote_answered(self.now, answer))
+
+    def log(self, text):
+        self.note("log", text)
+
+
+WORLD = {
+    "seed": 1, "machines": 4, "news": True, "lookups": 60, "bursts": 0.3, "gap": 20.0, "changes": 10,
+    "apart": 0.5, "in_steps": False, "bad": 0.1, "good": 60, "slow": 0.1, "leave": 0.05, "connects": 0.0,
+    "unheard": 0.2, "hints": False,
+}
+
+
+class Judge:
+    """What of a record breaks which rule, as texts that begin with the rule's number."""
+
+    def __init__(self, settings, record, in_time=0):
+        self.told, self.found = settings, []
+        self.limits, self.rules = settings.get("Limits", {}), settings.get("Obligations", {})
+        self.release = settings.get("FamilyInfo", {})
+        self.slack = int(self.rules.get("AnswerSlack", 20.0) * MS) + in_time
+        self.grace = int(self.rules.get("DrainGrace", 0) * MS)
+        self.window = int(self.release.get("ExposureWindow", 0) * MS)
+        self.asked, self.machines, self.gone, self.news = {}, {}, {}, None
+        self.fewest = 1 << 62  # instances that were ready at one time, but for times without any
+        self.lowered, self.served, self.takes, self.sends = {}, {}, [], []
+        self.watching, self.called, self.failed = False, None, False
+        for now, what, *values in record:
+            getattr(self, what.replace(" ", "_"))(now, *values)
+        self.end = record[-1][0] if record else 0
+        for id, one in self.asked.items():
+            if one["final"] is None:
+                self.wrong(1, f"{id} has no final answer")
+        self.cold()
+
+    def wrong(self, rule, text):
+        self.found.append(f"{rule}: {text}")
+
+    def list(self, now, whole, rows):
+        named = {row[0] for row in rows}
+        for id, state, build, zone, cell, since in rows:
+            if state == "up":
+                self.gone.pop(id, None)
+                self.machines[id] = {"build": build, "zone": zone, "cell": cell, "since": since}
+            else:
+                self.gone.setdefault(id, now)
+        for id in self.machines if whole else ():
+            if id not in named:
+                self.gone.setdefault(id, now)
+        ready = sum(id not in self.gone for id in self.machines)
+        self.fewest = min(self.fewest, ready or self.fewest)
+
+    def stage(self, now, build, stage, phase, cap):
+        if self.news is not None and self.news[0] == build and cap < self.news[3]:
+            self.lowered[build] = now
+        self.news = (build, stage, phase, cap)
+
+    def taken(self, now, id, lane, left, key, work):
+        self.asked[id] = {
+            "lane": self.told["Lanes"][lane], "n": lane, "at": now, "until": now + left, "key": key,
+            "sends": [], "final": None, "work": work or 1,
+        }
+        self.takes.append((now, lane))
+
+    def send(self, now, id, number, instance):
+        one = self.asked[id]
+        row = self.machines.get(instance)
+        if one["final"] is not None:
+            self.wrong(1, f"{id} is sent on after its final answer")
+        if now > one["until"] + self.slack:
+            self.wrong(1, f"{id} is sent on after its deadline")
+        if row is None:
+            return self.wrong(3, f"{id} goes to {instance}, which was never listed")
+        if instance in self.gone and now > self.gone[instance] + self.grace:
+            self.wrong(3, f"{id} goes to {instance}, gone for {(now - self.gone[instance]) / MS} ms")
+        within = self.rules.get("AskWithin", 0) * (4 if self.failed else 1) * MS
+        if within and self.called is not None and not self.watching and now > self.called + within:
+            self.wrong(3, f"{id} goes by a list that is not asked for in {(now - self.called) / MS} ms")
+        self.effect(now, id, one, row)
+        self.exposure(now, id, one, instance, row)
+        one["sends"].append({"at": now, "row": row, "end": None, "number": number})
+        self.sends.append((now, instance, row, one["n"], id))
+
+    def effect(self, now, id, one, row):
+        lane, before = one["lane"], one["sends"]
+        effect = lane.get("Effect", "at_most_once")
+        ran = [s for s in before if s["end"] not in NEVER]
+        if len(before) >= self.limits.get("AttemptsCap", 1):
+            self.wrong(2, f"{id} gets attempt {len(before) + 1}")
+        if not self.limits.get("MayDuplicate") and any(s["end"] is None for s in before):
+            self.wrong(2, f"{id} has two attempts out")
+        if effect == "at_most_once" and ran:
+            self.wrong(2, f"{id}, at most once, gets another attempt")
+        if effect == "deduplicated" and ran:
+            group = lane.get("Group", "all")
+            if group != "all" and any(s["row"][group] != row[group] for s in ran):
+                self.wrong(2, f"{id}, deduplicated, leaves its {group}")
+            if now - ran[0]["at"] >= lane["Window"] * MS:
+                self.wrong(2, f"{id}, deduplicated, goes again past its window")
+
+    def outcome(self, now, id, number, end):
+        for send in self.asked[id]["sends"]:
+            if send["number"] == number:
+                send["end"] = end
+                if end == at.SUCCEEDED and self.asked[id]["key"]:
+                    self.served.setdefault(self.asked[id]["key"], []).append((now, send["row"]["build"]))
+
+    def final(self, now, id, how, *hold_off):
+        one = self.asked[id]
+        if one["final"] is not None:
+            self.wrong(1, f"{id} has two final answers")
+        one["final"] = now
+        if how != "left" and now > one["until"] + self.slack:
+            self.wrong(1, f"{id} is answered {(now - one['until']) / MS} ms late")
+        effect = one["lane"].get("Effect", "at_most_once")
+        group = one["lane"].get("Group", "all")
+        ran = any(s["end"] not in NEVER for s in one["sends"])
+        alone = effect == "at_most_once" or effect == "deduplicated" and group != "all"
+        if how == "busy" and ran and alone:
+            self.wrong(2, f"{id} is refused though it may have run")
+        told = self.limits.get("MaxRetryAfter", 0) * MS if self.limits.get("RetryAfter") else 0
+        if hold_off and hold_off[0] > told:
+            self.wrong(2, f"{id} is told to stay away for {hold_off[0]} ns")
+
+    def withdraw(self, now, id, number):
+        if not self.limits.get("Cancel"):
+            self.wrong(2, f"{id} is called off where none may be")
+
+    def on_trial(self, build):
+        if self.news is None:
+            return False
+        return build > self.news[0] or build == self.news[0] and self.news[2] != 2
+
+    def exposure(self, now, id, one, instance, row):
+        build = row["build"]
+        if self.news is not None and self.release.get("ForwardOnly") and self.news[2] in (0, 2):
+            done = [b for moment, b in self.served.get(one["key"], ()) if moment < now and b == self.news[0]]
+            if done and build < self.news[0]:
+                self.wrong(5, f"{id} goes back to build {build} after {done[0]}")
+        if not self.on_trial(build):
+            return
+        newest = build == self.news[0]
+        caps = self.release.get("StageCap", [])
+        cap = self.news[3] if newest else caps[0] if caps else 0.0
+        stage = self.news[1] if newest else 0
+        effect = one["lane"].get("Effect", "at_most_once")
+        if stage < self.release.get("GuardedStages", 0) and effect != "idempotent":
+            self.wrong(5, f"{id}, {effect}, goes to build {build} in its stage {stage}")
+        if cap <= 0:
+            if now > self.lowered.get(build, -self.grace) + self.grace:
+                self.wrong(5, f"{id} goes to build {build} at cap 0")
+            return
+        alone = self.release.get("CapScope") == "each_class"
+        lanes = (one["n"],) if alone else range(len(self.told["Lanes"]))
+        since = max(now - self.window, self.lowered.get(build, 0))
+        sent = 1 + sum(m > since and r["build"] == build and n in lanes for m, _, r, n, _ in self.sends)
+        taken = sum(m > now - self.window and n in lanes for m, n in self.takes)
+        if sent > self.release.get("SpareTries", 0.0) + cap * taken + 1e-9 and self.window:
+            self.wrong(5, f"{id} is attempt {sent} at build {build}, of {taken} taken at cap {cap}")
+
+    def watch_asked(self, now):
+        self.called, self.failed = now, False
+
+    def watch_failed(self, now):
+        self.failed, self.watching = True, False
+
+    def watch_broke(self, now):
+        self.watching, self.called, self.failed = False, now, True
+
+    def now_watching(self, now):
+        self.watching = True
+
+    def vote(self, *_):
+        pass
+
+    log = vote
+
+    def cold(self):
+        """By work, where it is hinted at; a fleet that just carries what is taken, spread evenly, sets what
+        each can."""
+        span, fall = self.rules.get("Cold", 0) * MS, self.rules.get("Fall", 0) * MS
+        if not span or not fall or not self.takes:
+            return
+        starts, share = {}, self.rules.get("ColdFrom", 1.0)
+        mean = sum(one["work"] for one in self.asked.values()) / len(self.asked)
+        took = [(one["at"], one["work"] / mean) for one in self.asked.values()]
+        rate = max(within(took, first, fall) for first, _ in took) / max(self.fewest, 1)
+        for now, instance, row, _, id in self.sends:
+            if row["since"] and 0 <= now - row["since"] < span:
+                starts.setdefault((instance, row["since"]), []).append((now, self.asked[id]["work"] / mean))
+        for (instance, since), sent in starts.items():
+            for moment, _ in sent:
+                warm = share + (1 - share) * (moment - since) / span
+                if warm >= 1:
+                    continue
+                bears = self.rules.get("OverloadFactor", 1.0) * warm * rate
+                got = within(sent, moment, fall)
+                if got > bears + 3 * bears**0.5 + 3:
+                    self.wrong(4, f"{instance} gets {got:.1f} while cold, and bears {bears:.1f}")
+
+
+def within(events, first, span):
+    """The sum of what came within so long from this moment on."""
+    return sum(size for moment, size in events if first <= moment < first + span)
+
+
+def faults(settings, world, make=Balancer):
+    """What a play of these breaks."""
+    play = Play(settings, {**WORLD, **world}, make)
+    return Judge(settings, play.run(), play.step if world.get("in_steps") else 0).found
+
+
+def ways(record):
+    """How often each kind of event came, for tests that want some."""
+    return Counter(what if what != "final" else f"final {values[1]}" for _, what, *values in record)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -575,6 +575,8 @@
     build, begun = made.builds[2], NOW + 1000 * MS
     build.sent[0] = deque([NOW] * 2)  # as many as are free
     sends = [sent(one, made.members[3]) for one in asked]
+    for send in sends:
+        send.counted = NOW
     for send in sends * 2:  # asked again, as where the connection had ended, it still counts once
         assert made.may_begin(begun, send) == send.lookup.hard_stop
     assert list(build.sent[0]) == [begun] * 2
