--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -271,6 +271,7 @@
 # ---- the command
 
 
+@pytest.mark.serial
 def test_the_commands_answer_for_people_and_machines(tmp_path):
     path = str(tmp_path / "fleet.cue")
     (tmp_path / "fleet.cue").write_text(FLEET)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -261,6 +261,7 @@
     assert any("before its disk was given it" in str(play(draw(seed)).broken) for seed in range(100))
 
 
+@pytest.mark.serial
 def test_a_schedule_is_the_same_whatever_the_seed_of_hashes():
     """Against sets gone over in their order: a seed that failed would not fail again."""
     told = "from lemonlead.standins.simulated.schedules import *; print(sorted(play(draw(7)).counts.items()))"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,7 +18,7 @@
 
 import pytest
 import structlog
-from hypothesis import given
+from hypothesis import given, settings
 from hypothesis import strategies as some
 from lemonlead.gateway import lines, resp
 from lemonlead.standins.fleet import gateway
@@ -84,6 +84,7 @@
 LEVELS = some.sampled_from(["info", "warning", "error"])
 
 
+@settings(deadline=None)
 @given(some.text(' ="\\\nab%s{}'), some.dictionaries(NAMES, VALUES), LEVELS)
 def test_a_line_is_what_the_library_of_the_members_makes_of_it(event, told, level):
     """Members log by structlog, and what reads logs reads both."""
