--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -582,8 +582,8 @@
         unmet = not build.pairs and (self.pair_at is None or now < self.pair_at + 2 * PAIR)
         # Nor by one whose list is old: on means that earlier machines go, and it may know none to come.
         # Nor by one that has just started: what it sent in this stage has not been answered yet either.
-        least = max(build.began, self.born) + (self.last_time if build.cap >= 1 else self.stage_time)
-        if now < least or unmet or build.doubt or self.ask_at is not None:
+        least = build.began + (self.last_time if build.cap >= 1 else self.stage_time)
+        if now < max(least, self.born + self.stage_time) or unmet or build.doubt or self.ask_at is not None:
             return None
         # Errors too few for most pairs, as of a build that fails late, hold it all the same.
         earlier, ours, *_ = erring(list(build.seen) + self.pooled(True), self.pooled(False))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -408,11 +408,15 @@
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
 
 
-@pytest.mark.parametrize("age, after, verdict", [(0, 3, at.ON), (60, 2, None), (60, 3, at.ON)])
-def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(age, after, verdict):
+@pytest.mark.parametrize("cap, age, after, verdict", [
+    (0.1, 0, 3, at.ON), (0.1, 60, 2, None), (0.1, 60, 3, at.ON), (1.0, 0, 8, None), (1.0, 60, 2, None),
+    (1.0, 60, 3, at.ON),  # a rolling restart is not to hold the last stage for a goal time more
+])
+def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
     """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
-    made = balancer([line(1), line(2, build=2)], told=None)
-    made.stage_told(NOW, 2, 0, at.ON_TRIAL, 0.1, age * SECOND)
+    lanes = [at.Lane(0, at.HARMLESS, 8 * SECOND, 30 * SECOND, 1.0)]
+    made = balancer([line(1), line(2, build=2)], lanes, told=None)
+    made.stage_told(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
     made.pair_at = NOW - 9 * SECOND
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
 
