--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -589,8 +589,8 @@
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
-    stamped = lane(effect=at.STAMPED, memory=2000 * MS)
-    made, asked = balancer([line(1), line(2)], [stamped]), lookup(on=stamped)
+    repeated = lane(effect=at.STAMPED, memory=2000 * MS)
+    made, asked = balancer([line(1), line(2)], [repeated]), lookup(on=repeated)
     first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
     last = NOW + 1990 * MS  # two steps are spared
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -106,7 +106,7 @@
         return list(self.instances.pools[id].unused)
 
 
-class Gate:
+class Halt:
     """Holds whoever calls a method, before or after it ran, until it is opened."""
 
     def __init__(self, monkeypatch, owner, name, after=False):
@@ -143,13 +143,13 @@
     made.ended()
     (connection,), = [made.unused()]
     answered = connection.used
-    gate = Gate(monkeypatch, made.instances, "reach", after=True)
+    halt = Halt(monkeypatch, made.instances, "reach", after=True)
     given_up = made.ask()
-    assert gate.reached.wait(60)
+    assert halt.reached.wait(60)
     made.desk.tell(made.desk.client_left, [given_up.lookup])
     late = answered + made.instances.idle_time
     monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
-    gate.opened.set()
+    halt.opened.set()
     made.ended()
     assert made.unused() == [connection] and connection.used == answered
     monkeypatch.setattr(instances, "now", lambda: late + MS)
@@ -161,13 +161,13 @@
 def test_a_new_connection_is_unused_from_before_the_instance_could_count(world, monkeypatch):
     made = world(server := InstanceServer().start())
     begun = now()
-    gate = Gate(monkeypatch, made.instances, "reach", after=True)
+    halt = Halt(monkeypatch, made.instances, "reach", after=True)
     given_up = made.ask()
-    assert gate.reached.wait(60)
+    assert halt.reached.wait(60)
     until(lambda: server.connections)
     accepted = now()
     made.desk.tell(made.desk.client_left, [given_up.lookup])
-    gate.opened.set()
+    halt.opened.set()
     made.ended()
     (connection,) = made.unused()
     assert begun < connection.used < accepted and not server.got
@@ -302,14 +302,14 @@
 def test_an_attempt_is_not_written_once_its_request_has_the_answer(world, monkeypatch, at_point):
     made = world(server := InstanceServer().start())
     owner = made.desk if at_point == "may_begin" else instances
-    gate = Gate(monkeypatch, owner, at_point, after=True)
+    halt = Halt(monkeypatch, owner, at_point, after=True)
     ask = made.ask()
-    assert gate.reached.wait(60)
+    assert halt.reached.wait(60)
     monkeypatch.undo()
     made.list("i1", other := InstanceServer().start())
     second(made, ask)
     assert made.answered(ask) == b"$1\r\n0\r\n"
-    gate.opened.set()
+    halt.opened.set()
     made.ended()
     other.close()
     assert not server.got and ask.lookup.sends[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
@@ -321,14 +321,14 @@
     world, monkeypatch, point, since, build
 ):
     made = world(old := InstanceServer().start())
-    gate = Gate(monkeypatch, Connection if point == "connect" else made.desk, point, after=True)
+    halt = Halt(monkeypatch, Connection if point == "connect" else made.desk, point, after=True)
     ask = made.ask()
-    assert gate.reached.wait(60)
+    assert halt.reached.wait(60)
     monkeypatch.undo()
     new = InstanceServer().start()
     made.balancer.stage_told(now(), 2, 0, at.RELEASED, 1.0, 0)
     made.list("i0", new, since=since, build=build)
-    gate.opened.set()
+    halt.opened.set()
     assert made.answered(ask) == b"$1\r\n0\r\n"
     made.ended()
     new.close()
@@ -338,13 +338,13 @@
 def test_a_repeat_does_not_begin_past_the_time_for_which_repeats_are_dropped(world, monkeypatch):
     made = world(first := InstanceServer(lambda words: None).start())  # it may have run there
     made.lanes[1].memory = 10000 * MS
-    gate = Gate(monkeypatch, Connection, "connect", after=True)
+    halt = Halt(monkeypatch, Connection, "connect", after=True)
     ask = made.ask(lane=1)
-    assert gate.reached.wait(60)
+    assert halt.reached.wait(60)
     monkeypatch.undo()
     made.list("i1", other := InstanceServer().start())
-    again = Gate(monkeypatch, made.instances, "reach", after=True)
-    gate.opened.set()
+    again = Halt(monkeypatch, made.instances, "reach", after=True)
+    halt.opened.set()
     assert again.reached.wait(60) and [send.end for send in ask.lookup.sends] == [at.RESET, ""]
     monkeypatch.setattr(desk, "now", lambda: ask.lookup.sends[0].at + 10000 * MS - 1)
     again.opened.set()
