--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -12,8 +12,8 @@
 from statistics import median
 
 from .interface import (
-    BACK, COUNTED, ERRED, HARMLESS, HOLD, NEVER_RAN, ON, ON_TRIAL, ONE_SHOT, OVER_ALLOWANCE, READY, REJECTED,
-    RELEASED, RESET, SPOILT, STAMPED, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT, WITHDRAWN, Send,
+    BACK, CANCELLED, COUNTED, ERRED, HARMLESS, HOLD, NEVER_RAN, ON, ON_TRIAL, ONE_SHOT, OVER_ALLOWANCE, READY,
+    REJECTED, RELEASED, RESET, SPOILT, STAMPED, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT, Send,
 )
 from .odds import chance
 from .records import Builds, Group, Member
@@ -46,7 +46,7 @@
             lane.goal_time = lane.goal_time or lane.hard_stop or 1000 * MS
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
-        self.may_duplicate, self.may_withdraw = start.may_duplicate, start.may_withdraw
+        self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
         self.sends_cap, self.hold_off_cap = start.sends_cap, start.hold_off_cap
         self.connect_time, self.spare = start.connect_time, 2 * start.step
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
@@ -152,7 +152,7 @@
                     times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
                 times.append(took / goal)
                 self.lows[kind] = sorted(times)[WAITS // 4] if len(times) == WAITS else 0.5
-        silent = member.heard_at <= send.at and end in (TIMED_OUT, WITHDRAWN)
+        silent = member.heard_at <= send.at and end in (TIMED_OUT, CANCELLED)
         self.scarce += 0.1 * ((end == UNCONNECTED) - self.scarce)
         member.open_until = now + self.idle_time if answered else 0  # unsure where no answer came
         if answered or end in (UNCONNECTED, RESET):
@@ -164,7 +164,7 @@
             member.shunned_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
             self.strike(member, now, 0.5 if end == RESET else 1)
-        if not waits and (answered or end in (TIMED_OUT, WITHDRAWN) and slow and not written_off):
+        if not waits and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
             # Guards against those that fail at once and draw all. It could idle one that fails one kind.
             spent = goal if end in (ERRED, REJECTED) else took
             # A tenth of each; after a silence the whole way down, as one that sheds hears little. Not up: one
@@ -308,11 +308,11 @@
         if self.may_duplicate and (other := self.choose(lookup, now)) is not None:
             self.rescues -= not lost
             return self.send(lookup, other, now, door)
-        barred = self.may_duplicate or not self.may_withdraw or lookup.lane.effect != HARMLESS
+        barred = self.may_duplicate or not self.may_cancel or lookup.lane.effect != HARMLESS
         if barred or not (lost or silent):
             return False
         self.rescues -= 1
-        door.withdraw(last)
+        door.cancel(last)
         return True
 
     def overdue_at(self, send):  # by what its work takes, too: a heavy lookup is not begun twice
--- a/lemonlead/following/sides.py
+++ b/lemonlead/following/sides.py
@@ -10,13 +10,13 @@
 from zlib import crc32
 
 from ..interface import (
-    DRAINING, GOING_BACK, GONE, ON_TRIAL, READY, RELEASED, RESET, SPOILT, TIMED_OUT, UNCONNECTED, WITHDRAWN,
+    CANCELLED, DRAINING, GOING_BACK, GONE, ON_TRIAL, READY, RELEASED, RESET, SPOILT, TIMED_OUT, UNCONNECTED,
 )
 
 SHIFTING, ALL = "shifting", 1000  # a record's step; thousandths
 FIRST = 1 << 40  # a far side's build is this plus the move's epoch
 LOOKED = 8  # last ends in view of each side
-LOST = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, WITHDRAWN)  # ends that pairs of builds may not count
+LOST = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, CANCELLED)  # ends that pairs of builds may not count
 
 
 class Sides:
--- a/lemonlead/gateway/desk.py
+++ b/lemonlead/gateway/desk.py
@@ -156,8 +156,8 @@
         trip = self.instances.trip(lookup.sends[-1], instance_id, self.asks[lookup].words, until)
         self.chores.append((self.instances.start, trip))
 
-    def withdraw(self, send):
-        self.chores.append((self.instances.withdraw, send))
+    def cancel(self, send):
+        self.chores.append((self.instances.cancel, send))
 
     def push_back(self, lookup, hold_off):
         pause = b" %d" % (hold_off // NS) if hold_off >= NS else b""
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -91,7 +91,7 @@
 
     def __init__(self, send, pool, words, until):
         self.send, self.pool, self.words, self.until = send, pool, words, until
-        self.connection, self.withdrawn = None, False
+        self.connection, self.cancelled = None, False
         self.begun = self.written = False  # from its first byte on, from its last
 
 
@@ -145,13 +145,13 @@
         except RuntimeError:  # no thread to be had
             self.over(trip, at.NOT_SENT, None)
 
-    def withdraw(self, send):
+    def cancel(self, send):
         with self.lock:
             if (trip := self.trips.get(send)) is not None:
                 self.shut(trip)
 
     def shut(self, trip):
-        trip.withdrawn = True
+        trip.cancelled = True
         if trip.begun:
             with contextlib.suppress(OSError):
                 trip.connection.sock.shutdown(socket.SHUT_RDWR)
@@ -169,7 +169,7 @@
         with self.lock:
             del self.trips[trip.send]
             clean = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT)
-            keep = clean and not (trip.begun and trip.withdrawn)
+            keep = clean and not (trip.begun and trip.cancelled)
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
                 if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
@@ -195,7 +195,7 @@
             while True:
                 if (made := self.reach(trip)) is False:
                     trip.connection.settle()
-                by = 0 if made is None or trip.withdrawn else self.desk.may_begin(trip.send)
+                by = 0 if made is None or trip.cancelled else self.desk.may_begin(trip.send)
                 if not by:
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
@@ -205,16 +205,16 @@
                 self.end(trip.connection, "instance closed")
                 trip.connection = None
             with self.lock:
-                if trip.withdrawn or trip.pool.closed:
+                if trip.cancelled or trip.pool.closed:
                     return at.NOT_SENT, None
                 trip.begun = True
             wait = max((trip.until - now()) // NS, 1)
             trip.connection.write(resp.command(passed_on(trip.words, wait)), min(trip.until, by))
         except OSError:
-            return (at.NOT_SENT if trip.begun and trip.withdrawn else at.UNCONNECTED), None
+            return (at.NOT_SENT if trip.begun and trip.cancelled else at.UNCONNECTED), None
         with self.lock:
             trip.written = True
-            if trip.withdrawn:
+            if trip.cancelled:
                 self.shut(trip)
         try:
             value = trip.connection.read(trip.until)
@@ -223,7 +223,7 @@
         except resp.Malformed:
             return at.SPOILT, None
         except OSError:
-            return at.WITHDRAWN if trip.withdrawn else at.RESET, None
+            return at.CANCELLED if trip.cancelled else at.RESET, None
         return ending(value)
 
     def reach(self, trip):
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -12,7 +12,7 @@
 HARMLESS, STAMPED, ONE_SHOT = "harmless", "stamped", "one-shot"
 # How a send ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
-UNCONNECTED, RESET, WITHDRAWN, NOT_SENT = "unconnected", "reset", "withdrawn", "not sent"
+UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
 SPOILT, UNFIT = "spoilt", "unfit"  # an answer that cannot be read; the instance cannot use this lookup
 NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that a send did not run
 # An instance's state as listed.
@@ -78,7 +78,7 @@
     ask_for_list: bool = False
     ask_within: int = 0  # without a watch or call for so long it is held to all that was listed; 0: not told
     sends_cap: int = 1
-    may_withdraw: bool = False
+    may_cancel: bool = False
     may_duplicate: bool = False
     may_probe: bool = False
     hold_off_cap: int = 0  # the longest that a client heeds a time to come back; 0: it can be told none
@@ -138,7 +138,7 @@
     """What a balancer may ask of its host; each call takes effect at once."""
 
     def send(self, lookup: Lookup, instance_id: int, time_out: int) -> None: ...
-    def withdraw(self, send: Send) -> None: ...
+    def cancel(self, send: Send) -> None: ...
     def push_back(self, lookup: Lookup, hold_off: int) -> None: ...
     def abort(self, lookup: Lookup) -> None: ...
     def watch_list(self) -> None: ...
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -86,8 +86,8 @@
     def send(self, lookup, instance_id, time_out):
         self.world.send(self, lookup.sends[-1], instance_id, time_out)
 
-    def withdraw(self, send):
-        self.world.at(self.world.now, self.ended, send, at.WITHDRAWN)
+    def cancel(self, send):
+        self.world.at(self.world.now, self.ended, send, at.CANCELLED)
 
     def push_back(self, lookup, hold_off):
         self.answer(lookup, "pushed back", hold_off)
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -147,7 +147,7 @@
         customer_shares=[customer.number("QuotaPerS", 0.0) for customer in told.parts("Projects")],
         over_share_worth=told.number("OverShareWorth", 1.0),
         ask_for_list=told.one_of("Discovery", ("push", "ask"), "push") == "ask",
-        sends_cap=limits.count("AttemptsCap", 1, 1), may_withdraw=limits.flag("Cancel"),
+        sends_cap=limits.count("AttemptsCap", 1, 1), may_cancel=limits.flag("Cancel"),
         may_duplicate=limits.flag("MayDuplicate"), may_probe=limits.flag("Probes"),
         hold_off_cap=hold_off, connect_time=limits.time("ConnectTimeout"), idle_time=limits.time("IdleClose"),
         ask_within=rules.time("AskWithin"), drain_grace=rules.time("DrainGrace"),
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -10,7 +10,7 @@
 
 _ENDS = {
     200: at_door.SUCCEEDED, 500: at_door.ERRED, 503: at_door.REJECTED, 504: at_door.TIMED_OUT,
-    502: at_door.UNCONNECTED, 598: at_door.RESET, 499: at_door.WITHDRAWN, 410: at_door.NOT_SENT,
+    502: at_door.UNCONNECTED, 598: at_door.RESET, 499: at_door.CANCELLED, 410: at_door.NOT_SENT,
 }
 _VOTES = {
     200: at_door.COUNTED, 410: at_door.MOOT, 503: at_door.OVER_ALLOWANCE, 500: at_door.VOTE_ERRED,
@@ -38,7 +38,7 @@
         self.out[lookup.id, lookup.sends[-1].number] = lookup.sends[-1]
         self.reply.add("pass_on", self.number, lookup.id, instance_id, time_out / NS)
 
-    def withdraw(self, send):
+    def cancel(self, send):
         self.reply.add("withdraw", self.number, send.lookup.id, send.number)
 
     def push_back(self, lookup, hold_off):
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -207,8 +207,8 @@
 
     def begin(self, send, instance_id, time_out, asked=True):
         lookup = send.lookup
-        withdrawn = self.trips.get(send) == "withdrawn"
-        if asked and (withdrawn or lookup.id not in self.open or not self.balancer.may_begin(self.now, send)):
+        cancelled = self.trips.get(send) == "cancelled"
+        if asked and (cancelled or lookup.id not in self.open or not self.balancer.may_begin(self.now, send)):
             return self.after(0, self.end, send, at.NOT_SENT)
         self.trips[send] = "written"
         self.note("send", lookup.id, send.number, instance_id)
@@ -246,12 +246,12 @@
         report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
         self.balancer.send_ended(self.now, send, end, self.now - send.at, over, report)
 
-    def withdraw(self, send):
-        self.note("withdraw", send.lookup.id, send.number)
+    def cancel(self, send):
+        self.note("cancel", send.lookup.id, send.number)
         if self.trips.get(send) == "new":
-            self.trips[send] = "withdrawn"
+            self.trips[send] = "cancelled"
         elif send in self.trips:
-            self.after(self.random.choice([0, 3 * MS]), self.end, send, at.WITHDRAWN)
+            self.after(self.random.choice([0, 3 * MS]), self.end, send, at.CANCELLED)
 
     def push_back(self, lookup, hold_off):
         assert self.open.pop(lookup.id, None) is lookup
@@ -400,7 +400,7 @@
         if hold_off and hold_off[0] > told:
             self.wrong(2, f"{id} is told to stay away for {hold_off[0]} ns")
 
-    def withdraw(self, now, id, number):
+    def cancel(self, now, id, number):
         if not self.limits.get("Cancel"):
             self.wrong(2, f"{id} is called off where none may be")
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,8 +16,8 @@
     def send(self, lookup, instance_id, time_out):
         self.calls.append(("send", lookup.id, instance_id))
 
-    def withdraw(self, send):
-        self.calls.append(("withdraw", send.lookup.id, send.number))
+    def cancel(self, send):
+        self.calls.append(("cancel", send.lookup.id, send.number))
 
     def push_back(self, lookup, hold_off):
         self.calls.append(("push back", lookup.id, hold_off))
@@ -56,7 +56,7 @@
         answer_time=800 * MS, votes_per_s=100.0, bake=1000 * MS,
     )
     rules = dict(
-        step=5 * MS, sends_cap=4, may_withdraw=True, may_duplicate=True, connect_time=250 * MS,
+        step=5 * MS, sends_cap=4, may_cancel=True, may_duplicate=True, connect_time=250 * MS,
         cold_time=5000 * MS, cold_share=0.4, cold_window=2000 * MS, cold_multiple=3.0, hold_off_cap=500 * MS,
     )
     start = at.Start(now=NOW, lanes=lanes or [lane()], release=release, **{"seed": 7, **rules, **more})
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -308,7 +308,7 @@
     plays = [Play(told, {**WORLD, "seed": seed}) for told in (SETTINGS, alone) for seed in range(20)]
     record = [event for play in plays for event in play.run()]
     met = ways(record)
-    kinds = ["list", "stage", "watch asked", "watch failed", "watch broke", "vote", "withdraw"]
+    kinds = ["list", "stage", "watch asked", "watch failed", "watch broke", "vote", "cancel"]
     kinds += ["final served", "final busy", "final failed", "final left"]
     assert not [kind for kind in kinds if not met[kind]], met
     assert not Judge(SETTINGS, record[:1]).found
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -33,7 +33,7 @@
         (STAMPED_ZONE, at.ERRED, 0, 10, True),
         (STAMPED_ZONE, at.ERRED, 1, 10, False),
         (STAMPED_ZONE, at.UNCONNECTED, 1, 10, True),
-        (STAMPED_ZONE, at.WITHDRAWN, 0, 3800, False),  # its memory would lapse before a slow connection opens
+        (STAMPED_ZONE, at.CANCELLED, 0, 3800, False),  # its memory would lapse before a slow connection opens
         (STAMPED_ALL, at.TIMED_OUT, 1, 3800, True),
     ],
 )
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -36,7 +36,7 @@
     def __setattr__(self, name, value):
         if name == "answer":
             trips = [self.world.instances.trips.get(send) for send in self.lookup.sends]
-            self.free = [trip for trip in trips if trip and not (trip.written or trip.withdrawn)]
+            self.free = [trip for trip in trips if trip and not (trip.written or trip.cancelled)]
         super().__setattr__(name, value)
 
 
@@ -268,7 +268,7 @@
         ask.lookup, made.balancer.members[id], moment, made.desk))
 
 
-@pytest.mark.parametrize("by", ["an answer", "the client leaves", "withdrawn", "a break", "the hard stop"])
+@pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the hard stop"])
 def test_what_is_given_up_while_it_is_written_is_never_written_whole(world, narrow, monkeypatch, by):
     made = world(server := Slow().start(), limits={"AttemptsCap": 2}.items())
     if by == "the hard stop":
@@ -283,9 +283,9 @@
         other.close()
     elif by == "the client leaves":
         made.desk.tell(made.desk.client_left, [ask.lookup])
-    elif by == "withdrawn":
+    elif by == "cancelled":
         ask.lookup.over = True  # so that nothing follows
-        made.desk.tell(lambda moment: made.desk.withdraw(send))
+        made.desk.tell(lambda moment: made.desk.cancel(send))
     elif by == "a break":
         ask.lookup.over = True
         (trip,) = made.instances.trips.values()
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -130,7 +130,7 @@
     theirs.close()
 
 
-@pytest.mark.parametrize("spoil", ["over", "drained", "late", "withdrawn"])
+@pytest.mark.parametrize("spoil", ["over", "drained", "late", "cancelled"])
 def test_what_may_no_longer_begin_is_not_sent(spoil):
     made = desk()
     under_way, theirs = trip(made)
@@ -142,7 +142,7 @@
     elif spoil == "late":
         asked.hard_stop = now()
     else:
-        made.instances.withdraw(under_way.send)
+        made.instances.cancel(under_way.send)
     assert made.instances.outcome(under_way)[0] == at.NOT_SENT
     theirs.setblocking(False)
     with pytest.raises(BlockingIOError):
@@ -195,7 +195,7 @@
     assert not made.instances.make_room() and made.instances.open == made.instances.most
 
 
-def test_withdrawing_wakes_the_send_and_its_late_answer_is_never_read():
+def test_cancelling_wakes_the_send_and_its_late_answer_is_never_read():
     made = desk()
     under_way, theirs = trip(made)
     ended = []
@@ -203,9 +203,9 @@
     thread = threading.Thread(target=made.instances.carry, args=(under_way,), daemon=True)
     thread.start()
     until(lambda: under_way.written)
-    made.instances.withdraw(under_way.send)
+    made.instances.cancel(under_way.send)
     thread.join(60)
-    assert theirs.recv(4096) and ended == [at.WITHDRAWN]
+    assert theirs.recv(4096) and ended == [at.CANCELLED]
     assert not under_way.pool.unused and under_way.connection.sock.fileno() < 0
 
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -66,7 +66,7 @@
         self.now, self.rng, self.events, self.turns = NOW, random.Random(seed), [], count()
         self.works = works or (lambda id, rng: (at.SUCCEEDED, int(30 * MS * rng.lognormvariate(0, 0.3))))
         self.sends, self.votes, self.real, self.asked = [], [], [], []
-        told = dict(lanes=[lane()], release=release(), sends_cap=4, may_duplicate=True, may_withdraw=True)
+        told = dict(lanes=[lane()], release=release(), sends_cap=4, may_duplicate=True, may_cancel=True)
         start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
         self.place = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
@@ -119,8 +119,8 @@
         end, took = self.works(id, self.rng)
         self.at(self.now + took, lambda: self.desk.tell(self.desk.send_ended, send, end, b"v"))
 
-    def withdraw(self, send):
-        """It goes on: a withdrawn send may end anyhow."""
+    def cancel(self, send):
+        """It goes on: a cancelled send may end anyhow."""
 
     def drop(self, sends):
         """None is ever half written here."""
