--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -12,11 +12,11 @@
 from . import place as places
 from .clients import Gate
 from .counters import Counters
-from .crew import Crew
 from .desk import Desk
 from .discovery import Discovery
 from .instances import Instances
 from .releases import Releases
+from .thread_pool import ThreadPool
 
 STACK = 256 * 1024
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
@@ -39,13 +39,13 @@
     except places.Unfit as error:
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
-    log, counters, crew = lines.opened(gateway=place.name), Counters(), Crew()
+    log, counters, thread_pool = lines.opened(gateway=place.name), Counters(), ThreadPool()
     desk = Desk(place.start, log, counters)
-    desk.instances = Instances(place, desk, crew, log, counters)
+    desk.instances = Instances(place, desk, thread_pool, log, counters)
     desk.discovery = discovery = Discovery(place, desk, log, counters)
     desk.releases = releases = Releases(place, desk, log, counters)
     try:
-        gate = Gate(place, desk, crew, log, counters)
+        gate = Gate(place, desk, thread_pool, log, counters)
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -255,7 +255,7 @@
     def write_later(self):
         try:
             self.writing = True
-            self.gate.crew.do(self.drain)
+            self.gate.thread_pool.do(self.drain)
         except RuntimeError:
             self.writing = False
             self.end("no thread")
@@ -322,8 +322,10 @@
 class Gate:
     """Listens, and keeps the clients' connections within their bound."""
 
-    def __init__(self, place, desk, crew, log, counters):
-        self.place, self.desk, self.crew, self.log, self.counters = place, desk, crew, log, counters
+    def __init__(self, place, desk, thread_pool, log, counters):
+        self.place, self.desk, self.thread_pool, self.log, self.counters = (
+            place, desk, thread_pool, log, counters
+        )
         self.most, self.stopping, self.closing = place.connections // 2, False, False
         self.closed = threading.Event()
         self.clients, self.room = set(), threading.Condition()
@@ -385,7 +387,7 @@
         accepted meanwhile."""
         while True:
             try:
-                return self.crew.do(client.run)
+                return self.thread_pool.do(client.run)
             except RuntimeError:
                 if time.monotonic() > until:
                     return client.close("no thread")
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -98,8 +98,8 @@
 class Instances:
     """`lock` guards pools, trips and the count of connections; where both are held, it is taken second."""
 
-    def __init__(self, place, desk, crew, log, counters):
-        self.desk, self.crew, self.log, self.counters = desk, crew, log, counters
+    def __init__(self, place, desk, thread_pool, log, counters):
+        self.desk, self.thread_pool, self.log, self.counters = desk, thread_pool, log, counters
         self.idle_time, self.connect_time = int(place.start.idle_time * IDLE_SHARE), place.start.connect_time
         self.most, self.open = place.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
@@ -141,7 +141,7 @@
 
     def start(self, trip):
         try:
-            self.crew.do(self.carry, trip)
+            self.thread_pool.do(self.carry, trip)
         except RuntimeError:  # no thread to be had
             self.over(trip, at.NOT_SENT, None)
 
--- a/lemonlead/gateway/crew.py
+++ b/lemonlead/gateway/thread_pool.py
@@ -5,15 +5,16 @@
 KEPT = 1.0  # seconds without work after which a thread ends
 
 
-class Hand:
-    """One thread of a crew: what it is to do next, and the lock that it waits on until there is some."""
+class Worker:
+    """One thread of a thread pool: what it is to do next, and the lock that it waits on until there is
+    some."""
 
     def __init__(self):
         self.work, self.ready = None, threading.Lock()
         self.ready.acquire()
 
 
-class Crew:
+class ThreadPool:
     """A piece of work goes to a thread that waits, or to a new one; it waits for none that is at work. The
     last to wait is the first to get some, so that those past the usual need end, with what they hold."""
 
@@ -24,27 +25,27 @@
     def do(self, *work):
         """Has a thread do it; RuntimeError if the system gives none."""
         with self.lock:
-            hand = self.free.pop() if self.free else None
-        if hand is None:
+            worker = self.free.pop() if self.free else None
+        if worker is None:
             threading.Thread(target=self.serve, args=work, daemon=True).start()
         else:
-            hand.work = work
-            hand.ready.release()
+            worker.work = work
+            worker.ready.release()
 
     def serve(self, *work):
-        hand = Hand()
+        worker = Worker()
         while work:
             work[0](*work[1:])
-            hand.work = work = None  # what it was about is not kept while it waits
+            worker.work = work = None  # what it was about is not kept while it waits
             with self.lock:
-                self.free.append(hand)
-            work = self.next(hand)
+                self.free.append(worker)
+            work = self.next(worker)
 
-    def next(self, hand):
-        if not hand.ready.acquire(timeout=KEPT):
+    def next(self, worker):
+        if not worker.ready.acquire(timeout=KEPT):
             with self.lock:
-                if hand in self.free:
-                    self.free.remove(hand)
+                if worker in self.free:
+                    self.free.remove(worker)
                     return None
-            hand.ready.acquire()  # some is on its way
-        return hand.work
+            worker.ready.acquire()  # some is on its way
+        return worker.work
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -11,10 +11,10 @@
 from lemonlead import interface as at
 from lemonlead.gateway import desk, instances, resp
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.instances import Connection, Instances
 from lemonlead.gateway.place import now
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
@@ -48,7 +48,7 @@
         place = SimpleNamespace(start=started(settings, 7, now()), connections=64)
         self.desk = Desk(place.start, Quiet(), Counters())
         counters = self.desk.counters
-        self.instances = self.desk.instances = Instances(place, self.desk, Crew(), Quiet(), counters)
+        self.instances = self.desk.instances = Instances(place, self.desk, ThreadPool(), Quiet(), counters)
         self.desk.discovery = SimpleNamespace(ask=lambda: None)
         self.desk.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
         self.balancer, self.lanes = self.desk.balancer, {lane.number: lane for lane in place.start.lanes}
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -15,10 +15,10 @@
 from lemonlead.gateway import resp
 from lemonlead.gateway.clients import Gate
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Instances
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.clients import Client
 from lemonlead.standins.discovery import entry
 from lemonlead.standins.fleet import SETTINGS
@@ -53,11 +53,11 @@
     }
     (tmp_path / "config.json").write_text(json.dumps(config))
     place = places.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
-    log, counters, crew = Lines(), Counters(), Crew()
+    log, counters, thread_pool = Lines(), Counters(), ThreadPool()
     desk = Desk(place.start, log, counters)
-    desk.instances = Instances(place, desk, crew, log, counters)
+    desk.instances = Instances(place, desk, thread_pool, log, counters)
     desk.discovery = discovery = Discovery(place, desk, log, counters)
-    gate = Gate(place, desk, crew, log, counters)
+    gate = Gate(place, desk, thread_pool, log, counters)
     with desk.lock:
         discovery.listed(places.now(), *discovery.read(place.known), True, False)
         desk.balancer.stage_told(places.now(), *place.news)
@@ -308,7 +308,7 @@
     with gateway(tmp_path, server.start()) as ran:
         monkeypatch.setattr(Instances, where, held)
         if where == "start":  # its client's own thread would hand it over
-            monkeypatch.setattr(Instances, "start", lambda *trip: ran.gate.crew.do(held, *trip))
+            monkeypatch.setattr(Instances, "start", lambda *trip: ran.gate.thread_pool.do(held, *trip))
         client = ran.client().ask()
         assert met.wait(60)
         end(client)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -21,7 +21,7 @@
 from lemonlead.gateway import clients, resp
 from lemonlead.gateway.clients import MUTE, Client, Gate
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins import fleet
 from lemonlead.standins.fleet import SETTINGS, counted, gateway
 from lemonlead.standins.instances import InstanceServer, gives
@@ -362,7 +362,7 @@
 import os, resource, threading
 from lemonlead.gateway.clients import Gate
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
+from lemonlead.gateway.thread_pool import ThreadPool
 
 accept, read, held = Gate.accept, Counters.read, []
 
@@ -391,14 +391,14 @@
         assert client.read() == b"aa"
 
 
-def crew_that_fails(times):
-    crew, left = Crew(), [None] * times
+def thread_pool_that_fails(times):
+    thread_pool, left = ThreadPool(), [None] * times
 
     def do(*work):
         if left:
             left.pop()
             raise RuntimeError("can't start new thread")
-        Crew.do(crew, *work)
+        ThreadPool.do(thread_pool, *work)
 
     return SimpleNamespace(do=do, left=left)
 
@@ -407,14 +407,16 @@
 def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
     monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
     place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    crew, told = crew_that_fails(times), []
-    gate = Gate(place, None, crew, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters())
+    thread_pool, told = thread_pool_that_fails(times), []
+    gate = Gate(
+        place, None, thread_pool, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters()
+    )
     gate.open()
     threading.Thread(target=gate.run, daemon=True).start()
     with socket.create_connection(gate.listener.getsockname()) as theirs:
         theirs.sendall(resp.command([b"PING"]))
         if served:
-            assert theirs.recv(99) == b"+PONG\r\n" and not crew.left
+            assert theirs.recv(99) == b"+PONG\r\n" and not thread_pool.left
             theirs.shutdown(socket.SHUT_WR)
         until(lambda: told)
     assert told == [{"reason": "client closed" if served else "no thread"}]
@@ -425,7 +427,7 @@
 def test_nothing_is_left_of_clients_that_came_and_went():
     place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
     desk, counters = SimpleNamespace(tell=None), Counters()
-    gate = Gate(place, desk, Crew(), SimpleNamespace(info=lambda *_, **__: None), counters)
+    gate = Gate(place, desk, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters)
     gate.open()
     before = threading.active_count()
     threading.Thread(target=gate.run, daemon=True).start()
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -16,11 +16,11 @@
 from lemonlead.gateway.buffer import Malformed
 from lemonlead.gateway.clients import Client, Gate
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Connection, Instances, Pool, Trip, passed_on
 from lemonlead.gateway.place import now
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.server import until
 from lemonlead.told import started
@@ -38,7 +38,7 @@
 def desk():
     place = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
     made = Desk(place.start, Quiet(), Counters())
-    made.instances = Instances(place, made, Crew(), Quiet(), made.counters)
+    made.instances = Instances(place, made, ThreadPool(), Quiet(), made.counters)
     made.discovery = SimpleNamespace(ask=lambda: None)
     made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
     made.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
@@ -213,17 +213,17 @@
     assert passed_on(WORDS, 5) == [b"Q.DO", b"key", b"id", b"c=buy,d=5,t=acme", b"BODY"]
 
 
-def test_a_crew_does_all_at_once_and_keeps_no_more_threads_than_its_work_takes():
-    crew, gate, done = Crew(), threading.Barrier(5), []
+def test_a_thread_pool_does_all_at_once_and_keeps_no_more_threads_than_its_work_takes():
+    thread_pool, gate, done = ThreadPool(), threading.Barrier(5), []
     for _ in range(4):
-        crew.do(gate.wait)
+        thread_pool.do(gate.wait)
     gate.wait(60)  # none waited for another
-    until(lambda: len(crew.free) == 4)
+    until(lambda: len(thread_pool.free) == 4)
 
     def one_is_left():  # though work goes on coming, one piece at a time
-        crew.do(lambda: done.append(threading.get_ident()))
-        until(lambda: crew.free)
-        return len(crew.free) == 1
+        thread_pool.do(lambda: done.append(threading.get_ident()))
+        until(lambda: thread_pool.free)
+        return len(thread_pool.free) == 1
 
     until(one_is_left)
     assert len(set(done[-3:])) == 1
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -20,7 +20,7 @@
 from lemonlead.following.merge import Merge
 from lemonlead.following.words import News
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Instances
@@ -383,7 +383,7 @@
         where.zones, where.news = zones, (1, 0, at.RELEASED, 1.0, 0)
         self.log, self.counters, self.lists = Log(), Counters(), []
         self.desk = Desk(start, self.log, self.counters)
-        self.desk.instances = Instances(where, self.desk, Crew(), self.log, self.counters)
+        self.desk.instances = Instances(where, self.desk, ThreadPool(), self.log, self.counters)
         self.discovery = Discovery(where, self.desk, self.log, self.counters)
         told = {"members": {f"m{n + 1}": one for n, one in enumerate(addresses)}, "wait": wait, **more}
         self.follower = driver.Follower(where, told, self.desk, self.log, self.counters)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -24,11 +24,11 @@
 from lemonlead.gateway import resp, upkeep
 from lemonlead.gateway.clients import Client
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.crew import Crew
 from lemonlead.gateway.desk import Desk as DeskOfGateway
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.http import Objects
 from lemonlead.gateway.place import address
+from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.planning import fleet
 from lemonlead.standins import clients
 from lemonlead.standins.discovery import DiscoveryServer, entry
@@ -218,7 +218,9 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         theirs.connect(listener.getsockname())
         ours, _ = listener.accept()
-        gate = SimpleNamespace(stopping=True, crew=Crew(), lookup=lambda *_: lookup(), gone=lambda _: None)
+        gate = SimpleNamespace(
+            stopping=True, thread_pool=ThreadPool(), lookup=lambda *_: lookup(), gone=lambda _: None
+        )
         gate.weigh, gate.desk = lambda _: True, SimpleNamespace(lookup_arrived=None, TWICE=b"-")
         gate.counters = Counters()
         client = Client(ours, gate, False)
