--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -10,7 +10,7 @@
 
 from . import lines
 from . import place as places
-from .clients import Gate
+from .clients import Server
 from .counters import Counters
 from .desk import Desk
 from .discovery import Discovery
@@ -45,7 +45,7 @@
     desk.discovery = discovery = Discovery(place, desk, log, counters)
     desk.releases = releases = Releases(place, desk, log, counters)
     try:
-        gate = Gate(place, desk, thread_pool, log, counters)
+        server = Server(place, desk, thread_pool, log, counters)
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
@@ -62,22 +62,22 @@
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
         from . import sorting  # what it needs is not imported while no rules are asked for
 
-        gate.sorting = sorting.Sorting(place, path, desk, log, counters)
-        if (reason := gate.sorting.load(places.now())) is not None:
+        server.sorting = sorting.Sorting(place, path, desk, log, counters)
+        if (reason := server.sorting.load(places.now())) is not None:
             print(f"lemonlead.gateway: the rules cannot be used: {reason}", file=sys.stderr)
             return 2
     follower = None
-    if gate.sorting is not None and gate.sorting.follow is not None:
+    if server.sorting is not None and server.sorting.follow is not None:
         from ..following import driver  # nor is this while no ledger is followed
 
         try:
-            follower = driver.Follower(place, gate.sorting.follow, desk, log, counters)
+            follower = driver.Follower(place, server.sorting.follow, desk, log, counters)
         except driver.Unusable as error:
             print(f"lemonlead.gateway: no ledger can be followed: {error}; {error.do}", file=sys.stderr)
             return 2
         follower.start(discovery, known[1], known[2])
     changed = threading.Event()
-    threads = [desk.keep_time, discovery.run, lambda: reread(changed, gate, discovery, releases, desk, log)]
+    threads = [desk.keep_time, discovery.run, lambda: reread(changed, server, discovery, releases, desk, log)]
     threads += [releases.hear, releases.poll] if place.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
@@ -87,22 +87,23 @@
         while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
             pass
     try:
-        if not opened(gate, log):  # nobody was let in: what came from now on might find no end before SIGKILL
+        # nobody was let in: what came from now on might find no end before SIGKILL
+        if not opened(server, log):
             return ended(desk, log, follower, time.monotonic())
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
-    threading.Thread(target=gate.run, daemon=True).start()
-    host, port = gate.listener.getsockname()
+    threading.Thread(target=server.run, daemon=True).start()
+    host, port = server.listener.getsockname()
     log.info("serving", listen=host, port=port, instances=len(known[1]))
     while (asked := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
         if asked == signal.SIGUSR1:
             log.info("counters", **figures(desk, follower))
-            if gate.sorting is not None:
-                gate.sorting.tell()
+            if server.sorting is not None:
+                server.sorting.tell()
         else:
             changed.set()
-    return stop(gate, desk, log, follower)
+    return stop(server, desk, log, follower)
 
 
 def ending():
@@ -110,14 +111,14 @@
     return not ENDS.isdisjoint(signal.sigpending())
 
 
-def opened(gate, log):
+def opened(server, log):
     """Whether it listens; not if the process is to end before it can. A process before us under our address
     goes on listening for 1.5 s after SIGTERM at most. Raises OSError where the address is not to be had, also
     after TAKEN."""
     until = None
     while not ending():
         try:
-            gate.open()
+            server.open()
             return True
         except OSError as error:
             if error.errno != errno.EADDRINUSE or until is not None and time.monotonic() > until:
@@ -129,7 +130,7 @@
     return False
 
 
-def reread(changed, gate, discovery, releases, desk, log):
+def reread(changed, server, discovery, releases, desk, log):
     """The thread that reads anew after SIGHUP: a large set of rules takes a while, and SIGTERM must not wait
     for it."""
     while True:
@@ -137,8 +138,8 @@
         changed.clear()
         try:
             move(discovery, releases, log)
-            if gate.sorting is not None:
-                gate.sorting.load(places.now())
+            if server.sorting is not None:
+                server.sorting.load(places.now())
         except Exception:  # the next SIGHUP depends on the thread
             desk.fault(traceback.format_exc())
 
@@ -162,24 +163,24 @@
     return {name.replace(" ", "_").replace(":", ""): count for name, count in counted.items()}
 
 
-def stop(gate, desk, log, follower):
+def stop(server, desk, log, follower):
     """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
     it tells the ledger that it sends no more. What came by the end of LINGER has until its hard stop. What
     came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
     process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
     log.info("stopping", open=len(desk.asks))
-    longest = max((lane.hard_stop for lane in gate.place.start.lanes), default=0) / 1e9
+    longest = max((lane.hard_stop for lane in server.place.start.lanes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
     late = places.now()
-    gate.close()
-    while gate.close_idle() or not gate.closed.is_set() or desk.asks:
+    server.close()
+    while server.close_idle() or not server.closed.is_set() or desk.asks:
         if (moment := time.monotonic()) >= until + LAST:
             break
         if moment >= soon:
-            gate.hurry(late if moment < until else 0)
+            server.hurry(late if moment < until else 0)
         time.sleep(TICK)
     return ended(desk, log, follower, until + LAST)
 
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -55,8 +55,8 @@
     """One client's connection. `room` guards its asks, what is unsent, and why it ends. Its own thread alone
     reads and closes it: others ask that thread to, so that what has come by then is answered first."""
 
-    def __init__(self, sock, gate, extra):
-        self.sock, self.gate, self.extra = sock, gate, extra
+    def __init__(self, sock, server, extra):
+        self.sock, self.server, self.extra = sock, server, extra
         self.reader = resp.Reader(commands=True)
         self.room = threading.Condition()
         self.asks = deque()  # not yet answered in full, in their order
@@ -81,7 +81,7 @@
         except OSError:
             reason = RESET
         except Exception:
-            self.gate.desk.fault(traceback.format_exc())
+            self.server.desk.fault(traceback.format_exc())
         finally:
             self.close(reason)
 
@@ -117,7 +117,7 @@
         """Ends it if it has stood between lookups, or without the first, for too long; what has come by then
         is read first. Clients may have a bound of their own, and those that hold theirs for good keep out all
         others, long before there is no room here. It could end some that are used again: they come anew."""
-        rest = REST if len(self.gate.clients) < self.gate.most // 2 else SHORT_REST
+        rest = REST if len(self.server.clients) < self.server.most // 2 else SHORT_REST
         with self.room:
             rested = time.monotonic() - self.since >= (rest if self.asked else PART)
             if rested and not (self.asks or self.unsent) and self.reader.empty():
@@ -135,7 +135,7 @@
         size = len(self.reader.buffer.data) if len(self.reader.buffer) else 0  # an empty one is cut
         size = size if size > LARGE else 0
         if size != self.weight:
-            if not self.gate.weigh(size - self.weight):
+            if not self.server.weigh(size - self.weight):
                 raise resp.Malformed("no room for so large a command")
             self.weight = size
 
@@ -145,15 +145,15 @@
         if name == b"PING":
             return self.put(Ask(self, (), b"+PONG\r\n"))
         try:
-            lookup = self.gate.lookup(arrived, name, words)
+            lookup = self.server.lookup(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
             self.put(Ask(self, (), resp.error(f"ERR no lookup: {text}")))
             return self.fault()
         ask, size = Ask(self, words, None, lookup), sum(map(len, words))
         self.put(ask)
-        desk, turned_away = self.gate.desk, self.extra and self.gate.crowded()
-        if size > LARGE and self.gate.weigh(size):
+        desk, turned_away = self.server.desk, self.extra and self.server.crowded()
+        if size > LARGE and self.server.weigh(size):
             ask.weight = size
         elif size > LARGE:
             turned_away = True
@@ -163,10 +163,10 @@
 
     def fault(self):
         """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
-        self.gate.counters.add("bad lookups")
+        self.server.counters.add("bad lookups")
         self.faults += 1
         with self.room:  # not once it stops: what came behind it may have no time left then
-            self.wait(lambda: self.gate.stopping, min(self.faults * PENALTY, MOST_PENALTY))
+            self.wait(lambda: self.server.stopping, min(self.faults * PENALTY, MOST_PENALTY))
 
     def wait(self, ready, length=math.inf):
         """Waits, with `room` held, until it is ready or the connection broken, for so many seconds at most.
@@ -198,7 +198,7 @@
                 return
             lookups = self.unanswered()
         if lookups:
-            self.gate.desk.tell(self.gate.desk.cut_short, lookups)
+            self.server.desk.tell(self.server.desk.cut_short, lookups)
         self.put(Ask(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
             self.wait(lambda: not (self.asks or self.writing), SLOWEST)
@@ -241,7 +241,7 @@
                 self.unsent += ask.answer
                 self.answered = True
                 if ask.weight:
-                    self.gate.weigh(-ask.weight)
+                    self.server.weigh(-ask.weight)
             self.since = time.monotonic()
             if self.unsent and not self.writing:
                 with contextlib.suppress(OSError):
@@ -249,13 +249,13 @@
                 if self.unsent and not self.broken:
                     self.write_later()
             self.room.notify_all()
-        if self.gate.stopping:
+        if self.server.stopping:
             self.leave("stopping")
 
     def write_later(self):
         try:
             self.writing = True
-            self.gate.thread_pool.do(self.drain)
+            self.server.thread_pool.do(self.drain)
         except RuntimeError:
             self.writing = False
             self.end("no thread")
@@ -300,7 +300,7 @@
     def close(self, reason):
         self.end(reason)
         if not {reason, self.reason} & {LEFT, RESET} and self.in_vain():
-            self.gate.counters.add("new connections ended in vain")
+            self.server.counters.add("new connections ended in vain")
         with self.room:
             while self.writing:
                 self.room.wait()
@@ -308,10 +308,10 @@
             self.weight += sum(ask.weight for ask in self.asks)
             self.asks.clear()
             self.sock.close()
-        self.gate.weigh(-self.weight)
+        self.server.weigh(-self.weight)
         if lookups:
-            self.gate.desk.tell(self.gate.desk.client_left, lookups)
-        self.gate.gone(self)
+            self.server.desk.tell(self.server.desk.client_left, lookups)
+        self.server.gone(self)
 
 
 def seconds(length):
@@ -319,7 +319,7 @@
     return struct.pack("ll", int(length), int(length % 1 * 1e6))
 
 
-class Gate:
+class Server:
     """Listens, and keeps the clients' connections within their bound."""
 
     def __init__(self, place, desk, thread_pool, log, counters):
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -13,7 +13,7 @@
 from lemonlead.gateway import clients
 from lemonlead.gateway import place as places
 from lemonlead.gateway import resp
-from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.clients import Server
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
@@ -40,9 +40,9 @@
 
 @contextlib.contextmanager
 def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
-    """A gateway in this process among these instances, all on loopback: `gate`, `desk`, `log`, `count(name)`,
-    `tell(*entries)` changes its list, `client()` connects one and waits until ours stands, which is
-    `ours(client)`."""
+    """A gateway in this process among these instances, all on loopback: `gateway_server`, `desk`, `log`,
+    `count(name)`, `tell(*entries)` changes its list, `client()` connects one and waits until ours stands,
+    which is `ours(client)`."""
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
         "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
@@ -57,15 +57,15 @@
     desk = Desk(place.start, log, counters)
     desk.instances = Instances(place, desk, thread_pool, log, counters)
     desk.discovery = discovery = Discovery(place, desk, log, counters)
-    gate = Gate(place, desk, thread_pool, log, counters)
+    gateway_server = Server(place, desk, thread_pool, log, counters)
     with desk.lock:
         discovery.listed(places.now(), *discovery.read(place.known), True, False)
         desk.balancer.stage_told(places.now(), *place.news)
     threading.Thread(target=desk.keep_time, daemon=True).start()
-    gate.open()
-    thread = threading.Thread(target=gate.run, daemon=True)
+    gateway_server.open()
+    thread = threading.Thread(target=gateway_server.run, daemon=True)
     thread.start()
-    port, made = gate.listener.getsockname()[1], []
+    port, made = gateway_server.listener.getsockname()[1], []
 
     def client():
         made.append(Client(port))
@@ -74,8 +74,8 @@
 
     def ours(client):
         theirs = client.sock.getsockname()
-        with gate.room:
-            for one in gate.clients:
+        with gateway_server.room:
+            for one in gateway_server.clients:
                 with contextlib.suppress(OSError):  # its own has ended
                     if one.sock.getpeername() == theirs:
                         return one
@@ -89,15 +89,16 @@
 
     try:
         yield SimpleNamespace(
-            gate=gate, desk=desk, log=log, count=count, client=client, ours=ours, tell=tell, thread=thread
+            gateway_server=gateway_server, desk=desk, log=log, count=count, client=client, ours=ours,
+            tell=tell, thread=thread
         )
         assert not [line for line in log.lines if line[0] == "fault"] and thread.is_alive()
     finally:
         for one in made:
             one.sock.close()
-        gate.closing = True
+        gateway_server.closing = True
         thread.join(10)
-        gate.listener.close()
+        gateway_server.listener.close()
         for server in servers:
             server.close()
 
@@ -193,8 +194,8 @@
         else:
             assert client.read() == b"PONG"
             client.sock.close()
-        until(lambda: not ran.gate.clients)
-        assert ran.gate.held == 0
+        until(lambda: not ran.gateway_server.clients)
+        assert ran.gateway_server.held == 0
 
 
 def buys(client, id, size=60_000):
@@ -210,15 +211,16 @@
         buys(client, b"id1")
         until(lambda: server.got)
         assert buys(other, b"id1").read().startswith(b"ERR no lookup: its id")
-        one = ran.gate.held - sum(theirs.weight for theirs in ran.gate.clients)  # less their buffers
+        # less their buffers
+        one = ran.gateway_server.held - sum(theirs.weight for theirs in ran.gateway_server.clients)
         assert 60_000 < one < 61_000
         if answered:
             server.go.set()
             assert client.read() == b"key"
         end(other)
         end(client)
-        until(lambda: not ran.gate.clients)
-        assert ran.gate.held == 0
+        until(lambda: not ran.gateway_server.clients)
+        assert ran.gateway_server.held == 0
 
 
 @pytest.mark.parametrize(
@@ -231,7 +233,7 @@
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         client = ran.client()
-        assert ran.gate.weigh(others := ran.gate.most_held - room)
+        assert ran.gateway_server.weigh(others := ran.gateway_server.most_held - room)
         paused = Paused(ran.ours(client))
         buys(client, b"id1", size)
         until(lambda: len(paused.sock.recv(1 << 17, socket.MSG_PEEK)) > size)  # so each read fills its buffer
@@ -239,7 +241,7 @@
         answer = client.read()
         assert answer == b"key" if fits else answer.startswith(b"BUSY") and not server.got
         assert client.write(resp.command([b"PING"])).read() == b"PONG"  # its connection stays
-        assert ran.gate.held == others
+        assert ran.gateway_server.held == others
 
 
 # ---- a client that goes, with its thread held and what it asked not yet sent on
@@ -257,7 +259,7 @@
 def left_at_once(ran, asked):
     """Whether all that its client asked is dropped soon after its end, and nothing of it is sent on then."""
     until(lambda: ran.count("left") == asked, 20)
-    until(lambda: not ran.gate.clients, 20)
+    until(lambda: not ran.gateway_server.clients, 20)
     ran.tell(entry("i0", ran.server))
     assert ran.client().ask(b"other").read() == b"other"
     return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
@@ -308,7 +310,9 @@
     with gateway(tmp_path, server.start()) as ran:
         monkeypatch.setattr(Instances, where, held)
         if where == "start":  # its client's own thread would hand it over
-            monkeypatch.setattr(Instances, "start", lambda *trip: ran.gate.thread_pool.do(held, *trip))
+            monkeypatch.setattr(
+                Instances, "start", lambda *trip: ran.gateway_server.thread_pool.do(held, *trip)
+            )
         client = ran.client().ask()
         assert met.wait(60)
         end(client)
@@ -489,9 +493,9 @@
         assert slow.met.wait(60)
         client.sock.close()
         until(lambda: ours.broken)
-        assert slow.sock.fileno() >= 0 and ran.gate.clients == {ours}
+        assert slow.sock.fileno() >= 0 and ran.gateway_server.clients == {ours}
         slow.go.set()
-        until(lambda: not ran.gate.clients)
+        until(lambda: not ran.gateway_server.clients)
         assert slow.sock.fileno() < 0 and not ours.writing
 
 
@@ -528,7 +532,7 @@
         until(lambda: server.got)
         assert ask_by(bad, b"theirs").read().startswith(b"ERR no lookup: its id")
         end(bad)
-        until(lambda: len(ran.gate.clients) == 1)
+        until(lambda: len(ran.gateway_server.clients) == 1)
         other = ran.client()
         assert ask_by(other, b"theirs").read().startswith(b"ERR no lookup: its id")  # it is still open
         server.go.set()
@@ -580,9 +584,9 @@
         ours = ran.ours(client)
         monkeypatch.setattr(ran.log, "info", lambda *_, **__: met.set() or go.wait(60), raising=False)
         client.sock.close()
-        assert met.wait(60) and ran.gate.clients == {ours}
+        assert met.wait(60) and ran.gateway_server.clients == {ours}
         go.set()
-        until(lambda: not ran.gate.clients)
+        until(lambda: not ran.gateway_server.clients)
 
 
 # ---- an answer that is decided just as its connection ends
@@ -630,5 +634,5 @@
         other = ask_by(ran.client(), b"second")  # with the same id
         assert other.read() == b"second"
         late.go.set()
-        until(lambda: len(ran.gate.clients) == 1)
+        until(lambda: len(ran.gateway_server.clients) == 1)
         assert (ran.count("taken"), ran.count("succeeded"), ran.count("left")) == (2, 2, 0)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -19,7 +19,7 @@
 import pytest
 from lemonlead.gateway import __main__ as gateways
 from lemonlead.gateway import clients, resp
-from lemonlead.gateway.clients import MUTE, Client, Gate
+from lemonlead.gateway.clients import MUTE, Client, Server as GatewayServer
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins import fleet
@@ -34,10 +34,10 @@
 # when the process ends.
 LOGS_TO_THE_END = """
 import io, os, sys, threading, time
-from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.clients import Server as GatewayServer
 
 stopped, writing = threading.Event(), threading.Event()
-gone = Gate.gone
+gone = GatewayServer.gone
 
 class Out(io.RawIOBase):
     def writable(self):
@@ -52,16 +52,16 @@
             stopped.set()
         return len(data)
 
-def log_late(gate, client):
-    with gate.room:
-        gate.clients.discard(client)
+def log_late(gateway_server, client):
+    with gateway_server.room:
+        gateway_server.clients.discard(client)
     stopped.wait()
-    gone(gate, client)
+    gone(gateway_server, client)
 
 def after(leave):
     return lambda code: writing.wait() and leave(code)
 
-Gate.gone, sys.exit, os._exit = log_late, after(sys.exit), after(os._exit)
+GatewayServer.gone, sys.exit, os._exit = log_late, after(sys.exit), after(os._exit)
 sys.stdout = io.TextIOWrapper(io.BufferedWriter(Out()))
 """
 
@@ -86,26 +86,26 @@
 # The first connection is accepted, and not yet among the clients until the stop has looked at them twice.
 ADMITS_LATE = """
 import threading
-from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.clients import Server as GatewayServer
 
 looks, accepted = threading.Semaphore(0), threading.Event()
-made_room, close_idle, close = Gate.made_room, Gate.close_idle, Gate.close
+made_room, close_idle, close = GatewayServer.made_room, GatewayServer.close_idle, GatewayServer.close
 
-def late(gate):
+def late(gateway_server):
     accepted.set()
     looks.acquire() and looks.acquire()
-    return made_room(gate)
+    return made_room(gateway_server)
 
-def look(gate):
-    left = close_idle(gate)
+def look(gateway_server):
+    left = close_idle(gateway_server)
     looks.release()
     return left
 
-def closing(gate):
+def closing(gateway_server):
     accepted.wait()
-    close(gate)
+    close(gateway_server)
 
-Gate.made_room, Gate.close_idle, Gate.close = late, look, closing
+GatewayServer.made_room, GatewayServer.close_idle, GatewayServer.close = late, look, closing
 """
 
 
@@ -224,11 +224,11 @@
 )
 def test_a_new_connection_is_given_a_moment_for_its_first_lookup(asked, before, stays):
     ours, theirs = socket.socketpair()
-    gate = SimpleNamespace(clients=set(), room=threading.Condition())
-    client = Client(ours, gate, False)
+    gateway_server = SimpleNamespace(clients=set(), room=threading.Condition())
+    client = Client(ours, gateway_server, False)
     client.asked, client.since = asked, time.monotonic() + (-before if before else 60)  # no time runs out
-    gate.clients.add(client)
-    assert Gate.close_idle(gate) and (client.reason is None) is stays
+    gateway_server.clients.add(client)
+    assert GatewayServer.close_idle(gateway_server) and (client.reason is None) is stays
     for sock in (ours, theirs):
         sock.close()
 
@@ -246,7 +246,7 @@
     clock.sleep = lambda seconds: setattr(clock, "at", clock.at + seconds)
     monkeypatch.setattr(gateways, "time", clock)
     monkeypatch.setattr(gateways.places, "now", lambda: clock.at * 1e9)
-    gate = SimpleNamespace(
+    gateway_server = SimpleNamespace(
         place=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
         close=lambda: None,
         close_idle=lambda: True,
@@ -254,7 +254,7 @@
         hurry=lambda since: seen.append((clock.at, since / 1e9)),
     )
     desk = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
-    assert gateways.stop(gate, desk, SimpleNamespace(info=lambda *_, **__: None), None) == 0
+    assert gateways.stop(gateway_server, desk, SimpleNamespace(info=lambda *_, **__: None), None) == 0
     moments = [at for at, _ in seen]
     assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
     assert min(at for at, since in seen if since == 0) == pytest.approx(all_of_it, abs=2 * gateways.TICK)
@@ -318,10 +318,10 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         listen = other.getsockname() if taken else ("192.0.2.1", 9)  # one that no machine has
         place = SimpleNamespace(connections=8, memory=16000, listen=listen)
-        gate = Gate(place, None, None, None, Counters())
+        gateway_server = GatewayServer(place, None, None, None, Counters())
         with pytest.raises(OSError):
-            gateways.opened(gate, SimpleNamespace(info=lambda *_, **__: None))
-        gate.listener.close()
+            gateways.opened(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
+        gateway_server.listener.close()
     assert (sum(slept) >= gateways.TAKEN) is waits and bool(slept) is waits
 
 
@@ -360,26 +360,26 @@
 
 NO_DESCRIPTORS = """
 import os, resource, threading
-from lemonlead.gateway.clients import Gate
+from lemonlead.gateway.clients import Server as GatewayServer
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
 
-accept, read, held = Gate.accept, Counters.read, []
+accept, read, held = GatewayServer.accept, Counters.read, []
 
-def without(gate):
+def without(gateway_server):
     resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
     try:
         while True:
             held.append(os.open("/dev/null", os.O_RDONLY))
     except OSError:
-        accept(gate)
+        accept(gateway_server)
 
 def asked(counters):
     while held:
         os.close(held.pop())
     return read(counters)
 
-Gate.accept, Counters.read = without, asked
+GatewayServer.accept, Counters.read = without, asked
 """
 
 
@@ -408,43 +408,45 @@
     monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
     place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
     thread_pool, told = thread_pool_that_fails(times), []
-    gate = Gate(
+    gateway_server = GatewayServer(
         place, None, thread_pool, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters()
     )
-    gate.open()
-    threading.Thread(target=gate.run, daemon=True).start()
-    with socket.create_connection(gate.listener.getsockname()) as theirs:
+    gateway_server.open()
+    threading.Thread(target=gateway_server.run, daemon=True).start()
+    with socket.create_connection(gateway_server.listener.getsockname()) as theirs:
         theirs.sendall(resp.command([b"PING"]))
         if served:
             assert theirs.recv(99) == b"+PONG\r\n" and not thread_pool.left
             theirs.shutdown(socket.SHUT_WR)
         until(lambda: told)
     assert told == [{"reason": "client closed" if served else "no thread"}]
-    gate.close()
-    assert gate.closed.is_set()
+    gateway_server.close()
+    assert gateway_server.closed.is_set()
 
 
 def test_nothing_is_left_of_clients_that_came_and_went():
     place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
     desk, counters = SimpleNamespace(tell=None), Counters()
-    gate = Gate(place, desk, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters)
-    gate.open()
+    gateway_server = GatewayServer(
+        place, desk, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
+    )
+    gateway_server.open()
     before = threading.active_count()
-    threading.Thread(target=gate.run, daemon=True).start()
+    threading.Thread(target=gateway_server.run, daemon=True).start()
 
     def come_and_go(count):
         for _ in range(count):
-            with socket.create_connection(gate.listener.getsockname()) as theirs:
+            with socket.create_connection(gateway_server.listener.getsockname()) as theirs:
                 theirs.sendall(resp.command([b"PING"]))
                 assert theirs.recv(99) == b"+PONG\r\n"
-        until(lambda: not gate.clients)
+        until(lambda: not gateway_server.clients)
         return counters.read()
 
     few, many = come_and_go(5), come_and_go(200)
     assert set(few) == set(many) and many["clients ended: client closed"] == 205
-    gate.close()
+    gateway_server.close()
     until(lambda: threading.active_count() <= before)
-    assert gate.closed.is_set() and gate.held == 0
+    assert gateway_server.closed.is_set() and gateway_server.held == 0
 
 
 # ---- signals before the gateway waits for them
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -14,7 +14,7 @@
 from lemonlead import interface as at
 from lemonlead.gateway import upkeep
 from lemonlead.gateway.buffer import Malformed
-from lemonlead.gateway.clients import Client, Gate
+from lemonlead.gateway.clients import Client, Server
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
@@ -232,9 +232,9 @@
 @pytest.mark.parametrize("size, fits", [(1000, True), (1001, False)])
 def test_large_commands_of_all_clients_share_one_bound(size, fits):
     place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    gate = Gate(place, None, None, Quiet(), Counters())
-    assert gate.weigh(1000) and gate.weigh(size) is fits and gate.held == 1000 + size * fits
-    gate.listener.close()
+    server = Server(place, None, None, Quiet(), Counters())
+    assert server.weigh(1000) and server.weigh(size) is fits and server.held == 1000 + size * fits
+    server.listener.close()
 
 
 @pytest.mark.parametrize(
@@ -244,28 +244,28 @@
 )
 def test_an_unused_connection_ends_the_sooner_the_more_there_are(asked, others, rested, ends):
     place = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
-    gate, (ours, theirs) = Gate(place, None, None, Quiet(), Counters()), socket.socketpair()
-    client, gate.clients = Client(ours, gate, False), set(range(others))
+    server, (ours, theirs) = Server(place, None, None, Quiet(), Counters()), socket.socketpair()
+    client, server.clients = Client(ours, server, False), set(range(others))
     client.asked, client.since = asked, time.monotonic() - rested
     client.rests()
     assert client.reason == ends
-    gate.listener.close()
+    server.listener.close()
     theirs.close()
 
 
 @pytest.mark.parametrize("asked, faults, gone", [(True, 0, 0), (False, 0, 1), (True, 1, 1)])
 def test_those_that_never_asked_or_ask_nonsense_make_room_first(asked, faults, gone):
     place = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    gate, left = Gate(place, None, None, Quiet(), Counters()), []
+    server, left = Server(place, None, None, Quiet(), Counters()), []
     pairs = [socket.socketpair() for _ in range(2)]
-    clients = [Client(ours, gate, False) for ours, _ in pairs]
+    clients = [Client(ours, server, False) for ours, _ in pairs]
     for number, client in enumerate(clients):
         client.asked, client.since = True, number  # both rested for long, the first for longer
         client.leave = lambda reason, number=number: left.append(number)
     clients[1].asked, clients[1].faults = asked, faults
-    gate.clients = set(clients)
-    assert gate.made_room() and left == [gone]
-    gate.listener.close()
+    server.clients = set(clients)
+    assert server.made_room() and left == [gone]
+    server.listener.close()
 
 
 ENTRY = {"id": "i1", "addr": "127.0.0.1:7", "zone": "a", "kind": "b", "state": "up", "revision_no": 1}
@@ -299,27 +299,27 @@
     place = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
     told, desk = [], SimpleNamespace(lookup_turned_away="away", lookup_arrived="arrived", TWICE=b"-")
     desk.tell = lambda happened, *_: told.append(happened)
-    gate = Gate(place, desk, None, Quiet(), Counters())
-    gate.lookup = lambda *_: lookup()
+    server = Server(place, desk, None, Quiet(), Counters())
+    server.lookup = lambda *_: lookup()
     pairs = [socket.socketpair() for _ in range(4)]
-    client, *others = clients = [Client(ours, gate, True) for ours, _ in pairs]
+    client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
     for other in others[: waiting - 1]:
         other.asks.append(None)
-    gate.clients = set(clients)
+    server.clients = set(clients)
     client.take(WORDS)
     assert told == ["away" if crowded else "arrived"]
-    gate.listener.close()
+    server.listener.close()
 
 
 def test_what_waits_to_be_accepted_is_still_taken_when_the_door_closes():
     place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    gate, taken = Gate(place, None, None, Quiet(), Counters()), []
-    gate.admit, gate.closing = taken.append, True
-    gate.open()
-    waiting = [socket.create_connection(gate.listener.getsockname()) for _ in range(5)]
-    gate.run()
-    assert len(taken) == 5 and gate.closed.is_set()
-    for sock in waiting + taken + [gate.listener]:
+    server, taken = Server(place, None, None, Quiet(), Counters()), []
+    server.admit, server.closing = taken.append, True
+    server.open()
+    waiting = [socket.create_connection(server.listener.getsockname()) for _ in range(5)]
+    server.run()
+    assert len(taken) == 5 and server.closed.is_set()
+    for sock in waiting + taken + [server.listener]:
         sock.close()
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -218,18 +218,20 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         theirs.connect(listener.getsockname())
         ours, _ = listener.accept()
-        gate = SimpleNamespace(
+        gateway_server = SimpleNamespace(
             stopping=True, thread_pool=ThreadPool(), lookup=lambda *_: lookup(), gone=lambda _: None
         )
-        gate.weigh, gate.desk = lambda _: True, SimpleNamespace(lookup_arrived=None, TWICE=b"-")
-        gate.counters = Counters()
-        client = Client(ours, gate, False)
+        gateway_server.weigh, gateway_server.desk = (
+            lambda _: True, SimpleNamespace(lookup_arrived=None, TWICE=b"-")
+        )
+        gateway_server.counters = Counters()
+        client = Client(ours, gateway_server, False)
 
         def answer(happened, ask, lookup):
             ask.answer = resp.bulk(ask.words[1] * 400_000)
             client.flush()
 
-        gate.desk.tell = answer
+        gateway_server.desk.tell = answer
         yield client, theirs
 
 
@@ -434,7 +436,7 @@
         client.sock.recv(1, socket.MSG_PEEK)  # it has come
     client.answered = answered
     client.close(reason)
-    assert client.gate.counters.read().get("new connections ended in vain", 0) == counted
+    assert client.server.counters.read().get("new connections ended in vain", 0) == counted
 
 
 def test_of_many_new_connections_at_the_bound_under_one_in_200_ends_in_vain(tmp_path):
