--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -1,7 +1,7 @@
 """What gateways that follow cost a leader: CPU a poll and a change at 1, 10, 100 and 500 of them, as ratios.
 
-`python -m benchmarks.followers`: a whole desk of one member, its disk at once; each gateway polls, is told of
-each change and polls again, as over HTTP but without it (encoding the answer is counted)."""
+`python -m benchmarks.followers`: a whole dispatcher of one member, its disk at once; each gateway polls, is
+told of each change and polls again, as over HTTP but without it (encoding the answer is counted)."""
 
 import statistics
 import sys
@@ -10,7 +10,7 @@
 import msgspec
 
 from lemonlead.ledger import capacity, followers, seating
-from lemonlead.ledger.desk import Desk
+from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.records import Kept, Seat, Told
 from lemonlead.ledger.state import Ledger
 
@@ -19,7 +19,7 @@
 
 
 class Door:
-    """Writes are done as soon as the desk has nothing else to do; each gateway polls anew at once."""
+    """Writes are done as soon as the dispatcher has nothing else to do; each gateway polls anew at once."""
 
     def __init__(self):
         self.writes, self.told, self.answers = [], [], {}
@@ -51,38 +51,38 @@
         state, base = seating.formed({"g1": Seat("h:1", "f1")}, seating.Terms())
         told = Told(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
-        self.desk = Desk(told, Kept(term=1, base=base), ledger, state, self.now)
-        while self.desk.replica.role != "leader":
-            self.now = max(self.desk.wake_at(), self.now + MS)
+        self.dispatcher = Dispatcher(told, Kept(term=1, base=base), ledger, state, self.now)
+        while self.dispatcher.replica.role != "leader":
+            self.now = max(self.dispatcher.wake_at(), self.now + MS)
             self.settle()
         for number in range(NODES):
             self.command("node", node=f"n{number}", site="s", units=100)
         self.names = [f"gw{number}" for number in range(gateways)]
         for name in self.names:
             self.command("follow", gateway=name)
-            self.poll(name, self.desk.state.index)
+            self.poll(name, self.dispatcher.state.index)
         self.settle()
         self.again()
 
     def settle(self):
-        self.desk.told_time(self.now, self.now // MS)
+        self.dispatcher.told_time(self.now, self.now // MS)
         while True:
-            while self.desk.decide(self.now, self.door):
+            while self.dispatcher.decide(self.now, self.door):
                 pass
             if not self.door.writes:
                 return
-            self.desk.written(self.now, self.door.writes.pop(0))
+            self.dispatcher.written(self.now, self.door.writes.pop(0))
 
     def command(self, kind, **fields):
         self.number += 1
         data = msgspec.json.encode({"id": f"b/{self.number}", "kind": kind, **fields})
-        self.desk.command(self.now, data, self.number)
+        self.dispatcher.command(self.now, data, self.number)
         self.settle()
         assert self.door.answers[self.number] == 200
 
     def poll(self, name, after):
-        since = self.desk.state.part("followers")[name].since
-        self.desk.poll(self.now, after, name, name, since)
+        since = self.dispatcher.state.part("followers")[name].since
+        self.dispatcher.poll(self.now, after, name, name, since)
 
     def again(self):
         """Each gateway that was told polls for what comes after that."""
@@ -107,7 +107,9 @@
     world = World(gateways)
     rounds = [statistics.median(world.change(n)[0] for n in range(CHANGES)) for _ in range(ROUNDS)]
     began = time.process_time()
-    waits = world.desk.followers.waited_for(world.now, world.desk.state, world.desk.state.index)
+    waits = world.dispatcher.followers.waited_for(
+        world.now, world.dispatcher.state, world.dispatcher.state.index
+    )
     return statistics.median(rounds), time.process_time() - began, world.change(0)[1], len(waits)
 
 
--- a/lemonlead/drains/duty.py
+++ b/lemonlead/drains/duty.py
@@ -1,5 +1,5 @@
-"""What a leader proposes for drains, one command at a time (a `ledger.desk.Duty`). All that counts is in
-the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
+"""What a leader proposes for drains, one command at a time (a `ledger.dispatcher.Duty`). All that counts is
+in the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
 from . import ground
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -1,4 +1,5 @@
-"""The thread that follows a ledger: asks members what `course.py` says, tells the desk what they answer."""
+"""The thread that follows a ledger: asks members what `course.py` says, tells the dispatcher what they
+answer."""
 
 import contextlib
 import os
@@ -42,10 +43,10 @@
 
 
 class Follower:
-    def __init__(self, place, told, desk, log, counters):
+    def __init__(self, place, told, dispatcher, log, counters):
         """`told`: the settings' `follow`. Unusable where it can't be followed."""
         me, members = checked(told, place.name)
-        self.desk, self.log, self.counters = desk, log, counters
+        self.dispatcher, self.log, self.counters = dispatcher, log, counters
         self.wait = told.get("wait", 0) / 1e9  # seconds that a start waits for the first state
         moves = "service" in told or "far" in told
         self.heeds = words.ASKED if moves else words.PARTS
@@ -56,7 +57,7 @@
         if moves:
             from .service import Service  # not imported while no moves are followed
 
-            self.merge = self.service = Service(told, place, desk, self.course, log, counters)
+            self.merge = self.service = Service(told, place, dispatcher, self.course, log, counters)
             self.news = place.news
         self.sock = self.at = None  # the connection that stands, and to where
         self.first, self.woken, self.over = threading.Event(), threading.Event(), threading.Event()
@@ -66,7 +67,7 @@
         """From now on the balancer is told what both say. `lines`, `addresses`: the list as told before. Back
         once the ledger was heard or `wait` is over: a gateway that is not waited for should send nothing,
         and one that hears nothing should serve."""
-        with self.desk.lock:
+        with self.dispatcher.lock:
             self.discovery, discovery.merge = discovery, self.merge
             if self.service is not None:
                 self.service.begin(now(), self.news)
@@ -161,7 +162,7 @@
             if status == 200 and not self.heeded(told):
                 return self.unheeded(told)
             outcome = interface.COUNTED if status == 200 else interface.MOOT
-            self.desk.tell(self.service.voted, ask.number, outcome)
+            self.dispatcher.tell(self.service.voted, ask.number, outcome)
             self.course.voted(ask.number)
         elif status == 200:
             since = words.whole_number(told, "at")
@@ -213,7 +214,7 @@
     def obey(self, news, leader):
         """Whether the balancer was told. Only then is the next poll an acknowledgement: from then on its
         `may_begin` lets no send begin that was meant for what is out."""
-        self.desk.tell(self.heard, news)
+        self.dispatcher.tell(self.heard, news)
         if self.obeyed[0] != news.cluster or self.obeyed[1] < news.at:
             return False
         self.course.obeyed(now(), news.at, leader)
@@ -221,7 +222,7 @@
         return True
 
     def heard(self, moment, news):
-        """Under the desk's lock."""
+        """Under the dispatcher's lock."""
         told = self.merge.heard(moment, news)
         if told is None:
             return
@@ -285,9 +286,9 @@
     def leave(self, until):
         """After the last send has ended: asks not to be waited for any more. Where one is still out at
         `until` (of `time.monotonic`), it says nothing: the ledger waits until the lease ran out."""
-        while self.desk.instances.trips and time.monotonic() < until:
+        while self.dispatcher.instances.trips and time.monotonic() < until:
             time.sleep(0.02)
-        if self.desk.instances.trips:
+        if self.dispatcher.instances.trips:
             return False
         self.leaves = True
         self.woken.set()
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -1,7 +1,7 @@
 """A gateway's part in the moves of its service: what discovery, the ledger and the platform say passes here
 on its way to the one balancer, and its votes on the way back. Imported only where a service is named.
 
-All of it runs under the desk's lock; what is decided is decided in `sides.py`."""
+All of it runs under the dispatcher's lock; what is decided is decided in `sides.py`."""
 
 from .. import interface as at
 from ..gateway.place import now as clock
@@ -41,9 +41,9 @@
     """As `merge.Merge` for discovery and the follower, as the balancer for the platform's news, as the
     platform for votes. `course`: what the ledger is to be told goes there."""
 
-    def __init__(self, told, place, desk, course, log, counters):
+    def __init__(self, told, place, dispatcher, course, log, counters):
         self.sides, self.merge = Sides(*checked(told, place)), Merge()
-        self.desk, self.course, self.log, self.counters = desk, course, log, counters
+        self.dispatcher, self.course, self.log, self.counters = dispatcher, course, log, counters
         self.cast = self.logged = None  # the ballot that waits for the ledger's answer; what was last logged
 
     def begin(self, now, news):
@@ -51,7 +51,7 @@
         if news is not None:
             self.sides.platform_told(now, *news)
             self.sides.stage(now)
-        self.desk.service = self
+        self.dispatcher.service = self
 
     # ---- lists
 
@@ -72,7 +72,7 @@
     def shown(self, now, whole=False, again=False):
         """What of the list the balancer is to be told; of builds it is told here."""
         if (stage := self.sides.stage(now, again)) is not None:
-            self.desk.balancer.stage_told(now, *stage)
+            self.dispatcher.balancer.stage_told(now, *stage)
         self.say()
         if self.sides.lost is not None:
             self.tell_ledger((*self.sides.lost, "back"), False)
@@ -87,7 +87,7 @@
         more |= {"share": sides.share(), "waits": sides.waits()}
         if more != self.logged:
             self.logged = more
-            self.desk.chores.append((self.tell, more))
+            self.dispatcher.chores.append((self.tell, more))
 
     def tell(self, more):
         self.log.info("shift", **more)
@@ -103,7 +103,7 @@
 
     def put(self, now, told):
         if told[0]:
-            self.desk.discovery.put(now, *told, False, False)
+            self.dispatcher.discovery.put(now, *told, False, False)
 
     def ended(self, now, send, end):
         self.counters.add(f"shift sends {'far' if send.instance.zone in self.sides.abroad else 'near'}")
@@ -118,11 +118,13 @@
     def vote(self, build, stage, verdict):
         cast = self.sides.vote(build, stage)
         if cast is None:
-            return self.desk.releases.vote(build, stage, verdict)
+            return self.dispatcher.releases.vote(build, stage, verdict)
         held = verdict not in WORDS or verdict == at.ON and self.sides.doubtful()
         outcome = at.COUNTED if held else self.tell_ledger((*cast, WORDS[verdict]), True)
         if outcome is not None:
-            self.desk.chores.append((self.desk.tell, self.desk.balancer.vote_answered, outcome))
+            self.dispatcher.chores.append(
+                (self.dispatcher.tell, self.dispatcher.balancer.vote_answered, outcome)
+            )
 
     def tell_ledger(self, vote, asked):
         """What became of a vote, (epoch, stage, word), where that is known at once; else None. `asked`: the
@@ -146,7 +148,7 @@
         if outcome == at.COUNTED:
             self.sides.voted(vote)
         if asked and self.sides.shifts():
-            self.desk.balancer.vote_answered(now, outcome)
+            self.dispatcher.balancer.vote_answered(now, outcome)
 
     def figures(self):
         return {"shift share": self.sides.share(), "shift waits": int(bool(self.sides.waits()))}
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -12,8 +12,8 @@
 from . import place as places
 from .clients import Server
 from .counters import Counters
-from .desk import Desk
 from .discovery import Discovery
+from .dispatcher import Dispatcher
 from .instances import Instances
 from .releases import Releases
 from .thread_pool import ThreadPool
@@ -40,12 +40,12 @@
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
     log, counters, thread_pool = lines.opened(gateway=place.name), Counters(), ThreadPool()
-    desk = Desk(place.start, log, counters)
-    desk.instances = Instances(place, desk, thread_pool, log, counters)
-    desk.discovery = discovery = Discovery(place, desk, log, counters)
-    desk.releases = releases = Releases(place, desk, log, counters)
+    dispatcher = Dispatcher(place.start, log, counters)
+    dispatcher.instances = Instances(place, dispatcher, thread_pool, log, counters)
+    dispatcher.discovery = discovery = Discovery(place, dispatcher, log, counters)
+    dispatcher.releases = releases = Releases(place, dispatcher, log, counters)
     try:
-        server = Server(place, desk, thread_pool, log, counters)
+        server = Server(place, dispatcher, thread_pool, log, counters)
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
@@ -55,14 +55,14 @@
         reason = f"known is no list as discovery gives it: {type(error).__name__}: {error}"[:200]
         print(f"lemonlead.gateway: the configuration cannot be used: {reason}", file=sys.stderr)
         return 2
-    with desk.lock:
+    with dispatcher.lock:
         discovery.listed(places.now(), *known, True, False)
         if place.news is not None:
-            desk.balancer.stage_told(places.now(), *place.news)
+            dispatcher.balancer.stage_told(places.now(), *place.news)
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
         from . import sorting  # what it needs is not imported while no rules are asked for
 
-        server.sorting = sorting.Sorting(place, path, desk, log, counters)
+        server.sorting = sorting.Sorting(place, path, dispatcher, log, counters)
         if (reason := server.sorting.load(places.now())) is not None:
             print(f"lemonlead.gateway: the rules cannot be used: {reason}", file=sys.stderr)
             return 2
@@ -71,13 +71,16 @@
         from ..following import driver  # nor is this while no ledger is followed
 
         try:
-            follower = driver.Follower(place, server.sorting.follow, desk, log, counters)
+            follower = driver.Follower(place, server.sorting.follow, dispatcher, log, counters)
         except driver.Unusable as error:
             print(f"lemonlead.gateway: no ledger can be followed: {error}; {error.do}", file=sys.stderr)
             return 2
         follower.start(discovery, known[1], known[2])
     changed = threading.Event()
-    threads = [desk.keep_time, discovery.run, lambda: reread(changed, server, discovery, releases, desk, log)]
+    threads = [
+        dispatcher.keep_time, discovery.run,
+        lambda: reread(changed, server, discovery, releases, dispatcher, log),
+    ]
     threads += [releases.hear, releases.poll] if place.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
@@ -89,7 +92,7 @@
     try:
         # nobody was let in: what came from now on might find no end before SIGKILL
         if not opened(server, log):
-            return ended(desk, log, follower, time.monotonic())
+            return ended(dispatcher, log, follower, time.monotonic())
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
         return 2
@@ -98,12 +101,12 @@
     log.info("serving", listen=host, port=port, instances=len(known[1]))
     while (asked := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
         if asked == signal.SIGUSR1:
-            log.info("counters", **figures(desk, follower))
+            log.info("counters", **figures(dispatcher, follower))
             if server.sorting is not None:
                 server.sorting.tell()
         else:
             changed.set()
-    return stop(server, desk, log, follower)
+    return stop(server, dispatcher, log, follower)
 
 
 def ending():
@@ -130,7 +133,7 @@
     return False
 
 
-def reread(changed, server, discovery, releases, desk, log):
+def reread(changed, server, discovery, releases, dispatcher, log):
     """The thread that reads anew after SIGHUP: a large set of rules takes a while, and SIGTERM must not wait
     for it."""
     while True:
@@ -141,7 +144,7 @@
             if server.sorting is not None:
                 server.sorting.load(places.now())
         except Exception:  # the next SIGHUP depends on the thread
-            desk.fault(traceback.format_exc())
+            dispatcher.fault(traceback.format_exc())
 
 
 def move(discovery, releases, log):
@@ -156,39 +159,39 @@
     log.info("configuration read", discovery=to, platform=platform)
 
 
-def figures(desk, follower):
-    with desk.lock:
-        counted = {**desk.counters.read(), "open": len(desk.asks)}
+def figures(dispatcher, follower):
+    with dispatcher.lock:
+        counted = {**dispatcher.counters.read(), "open": len(dispatcher.asks)}
         counted |= follower.figures() if follower is not None else {}
     return {name.replace(" ", "_").replace(":", ""): count for name, count in counted.items()}
 
 
-def stop(server, desk, log, follower):
+def stop(server, dispatcher, log, follower):
     """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
     it tells the ledger that it sends no more. What came by the end of LINGER has until its hard stop. What
     came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
     process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
-    log.info("stopping", open=len(desk.asks))
+    log.info("stopping", open=len(dispatcher.asks))
     longest = max((lane.hard_stop for lane in server.place.start.lanes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
     late = places.now()
     server.close()
-    while server.close_idle() or not server.closed.is_set() or desk.asks:
+    while server.close_idle() or not server.closed.is_set() or dispatcher.asks:
         if (moment := time.monotonic()) >= until + LAST:
             break
         if moment >= soon:
             server.hurry(late if moment < until else 0)
         time.sleep(TICK)
-    return ended(desk, log, follower, until + LAST)
+    return ended(dispatcher, log, follower, until + LAST)
 
 
-def ended(desk, log, follower, until):
+def ended(dispatcher, log, follower, until):
     if follower is not None:
         follower.leave(until)
-    log.info("stopped", **figures(desk, follower))
+    log.info("stopped", **figures(dispatcher, follower))
     return 0
 
 
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -81,7 +81,7 @@
         except OSError:
             reason = RESET
         except Exception:
-            self.server.desk.fault(traceback.format_exc())
+            self.server.dispatcher.fault(traceback.format_exc())
         finally:
             self.close(reason)
 
@@ -152,13 +152,15 @@
             return self.fault()
         ask, size = Ask(self, words, None, lookup), sum(map(len, words))
         self.put(ask)
-        desk, turned_away = self.server.desk, self.extra and self.server.crowded()
+        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.crowded()
         if size > LARGE and self.server.weigh(size):
             ask.weight = size
         elif size > LARGE:
             turned_away = True
-        desk.tell(desk.lookup_turned_away if turned_away else desk.lookup_arrived, ask, lookup)
-        if ask.answer is desk.TWICE:
+        dispatcher.tell(
+            dispatcher.lookup_turned_away if turned_away else dispatcher.lookup_arrived, ask, lookup
+        )
+        if ask.answer is dispatcher.TWICE:
             self.fault()
 
     def fault(self):
@@ -198,7 +200,7 @@
                 return
             lookups = self.unanswered()
         if lookups:
-            self.server.desk.tell(self.server.desk.cut_short, lookups)
+            self.server.dispatcher.tell(self.server.dispatcher.cut_short, lookups)
         self.put(Ask(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
             self.wait(lambda: not (self.asks or self.writing), SLOWEST)
@@ -310,7 +312,7 @@
             self.sock.close()
         self.server.weigh(-self.weight)
         if lookups:
-            self.server.desk.tell(self.server.desk.client_left, lookups)
+            self.server.dispatcher.tell(self.server.dispatcher.client_left, lookups)
         self.server.gone(self)
 
 
@@ -322,9 +324,9 @@
 class Server:
     """Listens, and keeps the clients' connections within their bound."""
 
-    def __init__(self, place, desk, thread_pool, log, counters):
-        self.place, self.desk, self.thread_pool, self.log, self.counters = (
-            place, desk, thread_pool, log, counters
+    def __init__(self, place, dispatcher, thread_pool, log, counters):
+        self.place, self.dispatcher, self.thread_pool, self.log, self.counters = (
+            place, dispatcher, thread_pool, log, counters
         )
         self.most, self.stopping, self.closing = place.connections // 2, False, False
         self.closed = threading.Event()
@@ -465,7 +467,7 @@
                     continue
                 client.last, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
-            self.desk.tell(self.desk.cut_short, lookups)
+            self.dispatcher.tell(self.dispatcher.cut_short, lookups)
 
     def lookup(self, arrived, name, words):
         """A lookup from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no sense."""
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -15,8 +15,8 @@
 
 
 class Discovery:
-    def __init__(self, place, desk, log, counters):
-        self.place, self.desk, self.log, self.counters = place, desk, log, counters
+    def __init__(self, place, dispatcher, log, counters):
+        self.place, self.dispatcher, self.log, self.counters = place, dispatcher, log, counters
         self.wanted = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
@@ -44,7 +44,7 @@
             if reason != "unavailable":  # else it has a list, which counts
                 self.tried.set()
             self.upkeep.wait(crowded=reason == "unavailable")
-            self.desk.tell(self.desk.balancer.list_failed)
+            self.dispatcher.tell(self.dispatcher.balancer.list_failed)
 
     def watch(self):
         sock, source = self.upkeep.connected(SILENCE)
@@ -69,7 +69,7 @@
             elif not (heard or line or objects.lines):
                 heard = True  # a sign of life first: nothing has changed, so the list that we have is current
                 self.source = source  # also at a new address: who did not know our version would tell all
-                self.desk.tell(self.current)
+                self.dispatcher.tell(self.current)
             if not objects.lines:  # else half an object, and then signs of life alone
                 begun = time.monotonic()
 
@@ -83,7 +83,7 @@
         if whole and source != self.source:
             self.version = -1  # another service may count anew, and its whole list needs no earlier one
         self.source = source
-        self.desk.tell(self.listed, version, lines, addresses, whole, True)
+        self.dispatcher.tell(self.listed, version, lines, addresses, whole, True)
         self.upkeep.worked()
 
     def read(self, update):
@@ -106,7 +106,8 @@
         return int(number(update["version"], -1)), lines, addresses
 
     def listed(self, now, version, lines, addresses, whole, fresh):
-        """Under the desk's lock. A version that is not newer tells nothing but that discovery answers."""
+        """Under the dispatcher's lock. A version that is not newer tells nothing but that discovery
+        answers."""
         self.wanted.clear()
         if version <= self.version:
             lines, addresses, whole = [], {}, False
@@ -117,19 +118,19 @@
         self.put(now, lines, addresses, whole, fresh)
 
     def current(self, now):
-        """Under the desk's lock. The list as it is here is the one that discovery has."""
+        """Under the dispatcher's lock. The list as it is here is the one that discovery has."""
         self.wanted.clear()
         self.upkeep.worked()
         self.tried.set()
-        self.desk.balancer.listed(now, [], False, True)
+        self.dispatcher.balancer.listed(now, [], False, True)
 
     def put(self, now, lines, addresses, whole, fresh):
-        """The one way by which the balancer learns of instances. Under the desk's lock."""
-        for id in [id for id in self.desk.instances.pools if id not in addresses] if whole else ():
-            self.desk.instances.listed(id, None, 0)
+        """The one way by which the balancer learns of instances. Under the dispatcher's lock."""
+        for id in [id for id in self.dispatcher.instances.pools if id not in addresses] if whole else ():
+            self.dispatcher.instances.listed(id, None, 0)
         for id, (where, started) in addresses.items():
-            self.desk.instances.listed(id, where, started)
-        self.desk.balancer.listed(now, lines, whole, fresh)
+            self.dispatcher.instances.listed(id, where, started)
+        self.dispatcher.balancer.listed(now, lines, whole, fresh)
         if fresh:
             self.tried.set()
 
--- a/lemonlead/gateway/desk.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -14,7 +14,7 @@
 UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of sends of which no instance has had all
 
 
-class Desk:
+class Dispatcher:
     """The balancer's door. Nothing blocks under the lock: what might is put into `chores`, which whoever held
     the lock does once it is free. What is told and what is decided on it share one moment, as the interface
     asks: a balancer knows by it that a lookup has just come."""
@@ -35,7 +35,7 @@
     # ---- for the drivers
 
     def tell(self, happened, *values):
-        """An input of the balancer's or of this desk's, then all that is decided on it."""
+        """An input of the balancer's or of this dispatcher's, then all that is decided on it."""
         with self.lock:
             chores = self.turn(happened, *values)
         for chore, *values in chores:
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -98,14 +98,14 @@
 class Instances:
     """`lock` guards pools, trips and the count of connections; where both are held, it is taken second."""
 
-    def __init__(self, place, desk, thread_pool, log, counters):
-        self.desk, self.thread_pool, self.log, self.counters = desk, thread_pool, log, counters
+    def __init__(self, place, dispatcher, thread_pool, log, counters):
+        self.dispatcher, self.thread_pool, self.log, self.counters = dispatcher, thread_pool, log, counters
         self.idle_time, self.connect_time = int(place.start.idle_time * IDLE_SHARE), place.start.connect_time
         self.most, self.open = place.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
         self.pools, self.trips = {}, {}  # by the instance's id; by send
 
-    # ---- under the desk's lock
+    # ---- under the dispatcher's lock
 
     def listed(self, id, address, started):
         """Without an address it drains or is gone. Unused connections to what it was before are closed."""
@@ -114,7 +114,7 @@
             if old is not None and (old.address, old.started) != (address, started):
                 del self.pools[id]
                 old.closed = True  # nothing new begins there
-                self.desk.chores.append((self.clear, old))
+                self.dispatcher.chores.append((self.clear, old))
             if address is not None and id not in self.pools:
                 self.pools[id] = Pool(address, started)
 
@@ -160,7 +160,7 @@
         try:
             end, value = self.outcome(trip)
         except Exception:  # a send always ends, and what may have run is never said not to have
-            self.desk.fault(traceback.format_exc())
+            self.dispatcher.fault(traceback.format_exc())
             end, value = (at.RESET if trip.begun else at.UNCONNECTED), None
         self.over(trip, end, value)
 
@@ -187,7 +187,7 @@
                 pool.unused = deque(old for old in pool.unused if old.used >= trip.send.at)
         for connection, reason in ended:
             self.end(connection, reason)
-        self.desk.tell(self.desk.send_ended, trip.send, end, value)
+        self.dispatcher.tell(self.dispatcher.send_ended, trip.send, end, value)
 
     def outcome(self, trip):
         """How the send ended, and the value if it succeeded."""
@@ -195,7 +195,7 @@
             while True:
                 if (made := self.reach(trip)) is False:
                     trip.connection.settle()
-                by = 0 if made is None or trip.cancelled else self.desk.may_begin(trip.send)
+                by = 0 if made is None or trip.cancelled else self.dispatcher.may_begin(trip.send)
                 if not by:
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
--- a/lemonlead/gateway/place.py
+++ b/lemonlead/gateway/place.py
@@ -103,15 +103,15 @@
             raise Unfit(f"{path} is no JSON: {error}"[:200]) from None
 
 
-def platform_of(desk):
-    return address_of(desk, "address") if "address" in desk.values else None
+def platform_of(api):
+    return address_of(api, "address") if "address" in api.values else None
 
 
-def news_of(desk):
+def news_of(api):
     """The state of the newest build, or None where there is no news of any."""
-    if desk.values.get("news") is None:
+    if api.values.get("news") is None:
         return None
-    news = desk.part("news")
+    news = api.part("news")
     build, stage = news.count("release", None), news.count("tranche", None)
     phase = PHASES[news.one_of("mode", PHASES, None)]
     return build, stage, phase, float(news.number("exposure", None, 0, 1)), news.time("old_ms", None)
@@ -150,16 +150,16 @@
             raise Nonsense("settings is missing; expected an object")
         start, lanes, customers, told = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
-        desk, known = optional(config, "release_api"), optional(config, "known")
+        api, known = optional(config, "release_api"), optional(config, "known")
         connections, memory = limits_of(config)
         return Place(
             name=environment.get("ROUTER_NAME") or config.text("name"),
             listen=address_of(config, "listen", environment.get("ROUTER_LISTEN")),
             discovery=address_of(config, "discovery", environment.get("ROUTER_DISCOVERY")),
-            platform=platform_of(desk), connections=connections, memory=memory, start=start,
+            platform=platform_of(api), connections=connections, memory=memory, start=start,
             lanes=dict(zip(lanes, start.lanes, strict=True)), customers=numbered(customers),
             zones=numbered(told.names("Areas")), kinds=numbered(told.names("Skus")),
-            known=known.values or {"version": 0, "full": True, "servers": []}, news=news_of(desk),
+            known=known.values or {"version": 0, "full": True, "servers": []}, news=news_of(api),
             pushed=told.values.get("Discovery") != "ask",
         )
 
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -13,12 +13,13 @@
 
 
 class Releases:
-    def __init__(self, place, desk, log, counters):
-        self.place, self.desk, self.log, self.counters = place, desk, log, counters
+    def __init__(self, place, dispatcher, log, counters):
+        self.place, self.dispatcher, self.log, self.counters = place, dispatcher, log, counters
         self.answer_time = place.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
         self.upkeep = Upkeep(place.platform, place.start.seed, 0.1, 2.0)
-        self.began = 0  # nanoseconds: since when the state of the last news stands; under the desk's lock
+        # nanoseconds: since when the state of the last news stands; under the dispatcher's lock
+        self.began = 0
 
     def vote(self, *vote):
         self.votes.put((time.monotonic() + self.answer_time, vote))
@@ -38,7 +39,7 @@
         while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
-                self.desk.tell(self.told, *platform.stage(words[2:]))
+                self.dispatcher.tell(self.told, *platform.stage(words[2:]))
                 self.upkeep.worked()
             elif words not in (["*"], ["OK"]):
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
@@ -53,7 +54,7 @@
 
     def told(self, now, *news):
         self.began = now - news[-1]
-        self.desk.stage_told(now, *news)
+        self.dispatcher.stage_told(now, *news)
 
     # ---- votes
 
@@ -63,12 +64,12 @@
             try:
                 outcome, news = self.cast(until, vote)
             except Exception:  # votes depend on this thread
-                self.desk.fault(traceback.format_exc())
+                self.dispatcher.fault(traceback.format_exc())
                 outcome, news = at.UNANSWERED, None
             self.counters.add(f"votes {outcome}")
             build, stage, verdict = vote
             self.log.info("vote", build=build, stage=stage, verdict=platform.VERDICTS[verdict], ended=outcome)
-            self.desk.tell(self.answered, outcome, news)
+            self.dispatcher.tell(self.answered, outcome, news)
 
     def cast(self, until, vote):
         with socket.socket() as sock:
@@ -87,6 +88,6 @@
     def answered(self, now, outcome, news):
         """Guards against an answer that later news overtook on their own connection: the cap and phase from
         before would stand until the next news. An answer's state that is older than theirs is left."""
-        self.desk.balancer.vote_answered(now, outcome)
+        self.dispatcher.balancer.vote_answered(now, outcome)
         if news is not None and now - news[-1] >= self.began:
-            self.desk.stage_told(now, *news)
+            self.dispatcher.stage_told(now, *news)
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -20,8 +20,10 @@
 
 
 class Sorting:
-    def __init__(self, place, path, desk, log, counters):
-        self.place, self.path, self.desk, self.log, self.counters = place, Path(path), desk, log, counters
+    def __init__(self, place, path, dispatcher, log, counters):
+        self.place, self.path, self.dispatcher, self.log, self.counters = (
+            place, Path(path), dispatcher, log, counters
+        )
         self.names = {lane.number: name for name, lane in place.lanes.items()}
         self.room, self.standing = place.memory // SHARE, Standing()
         self.follow = None  # what the settings say of a ledger to follow; read at the start alone
@@ -88,7 +90,7 @@
                 self.standing.spent(time.thread_time_ns() - began)
         except Exception:
             self.counters.add("rules faults")
-            self.desk.fault(traceback.format_exc())
+            self.dispatcher.fault(traceback.format_exc())
 
     def seen(self, lookup, words, said):
         """The lookup as it was asked, for whichever set's bounds; what rules then give it does not show."""
--- a/lemonlead/ledger/desk.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -1,5 +1,5 @@
-"""A member's desk: the replica, the state that it applies to, whoever waits for an answer, and a leader's
-duties.
+"""A member's dispatcher: the replica, the state that it applies to, whoever waits for an answer, and a
+leader's duties.
 
 Pure: a process and the simulator host the very same. Inputs only update what is known; `decide(now, door)`
 is called until it returns False. The door is the host's: it sends, writes, answers, and nothing of it
@@ -29,7 +29,8 @@
 
 
 class Door(Protocol):
-    """What a desk asks of its host. `send`, `write`, `send_part`, `take_part` are as in `records.Door`."""
+    """What a dispatcher asks of its host. `send`, `write`, `send_part`, `take_part` are as in
+    `records.Door`."""
 
     def send(self, message) -> None: ...
     def write(self, write: Write) -> None: ...
@@ -49,10 +50,10 @@
         member, `leader`, has to be asked."""
 
     def snapshot(self, state: State, base: Base) -> None:
-        """To be brought to disk without stopping anything; then `Desk.snapshot_kept(now, base)`."""
+        """To be brought to disk without stopping anything; then `Dispatcher.snapshot_kept(now, base)`."""
 
     def call(self, call: "Call") -> None:
-        """A command for another cluster; then `Desk.called(now, call, code, body)`, code 0 where none
+        """A command for another cluster; then `Dispatcher.called(now, call, code, body)`, code 0 where none
         came."""
 
 
@@ -77,7 +78,7 @@
     def wake_at(self) -> int: ...
 
 
-class Desk:
+class Dispatcher:
     def __init__(self, told, kept, ledger, state, now, duties=(), snapshot_every=SNAPSHOT_EVERY):
         self.told, self.ledger, self.state, self.duties = told, ledger, state, list(duties)
         self.replica = Replica(told, kept, now)
@@ -285,19 +286,19 @@
 class Through:
     """The replica's door: what concerns the state stops here, all else goes on to the host's."""
 
-    def __init__(self, desk, door):
-        self.desk, self.door = desk, door
+    def __init__(self, dispatcher, door):
+        self.dispatcher, self.door = dispatcher, door
         self.send, self.write = door.send, door.write
         self.send_part, self.take_part = door.send_part, door.take_part
 
     def commit(self, entries):
-        self.desk.commit(entries)
+        self.dispatcher.commit(entries)
 
     def answer(self, ticket, index):
-        self.desk.committed(ticket, index, self.door)
+        self.dispatcher.committed(ticket, index, self.door)
 
     def readable(self, ticket):
-        self.door.readable(ticket.ticket, self.desk.state, self.desk.replica.name)
+        self.door.readable(ticket.ticket, self.dispatcher.state, self.dispatcher.replica.name)
 
     def refuse(self, ticket, outcome, leader):
-        self.desk.refuse(ticket, outcome, leader)
+        self.dispatcher.refuse(ticket, outcome, leader)
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -118,8 +118,8 @@
 class Forgetting:
     """A leader's duty: whoever's lease and grace ran out is followed no more."""
 
-    def __init__(self, desk):
-        self.desk, self.again = desk, 0
+    def __init__(self, dispatcher):
+        self.dispatcher, self.again = dispatcher, 0
 
     def took_office(self, now):
         self.again = 0
@@ -136,7 +136,7 @@
         raise AssertionError("it calls nobody")
 
     def wake_at(self):
-        return self.again if self.desk.state.part("followers") else NEVER
+        return self.again if self.dispatcher.state.part("followers") else NEVER
 
 
 __all__ = ["INNER", "KINDS", "MOST", "RULES", "Followers"]
--- a/lemonlead/ledger/seating.py
+++ b/lemonlead/ledger/seating.py
@@ -84,8 +84,8 @@
 class Seating:
     """A leader's duty: brings the seats in line with what was commanded."""
 
-    def __init__(self, desk):
-        self.desk, self.again = desk, 0
+    def __init__(self, dispatcher):
+        self.dispatcher, self.again = dispatcher, 0
 
     def took_office(self, now):
         self.again = 0
@@ -94,21 +94,21 @@
         if now < self.again:
             return None
         for name, wanted in state.part("seating").items():
-            seats = dict(self.desk.replica.seats)
+            seats = dict(self.dispatcher.replica.seats)
             if wanted.folder:
                 seats[name] = Seat(wanted.address, wanted.folder, False)
             else:
                 seats.pop(name, None)
             self.again = now + AWAIT
-            if seats != self.desk.replica.seats:
-                self.desk.replica.change(now, seats, Change())
+            if seats != self.dispatcher.replica.seats:
+                self.dispatcher.replica.change(now, seats, Change())
         return None
 
     def called(self, now, call, code, body):
         raise AssertionError("seating calls nobody")
 
     def wake_at(self):
-        return max(self.again, 0) if self.desk.state.part("seating") else 1 << 62
+        return max(self.again, 0) if self.dispatcher.state.part("seating") else 1 << 62
 
 
 class Change:
--- a/lemonlead/member/forming.py
+++ b/lemonlead/member/forming.py
@@ -112,7 +112,7 @@
 
     async def hand_base(self, name):
         member, host = self.member, self.member.host
-        seats = host.desk.replica.seats_at(host.desk.state.index)
+        seats = host.dispatcher.replica.seats_at(host.dispatcher.state.index)
         seat = seats.get(name)
         if seat is not None:
             base, data = await member.on_disk(lambda: (member.folder.base, member.folder.state()))
--- a/lemonlead/member/host.py
+++ b/lemonlead/member/host.py
@@ -1,16 +1,16 @@
-"""The loop that owns a desk. Whatever arrives is put into an inbox; a turn reads the clocks, hands it to the
-desk and does what the desk decides. Nothing here decides.
+"""The loop that owns a dispatcher. Whatever arrives is put into an inbox; a turn reads the clocks, hands it
+to the dispatcher and does what the dispatcher decides. Nothing here decides.
 
 A loop that was stopped (SIGSTOP, a long swap) finds its inbox and sockets full of what came meanwhile. Where
-a moment has passed at which the desk wanted to be asked, it is asked first, with the new moment, and only
-then given what had queued up."""
+a moment has passed at which the dispatcher wanted to be asked, it is asked first, with the new moment, and
+only then given what had queued up."""
 
 import asyncio
 import time
 from collections import deque
 from contextlib import contextmanager
 
-from ..ledger.desk import Desk
+from ..ledger.dispatcher import Dispatcher
 from ..ledger.records import LEADER
 from .memory import settle_memory
 
@@ -21,15 +21,15 @@
 
 
 class Host:
-    """`duties(desk)`: what a leader does unasked. `shelf`: the disk's thread. `peers`: sends. `caller`: asks
-    other clusters. `broken(error)`: a turn failed, which no part of the program foresees: nothing more is
-    done, since what the desk knows may be half."""
+    """`duties(dispatcher)`: what a leader does unasked. `shelf`: the disk's thread. `peers`: sends. `caller`:
+    asks other clusters. `broken(error)`: a turn failed, which no part of the program foresees: nothing more
+    is done, since what the dispatcher knows may be half."""
 
     def __init__(self, told, kept, state, duties, shelf, peers, caller, log, broken):
         self.loop, self.shelf, self.peers = asyncio.get_running_loop(), shelf, peers
         self.caller, self.log, self.broken = caller, log, broken
-        self.desk = Desk(told, kept, shelf.ledger, state, time.monotonic_ns())
-        self.desk.duties.extend(duties(self.desk))
+        self.dispatcher = Dispatcher(told, kept, shelf.ledger, state, time.monotonic_ns())
+        self.dispatcher.duties.extend(duties(self.dispatcher))
         self.messages, self.inputs = deque(), deque()
         self.soon = self.timer = None
         self.told = 0  # calls for events answered in this turn
@@ -57,36 +57,36 @@
     def command(self, data):
         """The future of (code, body)."""
         ticket = self.loop.create_future()
-        self.add(self.desk.command, data, ticket)
+        self.add(self.dispatcher.command, data, ticket)
         return ticket
 
     def read(self):
         """The future of (state or None, leader)."""
         ticket = self.loop.create_future()
-        self.add(self.desk.read, ticket)
+        self.add(self.dispatcher.read, ticket)
         return ticket
 
     def poll(self, after, gateway, since=0, parts=()):
         """The future of (events, at, state, leader)."""
         ticket = self.loop.create_future()
-        self.add(self.desk.poll, after, gateway, ticket, since, parts)
+        self.add(self.dispatcher.poll, after, gateway, ticket, since, parts)
         return ticket
 
     def written(self, number, state=None):
-        self.add(self.desk.written, number, state)
+        self.add(self.dispatcher.written, number, state)
 
     def snapshot_kept(self, base):
-        self.add(self.desk.snapshot_kept, base)
+        self.add(self.dispatcher.snapshot_kept, base)
 
     def disk_failed(self, why):
         self.log.error("disk failed", reason="disk", detail=why)
-        self.add(self.desk.disk_failed, why)
+        self.add(self.dispatcher.disk_failed, why)
 
     def called(self, call, code, body):
-        self.add(self.desk.called, call, code, body)
+        self.add(self.dispatcher.called, call, code, body)
 
     def hand_over(self):
-        self.add(self.desk.hand_over)
+        self.add(self.dispatcher.hand_over)
 
     @contextmanager
     def left(self, leader):
@@ -103,16 +103,16 @@
 
     def address(self, name):
         """host:port of a member, None where it has no seat."""
-        seat = self.desk.replica.seats.get(name)
+        seat = self.dispatcher.replica.seats.get(name)
         return seat.address if seat else None
 
     def age(self):
         """Nanoseconds since the state here was last known to be what the cluster had committed."""
-        return time.monotonic_ns() - self.desk.replica.fresh
+        return time.monotonic_ns() - self.dispatcher.replica.fresh
 
     def bears(self):
         """How many more losses the cluster bears, as a leader knows it; None where this does not lead."""
-        replica = self.desk.replica
+        replica = self.dispatcher.replica
         if replica.role != LEADER:
             return None
         voters = {name for name, seat in replica.seats.items() if seat.votes}
@@ -120,7 +120,7 @@
 
     def reason(self):
         """Why this member takes no part, or an empty string."""
-        replica = self.desk.replica
+        replica = self.dispatcher.replica
         if replica.failed:
             return f"its disk failed: {replica.failed}"
         if replica.name not in replica.seats:
@@ -158,7 +158,7 @@
             if self.inputs:
                 function, arguments = self.inputs.popleft()
             elif self.messages:
-                function, arguments = self.desk.heard, (self.messages.popleft(),)
+                function, arguments = self.dispatcher.heard, (self.messages.popleft(),)
                 self.counts["messages"] += 1
             else:
                 break
@@ -167,7 +167,7 @@
         self.note_office()
         began, now = now, time.monotonic_ns()
         self.counts["longest_turn_ms"] = max(self.counts["longest_turn_ms"], (now - began) // 1_000_000)
-        self.wake = self.desk.wake_at()
+        self.wake = self.dispatcher.wake_at()
         if more or self.inputs or self.messages:
             self.ask_turn()
         else:
@@ -175,7 +175,7 @@
 
     def tell_time(self):
         now = time.monotonic_ns()
-        self.desk.told_time(now, time.time_ns() // 1_000_000)
+        self.dispatcher.told_time(now, time.time_ns() // 1_000_000)
         return now
 
     def pull(self, now):
@@ -184,14 +184,14 @@
         once, in which a leader would be silent for as long as an election."""
         until, self.told = time.monotonic_ns() + LONGEST_PULL, 0
         for _ in range(MOST_AT_ONCE):
-            if not self.desk.decide(now, self):
+            if not self.dispatcher.decide(now, self):
                 return False
             if time.monotonic_ns() > until or self.told >= MOST_TOLD:
                 break
         return True
 
     def note_office(self):
-        replica = self.desk.replica
+        replica = self.dispatcher.replica
         office = replica.role, replica.term, replica.leader
         if office != self.office:
             self.office = office
@@ -207,7 +207,7 @@
             if handle is not None:
                 handle.cancel()
 
-    # ---- the desk's door
+    # ---- the dispatcher's door
 
     def send(self, message):
         self.peers.send(message)
--- a/lemonlead/member/outside.py
+++ b/lemonlead/member/outside.py
@@ -151,7 +151,7 @@
     @property
     def cluster_id(self):
         """Drawn as the cluster was formed: one formed anew, which counts from 1 again, has another."""
-        return self.host.desk.replica.told.cluster
+        return self.host.dispatcher.replica.told.cluster
 
     async def within(self, ticket, outcome):
         try:
@@ -216,7 +216,7 @@
         self.known(name)
         more = {}
         if request.query.get("read") == "local":
-            state = host.desk.state
+            state = host.dispatcher.state
             more["age_ms"] = host.age() // 1_000_000
         elif "read" in request.query:
             raise Senseless(f"read is {request.query['read'][:50]!r}: local is allowed, or nothing")
@@ -245,7 +245,7 @@
             return await self.pass_on(request, leader)
         if events is not None:
             told = [{"index": index, "changes": list(changed(changes))} for index, changes in events]
-            moment = self.host.desk.state.moment
+            moment = self.host.dispatcher.state.moment
             body = {"at": at, "moment": moment, "leader": leader, "cluster_id": self.cluster_id}
             return answer(200, {**body, "events": told})
         async with self.whole:
@@ -265,7 +265,7 @@
         return parts
 
     def known(self, part):
-        kinds = self.host.desk.ledger.kinds
+        kinds = self.host.dispatcher.ledger.kinds
         if part not in kinds:
             raise Senseless(f"no part {part[:100]!r}: there are {', '.join(sorted(kinds))}")
 
@@ -275,11 +275,11 @@
         if host is None:
             told.update(role=OUTSIDE, term=0, leader="", committed=0, applied=0, members={}, bears=None)
             return answer(200, {**told, "reason": member.why})
-        replica = host.desk.replica
+        replica = host.dispatcher.replica
         role = OUTSIDE if replica.name not in replica.seats else replica.role
         told["role"] = FOLLOWER if role == CANDIDATE else role
         told.update(term=replica.term, leader=replica.leader, committed=replica.committed)
-        told["applied"] = host.desk.state.index
+        told["applied"] = host.dispatcher.state.index
         told["members"] = {
             name: LEADER if name == replica.leader else FOLLOWER if seat.votes else LEARNER
             for name, seat in sorted(replica.seats.items())
@@ -305,7 +305,7 @@
         host, member = self.host, self.member
         if host.reason():
             raise Outside(host.reason())
-        if not host.desk.replica.leader:
+        if not host.dispatcher.replica.leader:
             raise NoLeader(f"{member.name} knows no leader")
         age = host.age()
         if age > member.told.times.stale:
--- a/lemonlead/member/run.py
+++ b/lemonlead/member/run.py
@@ -196,11 +196,11 @@
         self.host = Host(
             told, kept, state, self.duties, self.shelf, self.peers, self.asking, self.log, self.broken
         )
-        last = self.host.desk.replica.last
+        last = self.host.dispatcher.replica.last
         self.log.info("in cluster", cluster_id=self.folder.cluster, at=state.index, last=last)
 
-    def duties(self, desk):
-        return whole.duties(desk, self.told.cluster, self.told.clusters, self.seed)
+    def duties(self, dispatcher):
+        return whole.duties(dispatcher, self.told.cluster, self.told.clusters, self.seed)
 
     # ---- from start to end
 
@@ -224,7 +224,7 @@
 
     def is_member(self, host):
         """Whether a connection from there may be another member's."""
-        seats = self.host.desk.replica.seats.values() if self.host is not None else ()
+        seats = self.host.dispatcher.replica.seats.values() if self.host is not None else ()
         addresses = {*self.told.members.values(), *(seat.address for seat in seats)}
         return host in {address.rpartition(":")[0] for address in addresses}
 
@@ -238,9 +238,9 @@
     async def hand_over(self):
         """Leadership goes to another; in bounded time, since the rest elect one anyway."""
         host = self.host
-        if host is None or host.desk.replica.role != LEADER:
+        if host is None or host.dispatcher.replica.role != LEADER:
             return
-        replica, began = host.desk.replica, time.monotonic_ns()
+        replica, began = host.dispatcher.replica, time.monotonic_ns()
         if sum(seat.votes for seat in replica.seats.values()) > 1:
             host.hand_over()
             try:
@@ -288,9 +288,14 @@
         now["queued"] = sum(len(queue.messages) for queue in self.peers.queues.values())
         now["connections"] = len(self.runner.server.connections) if self.runner.server else 0
         if host is not None:
-            tables += [("loop", host.counts), ("desk", host.desk.counts), ("raft", host.desk.replica.counts)]
-            now.update(inbox=len(host.messages), inputs=len(host.inputs), held_events=host.desk.polls.held)
-            now["ids"] = len(host.desk.state.answers)
+            tables += [
+                ("loop", host.counts), ("dispatcher", host.dispatcher.counts),
+                ("raft", host.dispatcher.replica.counts),
+            ]
+            now.update(
+                inbox=len(host.messages), inputs=len(host.inputs), held_events=host.dispatcher.polls.held
+            )
+            now["ids"] = len(host.dispatcher.state.answers)
         for name, table in [*tables, ("now", now)]:
             told.update({f"{name}_{what}".replace(" ", "_").replace(":", ""): n for what, n in table.items()})
         return told
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -20,9 +20,12 @@
     return Ledger(rules, kinds, inner)
 
 
-def duties(desk, cluster, clusters, seed):
+def duties(dispatcher, cluster, clusters, seed):
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
-    return [seating.Seating(desk), followers.Forgetting(desk), Drains(), Moving(cluster, clusters, seed)]
+    return [
+        seating.Seating(dispatcher), followers.Forgetting(dispatcher), Drains(),
+        Moving(cluster, clusters, seed),
+    ]
 
 
 def shown(state, part):
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..ledger.desk import Call
+from ..ledger.dispatcher import Call
 from . import rules
 from .faults import HoldKept
 from .rules import (
@@ -61,7 +61,8 @@
 
 
 class Moving:
-    """A ledger.desk.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be called."""
+    """A ledger.dispatcher.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be
+    called."""
 
     def __init__(self, cluster, clusters, seed):
         self.cluster, self.clusters, self.rng = cluster, frozenset(clusters), random.Random(seed)
--- a/lemonlead/standins/simulated/calls.py
+++ b/lemonlead/standins/simulated/calls.py
@@ -1,5 +1,5 @@
 """One call from outside to one member over the faulty network, and what it answers, as plain data. What a
-member's door tells over HTTP is made here from the same words of its desk."""
+member's door tells over HTTP is made here from the same words of its dispatcher."""
 
 import msgspec
 
@@ -31,7 +31,7 @@
         line = self.cluster.line(host.name)
         self.world.network.carry(line, self.line, lambda _: self.end(code, body))
 
-    # ---- as a desk's door answers
+    # ---- as a dispatcher's door answers
 
     def answer(self, host, code, body):
         self.back(host, code, body)
@@ -52,7 +52,7 @@
                                          for (part, key), record in changes.items()]}
             for index, changes in events
         ]  # fmt: skip
-        moment = host.desk.state.moment
+        moment = host.dispatcher.state.moment
         self.back(host, 200, {"at": at, "moment": moment, "leader": leader, "events": told})
 
 
--- a/lemonlead/standins/simulated/checks.py
+++ b/lemonlead/standins/simulated/checks.py
@@ -56,7 +56,7 @@
             del log[index]
         log.update({entry.index: entry for entry in held.entries})
         self.bases[folder] = held.base
-        self.lives[folder] = host.desk.state.index
+        self.lives[folder] = host.dispatcher.state.index
         self.voters[folder] = [self.members(folder)]
         self.synced(self.cluster, host.disk)
 
@@ -70,7 +70,7 @@
     def wrote(self, host, write):
         folder = host.disk.folder
         log = self.logs[folder]
-        if write.entries and write.entries[0].index <= host.desk.state.index:
+        if write.entries and write.entries[0].index <= host.dispatcher.state.index:
             self.broken(f"{host.name} applied entry {write.entries[0].index} before its disk was given it")
         if write.base is not None:
             for index in [index for index in log if index <= write.base.index]:
@@ -118,7 +118,7 @@
         return 2 * have > len(voters)
 
     def turned(self, host):
-        folder, to = host.disk.folder, host.desk.state.index
+        folder, to = host.disk.folder, host.dispatcher.state.index
         log, ways = self.logs[folder], self.voters[folder]
         for index in range(self.lives.get(folder, 0) + 1, to + 1):
             entry, known = log.get(index), self.committed.get(index)
@@ -132,8 +132,8 @@
                 self.broken(f"{host.name} applied entry {index}, which it does not hold")
             if not any(self.majority(entry, voters) for voters in ways):
                 self.broken(f"entry {index} was committed by {host.name} on a minority of the disks")
-            if host.desk.replica.role == LEADER:
-                term = host.desk.replica.term
+            if host.dispatcher.replica.role == LEADER:
+                term = host.dispatcher.replica.term
                 later = [log[at] for at in range(index, max(log) + 1) if at in log and log[at].term == term]
                 if not any(self.majority(one, voters) for one in later for voters in ways):
                     self.broken(f"entry {index} was committed in term {term} with none of its own")
@@ -158,7 +158,7 @@
         self.logs, self.leaders = logs, {}
 
     def turned(self, host):
-        replica, folder = host.desk.replica, host.disk.folder
+        replica, folder = host.dispatcher.replica, host.disk.folder
         if replica.role != LEADER:
             return
         other = self.leaders.get(replica.term)
@@ -242,7 +242,7 @@
         self.states[entry.index] = self.state
 
     def turned(self, host):
-        state = host.desk.state
+        state = host.dispatcher.state
         if state.index == 0 or self.at.get(host) is state:
             return
         self.at[host] = state
--- a/lemonlead/standins/simulated/clients.py
+++ b/lemonlead/standins/simulated/clients.py
@@ -192,12 +192,12 @@
     def look(self, steps):
         """Asks for the first step until it shows in the state that a leader has; then for the next."""
         leader = self.cluster.leader()
-        while steps and leader is not None and steps[0][1](leader.desk.state, steps[0][0]["member"]):
+        while steps and leader is not None and steps[0][1](leader.dispatcher.state, steps[0][0]["member"]):
             steps = steps[1:]
         if not steps:
             self.busy = False
             return
-        if leader is not None and not self.asking and not leader.desk.state.part("seating"):
+        if leader is not None and not self.asking and not leader.dispatcher.state.part("seating"):
             self.number += 1
             self.asking = True
             id = f"operator/{self.number}"
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -1,9 +1,9 @@
-"""Machines: each hosts one member's desk as a process does, on a clock and a disk of its own. A Cluster is
-the machines of one ledger, with the judges that watch them."""
+"""Machines: each hosts one member's dispatcher as a process does, on a clock and a disk of its own. A Cluster
+is the machines of one ledger, with the judges that watch them."""
 
 import random
 
-from lemonlead.ledger.desk import Desk
+from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.records import LEADER, Told
 from lemonlead.ledger.seating import Seat, Seating, Terms, formed
 from lemonlead.ledger.state import State
@@ -12,7 +12,7 @@
 from .disks import Disk, Held, Work
 from .world import MS, SECOND, WALL, Broken
 
-MOST_STEPS = 20_000  # of one turn; past it the desk never comes to an end
+MOST_STEPS = 20_000  # of one turn; past it the dispatcher never comes to an end
 MOST_WAITING = 5_000  # inputs of a machine that stands still; past it they are lost
 
 
@@ -34,17 +34,20 @@
     )
 
 
-def plain_desk(host, told, kept, state, now):
+def plain_dispatcher(host, told, kept, state, now):
     cluster = host.cluster
     duties = cluster.duties()
-    desk = Desk(told, kept, cluster.ledger, state, now, duties, snapshot_every=cluster.snapshot_every)
-    desk.duties.insert(0, Seating(desk))
-    return desk
+    dispatcher = Dispatcher(
+        told, kept, cluster.ledger, state, now, duties, snapshot_every=cluster.snapshot_every
+    )
+    dispatcher.duties.insert(0, Seating(dispatcher))
+    return dispatcher
 
 
 class Cluster:
-    """`ledger`: its rules. `duties`: function() to a new list of duties for each desk (seating is always
-    there). `judges`: see checks.Judge. `make_desk`, `make_disk`: what hosts a member, and on what."""
+    """`ledger`: its rules. `duties`: function() to a new list of duties for each dispatcher (seating is
+    always there). `judges`: see checks.Judge. `make_dispatcher`, `make_disk`: what hosts a member, and on
+    what."""
 
     def __init__(
         self,
@@ -54,14 +57,16 @@
         ledger,
         judges=(),
         duties=list,
-        make_desk=plain_desk,
+        make_dispatcher=plain_dispatcher,
         make_disk=Disk,
         told=short_told,
         terms=None,
         snapshot_every=10,
     ):
         self.world, self.id, self.ledger, self.judges = world, id, ledger, list(judges)
-        self.duties, self.make_desk, self.make_disk, self.told = duties, make_desk, make_disk, told
+        self.duties, self.make_dispatcher, self.make_disk, self.told = (
+            duties, make_dispatcher, make_disk, told
+        )
         self.snapshot_every = snapshot_every
         self.watching = {}  # what judges are told: the functions of those that want it
         self.hosts, self.folders = {}, 0
@@ -113,12 +118,12 @@
 
     @property
     def up(self):
-        return [host for host in self.hosts.values() if host.desk is not None and not host.paused]
+        return [host for host in self.hosts.values() if host.dispatcher is not None and not host.paused]
 
     def leader(self):
         """Whoever leads in the newest term, or None."""
-        lead = [host for host in self.up if host.desk.replica.role == LEADER]
-        return max(lead, key=lambda host: host.desk.replica.term, default=None)
+        lead = [host for host in self.up if host.dispatcher.replica.role == LEADER]
+        return max(lead, key=lambda host: host.dispatcher.replica.term, default=None)
 
     def line(self, name):
         """The name of a machine's end in the network."""
@@ -129,7 +134,7 @@
 
 
 class Host:
-    """A machine. `desk` is None while its process is down."""
+    """A machine. `dispatcher` is None while its process is down."""
 
     def __init__(self, cluster, name, disk):
         self.cluster, self.world, self.name, self.disk = cluster, cluster.world, name, disk
@@ -137,7 +142,7 @@
         self.offset = self.chance.randint(0, 10**6) * SECOND
         self.rate = 1 + self.chance.uniform(-0.01, 0.01)
         self.jumped = 0  # milliseconds that its wall clock is off
-        self.desk, self.paused, self.gone = None, False, False
+        self.dispatcher, self.paused, self.gone = None, False, False
         self.life, self.waiting, self.wakes = 0, [], None
         self.dies_in = None  # steps until it is killed in the midst of a turn
         self.parts = None  # of a snapshot under way: (base, bytes)
@@ -153,7 +158,7 @@
     # ---- what befalls it
 
     def start(self):
-        if self.desk is not None or self.gone:
+        if self.dispatcher is not None or self.gone:
             return
         self.life += 1
         self.disk.failing = lambda why: self.take(self.fail, why)
@@ -161,14 +166,14 @@
         state = self.cluster.ledger.whole(self.disk.held.snapshot) if self.disk.held.snapshot else State()
         told = self.cluster.told(self.cluster.id, self.name, self.disk.folder, self.chance.randrange(1 << 30))
         self.parts, self.waiting, self.paused, self.wakes, self.dies_in = None, [], False, None, None
-        self.desk = self.cluster.make_desk(self, told, kept, state, self.now())
+        self.dispatcher = self.cluster.make_dispatcher(self, told, kept, state, self.now())
         self.cluster.tell("started", self)
         self.turn()
 
     def kill(self):
-        if self.desk is not None:
+        if self.dispatcher is not None:
             self.world.count("kills")
-        self.desk, self.paused, self.waiting = None, False, []
+        self.dispatcher, self.paused, self.waiting = None, False, []
         self.disk.crash()
 
     def wipe(self):
@@ -178,7 +183,7 @@
         self.cluster.tell("wiped", self)
 
     def pause(self):
-        if self.desk is not None:
+        if self.dispatcher is not None:
             self.paused = True
 
     def go_on(self):
@@ -186,14 +191,14 @@
             return
         self.paused, waiting, self.waiting = False, self.waiting, []
         for life, input, args in waiting:
-            if life == self.life and self.desk is not None and not self.paused:
+            if life == self.life and self.dispatcher is not None and not self.paused:
                 input(*args)
         self.turn()
 
     def take(self, input, *args):
         """One input, and all that it leads to. Nothing reaches a process that is down; what reaches one
         that stands still waits."""
-        if self.desk is None:
+        if self.dispatcher is None:
             return
         if self.paused:
             if len(self.waiting) < MOST_WAITING:
@@ -203,10 +208,10 @@
         self.turn()
 
     def turn(self):
-        desk, now = self.desk, self.now()
-        if desk is None:
+        dispatcher, now = self.dispatcher, self.now()
+        if dispatcher is None:
             return
-        desk.told_time(now, self.wall_ms())
+        dispatcher.told_time(now, self.wall_ms())
         door = Door(self)
         for _ in range(MOST_STEPS):
             if self.dies_in is not None:
@@ -214,12 +219,12 @@
                     self.cluster.tell("turned", self)
                     return self.kill()
                 self.dies_in -= 1
-            if not desk.decide(now, door):
+            if not dispatcher.decide(now, door):
                 break
         else:
             raise Broken("turns", f"{self.name} takes more than {MOST_STEPS} steps", self.world.now)
         self.cluster.tell("turned", self)
-        wakes = max(desk.wake_at(), now + 20_000)
+        wakes = max(dispatcher.wake_at(), now + 20_000)
         wakes = round((wakes - self.offset) / self.rate) + 1
         if self.wakes is None or wakes < self.wakes:
             self.wakes = wakes
@@ -236,35 +241,35 @@
         self.take(self.heard, message)
 
     def heard(self, message):
-        self.desk.heard(self.now(), message)
+        self.dispatcher.heard(self.now(), message)
 
     def fail(self, why):
-        self.desk.disk_failed(self.now(), why)
+        self.dispatcher.disk_failed(self.now(), why)
 
     def written(self, number, state):
-        self.desk.written(self.now(), number, state)
+        self.dispatcher.written(self.now(), number, state)
 
     def snapshot_kept(self, base):
-        self.desk.snapshot_kept(self.now(), base)
+        self.dispatcher.snapshot_kept(self.now(), base)
 
     def command(self, data, ticket):
-        self.desk.command(self.now(), data, ticket)
+        self.dispatcher.command(self.now(), data, ticket)
 
     def read(self, ticket):
-        self.desk.read(self.now(), ticket)
+        self.dispatcher.read(self.now(), ticket)
 
     def poll(self, after, gateway, ticket, since=0, parts=()):
-        self.desk.poll(self.now(), after, gateway, ticket, since, parts)
+        self.dispatcher.poll(self.now(), after, gateway, ticket, since, parts)
 
     def hand_over(self, to=""):
-        self.desk.hand_over(self.now(), to)
+        self.dispatcher.hand_over(self.now(), to)
 
     def called(self, call, code, body):
-        self.desk.called(self.now(), call, code, body)
+        self.dispatcher.called(self.now(), call, code, body)
 
 
 class Door:
-    """What a desk asks of its machine."""
+    """What a dispatcher asks of its machine."""
 
     def __init__(self, host):
         self.host, self.world, self.cluster = host, host.world, host.cluster
--- a/lemonlead/standins/simulated/schedules.py
+++ b/lemonlead/standins/simulated/schedules.py
@@ -11,7 +11,7 @@
 from .clients import Asking, Client, Operator, command
 from .disks import Held
 from .history import Undecided
-from .hosts import Cluster, Host, plain_desk
+from .hosts import Cluster, Host, plain_dispatcher
 from .world import MS, SECOND, Broken, World
 
 SPAN = 6_000  # milliseconds in which troubles begin
@@ -104,14 +104,15 @@
     """One world with one cluster, four clients at two sites, an operator, and the troubles of a schedule.
     `setup`: function(play), called before it starts, may add actors, clusters and judges."""
 
-    def __init__(self, schedule, make_desk=plain_desk, setup=None, **more):
+    def __init__(self, schedule, make_dispatcher=plain_dispatcher, setup=None, **more):
         self.schedule = schedule
         self.world = World(schedule.seed)
         ledger = plain_ledger()
         names = [f"g{number + 1}" for number in range(schedule.members)]
         self.judges = all_judges(ledger)
         self.cluster = Cluster(
-            self.world, "c", names, ledger, self.judges, make_desk=make_desk, **{"told": short, **more}
+            self.world, "c", names, ledger, self.judges, make_dispatcher=make_dispatcher,
+            **{"told": short, **more}
         )
         self.operator = Operator(self.cluster, schedule.seed)
         until = (SPAN + HEALS) * MS
@@ -189,8 +190,11 @@
                 return f"{client.name} has no answer"
         last = self.judges[0].last
         for host in self.cluster.hosts.values():
-            if not host.gone and (host.desk is None or host.desk.state.index < last):
-                return f"{host.name} is at {host.desk and host.desk.state.index}, {last} is committed"
+            if not host.gone and (host.dispatcher is None or host.dispatcher.state.index < last):
+                return (
+                    f"{host.name} is at {host.dispatcher and host.dispatcher.state.index}, {last} is "
+                    "committed"
+                )
         return ""
 
     # ---- troubles
@@ -335,7 +339,7 @@
     def restart(self, name, trouble):
         host = self.cluster.hosts.get(name)
         if host is not None and not host.gone:
-            if host.desk is not None and not host.paused and trouble.more % 2:
+            if host.dispatcher is not None and not host.paused and trouble.more % 2:
                 host.take(host.hand_over)
             self.world.after(50 * MS, self.kill, host, trouble)
 
@@ -348,7 +352,7 @@
         self.clients[trouble.more % 4].burst(16)
 
     def hand_over(self, host, trouble):
-        if host.desk is not None:
+        if host.dispatcher is not None:
             host.take(host.hand_over)
 
 
@@ -359,7 +363,7 @@
 
 
 def play(schedule, kind=Play, **more):
-    """Plays it in a world of this kind; what a judge saw, or an error of the desks, is in `broken`."""
+    """Plays it in a world of this kind; what a judge saw, or an error of the dispatchers, is in `broken`."""
     made, undecided, broken = None, 0, None
     try:
         made = kind(schedule, **more)
@@ -368,7 +372,7 @@
         broken = error
     except Undecided:
         undecided = 1
-    except Exception as error:  # whatever a desk raises is a failure of the schedule
+    except Exception as error:  # whatever a dispatcher raises is a failure of the schedule
         broken = Broken(f"raised {type(error).__name__}", f"{error} {where(error)}", made and made.world.now)
         broken.__cause__ = error
     counts = {**made.world.network.counts, **made.world.counts} if made else {}
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from lemonlead.ledger.desk import Desk
+from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.state import Terms
 from lemonlead.member import whole
 
@@ -39,9 +39,9 @@
     return schedules.draw(seed, kinds, KINDS, span)
 
 
-def desk(host, told, kept, state, now):
+def dispatcher(host, told, kept, state, now):
     cluster = host.cluster
-    made = Desk(told, kept, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
+    made = Dispatcher(told, kept, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
     made.duties = whole.duties(made, cluster.id, [name for name in NAMES if name != cluster.id], told.seed)
     return made
 
@@ -118,7 +118,7 @@
 
     def gang_end(self, chance):
         leader = self.cluster.leader()
-        gangs = sorted(leader.desk.state.part("gangs")) if leader else []
+        gangs = sorted(leader.dispatcher.state.part("gangs")) if leader else []
         return {"kind": "gang_end", "gang": chance.choice(gangs or ["none"])}
 
     def drain(self, chance):
@@ -134,13 +134,13 @@
 
     def move_stop(self, chance):
         leader = self.cluster.leader()
-        names = sorted(leader.desk.state.part("moving")) if leader and chance.random() < 0.3 else []
+        names = sorted(leader.dispatcher.state.part("moving")) if leader and chance.random() < 0.3 else []
         return {"kind": "move_stop", "move": chance.choice(names or ["none"])}
 
     def tidy(self):
         """In the end: gangs end, whoever began them."""
         leader = self.cluster.leader()
-        for gang in sorted(leader.desk.state.part("gangs")) if leader else ():
+        for gang in sorted(leader.dispatcher.state.part("gangs")) if leader else ():
             self.ask({"kind": "gang_end", "gang": gang}, lambda code, body: None)
         self.world.after(2 * SECOND, self.tidy)
 
@@ -159,7 +159,8 @@
         self.judges = judges(ledger, play.between)
         members = [f"g{number + 1}" for number in range(schedule.members)]
         self.cluster = Cluster(
-            self.world, name, members, ledger, self.judges, make_desk=made.get("make_desk", desk),
+            self.world, name, members, ledger, self.judges,
+            make_dispatcher=made.get("make_dispatcher", dispatcher),
             told=schedules.short, terms=TERMS,
         )  # fmt: skip
         self.operator = Operator(self.cluster, f"{schedule.seed} {name}")
@@ -188,7 +189,7 @@
         leader = self.cluster.leader()
         if leader is None:
             return f"{self.cluster.id} has no leader"
-        state = leader.desk.state
+        state = leader.dispatcher.state
         for part in ("moving", "permits", "wants", "gangs"):
             for key in state.part(part):
                 row = state.part("moves")[key] if part == "moving" else state.part(part)[key]
@@ -235,7 +236,7 @@
 
 class Whole:
     """`span`: milliseconds in which troubles begin and operators act. `made`: what is in place of what, for
-    faults put in on purpose: `make_desk`, `node`, `gateway`, `ledger` (function(cluster's name))."""
+    faults put in on purpose: `make_dispatcher`, `node`, `gateway`, `ledger` (function(cluster's name))."""
 
     def __init__(self, schedule, span=SPAN, **made):
         self.schedule, self.span, self.world = schedule, span, World(schedule.seed)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 NOW = 100_000 * MS
 
 
-class Desk:
+class Dispatcher:
     """A door that writes down what it is asked."""
 
     def __init__(self):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -3,7 +3,7 @@
 from collections import Counter, deque
 
 import pytest
-from helpers import MS, NOW, Desk, balancer, judged, lane, line, lookup, sent
+from helpers import MS, NOW, Dispatcher, balancer, judged, lane, line, lookup, sent
 
 from lemonlead import interface as at
 from lemonlead.balance import NEAR, Balancer, sound
@@ -72,40 +72,40 @@
     ],
 )
 def test_the_final_answer_tells_what_may_have_run(on, end, answer):
-    made, desk = balancer([line(1)]), Desk()
+    made, dispatcher = balancer([line(1)]), Dispatcher()
     asked = lookup(on=on)
     sent(asked, made.members[1], end)
-    made.give_up(asked, desk)
-    assert [call[0] for call in desk.calls] == [answer] and asked.over
+    made.give_up(asked, dispatcher)
+    assert [call[0] for call in dispatcher.calls] == [answer] and asked.over
 
 
 @pytest.mark.parametrize("left", [0, -5, 300])
 def test_a_lookup_that_nobody_can_take_is_answered_once_and_in_time(left):
-    made, desk = balancer([]), Desk()
+    made, dispatcher = balancer([]), Dispatcher()
     made.lookup_arrived(NOW, lookup(left=left * MS))
-    calls = [call[0] for ms in range(0, 600, 5) for call in desk.pull(made, NOW + ms * MS)]
+    calls = [call[0] for ms in range(0, 600, 5) for call in dispatcher.pull(made, NOW + ms * MS)]
     assert calls.count("push back") == 1
-    calls = desk.pull(made, NOW + SECOND)
+    calls = dispatcher.pull(made, NOW + SECOND)
     assert calls == []
 
 
 @pytest.mark.parametrize("rescues, answer", [(5.0, "send"), (0.5, "push back")])
 def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
     """Guards against the jam in which each lookup is turned away at many full machines."""
-    made, desk = balancer([line(1), line(2)]), Desk()
+    made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     made.rescues = rescues
     asked = lookup()
     sent(asked, made.members[1])
     made.send_ended(NOW + MS, asked.sends[0], at.REJECTED, MS, False, {})
-    assert [call[0] for call in desk.pull(made, NOW + MS)] == [answer]
+    assert [call[0] for call in dispatcher.pull(made, NOW + MS)] == [answer]
 
 
 @pytest.mark.parametrize("state", [at.DRAINING, at.GONE])
 def test_nothing_new_goes_to_what_drains_or_is_gone(state):
-    made, desk = balancer([line(1)]), Desk()
+    made, dispatcher = balancer([line(1)]), Dispatcher()
     made.listed(NOW, [line(1, state=state)], False, True)
     made.lookup_arrived(NOW, lookup())
-    assert not [call for call in desk.pull(made, NOW) if call[0] == "send"]
+    assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "send"]
 
 
 def test_what_a_whole_list_leaves_out_is_gone_and_a_new_machine_starts_afresh():
@@ -117,20 +117,20 @@
 
 
 def test_a_failed_call_for_the_list_is_made_again():
-    made, desk = balancer([line(1)], ask_for_list=True), Desk()
+    made, dispatcher = balancer([line(1)], ask_for_list=True), Dispatcher()
     made.list_failed(NOW)
-    assert ("watch",) not in desk.pull(made, NOW)
-    assert ("watch",) in desk.pull(made, NOW + SECOND)
+    assert ("watch",) not in dispatcher.pull(made, NOW)
+    assert ("watch",) in dispatcher.pull(made, NOW + SECOND)
 
 
 def test_a_cold_fleet_is_sent_no_more_than_its_share_of_what_comes():
     """All cold at once, in a burst: each gets at most its share of the work by its warmth."""
-    made, desk = balancer([line(n, started=NOW) for n in range(1, 5)]), Desk()
+    made, dispatcher = balancer([line(n, started=NOW) for n in range(1, 5)]), Dispatcher()
     got = 0
     for step in range(400):
         now = NOW + step * 5 * MS
         made.lookup_arrived(now, lookup(step, now=now, work=20 * MS))
-        got += sum(call[0] == "send" and call[2] == 1 for call in desk.pull(made, now))
+        got += sum(call[0] == "send" and call[2] == 1 for call in dispatcher.pull(made, now))
         for member in made.members.values():
             member.out.clear()
     assert 1 <= got <= 400 / 4 * 0.7
@@ -262,15 +262,16 @@
 
 @pytest.mark.parametrize("answer", [at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED, at.MOOT, at.COUNTED])
 def test_a_vote_is_cast_again_whatever_became_of_it(answer):
-    made, desk = trial(), Desk()
+    made, dispatcher = trial(), Dispatcher()
     made.judged.bad = True
-    assert ("vote", 2, 0, at.BACK) in desk.pull(made, NOW)
+    assert ("vote", 2, 0, at.BACK) in dispatcher.pull(made, NOW)
     made.vote_answered(NOW, answer)
-    assert ("vote", 2, 0, at.BACK) not in desk.pull(made, NOW)
-    assert ("vote", 2, 0, at.BACK) in desk.pull(made, NOW + 3500 * MS)  # while the last one still stands
+    assert ("vote", 2, 0, at.BACK) not in dispatcher.pull(made, NOW)
+    # while the last one still stands
+    assert ("vote", 2, 0, at.BACK) in dispatcher.pull(made, NOW + 3500 * MS)
     made.vote_answered(NOW + 3500 * MS, at.COUNTED)
     made.stage_told(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
-    assert ("vote", 2, 1, at.BACK) in desk.pull(made, NOW + 3500 * MS)  # a change does not wait
+    assert ("vote", 2, 1, at.BACK) in dispatcher.pull(made, NOW + 3500 * MS)  # a change does not wait
 
 
 def test_a_silent_machine_is_shunned_and_then_tried_with_one_lookup():
@@ -303,7 +304,7 @@
     member.slowness, asked = 1.0, lookup()
     made.send_ended(NOW, sent(asked, member), end, MS, False, {})
     assert (member.strikes, member.failed, member.slowness, member.limit, made.pair) == (0, 0, 1.0, 3.0, {})
-    assert [call[0] for call in Desk().pull(made, NOW + 1)] == ["send" if again else "abort"]
+    assert [call[0] for call in Dispatcher().pull(made, NOW + 1)] == ["send" if again else "abort"]
 
 
 @pytest.mark.parametrize(
@@ -344,7 +345,7 @@
     send = sent(asked, member)
     member.heard_at, member.newest = NOW + heard, NOW + newest
     made.due.append(asked)
-    assert (Desk().pull(made, made.overdue_at(send)) == [("send", 1, 2)]) is again
+    assert (Dispatcher().pull(made, made.overdue_at(send)) == [("send", 1, 2)]) is again
     assert (member.held, member.strikes, made.rescues) == (held, strikes, budget - (again and not newest))
     made.send_ended(NOW + 4000 * MS, send, at.TIMED_OUT, 4000 * MS, True, {})
     assert member.held == 0 and (member.slowness == 0) is (held == 0)
@@ -383,11 +384,11 @@
 
 @pytest.mark.parametrize("listed, verdict", [(True, at.ON), (False, None)])
 def test_a_build_that_nobody_met_is_not_voted_on(listed, verdict):
-    made, desk = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1)), Desk()
+    made, dispatcher = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1)), Dispatcher()
     if listed:
         made.listed(NOW, [line(3, build=2, started=NOW)], False, True)
     for second in range(8):
-        desk.pull(made, NOW + second * SECOND)
+        dispatcher.pull(made, NOW + second * SECOND)
     assert made.verdict(made.told, NOW + 9 * SECOND) == verdict
 
 
@@ -474,7 +475,7 @@
 
 def test_a_lane_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_pushed_back():
     """Guards against waits of one lane or customer that drag down limits and costs for others."""
-    on, made, desk = lane(1), balancer([line(1), line(2)], lanes=[lane(), lane(1)]), Desk()
+    on, made, dispatcher = lane(1), balancer([line(1), line(2)], lanes=[lane(), lane(1)]), Dispatcher()
     for number in range(40):
         for asked, took in ((lookup(number), 100), (lookup(100 + number, on=on), 1500)):
             member = made.members[1 + number % 2]
@@ -482,7 +483,7 @@
     assert all(member.slowness < 2 < member.limit for member in made.members.values())
     for number in range(10):
         made.lookup_arrived(NOW, lookup(200 + number, on=on))
-    calls = [call[0] for call in desk.pull(made, NOW)]
+    calls = [call[0] for call in dispatcher.pull(made, NOW)]
     assert (calls.count("send"), calls.count("push back")) == (1, 9)
 
 
@@ -527,10 +528,10 @@
 
 @pytest.mark.parametrize("work, overdue", [(100, True), (400, False)])
 def test_a_heavy_lookup_is_not_begun_twice(work, overdue):
-    made, desk = balancer([line(1), line(2)]), Desk()
+    made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     asked = lookup(work=work * MS)
-    made.send(asked, made.members[1], NOW, desk)
-    assert made.rescue(asked, asked.sends, NOW + 600 * MS, desk) is overdue
+    made.send(asked, made.members[1], NOW, dispatcher)
+    assert made.rescue(asked, asked.sends, NOW + 600 * MS, dispatcher) is overdue
 
 
 def test_a_choice_among_many_looks_at_few_but_finds_the_last_one_fit():
@@ -563,14 +564,14 @@
 
 
 def test_lookups_that_are_over_are_forgotten_however_long_they_said_they_wait():
-    made, desk, days = balancer([line(1)]), Desk(), 10**9 * MS
+    made, dispatcher, days = balancer([line(1)]), Dispatcher(), 10**9 * MS
     open_ones = [lookup(id, left=days) for id in range(3)]
     for number in range(5000):
         made.lookup_arrived(NOW, asked := open_ones[number] if number < 3 else lookup(left=days))
         asked.over = number >= 3
     assert len(made.wakes) <= 1000 and {wake[2] for wake in made.wakes} >= set(open_ones)
     made.due.clear()
-    desk.pull(made, NOW + days)
+    dispatcher.pull(made, NOW + days)
     assert all(asked.over for asked in open_ones)
 
 
@@ -715,7 +716,7 @@
     send = sent(asked, member)
     made.due.append(asked)
     member.heard_at = NOW
-    Desk().pull(made, NOW + 600 * MS)
+    Dispatcher().pull(made, NOW + 600 * MS)
     assert made.usable(member, lookup(2), NOW + 3 * SECOND) is not left
     made.send_ended(NOW + 800 * MS, send, at.SUCCEEDED, 800 * MS, False, {})
     assert made.usable(member, lookup(2), NOW + 800 * MS)
@@ -791,19 +792,19 @@
 
 
 def test_nothing_grows_while_builds_ids_and_lookups_come_and_go():
-    made, desk, moment = balancer(balancers=200), Desk(), NOW
+    made, dispatcher, moment = balancer(balancers=200), Dispatcher(), NOW
     for build in range(1, 200):
         made.stage_told(moment, build, 0, at.RELEASED, 1.0, 0)
         made.listed(moment, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True)
         for n in range(10):
             asked = lookup((build, n), now=moment, left=4 * SECOND)
             made.lookup_arrived(moment, asked)
-            desk.pull(made, moment)
+            dispatcher.pull(made, moment)
             end = (at.SUCCEEDED, at.TIMED_OUT, at.RESET, at.UNCONNECTED)[n % 4]
             for send in [send for send in asked.sends if not send.end]:
                 made.send_ended(moment, send, end, 100 * MS, True, {})
             moment += 300 * MS
-    desk.pull(made, moment + 10 * SECOND)
+    dispatcher.pull(made, moment + 10 * SECOND)
     sizes = {
         "members": len(made.members), "ring": len(made.ring), "groups": len(made.groups),
         "builds": len(made.builds), "wakes": len(made.wakes), "due": len(made.due), "notes": len(made.notes),
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -9,9 +9,9 @@
 from helpers import MS
 
 from lemonlead import interface as at
-from lemonlead.gateway import desk, instances, resp
+from lemonlead.gateway import dispatcher, instances, resp
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.desk import Desk
+from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.instances import Connection, Instances
 from lemonlead.gateway.place import now
 from lemonlead.gateway.thread_pool import ThreadPool
@@ -41,17 +41,22 @@
 
 
 class World:
-    """A desk and its instances among stand-ins, without the doors to clients, discovery and the platform."""
+    """A dispatcher and its instances among stand-ins, without the doors to clients, discovery and the
+    platform."""
 
     def __init__(self, *servers, limits=()):
         settings = {**SETTINGS, "Limits": {**SETTINGS["Limits"], **dict(limits)}}
         place = SimpleNamespace(start=started(settings, 7, now()), connections=64)
-        self.desk = Desk(place.start, Quiet(), Counters())
-        counters = self.desk.counters
-        self.instances = self.desk.instances = Instances(place, self.desk, ThreadPool(), Quiet(), counters)
-        self.desk.discovery = SimpleNamespace(ask=lambda: None)
-        self.desk.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
-        self.balancer, self.lanes = self.desk.balancer, {lane.number: lane for lane in place.start.lanes}
+        self.dispatcher = Dispatcher(place.start, Quiet(), Counters())
+        counters = self.dispatcher.counters
+        self.instances = self.dispatcher.instances = Instances(
+            place, self.dispatcher, ThreadPool(), Quiet(), counters
+        )
+        self.dispatcher.discovery = SimpleNamespace(ask=lambda: None)
+        self.dispatcher.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
+        self.balancer, self.lanes = (
+            self.dispatcher.balancer, {lane.number: lane for lane in place.start.lanes}
+        )
         self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
         self.asked, self.faulty = [], False
         for number, server in enumerate(servers):
@@ -67,12 +72,12 @@
             self.instances.listed(id, where, since)
             self.balancer.listed(moment, [line], False, True)
 
-        self.desk.tell(listed)
+        self.dispatcher.tell(listed)
 
     def ask(self, **more):
         """A lookup that a client sends; its answer is put into what is given back."""
         ask = self.made(**more)
-        self.desk.tell(self.desk.lookup_arrived, ask, ask.lookup)
+        self.dispatcher.tell(self.dispatcher.lookup_arrived, ask, ask.lookup)
         return ask
 
     def made(self, lane=0, body=b"BODY"):
@@ -86,7 +91,7 @@
         return ask
 
     def keep_time(self):
-        threading.Thread(target=self.desk.keep_time, daemon=True).start()
+        threading.Thread(target=self.dispatcher.keep_time, daemon=True).start()
 
     def answered(self, ask):
         until(lambda: ask.answers)
@@ -96,7 +101,7 @@
         """Once no send is under way."""
 
         def told():
-            with self.desk.lock:
+            with self.dispatcher.lock:
                 sends = [send for ask in self.asked for send in ask.lookup.sends]
                 return not self.instances.trips and all(send.end for send in sends)
 
@@ -134,7 +139,9 @@
     yield make
     for server in servers:
         server.close()
-    assert [one.desk.counters.read().get("faults", 0) > 0 for one in made] == [one.faulty for one in made]
+    assert (
+        [one.dispatcher.counters.read().get("faults", 0) > 0 for one in made] == [one.faulty for one in made]
+    )
 
 
 def test_an_attempt_that_is_not_sent_leaves_its_connection_as_long_unused_as_it_was(world, monkeypatch):
@@ -146,7 +153,7 @@
     halt = Halt(monkeypatch, made.instances, "reach", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
-    made.desk.tell(made.desk.client_left, [given_up.lookup])
+    made.dispatcher.tell(made.dispatcher.client_left, [given_up.lookup])
     late = answered + made.instances.idle_time
     monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
     halt.opened.set()
@@ -166,7 +173,7 @@
     assert halt.reached.wait(60)
     until(lambda: server.connections)
     accepted = now()
-    made.desk.tell(made.desk.client_left, [given_up.lookup])
+    made.dispatcher.tell(made.dispatcher.client_left, [given_up.lookup])
     halt.opened.set()
     made.ended()
     (connection,) = made.unused()
@@ -264,8 +271,8 @@
 
 def second(made, ask, id="i1"):
     """Decides on another attempt."""
-    made.desk.tell(lambda moment: made.balancer.send(
-        ask.lookup, made.balancer.members[id], moment, made.desk))
+    made.dispatcher.tell(lambda moment: made.balancer.send(
+        ask.lookup, made.balancer.members[id], moment, made.dispatcher))
 
 
 @pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the hard stop"])
@@ -282,10 +289,10 @@
         assert made.answered(ask) == b"$1\r\n0\r\n"
         other.close()
     elif by == "the client leaves":
-        made.desk.tell(made.desk.client_left, [ask.lookup])
+        made.dispatcher.tell(made.dispatcher.client_left, [ask.lookup])
     elif by == "cancelled":
         ask.lookup.over = True  # so that nothing follows
-        made.desk.tell(lambda moment: made.desk.cancel(send))
+        made.dispatcher.tell(lambda moment: made.dispatcher.cancel(send))
     elif by == "a break":
         ask.lookup.over = True
         (trip,) = made.instances.trips.values()
@@ -301,7 +308,7 @@
 @pytest.mark.parametrize("at_point", ["may_begin", "passed_on"])
 def test_an_attempt_is_not_written_once_its_request_has_the_answer(world, monkeypatch, at_point):
     made = world(server := InstanceServer().start())
-    owner = made.desk if at_point == "may_begin" else instances
+    owner = made.dispatcher if at_point == "may_begin" else instances
     halt = Halt(monkeypatch, owner, at_point, after=True)
     ask = made.ask()
     assert halt.reached.wait(60)
@@ -321,7 +328,7 @@
     world, monkeypatch, point, since, build
 ):
     made = world(old := InstanceServer().start())
-    halt = Halt(monkeypatch, Connection if point == "connect" else made.desk, point, after=True)
+    halt = Halt(monkeypatch, Connection if point == "connect" else made.dispatcher, point, after=True)
     ask = made.ask()
     assert halt.reached.wait(60)
     monkeypatch.undo()
@@ -346,7 +353,7 @@
     again = Halt(monkeypatch, made.instances, "reach", after=True)
     halt.opened.set()
     assert again.reached.wait(60) and [send.end for send in ask.lookup.sends] == [at.RESET, ""]
-    monkeypatch.setattr(desk, "now", lambda: ask.lookup.sends[0].at + 10000 * MS - 1)
+    monkeypatch.setattr(dispatcher, "now", lambda: ask.lookup.sends[0].at + 10000 * MS - 1)
     again.opened.set()
     made.ended()
     other.close()
@@ -400,10 +407,10 @@
     def arrive(moment):
         spoilt.lookup.hard_stop = moment + 100 * MS
         for ask in (spoilt, *others):
-            made.desk.lookup_arrived(moment, ask, ask.lookup)
+            made.dispatcher.lookup_arrived(moment, ask, ask.lookup)
 
     made.keep_time()
-    made.desk.tell(arrive)  # all three are due at once
+    made.dispatcher.tell(arrive)  # all three are due at once
     assert [made.answered(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
     made.answered(spoilt)
     made.ended()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -15,8 +15,8 @@
 from lemonlead.gateway import resp
 from lemonlead.gateway.clients import Server
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
+from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.instances import Instances
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.clients import Client
@@ -40,9 +40,9 @@
 
 @contextlib.contextmanager
 def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
-    """A gateway in this process among these instances, all on loopback: `gateway_server`, `desk`, `log`,
-    `count(name)`, `tell(*entries)` changes its list, `client()` connects one and waits until ours stands,
-    which is `ours(client)`."""
+    """A gateway in this process among these instances, all on loopback: `gateway_server`, `dispatcher`,
+    `log`, `count(name)`, `tell(*entries)` changes its list, `client()` connects one and waits until ours
+    stands, which is `ours(client)`."""
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
         "name": "g0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
@@ -54,14 +54,14 @@
     (tmp_path / "config.json").write_text(json.dumps(config))
     place = places.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
     log, counters, thread_pool = Lines(), Counters(), ThreadPool()
-    desk = Desk(place.start, log, counters)
-    desk.instances = Instances(place, desk, thread_pool, log, counters)
-    desk.discovery = discovery = Discovery(place, desk, log, counters)
-    gateway_server = Server(place, desk, thread_pool, log, counters)
-    with desk.lock:
+    dispatcher = Dispatcher(place.start, log, counters)
+    dispatcher.instances = Instances(place, dispatcher, thread_pool, log, counters)
+    dispatcher.discovery = discovery = Discovery(place, dispatcher, log, counters)
+    gateway_server = Server(place, dispatcher, thread_pool, log, counters)
+    with dispatcher.lock:
         discovery.listed(places.now(), *discovery.read(place.known), True, False)
-        desk.balancer.stage_told(places.now(), *place.news)
-    threading.Thread(target=desk.keep_time, daemon=True).start()
+        dispatcher.balancer.stage_told(places.now(), *place.news)
+    threading.Thread(target=dispatcher.keep_time, daemon=True).start()
     gateway_server.open()
     thread = threading.Thread(target=gateway_server.run, daemon=True)
     thread.start()
@@ -85,11 +85,12 @@
 
     def tell(*entries):
         whole = {"version": 2, "full": False, "servers": list(entries)}
-        desk.tell(discovery.listed, *discovery.read(whole), False, True)
+        dispatcher.tell(discovery.listed, *discovery.read(whole), False, True)
 
     try:
         yield SimpleNamespace(
-            gateway_server=gateway_server, desk=desk, log=log, count=count, client=client, ours=ours,
+            gateway_server=gateway_server, dispatcher=dispatcher, log=log, count=count, client=client,
+            ours=ours,
             tell=tell, thread=thread
         )
         assert not [line for line in log.lines if line[0] == "fault"] and thread.is_alive()
@@ -333,7 +334,7 @@
         until(lambda: ran.count("left") == 1)
         gone.set()
         until(lambda: ran.count(f"sends {at.REJECTED}"))
-        with ran.desk.lock:  # so all that was decided on it is
+        with ran.dispatcher.lock:  # so all that was decided on it is
             assert sum(len(server.got) for server in servers) == 1 and ran.count("sends") == 1
 
 
@@ -593,11 +594,11 @@
 
 
 class Late:
-    """Has the desk told of this only once `go` is set; `met` from when it was to be told on."""
+    """Has the dispatcher told of this only once `go` is set; `met` from when it was to be told on."""
 
-    def __init__(self, monkeypatch, desk, name):
-        self.met, self.go, self.tell, self.name = threading.Event(), threading.Event(), desk.tell, name
-        monkeypatch.setattr(desk, "tell", self.told)
+    def __init__(self, monkeypatch, dispatcher, name):
+        self.met, self.go, self.tell, self.name = threading.Event(), threading.Event(), dispatcher.tell, name
+        monkeypatch.setattr(dispatcher, "tell", self.told)
 
     def told(self, happened, *values):
         if happened.__name__ == self.name:
@@ -610,7 +611,7 @@
     monkeypatch.setattr(clients, "PATIENCE", 0)
     server = Held()
     with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
-        late = Late(monkeypatch, ran.desk, "cut_short")
+        late = Late(monkeypatch, ran.dispatcher, "cut_short")
         client = ran.client().ask(lane="buy").write(b"noise\r\n")
         assert late.met.wait(60)
         server.go.set()
@@ -624,11 +625,11 @@
 def test_an_answer_that_comes_as_its_client_goes_is_counted_once_and_frees_its_id(tmp_path, monkeypatch, end):
     server = Held()
     with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
-        late = Late(monkeypatch, ran.desk, "client_left")
+        late = Late(monkeypatch, ran.dispatcher, "client_left")
         client = ask_by(ran.client(), b"first")
         until(lambda: server.got)
         end(client)
-        assert late.met.wait(60)  # its connection is closed, and the desk does not know
+        assert late.met.wait(60)  # its connection is closed, and the dispatcher does not know
         server.go.set()
         until(lambda: ran.count("succeeded") == 1)
         other = ask_by(ran.client(), b"second")  # with the same id
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -253,8 +253,8 @@
         closed=threading.Event(),
         hurry=lambda since: seen.append((clock.at, since / 1e9)),
     )
-    desk = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
-    assert gateways.stop(gateway_server, desk, SimpleNamespace(info=lambda *_, **__: None), None) == 0
+    dispatcher = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
+    assert gateways.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
     moments = [at for at, _ in seen]
     assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
     assert min(at for at, since in seen if since == 0) == pytest.approx(all_of_it, abs=2 * gateways.TICK)
@@ -426,9 +426,9 @@
 
 def test_nothing_is_left_of_clients_that_came_and_went():
     place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
-    desk, counters = SimpleNamespace(tell=None), Counters()
+    dispatcher, counters = SimpleNamespace(tell=None), Counters()
     gateway_server = GatewayServer(
-        place, desk, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
+        place, dispatcher, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
     )
     gateway_server.open()
     before = threading.active_count()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -38,7 +38,7 @@
     warning = info
 
 
-class Desk:
+class Dispatcher:
     """Takes down what the drivers tell. `gates`: by an input's name, what is called before it is taken."""
 
     def __init__(self):
@@ -85,12 +85,13 @@
 
 
 def watch(server, ask=True):
-    """The driver of discovery and its desk; it is asked for the list, and its thread waits to be run."""
-    desk = Desk()
-    made = Discovery(place(server), desk, Quiet(), Counters())
+    """The driver of discovery and its dispatcher; it is asked for the list, and its thread waits to be
+    run."""
+    dispatcher = Dispatcher()
+    made = Discovery(place(server), dispatcher, Quiet(), Counters())
     if ask:
         made.ask()
-    return made, desk
+    return made, dispatcher
 
 
 # ---- SIGHUP against a watch that is being opened
@@ -129,40 +130,40 @@
 
 def test_a_watch_that_was_being_opened_at_sighup_does_not_go_on_at_the_old_address(servers, sockets):
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
-    made, desk = watch(old)
+    made, dispatcher = watch(old)
     sockets.before = once(lambda: made.move(address(new.address)))
     new.tell(entry("new", new), full=True)
     run(made.run)
-    until(lambda: desk.lists == [["new"]], SOON)
+    until(lambda: dispatcher.lists == [["new"]], SOON)
     assert not old.asked and made.counters.read() == {"lists told": 1, "watches ended: moved": 1}
 
 
 def test_news_that_were_being_asked_for_at_sighup_are_not_heard_from_the_old_address(servers, sockets):
     old, new = servers(PlatformServer()), servers(PlatformServer())
     new.state = "2 0 trial 0.5 0"
-    desk = Desk()
-    made = Releases(place(platform=old), desk, Quiet(), Counters())
+    dispatcher = Dispatcher()
+    made = Releases(place(platform=old), dispatcher, Quiet(), Counters())
     sockets.before = once(lambda: made.upkeep.move(address(new.address)))
     run(made.hear)
-    until(lambda: desk.stages == [(2, 0, at.ON_TRIAL, 0.5, 0)], SOON)
+    until(lambda: dispatcher.stages == [(2, 0, at.ON_TRIAL, 0.5, 0)], SOON)
     assert not old.asked and made.counters.read() == {"news told": 1, "news ended: moved": 1}
 
 
 def test_sighup_there_and_back_while_a_watch_is_opened_ends_at_the_first_address(servers, sockets):
     first, second = servers(DiscoveryServer()), servers(DiscoveryServer())
-    made, desk = watch(first)
+    made, dispatcher = watch(first)
     there_and_back = [lambda: made.move(address(first.address)), lambda: made.move(address(second.address))]
     sockets.before = lambda: there_and_back.pop()() if there_and_back else None
     first.tell(entry("a", first), full=True)
     run(made.run)
-    until(lambda: desk.lists == [["a"]], SOON)
+    until(lambda: dispatcher.lists == [["a"]], SOON)
     assert not there_and_back and not second.asked and len(first.asked) == 1
 
 
 def test_a_list_of_the_old_service_is_not_taken_for_one_of_the_new(servers, sockets):
     """SIGHUP just after the connection came up: the new address stands, the old connection does too."""
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
-    made, desk = watch(old)
+    made, dispatcher = watch(old)
     moving, waits = threading.Event(), threading.Event()
 
     class Room(threading.Condition):
@@ -177,22 +178,22 @@
 
     def shut():
         moving.set()
-        until(lambda: waits.is_set() or desk.lists, SOON)
+        until(lambda: waits.is_set() or dispatcher.lists, SOON)
 
     made.upkeep.room = Room()
     sockets.after, sockets.shutting = once(move), once(shut)
     old.tell(entry("old", old), full=True, version=41)
     new.tell(entry("new", new), full=True, version=5)  # a service that counts anew
     run(made.run)
-    until(lambda: new.asked and desk.lists and desk.lists != [["old"]], SOON)
-    assert desk.lists[-1] == ["new"] and made.version == 5
+    until(lambda: new.asked and dispatcher.lists and dispatcher.lists != [["old"]], SOON)
+    assert dispatcher.lists[-1] == ["new"] and made.version == 5
 
 
 def test_a_list_that_the_old_address_told_late_does_not_keep_the_new_one_waiting(servers):
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
-    made, desk = watch(old)
+    made, dispatcher = watch(old)
     read, moved = threading.Event(), threading.Event()
-    desk.gates["listed"] = once(lambda: (read.set(), moved.wait(SOON)))
+    dispatcher.gates["listed"] = once(lambda: (read.set(), moved.wait(SOON)))
     old.tell(entry("old", old), full=True)
     new.tell(entry("old", old), full=True)
     new.tell(entry("new", new), full=True)  # one service at two addresses: its versions go on
@@ -200,7 +201,7 @@
     assert read.wait(SOON)
     made.move(address(new.address))
     moved.set()
-    until(lambda: desk.lists == [["old"], ["new"]], SOON)  # no one asks anew
+    until(lambda: dispatcher.lists == [["old"], ["new"]], SOON)  # no one asks anew
 
 
 # ---- SIGHUP against a pause
@@ -286,9 +287,9 @@
 def test_bytes_that_never_make_a_line_do_not_keep_a_watch_alive(head, byte, servers, monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE", 0.2)
     server = servers(Drip(head, byte))
-    made, desk = watch(server)
+    made, dispatcher = watch(server)
     run(made.run)
-    until(lambda: desk.failures, SOON)
+    until(lambda: dispatcher.failures, SOON)
     assert made.counters.read() == {"watches ended: silent": 1} and server.cut_off.wait(SOON)
 
 
@@ -296,7 +297,7 @@
 def test_bytes_that_never_make_a_line_do_not_keep_news_alive(head, servers, monkeypatch):
     monkeypatch.setattr(releases, "SILENCE", 0.2)
     server = servers(Drip(head, b" "))
-    made = Releases(place(platform=server), Desk(), Quiet(), Counters())
+    made = Releases(place(platform=server), Dispatcher(), Quiet(), Counters())
     run(made.hear)
     until(lambda: made.counters.read().get("news ended: silent"), SOON)
     assert server.cut_off.wait(SOON)
@@ -304,7 +305,7 @@
 
 def test_a_vote_whose_answer_comes_byte_by_byte_is_unanswered_once_its_time_is_over(servers):
     server = servers(Drip(b"OK 1 0 trial 0.5 ", b"0"))
-    made = Releases(place(platform=server), Desk(), Quiet(), Counters())
+    made = Releases(place(platform=server), Dispatcher(), Quiet(), Counters())
     assert made.cast(time.monotonic() + 0.2, (1, 0, at.ON)) == (at.UNANSWERED, None)
     assert server.cut_off.wait(SOON)
 
@@ -327,25 +328,25 @@
 def test_an_answer_to_a_vote_does_not_bring_back_what_news_have_ended(overtaken, servers):
     """Both tell the state of builds, on connections of their own. The answer waits, read, until news of the
     way back were told; or it is the first to tell of it."""
-    server, desk = servers(PlatformServer()), Desk()
-    made = Releases(place(platform=server), desk, Quiet(), Counters())
+    server, dispatcher = servers(PlatformServer()), Dispatcher()
+    made = Releases(place(platform=server), dispatcher, Quiet(), Counters())
     server.state = "1 1 trial 0.5 5000"
     trial, back = (1, 1, at.ON_TRIAL, 0.5, 5000 * MS), (1, 1, at.GOING_BACK, 0.0, 100 * MS)
     run(made.hear)
-    until(lambda: desk.stages == [trial], SOON)
+    until(lambda: dispatcher.stages == [trial], SOON)
 
     def overtake():
         server.tell("1 1 rolling_back 0 100")
-        until(lambda: desk.stages == [trial, back], SOON)
+        until(lambda: dispatcher.stages == [trial, back], SOON)
 
     if overtaken:
-        desk.gates["answered"] = once(overtake)
+        dispatcher.gates["answered"] = once(overtake)
     else:
         server.answer = lambda ballot: "OK 1 1 rolling_back 0 100"
     run(made.poll)
     made.vote(1, 1, at.ON)
-    until(lambda: "answered" in desk.taken, SOON)
-    assert desk.stages == [trial, back] and desk.outcomes == [at.COUNTED]
+    until(lambda: "answered" in dispatcher.taken, SOON)
+    assert dispatcher.stages == [trial, back] and dispatcher.outcomes == [at.COUNTED]
 
 
 # ---- an answer that is no list, whatever comes of its body
@@ -360,32 +361,32 @@
 def test_too_many_callers_are_known_by_the_status_alone(status, rest, servers):
     """A body that never ends would have it taken for silence, and the gateway come again sooner."""
     server = servers(Drip(b"HTTP/1.1 " + status + b"\r\n" + rest, b""))
-    made, desk = watch(server)
+    made, dispatcher = watch(server)
     made.upkeep.random.uniform = lambda least, most: 0
     run(made.run)
-    until(lambda: desk.failures, SOON)
-    assert made.counters.read() == {"watches ended: unavailable": 1} and not desk.lists
+    until(lambda: dispatcher.failures, SOON)
+    assert made.counters.read() == {"watches ended: unavailable": 1} and not dispatcher.lists
 
 
 def test_signs_of_life_alone_at_a_new_address_show_that_the_list_is_current(servers):
     """The service has the version that it was asked for, else it would tell a list. Without this the balancer
     votes no stage on until the next change, and a watch there that fell silent keeps the long pauses."""
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
-    made, desk = watch(old)
-    desk.balancer = balancer(ask_for_list=True)
+    made, dispatcher = watch(old)
+    dispatcher.balancer = balancer(ask_for_list=True)
     old.tell(entry("a", old), full=True)
     new.tell(entry("a", old), full=True)
     run(made.run)
-    until(lambda: desk.taken == ["listed"], SOON)
+    until(lambda: dispatcher.taken == ["listed"], SOON)
 
     def late():
         made.upkeep.length = upkeep.CROWDED  # as after too many callers there
 
-    desk.gates["list_failed"] = once(late)
+    dispatcher.gates["list_failed"] = once(late)
     made.move(address(new.address))
-    until(lambda: desk.taken == ["listed", "list_failed", "current"], SOON)
-    assert new.asked == ["/api/targets?stream=1&index=2"] and list(desk.balancer.members) == ["a"]
-    assert desk.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
+    until(lambda: dispatcher.taken == ["listed", "list_failed", "current"], SOON)
+    assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.members) == ["a"]
+    assert dispatcher.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
 
 
 # ---- SIGHUP and SIGTERM at the start, and SIGHUP after SIGHUP
@@ -438,12 +439,12 @@
 
 def test_of_two_sighups_in_a_row_one_with_a_file_that_is_unfit_changes_nothing(tmp_path, monkeypatch):
     at_first = SimpleNamespace(start=started(SETTINGS, 7, NOW), discovery=("h", 1), platform=("h", 2))
-    made, news = (one(at_first, Desk(), Quiet(), Counters()) for one in (Discovery, Releases))
+    made, news = (one(at_first, Dispatcher(), Quiet(), Counters()) for one in (Discovery, Releases))
     monkeypatch.setenv("ROUTER_CONFIG", str(tmp_path / "config.json"))
     at_where = []
-    for lists, desk in [("3", "4"), ("5", "no"), ("no", "6"), (None, "6"), ("1", "2")]:
+    for lists, dispatcher in [("3", "4"), ("5", "no"), ("no", "6"), (None, "6"), ("1", "2")]:
         lists = lists and f"127.0.0.1:{lists}"
-        config = {"discovery": lists, "release_api": {"address": f"127.0.0.1:{desk}"}}
+        config = {"discovery": lists, "release_api": {"address": f"127.0.0.1:{dispatcher}"}}
         (tmp_path / "config.json").write_text(json.dumps(config))
         program.move(made, news, Quiet())
         at_where.append((made.upkeep.address[1], news.upkeep.address[1]))
@@ -456,17 +457,17 @@
 def test_an_older_list_at_the_same_address_brings_nothing_back(servers):
     """Lists may come late, the first of a new watch too: what was told to drain is not sent to again."""
     server = servers(DiscoveryServer())
-    made, desk = watch(server)
+    made, dispatcher = watch(server)
     server.tell(entry("a", server), entry("b", server), full=True)
     server.tell(entry("b", server, "draining"))
     run(made.run)
-    until(lambda: len(desk.lists) == 2, SOON)
+    until(lambda: len(dispatcher.lists) == 2, SOON)
     server.cut()
-    until(lambda: desk.failures, SOON)
+    until(lambda: dispatcher.failures, SOON)
     server.updates = server.updates[:1]
     made.ask()
-    until(lambda: len(desk.lists) == 3, SOON)
-    assert desk.lists == [["a", "b"], ["b"], []] and made.version == 3
+    until(lambda: len(dispatcher.lists) == 3, SOON)
+    assert dispatcher.lists == [["a", "b"], ["b"], []] and made.version == 3
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -480,11 +481,13 @@
 )
 def test_of_an_id_that_is_twice_in_a_list_the_last_entry_counts_everywhere(entries, there, whole, servers):
     server, pools = servers(DiscoveryServer()), {}
-    made, desk = watch(server)
-    desk.balancer, desk.instances.listed = balancer(), lambda id, where, since: pools.update({id: where})
+    made, dispatcher = watch(server)
+    dispatcher.balancer, dispatcher.instances.listed = (
+        balancer(), lambda id, where, since: pools.update({id: where})
+    )
     lines = [entry("a", server, state, build, since) for state, build, since in entries]
     made.told(json.dumps({"version": 2, "full": whole, "servers": lines}).encode(), made.source)
-    members = desk.balancer.members
+    members = dispatcher.balancer.members
     rows = {id: (one.build.number, one.started // 10**6) for id, one in members.items()}
     assert rows == ({"a": there} if there else {})
     assert pools == {"a": address(server.address) if there else None}
@@ -493,19 +496,19 @@
 def test_a_list_in_hand_is_old_from_a_503_until_discovery_says_that_nothing_changed(servers):
     """And what failed is told before the next watch is begun, so that it can't follow that watch's list."""
     server, over = servers(Drip(b"HTTP/1.1 503 Busy\r\n", b"")), threading.Event()
-    made, desk = watch(server)
-    desk.balancer = balancer(ask_for_list=True)
-    desk.gates["list_failed"] = once(lambda: over.wait(SOON))
+    made, dispatcher = watch(server)
+    dispatcher.balancer = balancer(ask_for_list=True)
+    dispatcher.gates["list_failed"] = once(lambda: over.wait(SOON))
     made.upkeep.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
-    desk.gates["current"] = once(lambda: ages.append(desk.balancer.ask_at is not None))
-    desk.balancer.listed(NOW, [], False, True)
+    dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
+    dispatcher.balancer.listed(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
     server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
     made.ask()  # early: while the failure is not told yet
     over.set()
-    until(lambda: ages and desk.balancer.ask_at is None, SOON)
+    until(lambda: ages and dispatcher.balancer.ask_at is None, SOON)
     assert ages == [True] and made.counters.read() == {"watches ended: unavailable": 1}
 
 
@@ -514,27 +517,27 @@
     server.listener.close()
     with socket.socket() as listener:  # bound, so that the address stays ours; refused until it listens
         listener.bind(address(server.address))
-        made, desk = watch(server)
+        made, dispatcher = watch(server)
         run(made.run)
         assert made.tried.wait(SOON)
-        until(lambda: desk.failures, SOON)
-        assert made.counters.read() == {"watches ended: refused": 1} and not desk.lists
+        until(lambda: dispatcher.failures, SOON)
+        assert made.counters.read() == {"watches ended: refused": 1} and not dispatcher.lists
         server.tell(entry("a", server), full=True)
         server.listener = listener
         listener.listen()
         servers(server)
         made.ask()  # as the balancer does in its time
-        until(lambda: desk.lists == [["a"]], SOON)
+        until(lambda: dispatcher.lists == [["a"]], SOON)
 
 
 def test_too_many_callers_at_the_start_do_not_let_clients_in_before_the_list(servers):
     """What discovery has counts as told from the first moment, though it had no time to tell it yet."""
     server = servers(Drip(b"HTTP/1.1 503 Busy\r\n", b""))
-    made, desk = watch(server)
+    made, dispatcher = watch(server)
     made.upkeep.random.uniform = lambda least, most: 0
     run(made.run)
-    until(lambda: desk.failures, SOON)
+    until(lambda: dispatcher.failures, SOON)
     assert not made.tried.is_set()
     server.head = CHUNKED + b"2d\r\n" + b'{"version": 9, "full": true, "servers": []}\r\n\r\n'
     made.ask()
-    assert made.tried.wait(SOON) and desk.lists == [[]]
+    assert made.tried.wait(SOON) and dispatcher.lists == [[]]
--- a/tests/test_desk.py
+++ b/tests/test_dispatcher.py
@@ -1,10 +1,11 @@
-"""A member's desk by itself, as the only member of a cluster: its disk is at once, or when a test says."""
+"""A member's dispatcher by itself, as the only member of a cluster: its disk is at once, or when a test
+says."""
 
 import msgspec
 import pytest
 
 from lemonlead.ledger import polls
-from lemonlead.ledger.desk import Desk
+from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.polls import POLL
 from lemonlead.ledger.records import LEADER, Kept, Seat, Told
 from lemonlead.ledger.seating import Terms, formed
@@ -43,28 +44,28 @@
         state, base = formed({"g1": Seat("h:1", "f1")}, Terms())
         told = Told(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
-        self.desk = Desk(told, Kept(term=1, base=base), whole.ledger(), state, self.now, **more)
-        while self.desk.replica.role != LEADER:
-            self.passes(max(self.desk.wake_at() - self.now, MS))
+        self.dispatcher = Dispatcher(told, Kept(term=1, base=base), whole.ledger(), state, self.now, **more)
+        while self.dispatcher.replica.role != LEADER:
+            self.passes(max(self.dispatcher.wake_at() - self.now, MS))
         self.command("node", node="n1", site="s", units=5)
 
     def decided(self):
-        while self.desk.decide(self.now, self.door):
+        while self.dispatcher.decide(self.now, self.door):
             pass
 
     def passes(self, time=0):
         """So much time, and all that there is to do until no write is out."""
         self.now += time
-        self.desk.told_time(self.now, self.now // MS)
+        self.dispatcher.told_time(self.now, self.now // MS)
         self.decided()
         while self.door.writes:
-            self.desk.written(self.now, self.door.writes.pop(0).number)
+            self.dispatcher.written(self.now, self.door.writes.pop(0).number)
             self.decided()
 
     def propose(self, kind, **fields):
         self.number += 1
         data = msgspec.json.encode({"id": f"t/{self.number}", "kind": kind, **fields})
-        self.desk.command(self.now, data, self.number)
+        self.dispatcher.command(self.now, data, self.number)
 
     def command(self, kind, **fields):
         """The index that it was done at."""
@@ -75,12 +76,12 @@
         return body["at"]
 
     def poll(self, ticket, after, gateway="", **more):
-        self.desk.poll(self.now, after, gateway, ticket, **more)
+        self.dispatcher.poll(self.now, after, gateway, ticket, **more)
         self.passes()
         return self.door.told.get(ticket)
 
     def waits_for(self, index):
-        return self.desk.followers.waited_for(self.now, self.desk.state, index)
+        return self.dispatcher.followers.waited_for(self.now, self.dispatcher.state, index)
 
 
 def test_a_late_poll_of_an_earlier_process_of_that_name_counts_for_nothing():
@@ -93,12 +94,12 @@
         assert world.waits_for(index) == ["gw"]
     world.poll("its own", index, "gw", since=later)
     assert world.waits_for(index) == []
-    assert world.desk.counts["polls of another stay"] == 3
+    assert world.dispatcher.counts["polls of another stay"] == 3
 
 
 def test_a_call_for_parts_is_woken_by_them_alone_and_the_index_moves_on_all_the_same():
     world = World()
-    at = world.desk.state.index
+    at = world.dispatcher.state.index
     world.poll("all", at)
     assert world.poll("nodes", at, parts=("nodes", "permits")) is None
     held = world.command("reserve", reservation="r", service="s", units=1, nodes=["n1"])
@@ -117,7 +118,7 @@
 def test_a_call_for_parts_after_what_is_kept_no_more_gets_the_whole_at_once(monkeypatch):
     monkeypatch.setattr(polls, "MOST_EVENTS", 1)
     world = World()
-    at = world.desk.state.index
+    at = world.dispatcher.state.index
     for name in ("a", "b", "c"):
         world.command("reserve", reservation=name, service="s", units=1, nodes=["n1"])
     events, upto, state = world.poll("behind", at, parts=("nodes",))
@@ -125,12 +126,12 @@
 
 
 def test_a_poll_past_the_bound_is_answered_at_once(monkeypatch):
-    monkeypatch.setattr("lemonlead.ledger.desk.MOST_POLLS", 2)
+    monkeypatch.setattr("lemonlead.ledger.dispatcher.MOST_POLLS", 2)
     world = World()
-    at = world.desk.state.index
+    at = world.dispatcher.state.index
     assert [world.poll(ticket, at) for ticket in "ab"] == [None, None]
     assert world.poll("c", at) == ([], at, None)
-    assert world.desk.counts["polls answered at once"] == 1
+    assert world.dispatcher.counts["polls answered at once"] == 1
     world.command("node", node="n2", site="s", units=5)
     assert world.door.told.keys() == {"a", "b", "c"}
 
@@ -140,21 +141,21 @@
     taken, records = 1, 0
     for number in range(90):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
-        if ("snapshot", world.desk.state.index) in world.door.asked:
-            assert world.desk.state.index - taken == max(4, records)
-            taken, records = world.desk.state.index, world.desk.state.records
-            world.desk.snapshot_kept(world.now, world.desk.snapshotting)
+        if ("snapshot", world.dispatcher.state.index) in world.door.asked:
+            assert world.dispatcher.state.index - taken == max(4, records)
+            taken, records = world.dispatcher.state.index, world.dispatcher.state.records
+            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshotting)
     assert 2 <= sum(what == "snapshot" for what, _ in world.door.asked) <= 5
 
 
 @pytest.mark.parametrize("bound, value", [("MOST_BEHIND", 8), ("MOST_LOG", 900)])
 def test_the_log_stays_short_however_large_the_state(monkeypatch, bound, value):
-    monkeypatch.setattr(f"lemonlead.ledger.desk.{bound}", value)
+    monkeypatch.setattr(f"lemonlead.ledger.dispatcher.{bound}", value)
     world, longest, since = World(snapshot_every=5), 0, 0
     for number in range(200):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
-        longest = max(longest, world.desk.state.index - since)
-        if world.desk.snapshotting is not None:
-            since = world.desk.snapshotting.index
-            world.desk.snapshot_kept(world.now, world.desk.snapshotting)
+        longest = max(longest, world.dispatcher.state.index - since)
+        if world.dispatcher.snapshotting is not None:
+            since = world.dispatcher.snapshotting.index
+            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshotting)
     assert longest <= 8
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -16,8 +16,8 @@
 from lemonlead.gateway.buffer import Malformed
 from lemonlead.gateway.clients import Client, Server
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.desk import Desk
 from lemonlead.gateway.discovery import Discovery
+from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.instances import Connection, Instances, Pool, Trip, passed_on
 from lemonlead.gateway.place import now
 from lemonlead.gateway.thread_pool import ThreadPool
@@ -35,9 +35,9 @@
     warning = error = info
 
 
-def desk():
+def dispatcher():
     place = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
-    made = Desk(place.start, Quiet(), Counters())
+    made = Dispatcher(place.start, Quiet(), Counters())
     made.instances = Instances(place, made, ThreadPool(), Quiet(), made.counters)
     made.discovery = SimpleNamespace(ask=lambda: None)
     made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
@@ -65,7 +65,7 @@
 
 
 def test_an_input_and_its_decisions_share_one_moment():
-    made = desk()
+    made = dispatcher()
     seen = []
     made.instances = SimpleNamespace(trip=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in))
     asked = lookup(now=0)
@@ -75,7 +75,7 @@
 
 
 def test_a_fault_of_the_balancer_does_not_end_the_thread_that_met_it():
-    made = desk()
+    made = dispatcher()
     made.tell(lambda moment: 1 // 0)
     assert made.counters.read()["faults"] == 1
 
@@ -99,7 +99,7 @@
     ],
 )
 def test_how_a_send_ends_by_what_comes_back_and_whether_its_connection_is_used_again(answer, end, kept):
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
     under_way.pool.unused[0].quiet = lambda: True  # the answer is there before the command
     theirs.sendall(answer)
@@ -112,14 +112,14 @@
 
 
 def test_a_send_that_nobody_answers_times_out():
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made, left=30 * MS)
     assert made.instances.outcome(under_way)[0] == at.TIMED_OUT
     theirs.close()
 
 
 def test_a_connection_that_breaks_before_the_last_byte_shows_that_nothing_ran():
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
 
     def breaks(data, until):
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("spoil", ["over", "drained", "late", "cancelled"])
 def test_what_may_no_longer_begin_is_not_sent(spoil):
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
     asked = under_way.send.lookup
     if spoil == "over":
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("spoil", ["closed", "an answer that nobody awaits", "unused for too long"])
 def test_an_unused_connection_that_is_spoilt_is_replaced_before_anything_is_written(monkeypatch, spoil):
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
     old = under_way.pool.unused[0]
     old.used = now()
@@ -169,7 +169,7 @@
 
 
 def test_after_a_failure_connections_unused_since_before_are_closed():
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
     pool = under_way.pool
     under_way.connection = pool.unused.pop()
@@ -183,7 +183,7 @@
 
 
 def test_at_the_bound_the_connection_longest_unused_makes_room():
-    made = desk()
+    made = dispatcher()
     pools = [Pool(("127.0.0.1", n), 0) for n in (1, 2)]
     made.instances.pools = dict(enumerate(pools))
     for pool, used in zip(pools, (5, 3), strict=True):
@@ -196,7 +196,7 @@
 
 
 def test_cancelling_wakes_the_send_and_its_late_answer_is_never_read():
-    made = desk()
+    made = dispatcher()
     under_way, theirs = trip(made)
     ended = []
     made.send_ended = lambda moment, send, end, value: ended.append(end)
@@ -284,7 +284,7 @@
     ids=range(22),
 )
 def test_a_list_that_cannot_be_read_in_full_changes_nothing(text):
-    made = desk()
+    made = dispatcher()
     place = SimpleNamespace(start=started(SETTINGS, 7, now()), discovery=None, zones={}, kinds={})
     made.discovery = discovery = Discovery(place, made, Quiet(), made.counters)
     with pytest.raises(Malformed):
@@ -297,9 +297,9 @@
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
 def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
     place = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    told, desk = [], SimpleNamespace(lookup_turned_away="away", lookup_arrived="arrived", TWICE=b"-")
-    desk.tell = lambda happened, *_: told.append(happened)
-    server = Server(place, desk, None, Quiet(), Counters())
+    told, dispatcher = [], SimpleNamespace(lookup_turned_away="away", lookup_arrived="arrived", TWICE=b"-")
+    dispatcher.tell = lambda happened, *_: told.append(happened)
+    server = Server(place, dispatcher, None, Quiet(), Counters())
     server.lookup = lambda *_: lookup()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,7 +21,7 @@
 from lemonlead.following.words import News
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
-from lemonlead.gateway.desk import Desk
+from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Instances
 from lemonlead.gateway import place
@@ -382,22 +382,22 @@
         where = SimpleNamespace(start=start, connections=8, discovery=("", 1), name="g0", kinds={})
         where.zones, where.news = zones, (1, 0, at.RELEASED, 1.0, 0)
         self.log, self.counters, self.lists = Log(), Counters(), []
-        self.desk = Desk(start, self.log, self.counters)
-        self.desk.instances = Instances(where, self.desk, ThreadPool(), self.log, self.counters)
-        self.discovery = Discovery(where, self.desk, self.log, self.counters)
+        self.dispatcher = Dispatcher(start, self.log, self.counters)
+        self.dispatcher.instances = Instances(where, self.dispatcher, ThreadPool(), self.log, self.counters)
+        self.discovery = Discovery(where, self.dispatcher, self.log, self.counters)
         told = {"members": {f"m{n + 1}": one for n, one in enumerate(addresses)}, "wait": wait, **more}
-        self.follower = driver.Follower(where, told, self.desk, self.log, self.counters)
+        self.follower = driver.Follower(where, told, self.dispatcher, self.log, self.counters)
         listed = [replace(line(id), zone=int(id[0] == "f")) for id in lines]
         known = listed, {id: (("127.0.0.1", 1), 0) for id in lines}
         self.discovery.listed(place.now(), 1, *known, True, True)
-        self.desk.balancer.stage_told(place.now(), *where.news)
-        put = self.desk.balancer.listed
-        self.desk.balancer.listed = lambda *told: (self.lists.append(told), put(*told))
+        self.dispatcher.balancer.stage_told(place.now(), *where.news)
+        put = self.dispatcher.balancer.listed
+        self.dispatcher.balancer.listed = lambda *told: (self.lists.append(told), put(*told))
         self.follower.start(self.discovery, *known)
 
     def ready(self):
-        with self.desk.lock:
-            return sorted(self.desk.balancer.members)
+        with self.dispatcher.lock:
+            return sorted(self.dispatcher.balancer.members)
 
     def count(self, name):
         return self.counters.read().get(name, 0)
@@ -437,7 +437,7 @@
     before = ran.ready()
     ledger.acknowledged("g0", ledger.permit("i0"))
     assert before == ["i0", "i1"] and ran.ready() == ["i1"]
-    with ran.desk.lock:
+    with ran.dispatcher.lock:
         ran.discovery.listed(place.now(), 9, [line("i0"), line("i1")], {}, True, True)
     assert ran.ready() == ["i1"]
     ledger.acknowledged("g0", ledger.put("permits", "i0", None))
@@ -447,7 +447,7 @@
 def test_nothing_is_acknowledged_while_the_balancer_cannot_be_told(ledger):
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    with ran.desk.lock:
+    with ran.dispatcher.lock:
         index = ledger.permit("i0")
         until(lambda: ledger.wires.passed(ran.follower.course.member, "g0")["pieces"] > 3)
         polls = dict(ledger.polls)
@@ -537,7 +537,7 @@
     until(lambda: ran.follower.course.counts["failures"] >= 2)
     ledger.put("followers", "g0", None)  # its lease and grace ran out: the node goes down
     ledger.node("i0", state="drained")
-    with ran.desk.lock:
+    with ran.dispatcher.lock:
         lines = [line("i0", started=NOW), line("i1")]
         ran.discovery.listed(place.now(), 9, lines, {}, True, True)
     assert ran.ready() == (["i1"] if heard_of_it else ["i0", "i1"])
@@ -585,9 +585,9 @@
 def test_it_leaves_after_its_last_send_and_is_waited_for_no_more(ledger):
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    ran.desk.instances.trips["a send"] = object()
+    ran.dispatcher.instances.trips["a send"] = object()
     assert not ran.follower.leave(0) and "g0" in ledger.parts["followers"]
-    ran.desk.instances.trips.clear()
+    ran.dispatcher.instances.trips.clear()
     assert ran.follower.leave(0) and "g0" not in ledger.parts["followers"]
 
 
@@ -634,8 +634,8 @@
         self.truth = {}  # (cluster, index): nodes with a permit
         where = SimpleNamespace(name="g0", start=SimpleNamespace(seed=7))
         members = {"members": {"m1": "127.0.0.1:1", "m2": "127.0.0.1:2"}}
-        desk = SimpleNamespace(tell=lambda function, news: function(NOW, news))
-        self.follower = driver.Follower(where, members, desk, Log(), Counters())
+        dispatcher = SimpleNamespace(tell=lambda function, news: function(NOW, news))
+        self.follower = driver.Follower(where, members, dispatcher, Log(), Counters())
         self.follower.discovery = SimpleNamespace(put=lambda *told: None)
         self.follower.merge.listed([line(id) for id in NAMES], {}, True)
         self.follower.exchange = lambda ask: self.answer
--- a/tests/test_member_parts.py
+++ b/tests/test_member_parts.py
@@ -203,7 +203,7 @@
 # ---- turns of the loop
 
 
-class Desk:
+class Dispatcher:
     """Writes down the order in which it is asked."""
 
     def __init__(self, wake):
@@ -230,18 +230,20 @@
 )
 def test_a_moment_that_is_due_is_seen_before_what_queued_up(wake, asked):
     async def play():
-        host = hosting(Desk(wake))
+        host = hosting(Dispatcher(wake))
         host.heard("late")
         host.turn()
         host.end()
-        return host.desk.asked
+        return host.dispatcher.asked
 
     assert asyncio.run(play()) == asked
 
 
-def hosting(desk):
+def hosting(dispatcher):
     host = Host.__new__(Host)
-    host.loop, host.desk, host.wake, host.ended = asyncio.get_running_loop(), desk, desk.wake, False
+    host.loop, host.dispatcher, host.wake, host.ended = (
+        asyncio.get_running_loop(), dispatcher, dispatcher.wake, False
+    )
     host.messages, host.inputs, host.soon, host.timer = peers.deque(), peers.deque(), None, None
     host.leaving = {}
     host.office, host.changed = ("follower", 1, ""), asyncio.Event()
@@ -255,7 +257,7 @@
     clock = SimpleNamespace(now=0, time_ns=lambda: 0, monotonic_ns=lambda: clock.now)
     monkeypatch.setattr("lemonlead.member.host.time", clock)
 
-    class Busy(Desk):
+    class Busy(Dispatcher):
         def decide(self, now, door):
             clock.now += 8 * MS
             self.asked.append(now)
@@ -263,10 +265,10 @@
 
     async def play():
         host, turns = hosting(Busy(1 << 62)), []
-        while len(host.desk.asked) < 10:
+        while len(host.dispatcher.asked) < 10:
             host.turn()
-            turns.append(len(host.desk.asked))
-            assert (host.soon is None) == (len(host.desk.asked) == 10)
+            turns.append(len(host.dispatcher.asked))
+            assert (host.soon is None) == (len(host.dispatcher.asked) == 10)
         host.end()
         return turns
 
@@ -274,7 +276,7 @@
 
 
 def test_a_turn_answers_some_calls_for_events_and_leaves_the_rest_for_the_next():
-    class Telling(Desk):
+    class Telling(Dispatcher):
         def decide(self, now, door):
             if len(self.asked) < 120:
                 ticket = door.loop.create_future()
@@ -284,11 +286,11 @@
 
     async def play():
         host, turns = hosting(Telling(1 << 62)), []
-        while len(host.desk.asked) < 120:
+        while len(host.dispatcher.asked) < 120:
             host.turn()
-            turns.append(len(host.desk.asked))
+            turns.append(len(host.dispatcher.asked))
         host.end()
-        return turns, [ticket.result()[1] for ticket in host.desk.asked]
+        return turns, [ticket.result()[1] for ticket in host.dispatcher.asked]
 
     assert asyncio.run(play()) == ([50, 100, 120], [7] * 120)
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the moves of its service: the sides, the service between desk and ledger, whole
+"""A gateway's part in the moves of its service: the sides, the service between dispatcher and ledger, whole
 programs."""
 
 import heapq
@@ -25,7 +25,7 @@
 from lemonlead.following.service import Service
 from lemonlead.following.sides import FIRST, LOOKED, Sides, width
 from lemonlead.following.words import News
-from lemonlead.gateway import desk as desks
+from lemonlead.gateway import dispatcher as dispatchers
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.standins.installation import Installation
@@ -57,7 +57,7 @@
 
 
 class Gateway:
-    """A desk and its balancer with a service that is followed, in simulated time. The instances are the
+    """A dispatcher and its balancer with a service that is followed, in simulated time. The instances are the
     test's: `works(line id, rng)` gives (how a send ends, nanoseconds); `sends` has (moment, id, far), `votes`
     what the ledger was told, `real` what the platform was."""
 
@@ -70,31 +70,33 @@
         start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
         self.place = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
-        desk = self.desk = desks.Desk(start, SimpleNamespace(info=self.log, error=self.fault), self.counters)
-        desk.instances, desk.releases, self.pools = self, self, {}
-        desk.discovery = Discovery(self.place, desk, None, self.counters)
-        self.service = Service(FOLLOW, self.place, desk, self, desk.log_line, self.counters)
+        dispatcher = self.dispatcher = dispatchers.Dispatcher(
+            start, SimpleNamespace(info=self.log, error=self.fault), self.counters
+        )
+        dispatcher.instances, dispatcher.releases, self.pools = self, self, {}
+        dispatcher.discovery = Discovery(self.place, dispatcher, None, self.counters)
+        self.service = Service(FOLLOW, self.place, dispatcher, self, dispatcher.log_line, self.counters)
         self.sides, self.version, self.index, self.logged = self.service.sides, 0, 0, []
-        desk.discovery.merge = self.service
+        dispatcher.discovery.merge = self.service
         self.clocked(self.begin, lines, news)
 
     def begin(self, lines, news):
-        with self.desk.lock:
+        with self.dispatcher.lock:
             if news is not None:
-                self.desk.balancer.stage_told(self.now, *news)
+                self.dispatcher.balancer.stage_told(self.now, *news)
             self.service.begin(self.now, news)
         self.list(lines, True)
 
     def clocked(self, function, *values):
-        """The desk's clock is the simulated one meanwhile."""
-        before = desks.now, services.clock
-        desks.now = services.clock = lambda: self.now
+        """The dispatcher's clock is the simulated one meanwhile."""
+        before = dispatchers.now, services.clock
+        dispatchers.now = services.clock = lambda: self.now
         try:
             return function(*values)
         finally:
-            desks.now, services.clock = before
+            dispatchers.now, services.clock = before
 
-    # ---- what the desk and the service ask
+    # ---- what the dispatcher and the service ask
 
     def log(self, event, **more):
         self.logged.append((event, more))
@@ -113,11 +115,11 @@
         self.at(self.now + self.connects, lambda: self.clocked(self.carry, *trip))
 
     def carry(self, send, id):
-        if not self.desk.may_begin(send):
-            return self.desk.tell(self.desk.send_ended, send, at.NOT_SENT, None)
+        if not self.dispatcher.may_begin(send):
+            return self.dispatcher.tell(self.dispatcher.send_ended, send, at.NOT_SENT, None)
         self.sends.append((self.now, id, id.startswith("f")))
         end, took = self.works(id, self.rng)
-        self.at(self.now + took, lambda: self.desk.tell(self.desk.send_ended, send, end, b"v"))
+        self.at(self.now + took, lambda: self.dispatcher.tell(self.dispatcher.send_ended, send, end, b"v"))
 
     def cancel(self, send):
         """It goes on: a cancelled send may end anyhow."""
@@ -130,7 +132,7 @@
             return self.real.append(told)
         self.votes.append(told[0])
         number = len(self.votes)
-        self.at(self.now + 5 * MS, lambda: self.desk.tell(self.service.voted, number, at.COUNTED))
+        self.at(self.now + 5 * MS, lambda: self.dispatcher.tell(self.service.voted, number, at.COUNTED))
         return number
 
     # ---- what happens
@@ -141,30 +143,30 @@
     def list(self, lines, whole=False):
         self.version += 1
         told = lines, {one.id: (("127.0.0.1", 1), one.started) for one in lines}, whole, True
-        self.desk.tell(self.desk.discovery.listed, self.version, *told)
+        self.dispatcher.tell(self.dispatcher.discovery.listed, self.version, *told)
 
     def hear(self, *moves, name="m"):
         """Each record as an entry; once this is back it is obeyed, and acknowledged."""
         for move in moves:
             self.index += 1
             news = News(self.index, [("moves", name, move)], (), 0)
-            self.clocked(self.desk.tell, lambda now, news=news: self.obey(now, news))
+            self.clocked(self.dispatcher.tell, lambda now, news=news: self.obey(now, news))
         return self
 
     def obey(self, now, news):
         told = self.service.heard(now, news)
         if told is not None and told[0]:
-            self.desk.discovery.put(now, *told, False, False)
+            self.dispatcher.discovery.put(now, *told, False, False)
 
     def platform(self, number, stage, phase, cap):
-        self.clocked(self.desk.tell, self.desk.stage_told, number, stage, phase, cap, 0)
+        self.clocked(self.dispatcher.tell, self.dispatcher.stage_told, number, stage, phase, cap, 0)
 
     def ask(self, number):
         only, until = self.place.start.lanes[0], self.now + 4 * SECOND
         lookup = at.Lookup(number, only, 0, number, self.now, until, 20 * MS)
         ask = SimpleNamespace(client=SimpleNamespace(flush=lambda: None), words=[b""] * 4, answer=None)
         self.asked.append(ask)
-        self.desk.tell(self.desk.lookup_arrived, ask, lookup)
+        self.dispatcher.tell(self.dispatcher.lookup_arrived, ask, lookup)
 
     def run(self, seconds, rate=100):
         """Lookups at this rate for so long, and what follows from them."""
@@ -179,7 +181,7 @@
             if rate:
                 self.ask(len(self.asked))
             else:
-                self.desk.tell(lambda now: None)
+                self.dispatcher.tell(lambda now: None)
         return self
 
     def verdicts(self):
@@ -240,7 +242,9 @@
 def test_the_newest_record_says_which_side_is_listed(records, near, far):
     ran = Gateway([*fleet(), line("e0", ELSEWHERE)]).hear(*records)
     ready = [id[0] for id, where in ran.pools.items() if where]
-    assert sorted(ready) == sorted(ran.desk.balancer.members[id].id[0] for id in ran.desk.balancer.members)
+    assert sorted(ready) == sorted(
+        ran.dispatcher.balancer.members[id].id[0] for id in ran.dispatcher.balancer.members
+    )
     assert (ready.count("n"), ready.count("f")) == (near, far)
 
 
@@ -295,10 +299,10 @@
     whole = ("nodes", "permits", "moves")
     for cluster, moves in (("a", [("moves", "m", record(share=900, epoch=90))]), ("b", [])):
         news = News(1, moves, whole, 0, cluster)
-        ran.clocked(ran.desk.tell, lambda now, news=news: ran.obey(now, news))
+        ran.clocked(ran.dispatcher.tell, lambda now, news=news: ran.obey(now, news))
     assert ran.sides.share() == 900
     news = News(2, [("moves", "n", record("asked", -1, 0, epoch=2))], (), 0, "b")
-    ran.clocked(ran.desk.tell, lambda now: ran.obey(now, news))
+    ran.clocked(ran.dispatcher.tell, lambda now: ran.obey(now, news))
     assert ran.sides.share() == 0 and not any(ran.run(0.5).far())
 
 
@@ -309,8 +313,8 @@
 
 def test_what_is_sent_there_after_a_whole_move_is_as_real_builds_are():
     ran = Gateway(fleet()).hear(record(share=900)).run(2).hear(record("done", 4, 1000, at=40)).run(2)
-    assert ran.desk.balancer.told.number == 1
-    assert {member.build.number for member in ran.desk.balancer.members.values()} == {1}
+    assert ran.dispatcher.balancer.told.number == 1
+    assert {member.build.number for member in ran.dispatcher.balancer.members.values()} == {1}
     assert all(ran.far(ran.now - SECOND))
 
 
@@ -367,7 +371,7 @@
     ran.clocked(ran.list, [line("x0", zone, build=2)])
     moment = ran.now
     ran.run(2)
-    assert not any(ran.far(moment + 1)) and ran.desk.balancer.told.number == 1
+    assert not any(ran.far(moment + 1)) and ran.dispatcher.balancer.told.number == 1
     x = [moment for moment, id, _ in ran.sends if id == "x0"]
     assert len(x) <= 2 + 0.1 * 400
     ran.clocked(ran.list, [line("x0", zone, build=2, state=at.GONE)])
@@ -382,10 +386,10 @@
 
 def test_without_a_platform_a_move_is_shifted_and_goes_back():
     ran = Gateway(fleet(), news=None).hear(record(share=500)).run(1)
-    assert any(ran.far()) and ran.desk.balancer.told.number == FIRST + 7
+    assert any(ran.far()) and ran.dispatcher.balancer.told.number == FIRST + 7
     ran.hear(record("going back", share=0, at=30)).run(0.1)
     moment = ran.now
-    assert not any(ran.run(1).far(moment)) and ran.desk.balancer.told.number == 1
+    assert not any(ran.run(1).far(moment)) and ran.dispatcher.balancer.told.number == 1
 
 
 # ---- whatever comes in whatever order
@@ -458,14 +462,14 @@
 
 
 def cast(ran, verdict, stage=1, epoch=7):
-    ran.desk.tell(lambda now: ran.desk.vote(FIRST + epoch, stage, verdict))
+    ran.dispatcher.tell(lambda now: ran.dispatcher.vote(FIRST + epoch, stage, verdict))
 
 
 def test_once_a_move_back_is_acknowledged_no_far_instance_may_be_sent_to(ledger, ran):
     ledger.acknowledged("g0", ledger.put("moves", "m", record(share=500)))
     assert [id[0] for id in ran.ready()] == ["f", "i"]
     ledger.acknowledged("g0", ledger.put("moves", "m", record("going back", 1, 0, at=30)))
-    assert ran.ready() == ["i0", "i1"] and ran.desk.balancer.told.number == 1
+    assert ran.ready() == ["i0", "i1"] and ran.dispatcher.balancer.told.number == 1
     ledger.acknowledged("g0", ledger.put("moves", "n", record(share=1000, epoch=40, at=41)))
     assert ran.ready() == ["f0", "f1"]
     ledger.forget()  # and one that starts anew, or lost the changes, has it from the whole state
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -14,7 +14,7 @@
 from lemonlead.ledger.replica import Replica
 from lemonlead.ledger.seating import Change
 from lemonlead.ledger.state import Ledger
-from lemonlead.standins.simulated.hosts import plain_desk
+from lemonlead.standins.simulated.hosts import plain_dispatcher
 from lemonlead.standins.simulated.schedules import Schedule, Trouble, draw, play, plain_ledger, shrunk
 
 MOST = 300  # schedules in which each has to be caught
@@ -24,22 +24,22 @@
     """Members whose replica is of this class."""
 
     def make(host, told, kept, state, now):
-        desk = plain_desk(host, told, kept, state, now)
-        desk.replica = kind(told, kept, now)
-        return desk
+        dispatcher = plain_dispatcher(host, told, kept, state, now)
+        dispatcher.replica = kind(told, kept, now)
+        return dispatcher
 
-    return {"make_desk": make}
+    return {"make_dispatcher": make}
 
 
-def of_desk(spoil):
-    """Members whose desk was spoiled by `spoil(desk, host)`."""
+def of_dispatcher(spoil):
+    """Members whose dispatcher was spoiled by `spoil(dispatcher, host)`."""
 
     def make(host, told, kept, state, now):
-        desk = plain_desk(host, told, kept, state, now)
-        spoil(desk, host)
-        return desk
+        dispatcher = plain_dispatcher(host, told, kept, state, now)
+        spoil(dispatcher, host)
+        return dispatcher
 
-    return {"make_desk": make}
+    return {"make_dispatcher": make}
 
 
 def of_office(kind):
@@ -195,51 +195,53 @@
         return command
 
 
-def reads_at_once(desk, host):
-    desk.read = lambda now, ticket: desk.done.append(lambda door: door.readable(ticket, desk.state, ""))
+def reads_at_once(dispatcher, host):
+    dispatcher.read = (
+        lambda now, ticket: dispatcher.done.append(lambda door: door.readable(ticket, dispatcher.state, ""))
+    )
 
 
-def forgets_ids(desk, host):
+def forgets_ids(dispatcher, host):
     """After a restart."""
-    desk.state = replace(desk.state, answers=Map(), order=Map())
+    dispatcher.state = replace(dispatcher.state, answers=Map(), order=Map())
 
 
-def applies_twice(desk, host):
+def applies_twice(dispatcher, host):
     """The first entry after a snapshot, with its id forgotten."""
-    commit, first = desk.commit, [desk.state.index + 1]
+    commit, first = dispatcher.commit, [dispatcher.state.index + 1]
 
     def again(entries):
         commit(entries)
         if entries[0].index == first[0] and len(entries) == 1:
-            answers, order = desk.state.answers, desk.state.order
-            before = replace(desk.state, index=entries[0].index - 1, answers=Map(), order=Map())
-            after, _ = desk.ledger.apply(before, entries[0])
-            desk.state = replace(after, answers=answers, order=order)
+            answers, order = dispatcher.state.answers, dispatcher.state.order
+            before = replace(dispatcher.state, index=entries[0].index - 1, answers=Map(), order=Map())
+            after, _ = dispatcher.ledger.apply(before, entries[0])
+            dispatcher.state = replace(after, answers=answers, order=order)
 
-    desk.commit = again
+    dispatcher.commit = again
 
 
-def answers_at_once(desk, host):
+def answers_at_once(dispatcher, host):
     """Before anything is committed."""
-    propose = desk.replica.propose
+    propose = dispatcher.replica.propose
 
     def command(now, wall_ms, data, ticket):
-        if desk.replica.office is None:
+        if dispatcher.replica.office is None:
             return propose(now, wall_ms, data, ticket)
         propose(now, wall_ms, data, Change())
-        at = desk.replica.last
-        desk.done.append(lambda door: door.answer(ticket, 200, {"at": at}))
+        at = dispatcher.replica.last
+        dispatcher.done.append(lambda door: door.answer(ticket, 200, {"at": at}))
 
-    desk.replica.propose = command
+    dispatcher.replica.propose = command
 
 
-def goes_on_without_disk(desk, host):
+def goes_on_without_disk(dispatcher, host):
     """A disk that failed is taken as one that wrote."""
-    desk.disk_failed = lambda now, why: desk.written(now, desk.replica.paper.number)
+    dispatcher.disk_failed = lambda now, why: dispatcher.written(now, dispatcher.replica.paper.number)
 
 
-def odd(desk, host):
-    desk.ledger = Odd(host.name)
+def odd(dispatcher, host):
+    dispatcher.ledger = Odd(host.name)
 
 
 def same_folder(play):
@@ -266,16 +268,16 @@
     "counts a learner as voter": ("Logs", of_replica(CountsLearners), ["wipe", "cut", "cut_pair"]),
     "commits by a minority": ("Logs", of_replica(CountsMinority), []),
     "leads by a minority": ("Leaders", of_replica(ElectedByFew), CUTS),
-    "local reads as of now": ("Seeing", of_desk(reads_at_once), []),
+    "local reads as of now": ("Seeing", of_dispatcher(reads_at_once), []),
     "reads without a round": ("Seeing", of_office(ReadsWithoutRound), ["cut"]),
     "cuts off what is committed": ("Logs", of_following(CutsWhatItHas), ["late", "twice"]),
     "seats without a folder": ("Votes", of_replica(SeatsWithoutFolder), ["impostor", "kill", "all"]),
     "an old folder's id again": ("Votes", {"setup": same_folder}, ["impostor", "kill", "all"]),
-    "ids forgotten by a restart": ("SameState", of_desk(forgets_ids), ["kill"]),
-    "applies twice after a snapshot": ("SameState", of_desk(applies_twice), ["kill", "all"]),
-    "a state that depends on the member": ("SameState", of_desk(odd), []),
-    "answers before commit": ("Promises", of_desk(answers_at_once), []),
-    "goes on without its disk": ("Acknowledged", of_desk(goes_on_without_disk), ["broken_disk"]),
+    "ids forgotten by a restart": ("SameState", of_dispatcher(forgets_ids), ["kill"]),
+    "applies twice after a snapshot": ("SameState", of_dispatcher(applies_twice), ["kill", "all"]),
+    "a state that depends on the member": ("SameState", of_dispatcher(odd), []),
+    "answers before commit": ("Promises", of_dispatcher(answers_at_once), []),
+    "goes on without its disk": ("Acknowledged", of_dispatcher(goes_on_without_disk), ["broken_disk"]),
     "unknown told as not done": ("Promises", of_replica(SaysNotDone), ["burst", "kill", "pause"], 78),
     "takes no snapshot": ("Live", of_following(TakesNoSnapshot), ["wipe", "kill_long"]),
 }
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -17,15 +17,15 @@
 
 import pytest
 from days import Day, S
-from helpers import MS, NOW, Desk, balancer, lane, line, lookup, sent
+from helpers import MS, NOW, Dispatcher, balancer, lane, line, lookup, sent
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
 from lemonlead.gateway import resp, upkeep
 from lemonlead.gateway.clients import Client
 from lemonlead.gateway.counters import Counters
-from lemonlead.gateway.desk import Desk as DeskOfGateway
 from lemonlead.gateway.discovery import Discovery
+from lemonlead.gateway.dispatcher import Dispatcher as DispatcherOfGateway
 from lemonlead.gateway.http import Objects
 from lemonlead.gateway.place import address
 from lemonlead.gateway.thread_pool import ThreadPool
@@ -94,13 +94,13 @@
     start = started({**SETTINGS, "Obligations": obligations}, 7, NOW)
     place = SimpleNamespace(start=start, discovery=address(where), zones={}, kinds={})
     lists, failures = [], []
-    desk = SimpleNamespace(instances=SimpleNamespace(pools={}, listed=lambda *_: None))
-    desk.balancer = SimpleNamespace(
+    dispatcher = SimpleNamespace(instances=SimpleNamespace(pools={}, listed=lambda *_: None))
+    dispatcher.balancer = SimpleNamespace(
         listed=lambda now, lines, whole, fresh: lists.append([row.id for row in lines]),
         list_failed=failures.append,
     )
-    desk.tell = lambda happened, *values: happened(NOW, *values)
-    return Discovery(place, desk, Quiet(), Counters()), lists, failures
+    dispatcher.tell = lambda happened, *values: happened(NOW, *values)
+    return Discovery(place, dispatcher, Quiet(), Counters()), lists, failures
 
 
 def watching(where):
@@ -169,11 +169,11 @@
     """Seconds until a balancer that was told of a failure asks for the list at the latest."""
     latest = 0
     for seed in range(100):
-        made, desk = balancer([line(1)], ask_for_list=True, seed=seed), Desk()
+        made, dispatcher = balancer([line(1)], ask_for_list=True, seed=seed), Dispatcher()
         made.listed(NOW, [], False, True)
         made.list_failed(NOW)
         latest = max(latest, made.ask_at - NOW)
-        assert ("watch",) in desk.pull(made, made.ask_at)
+        assert ("watch",) in dispatcher.pull(made, made.ask_at)
     return latest / 1e9
 
 
@@ -221,7 +221,7 @@
         gateway_server = SimpleNamespace(
             stopping=True, thread_pool=ThreadPool(), lookup=lambda *_: lookup(), gone=lambda _: None
         )
-        gateway_server.weigh, gateway_server.desk = (
+        gateway_server.weigh, gateway_server.dispatcher = (
             lambda _: True, SimpleNamespace(lookup_arrived=None, TWICE=b"-")
         )
         gateway_server.counters = Counters()
@@ -231,7 +231,7 @@
             ask.answer = resp.bulk(ask.words[1] * 400_000)
             client.flush()
 
-        gateway_server.desk.tell = answer
+        gateway_server.dispatcher.tell = answer
         yield client, theirs
 
 
@@ -403,18 +403,18 @@
 @pytest.mark.parametrize("effect", [at.HARMLESS, at.STAMPED, at.ONE_SHOT])
 @pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
 def test_what_no_instance_was_sent_is_refused_never_failed(effect, ends):
-    on, desk = lane(effect=effect, group="zone"), Desk()
+    on, dispatcher = lane(effect=effect, group="zone"), Dispatcher()
     made = balancer([line(1)], lanes=[on])
     asked = lookup(on=on)
     for end in ends:
         sent(asked, made.members[1], end)
-    made.give_up(asked, desk)
-    assert desk.calls[0][0] == "push back"
+    made.give_up(asked, dispatcher)
+    assert dispatcher.calls[0][0] == "push back"
 
 
 @pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
 def test_the_gateway_counts_what_it_answers_as_failed_and_never_sent(ends, counted):
-    made = DeskOfGateway(at.Start(now=NOW, seed=1, lanes=[lane()]), Quiet(), Counters())
+    made = DispatcherOfGateway(at.Start(now=NOW, seed=1, lanes=[lane()]), Quiet(), Counters())
     asked = lookup()
     asked.sends = [at.Send(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
