--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -10,7 +10,7 @@
 
 from .. import interface
 from ..gateway import http
-from ..gateway.place import address, now
+from ..gateway.config import address, now
 from ..gateway.upkeep import CONNECTS, REASONS
 from . import words
 from .course import FOLLOW, STATE, UNFOLLOW, VOTE, Course
@@ -43,22 +43,22 @@
 
 
 class Follower:
-    def __init__(self, place, told, dispatcher, log, counters):
+    def __init__(self, config, told, dispatcher, log, counters):
         """`told`: the settings' `follow`. Unusable where it can't be followed."""
-        me, members = checked(told, place.name)
+        me, members = checked(told, config.name)
         self.dispatcher, self.log, self.counters = dispatcher, log, counters
         self.wait = told.get("wait", 0) / 1e9  # seconds that a start waits for the first state
         moves = "service" in told or "far" in told
         self.heeds = words.ASKED if moves else words.PARTS
         more = ("moves",) if moves else ()
         service = told.get("service", "")
-        self.course = Course(me, os.urandom(6).hex(), members, place.start.seed, more, service)
+        self.course = Course(me, os.urandom(6).hex(), members, config.start.seed, more, service)
         self.merge, self.parts, self.service = Merge(), [], None
         if moves:
             from .service import Service  # not imported while no moves are followed
 
-            self.merge = self.service = Service(told, place, dispatcher, self.course, log, counters)
-            self.news = place.news
+            self.merge = self.service = Service(told, config, dispatcher, self.course, log, counters)
+            self.news = config.news
         self.sock = self.at = None  # the connection that stands, and to where
         self.first, self.woken, self.over = threading.Event(), threading.Event(), threading.Event()
         self.obeyed, self.leaves, self.last = ("", -1), False, ""  # obeyed: cluster and index
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -4,7 +4,7 @@
 All of it runs under the dispatcher's lock; what is decided is decided in `sides.py`."""
 
 from .. import interface as at
-from ..gateway.place import now as clock
+from ..gateway.config import now as clock
 from .faults import Unusable
 from .merge import Merge
 from .sides import Sides
@@ -12,23 +12,23 @@
 WORDS = {at.ON: "on", at.BACK: "back"}  # the ledger knows no vote to hold
 
 
-def checked(told, place):
+def checked(told, config):
     """The service and, by cluster, the zones of its instances there; Unusable where that can't be."""
-    release, far, taken = place.start.release, {}, {}
+    release, far, taken = config.start.release, {}, {}
     if not told.get("far") or not told.get("service"):
         raise Unusable("of follow.service and follow.far only one is told")
     if release.control == "automatic" or release.window <= 0:
         raise Unusable("follow.service: builds go by the clock here, or without a window: no stage is judged")
     for cluster, text in told["far"].items():
-        named = {name for name in place.zones if name == text or text.endswith("*") and fits(name, text)}
+        named = {name for name in config.zones if name == text or text.endswith("*") and fits(name, text)}
         if not named:
-            raise Unusable(f"follow.far.{cluster}: no zone {text} among {', '.join(sorted(place.zones))}")
+            raise Unusable(f"follow.far.{cluster}: no zone {text} among {', '.join(sorted(config.zones))}")
         for name in sorted(named):
             if name in taken:
                 raise Unusable(f"follow.far: zone {name} is of {taken[name]} and of {cluster}")
             taken[name] = cluster
-        far[cluster] = {place.zones[name] for name in named}
-    if set(taken) == set(place.zones):
+        far[cluster] = {config.zones[name] for name in named}
+    if set(taken) == set(config.zones):
         raise Unusable("follow.far: every zone is another cluster's")
     return told["service"], far
 
@@ -41,8 +41,8 @@
     """As `merge.Merge` for discovery and the follower, as the balancer for the platform's news, as the
     platform for votes. `course`: what the ledger is to be told goes there."""
 
-    def __init__(self, told, place, dispatcher, course, log, counters):
-        self.sides, self.merge = Sides(*checked(told, place)), Merge()
+    def __init__(self, told, config, dispatcher, course, log, counters):
+        self.sides, self.merge = Sides(*checked(told, config)), Merge()
         self.dispatcher, self.course, self.log, self.counters = dispatcher, course, log, counters
         self.cast = self.logged = None  # the ballot that waits for the ledger's answer; what was last logged
 
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -9,7 +9,7 @@
 import traceback
 
 from . import lines
-from . import place as places
+from . import config as configs
 from .clients import Server
 from .counters import Counters
 from .discovery import Discovery
@@ -35,35 +35,35 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     threading.stack_size(STACK)
     try:
-        place = places.read()
-    except places.Unfit as error:
+        config = configs.read()
+    except configs.Unfit as error:
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
-    log, counters, thread_pool = lines.opened(gateway=place.name), Counters(), ThreadPool()
-    dispatcher = Dispatcher(place.start, log, counters)
-    dispatcher.instances = Instances(place, dispatcher, thread_pool, log, counters)
-    dispatcher.discovery = discovery = Discovery(place, dispatcher, log, counters)
-    dispatcher.releases = releases = Releases(place, dispatcher, log, counters)
+    log, counters, thread_pool = lines.opened(gateway=config.name), Counters(), ThreadPool()
+    dispatcher = Dispatcher(config.start, log, counters)
+    dispatcher.instances = Instances(config, dispatcher, thread_pool, log, counters)
+    dispatcher.discovery = discovery = Discovery(config, dispatcher, log, counters)
+    dispatcher.releases = releases = Releases(config, dispatcher, log, counters)
     try:
-        server = Server(place, dispatcher, thread_pool, log, counters)
+        server = Server(config, dispatcher, thread_pool, log, counters)
     except OSError as error:
-        print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
+        print(f"lemonlead.gateway: cannot listen at {config.listen}: {error}", file=sys.stderr)
         return 2
     try:
-        known = discovery.read(place.known)
+        known = discovery.read(config.known)
     except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError) as error:
         reason = f"known is no list as discovery gives it: {type(error).__name__}: {error}"[:200]
         print(f"lemonlead.gateway: the configuration cannot be used: {reason}", file=sys.stderr)
         return 2
     with dispatcher.lock:
-        discovery.listed(places.now(), *known, True, False)
-        if place.news is not None:
-            dispatcher.balancer.stage_told(places.now(), *place.news)
+        discovery.listed(configs.now(), *known, True, False)
+        if config.news is not None:
+            dispatcher.balancer.stage_told(configs.now(), *config.news)
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
         from . import sorting  # what it needs is not imported while no rules are asked for
 
-        server.sorting = sorting.Sorting(place, path, dispatcher, log, counters)
-        if (reason := server.sorting.load(places.now())) is not None:
+        server.sorting = sorting.Sorting(config, path, dispatcher, log, counters)
+        if (reason := server.sorting.load(configs.now())) is not None:
             print(f"lemonlead.gateway: the rules cannot be used: {reason}", file=sys.stderr)
             return 2
     follower = None
@@ -71,7 +71,7 @@
         from ..following import driver  # nor is this while no ledger is followed
 
         try:
-            follower = driver.Follower(place, server.sorting.follow, dispatcher, log, counters)
+            follower = driver.Follower(config, server.sorting.follow, dispatcher, log, counters)
         except driver.Unusable as error:
             print(f"lemonlead.gateway: no ledger can be followed: {error}; {error.do}", file=sys.stderr)
             return 2
@@ -81,10 +81,10 @@
         dispatcher.keep_time, discovery.run,
         lambda: reread(changed, server, discovery, releases, dispatcher, log),
     ]
-    threads += [releases.hear, releases.poll] if place.platform else []
+    threads += [releases.hear, releases.poll] if config.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
-    if place.pushed:  # no lookup goes by the list of before our start, unless discovery cannot be reached
+    if config.pushed:  # no lookup goes by the list of before our start, unless discovery cannot be reached
         discovery.ask()
         until = time.monotonic() + FIRST_LIST
         while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
@@ -94,7 +94,7 @@
         if not opened(server, log):
             return ended(dispatcher, log, follower, time.monotonic())
     except OSError as error:
-        print(f"lemonlead.gateway: cannot listen at {place.listen}: {error}", file=sys.stderr)
+        print(f"lemonlead.gateway: cannot listen at {config.listen}: {error}", file=sys.stderr)
         return 2
     threading.Thread(target=server.run, daemon=True).start()
     host, port = server.listener.getsockname()
@@ -142,7 +142,7 @@
         try:
             move(discovery, releases, log)
             if server.sorting is not None:
-                server.sorting.load(places.now())
+                server.sorting.load(configs.now())
         except Exception:  # the next SIGHUP depends on the thread
             dispatcher.fault(traceback.format_exc())
 
@@ -150,8 +150,8 @@
 def move(discovery, releases, log):
     """To discovery and the platform where the configuration now has them; all else goes on as it is."""
     try:
-        to, platform = places.read_again()
-    except places.Unfit as error:
+        to, platform = configs.read_again()
+    except configs.Unfit as error:
         return log.warning("configuration unfit", reason=str(error))
     discovery.move(to)
     if platform is not None:
@@ -173,11 +173,11 @@
     process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
     log.info("stopping", open=len(dispatcher.asks))
-    longest = max((lane.hard_stop for lane in server.place.start.lanes), default=0) / 1e9
+    longest = max((lane.hard_stop for lane in server.config.start.lanes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
-    late = places.now()
+    late = configs.now()
     server.close()
     while server.close_idle() or not server.closed.is_set() or dispatcher.asks:
         if (moment := time.monotonic()) >= until + LAST:
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -14,7 +14,7 @@
 from .. import interface as at
 from ..told import in_ns
 from . import resp
-from .place import now
+from .config import now
 
 MOST_ASKS, MOST_UNSENT = 64, 1 << 18  # unanswered commands, unsent bytes; past them no more is read
 SLOWEST = 5  # seconds for which a client may take none of its answers
@@ -324,14 +324,14 @@
 class Server:
     """Listens, and keeps the clients' connections within their bound."""
 
-    def __init__(self, place, dispatcher, thread_pool, log, counters):
-        self.place, self.dispatcher, self.thread_pool, self.log, self.counters = (
-            place, dispatcher, thread_pool, log, counters
+    def __init__(self, config, dispatcher, thread_pool, log, counters):
+        self.config, self.dispatcher, self.thread_pool, self.log, self.counters = (
+            config, dispatcher, thread_pool, log, counters
         )
-        self.most, self.stopping, self.closing = place.connections // 2, False, False
+        self.most, self.stopping, self.closing = config.connections // 2, False, False
         self.closed = threading.Event()
         self.clients, self.room = set(), threading.Condition()
-        self.held, self.most_held = 0, place.memory // 8  # bytes of large commands, of all clients
+        self.held, self.most_held = 0, config.memory // 8  # bytes of large commands, of all clients
         self.sorting = None  # rules over lookups, where they are switched on
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -341,7 +341,7 @@
     def open(self):
         """Raises OSError where another process listens at the address, or it is none of ours."""
         if not self.bound:
-            self.listener.bind(self.place.listen)
+            self.listener.bind(self.config.listen)
             self.bound = True
         self.listener.listen(1024)
 
@@ -477,14 +477,14 @@
         said = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
         if len(said) < len(pairs) or not 0 < len(id) <= LONGEST_ID or len(key) > LONGEST_KEY:
             raise ValueError("a name twice, or an id or key out of bounds")
-        lane, hint = self.place.lanes[said["c"]], said.get("h", "0")
+        lane, hint = self.config.lanes[said["c"]], said.get("h", "0")
         if not NUMBER.fullmatch(said["d"]) or not NUMBER.fullmatch(hint) or not (wait := float(said["d"])):
             raise ValueError("a wait or a hint that is no number")
         if lane.effect == at.STAMPED and not 0 < len(said["k"]) <= LONGEST_ID:
             raise ValueError("a stamp out of bounds")
         if (lane.effect == at.HARMLESS) != (name == b"Q.ASK"):
             raise ValueError("this lane goes by the other command")
-        customer = self.place.customers.get(said.get("t"), -1)
+        customer = self.config.customers.get(said.get("t"), -1)
         stop = arrived + in_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
         lookup = at.Lookup(id, lane, customer, key, arrived, stop, work, repeat)
--- a/lemonlead/gateway/place.py
+++ b/lemonlead/gateway/config.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Place:
+class Config:
     name: str
     listen: tuple
     discovery: tuple
@@ -152,7 +152,7 @@
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
         api, known = optional(config, "release_api"), optional(config, "known")
         connections, memory = limits_of(config)
-        return Place(
+        return Config(
             name=environment.get("ROUTER_NAME") or config.text("name"),
             listen=address_of(config, "listen", environment.get("ROUTER_LISTEN")),
             discovery=address_of(config, "discovery", environment.get("ROUTER_DISCOVERY")),
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -8,22 +8,22 @@
 from .. import interface as at
 from ..told import in_ns
 from . import http
-from .place import address
+from .config import address
 from .upkeep import CROWDED, Upkeep, read_until
 
 SILENCE = 4.5  # seconds without a whole line or list after which a watch is dead; one comes every 2 s
 
 
 class Discovery:
-    def __init__(self, place, dispatcher, log, counters):
-        self.place, self.dispatcher, self.log, self.counters = place, dispatcher, log, counters
+    def __init__(self, config, dispatcher, log, counters):
+        self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.wanted = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(place.start.ask_within / 1e9 or CROWDED, CROWDED)
-        self.upkeep = Upkeep(place.discovery, place.start.seed, 0.05, 1.0, crowded)
+        crowded = min(config.start.ask_within / 1e9 or CROWDED, CROWDED)
+        self.upkeep = Upkeep(config.discovery, config.start.seed, 0.05, 1.0, crowded)
         self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
-        self.source = place.discovery  # whose list was last taken, or known to be ours
+        self.source = config.discovery  # whose list was last taken, or known to be ours
         self.merge = None  # with what a ledger says, where one is followed
 
     def ask(self):
@@ -99,7 +99,8 @@
                 for name, otherwise in (("revision_no", 0), ("cell", 0), ("weight", 1.0), ("started_ms", 0))
             )
             lines.append(at.Instance(
-                id, self.place.zones.get(entry.get("zone"), -1), self.place.kinds.get(entry.get("kind"), -1),
+                id, self.config.zones.get(entry.get("zone"), -1),
+                self.config.kinds.get(entry.get("kind"), -1),
                 int(build), int(cell), state, float(weight), in_ns(started),
             ))
             addresses[id] = address(entry["addr"]) if state == at.READY else None, lines[-1].started
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -7,7 +7,7 @@
 from ..balance import Balancer
 from ..told import NS
 from . import resp
-from .place import now
+from .config import now
 
 MOST_FAULTS = 8  # of one turn, and one for each open lookup: then the rest waits for the next
 AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -11,7 +11,7 @@
 from .. import interface as at
 from ..told import NS
 from . import resp
-from .place import now
+from .config import now
 
 IDLE_SHARE = 0.9  # an unused connection is closed after this part of the time told, before the instance does
 # A connection is not used again for so long after its last answer: a second one may come milliseconds late,
@@ -98,10 +98,12 @@
 class Instances:
     """`lock` guards pools, trips and the count of connections; where both are held, it is taken second."""
 
-    def __init__(self, place, dispatcher, thread_pool, log, counters):
+    def __init__(self, config, dispatcher, thread_pool, log, counters):
         self.dispatcher, self.thread_pool, self.log, self.counters = dispatcher, thread_pool, log, counters
-        self.idle_time, self.connect_time = int(place.start.idle_time * IDLE_SHARE), place.start.connect_time
-        self.most, self.open = place.connections // 2, 0  # connections that stand or are being made
+        self.idle_time, self.connect_time = (
+            int(config.start.idle_time * IDLE_SHARE), config.start.connect_time
+        )
+        self.most, self.open = config.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
         self.pools, self.trips = {}, {}  # by the instance's id; by send
 
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -13,11 +13,11 @@
 
 
 class Releases:
-    def __init__(self, place, dispatcher, log, counters):
-        self.place, self.dispatcher, self.log, self.counters = place, dispatcher, log, counters
-        self.answer_time = place.start.release.answer_time / 1e9
+    def __init__(self, config, dispatcher, log, counters):
+        self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
+        self.answer_time = config.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
-        self.upkeep = Upkeep(place.platform, place.start.seed, 0.1, 2.0)
+        self.upkeep = Upkeep(config.platform, config.start.seed, 0.1, 2.0)
         # nanoseconds: since when the state of the last news stands; under the dispatcher's lock
         self.began = 0
 
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -20,12 +20,12 @@
 
 
 class Sorting:
-    def __init__(self, place, path, dispatcher, log, counters):
-        self.place, self.path, self.dispatcher, self.log, self.counters = (
-            place, Path(path), dispatcher, log, counters
+    def __init__(self, config, path, dispatcher, log, counters):
+        self.config, self.path, self.dispatcher, self.log, self.counters = (
+            config, Path(path), dispatcher, log, counters
         )
-        self.names = {lane.number: name for name, lane in place.lanes.items()}
-        self.room, self.standing = place.memory // SHARE, Standing()
+        self.names = {lane.number: name for name, lane in config.lanes.items()}
+        self.room, self.standing = config.memory // SHARE, Standing()
         self.follow = None  # what the settings say of a ledger to follow; read at the start alone
 
     # ---- reading
@@ -70,7 +70,7 @@
         return active, shadow, told["shadow_share"]
 
     def rules(self, name):
-        return load.load(self.path.parent / name, self.place.lanes, self.place.customers, self.room)
+        return load.load(self.path.parent / name, self.config.lanes, self.config.customers, self.room)
 
     # ---- for each lookup
 
@@ -117,7 +117,7 @@
         if given.key is not None:
             lookup.key, lookup.asked_key = given.key, lookup.key
         if given.customer is not None:
-            lookup.customer = self.place.customers.get(given.customer, -1)
+            lookup.customer = self.config.customers.get(given.customer, -1)
 
     def erred(self, now, rule, fault):
         self.counters.add("rules erred")
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -11,7 +11,7 @@
 
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
-from lemonlead.gateway import place
+from lemonlead.gateway import config as configs
 from lemonlead.standins.discovery import DiscoveryServer
 from lemonlead.standins.fleet import SETTINGS, gateway
 from lemonlead.standins.instances import InstanceServer
@@ -48,11 +48,11 @@
 def read(folder, config):
     path = folder / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    return place.read({"ROUTER_CONFIG": str(path)})
+    return configs.read({"ROUTER_CONFIG": str(path)})
 
 
 def refused(folder, config):
-    with pytest.raises(place.Unfit) as caught:
+    with pytest.raises(configs.Unfit) as caught:
         read(folder, config)
     text = str(caught.value)
     assert "\n" not in text and len(text) <= 200
@@ -141,15 +141,15 @@
 def test_what_is_no_configuration_at_all_is_refused(tmp_path, text, said):
     path = tmp_path / "config.json"
     path.write_bytes(text.encode(errors="surrogatepass"))
-    with pytest.raises(place.Unfit, match=said) as caught:
-        place.read({"ROUTER_CONFIG": str(path)})
+    with pytest.raises(configs.Unfit, match=said) as caught:
+        configs.read({"ROUTER_CONFIG": str(path)})
     assert "\n" not in str(caught.value)
 
 
 def test_a_file_that_cannot_be_read_or_is_not_named_is_refused(tmp_path):
     for environment in ({}, {"ROUTER_CONFIG": str(tmp_path)}, {"ROUTER_CONFIG": str(tmp_path / "none")}):
-        with pytest.raises(place.Unfit, match="ROUTER_CONFIG|directory"):
-            place.read(environment)
+        with pytest.raises(configs.Unfit, match="ROUTER_CONFIG|directory"):
+            configs.read(environment)
 
 
 @pytest.mark.parametrize("key", ["Lanes", "Projects"])
@@ -162,8 +162,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     for name, key in (("ROUTER_LISTEN", "listen"), ("ROUTER_DISCOVERY", "discovery")):
-        with pytest.raises(place.Unfit, match=f"{key} is 'here:80'; expected an IPv4 address"):
-            place.read({"ROUTER_CONFIG": str(path), name: "here:80"})
+        with pytest.raises(configs.Unfit, match=f"{key} is 'here:80'; expected an IPv4 address"):
+            configs.read({"ROUTER_CONFIG": str(path), name: "here:80"})
 
 
 def test_absent_keys_have_defaults_and_unknown_ones_are_ignored(tmp_path):
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -10,10 +10,10 @@
 
 from lemonlead import interface as at
 from lemonlead.gateway import dispatcher, instances, resp
+from lemonlead.gateway.config import now
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.instances import Connection, Instances
-from lemonlead.gateway.place import now
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.instances import InstanceServer, gives
@@ -46,16 +46,16 @@
 
     def __init__(self, *servers, limits=()):
         settings = {**SETTINGS, "Limits": {**SETTINGS["Limits"], **dict(limits)}}
-        place = SimpleNamespace(start=started(settings, 7, now()), connections=64)
-        self.dispatcher = Dispatcher(place.start, Quiet(), Counters())
+        config = SimpleNamespace(start=started(settings, 7, now()), connections=64)
+        self.dispatcher = Dispatcher(config.start, Quiet(), Counters())
         counters = self.dispatcher.counters
         self.instances = self.dispatcher.instances = Instances(
-            place, self.dispatcher, ThreadPool(), Quiet(), counters
+            config, self.dispatcher, ThreadPool(), Quiet(), counters
         )
         self.dispatcher.discovery = SimpleNamespace(ask=lambda: None)
         self.dispatcher.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
         self.balancer, self.lanes = (
-            self.dispatcher.balancer, {lane.number: lane for lane in place.start.lanes}
+            self.dispatcher.balancer, {lane.number: lane for lane in config.start.lanes}
         )
         self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
         self.asked, self.faulty = [], False
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -11,7 +11,7 @@
 import pytest
 from lemonlead import interface as at
 from lemonlead.gateway import clients
-from lemonlead.gateway import place as places
+from lemonlead.gateway import config as configs
 from lemonlead.gateway import resp
 from lemonlead.gateway.clients import Server
 from lemonlead.gateway.counters import Counters
@@ -52,15 +52,15 @@
         "settings": {**SETTINGS, **settings},
     }
     (tmp_path / "config.json").write_text(json.dumps(config))
-    place = places.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
+    config = configs.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
     log, counters, thread_pool = Lines(), Counters(), ThreadPool()
-    dispatcher = Dispatcher(place.start, log, counters)
-    dispatcher.instances = Instances(place, dispatcher, thread_pool, log, counters)
-    dispatcher.discovery = discovery = Discovery(place, dispatcher, log, counters)
-    gateway_server = Server(place, dispatcher, thread_pool, log, counters)
+    dispatcher = Dispatcher(config.start, log, counters)
+    dispatcher.instances = Instances(config, dispatcher, thread_pool, log, counters)
+    dispatcher.discovery = discovery = Discovery(config, dispatcher, log, counters)
+    gateway_server = Server(config, dispatcher, thread_pool, log, counters)
     with dispatcher.lock:
-        discovery.listed(places.now(), *discovery.read(place.known), True, False)
-        dispatcher.balancer.stage_told(places.now(), *place.news)
+        discovery.listed(configs.now(), *discovery.read(config.known), True, False)
+        dispatcher.balancer.stage_told(configs.now(), *config.news)
     threading.Thread(target=dispatcher.keep_time, daemon=True).start()
     gateway_server.open()
     thread = threading.Thread(target=gateway_server.run, daemon=True)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -245,9 +245,9 @@
     clock.monotonic = lambda: clock.at
     clock.sleep = lambda seconds: setattr(clock, "at", clock.at + seconds)
     monkeypatch.setattr(gateways, "time", clock)
-    monkeypatch.setattr(gateways.places, "now", lambda: clock.at * 1e9)
+    monkeypatch.setattr(gateways.configs, "now", lambda: clock.at * 1e9)
     gateway_server = SimpleNamespace(
-        place=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
+        config=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
         close=lambda: None,
         close_idle=lambda: True,
         closed=threading.Event(),
@@ -267,13 +267,13 @@
 
 READS_FOR_GOOD = """
 import threading
-from lemonlead.gateway import place
+from lemonlead.gateway import config
 
 def read_again():
     print("reads the configuration", flush=True)
     threading.Event().wait()
 
-place.read_again = read_again
+config.read_again = read_again
 """
 
 
@@ -317,8 +317,8 @@
     monkeypatch.setattr(gateways, "time", clock)
     with socket.create_server(("127.0.0.1", 0)) as other:
         listen = other.getsockname() if taken else ("192.0.2.1", 9)  # one that no machine has
-        place = SimpleNamespace(connections=8, memory=16000, listen=listen)
-        gateway_server = GatewayServer(place, None, None, None, Counters())
+        config = SimpleNamespace(connections=8, memory=16000, listen=listen)
+        gateway_server = GatewayServer(config, None, None, None, Counters())
         with pytest.raises(OSError):
             gateways.opened(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
         gateway_server.listener.close()
@@ -406,10 +406,10 @@
 @pytest.mark.parametrize("times, served", [(3, True), (1000, False)])
 def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
     monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
-    place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
+    config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
     thread_pool, told = thread_pool_that_fails(times), []
     gateway_server = GatewayServer(
-        place, None, thread_pool, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters()
+        config, None, thread_pool, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters()
     )
     gateway_server.open()
     threading.Thread(target=gateway_server.run, daemon=True).start()
@@ -425,10 +425,10 @@
 
 
 def test_nothing_is_left_of_clients_that_came_and_went():
-    place = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
+    config = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
     dispatcher, counters = SimpleNamespace(tell=None), Counters()
     gateway_server = GatewayServer(
-        place, dispatcher, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
+        config, dispatcher, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
     )
     gateway_server.open()
     before = threading.active_count()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -18,7 +18,7 @@
 from lemonlead.gateway import discovery, releases, upkeep
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
-from lemonlead.gateway.place import address
+from lemonlead.gateway.config import address
 from lemonlead.gateway.releases import Releases
 from lemonlead.standins.discovery import DiscoveryServer, entry
 from lemonlead.standins import fleet
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -15,11 +15,11 @@
 from lemonlead.gateway import upkeep
 from lemonlead.gateway.buffer import Malformed
 from lemonlead.gateway.clients import Client, Server
+from lemonlead.gateway.config import now
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.instances import Connection, Instances, Pool, Trip, passed_on
-from lemonlead.gateway.place import now
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.server import until
@@ -36,9 +36,9 @@
 
 
 def dispatcher():
-    place = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
-    made = Dispatcher(place.start, Quiet(), Counters())
-    made.instances = Instances(place, made, ThreadPool(), Quiet(), made.counters)
+    config = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
+    made = Dispatcher(config.start, Quiet(), Counters())
+    made.instances = Instances(config, made, ThreadPool(), Quiet(), made.counters)
     made.discovery = SimpleNamespace(ask=lambda: None)
     made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
     made.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
@@ -231,8 +231,8 @@
 
 @pytest.mark.parametrize("size, fits", [(1000, True), (1001, False)])
 def test_large_commands_of_all_clients_share_one_bound(size, fits):
-    place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    server = Server(place, None, None, Quiet(), Counters())
+    config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
+    server = Server(config, None, None, Quiet(), Counters())
     assert server.weigh(1000) and server.weigh(size) is fits and server.held == 1000 + size * fits
     server.listener.close()
 
@@ -243,8 +243,8 @@
      (False, 4, 0.3, None), (False, 1, 1.0, "silent")],
 )
 def test_an_unused_connection_ends_the_sooner_the_more_there_are(asked, others, rested, ends):
-    place = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
-    server, (ours, theirs) = Server(place, None, None, Quiet(), Counters()), socket.socketpair()
+    config = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
+    server, (ours, theirs) = Server(config, None, None, Quiet(), Counters()), socket.socketpair()
     client, server.clients = Client(ours, server, False), set(range(others))
     client.asked, client.since = asked, time.monotonic() - rested
     client.rests()
@@ -255,8 +255,8 @@
 
 @pytest.mark.parametrize("asked, faults, gone", [(True, 0, 0), (False, 0, 1), (True, 1, 1)])
 def test_those_that_never_asked_or_ask_nonsense_make_room_first(asked, faults, gone):
-    place = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    server, left = Server(place, None, None, Quiet(), Counters()), []
+    config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
+    server, left = Server(config, None, None, Quiet(), Counters()), []
     pairs = [socket.socketpair() for _ in range(2)]
     clients = [Client(ours, server, False) for ours, _ in pairs]
     for number, client in enumerate(clients):
@@ -285,8 +285,8 @@
 )
 def test_a_list_that_cannot_be_read_in_full_changes_nothing(text):
     made = dispatcher()
-    place = SimpleNamespace(start=started(SETTINGS, 7, now()), discovery=None, zones={}, kinds={})
-    made.discovery = discovery = Discovery(place, made, Quiet(), made.counters)
+    config = SimpleNamespace(start=started(SETTINGS, 7, now()), discovery=None, zones={}, kinds={})
+    made.discovery = discovery = Discovery(config, made, Quiet(), made.counters)
     with pytest.raises(Malformed):
         discovery.told(text.encode(), None)
     assert list(made.balancer.members) == ["i0"] and not made.instances.pools and discovery.version == -1
@@ -296,10 +296,10 @@
 
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
 def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
-    place = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
+    config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
     told, dispatcher = [], SimpleNamespace(lookup_turned_away="away", lookup_arrived="arrived", TWICE=b"-")
     dispatcher.tell = lambda happened, *_: told.append(happened)
-    server = Server(place, dispatcher, None, Quiet(), Counters())
+    server = Server(config, dispatcher, None, Quiet(), Counters())
     server.lookup = lambda *_: lookup()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
@@ -312,8 +312,8 @@
 
 
 def test_what_waits_to_be_accepted_is_still_taken_when_the_door_closes():
-    place = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    server, taken = Server(place, None, None, Quiet(), Counters()), []
+    config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
+    server, taken = Server(config, None, None, Quiet(), Counters()), []
     server.admit, server.closing = taken.append, True
     server.open()
     waiting = [socket.create_connection(server.listener.getsockname()) for _ in range(5)]
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -24,7 +24,7 @@
 from lemonlead.gateway.dispatcher import Dispatcher
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Instances
-from lemonlead.gateway import place
+from lemonlead.gateway import config as configs
 from lemonlead.standins.clients import Crowd
 from lemonlead.standins.fleet import SETTINGS, gateway
 from lemonlead.standins.instances import InstanceServer
@@ -378,7 +378,7 @@
     """A follower among the gateway's own parts, with no lookups; `lists` has what the balancer was told."""
 
     def __init__(self, *addresses, wait=0, lines=("i0", "i1"), **more):
-        start, zones = started_by(SETTINGS, 7, place.now()), {"here": 0, "there": 1}
+        start, zones = started_by(SETTINGS, 7, configs.now()), {"here": 0, "there": 1}
         where = SimpleNamespace(start=start, connections=8, discovery=("", 1), name="g0", kinds={})
         where.zones, where.news = zones, (1, 0, at.RELEASED, 1.0, 0)
         self.log, self.counters, self.lists = Log(), Counters(), []
@@ -389,8 +389,8 @@
         self.follower = driver.Follower(where, told, self.dispatcher, self.log, self.counters)
         listed = [replace(line(id), zone=int(id[0] == "f")) for id in lines]
         known = listed, {id: (("127.0.0.1", 1), 0) for id in lines}
-        self.discovery.listed(place.now(), 1, *known, True, True)
-        self.dispatcher.balancer.stage_told(place.now(), *where.news)
+        self.discovery.listed(configs.now(), 1, *known, True, True)
+        self.dispatcher.balancer.stage_told(configs.now(), *where.news)
         put = self.dispatcher.balancer.listed
         self.dispatcher.balancer.listed = lambda *told: (self.lists.append(told), put(*told))
         self.follower.start(self.discovery, *known)
@@ -438,7 +438,7 @@
     ledger.acknowledged("g0", ledger.permit("i0"))
     assert before == ["i0", "i1"] and ran.ready() == ["i1"]
     with ran.dispatcher.lock:
-        ran.discovery.listed(place.now(), 9, [line("i0"), line("i1")], {}, True, True)
+        ran.discovery.listed(configs.now(), 9, [line("i0"), line("i1")], {}, True, True)
     assert ran.ready() == ["i1"]
     ledger.acknowledged("g0", ledger.put("permits", "i0", None))
     assert ran.ready() == ["i0", "i1"]
@@ -539,7 +539,7 @@
     ledger.node("i0", state="drained")
     with ran.dispatcher.lock:
         lines = [line("i0", started=NOW), line("i1")]
-        ran.discovery.listed(place.now(), 9, lines, {}, True, True)
+        ran.discovery.listed(configs.now(), 9, lines, {}, True, True)
     assert ran.ready() == (["i1"] if heard_of_it else ["i0", "i1"])
     figures = ran.follower.figures()
     assert figures["ledger held back"] == heard_of_it and figures["ledger unheard ms"] >= 0
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -68,14 +68,14 @@
         self.sends, self.votes, self.real, self.asked = [], [], [], []
         told = dict(lanes=[lane()], release=release(), sends_cap=4, may_duplicate=True, may_cancel=True)
         start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
-        self.place = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
+        self.config = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
         dispatcher = self.dispatcher = dispatchers.Dispatcher(
             start, SimpleNamespace(info=self.log, error=self.fault), self.counters
         )
         dispatcher.instances, dispatcher.releases, self.pools = self, self, {}
-        dispatcher.discovery = Discovery(self.place, dispatcher, None, self.counters)
-        self.service = Service(FOLLOW, self.place, dispatcher, self, dispatcher.log_line, self.counters)
+        dispatcher.discovery = Discovery(self.config, dispatcher, None, self.counters)
+        self.service = Service(FOLLOW, self.config, dispatcher, self, dispatcher.log_line, self.counters)
         self.sides, self.version, self.index, self.logged = self.service.sides, 0, 0, []
         dispatcher.discovery.merge = self.service
         self.clocked(self.begin, lines, news)
@@ -162,7 +162,7 @@
         self.clocked(self.dispatcher.tell, self.dispatcher.stage_told, number, stage, phase, cap, 0)
 
     def ask(self, number):
-        only, until = self.place.start.lanes[0], self.now + 4 * SECOND
+        only, until = self.config.start.lanes[0], self.now + 4 * SECOND
         lookup = at.Lookup(number, only, 0, number, self.now, until, 20 * MS)
         ask = SimpleNamespace(client=SimpleNamespace(flush=lambda: None), words=[b""] * 4, answer=None)
         self.asked.append(ask)
@@ -610,9 +610,9 @@
     ],
 )
 def test_a_far_side_that_cannot_be_is_one_error(far, more):
-    place = SimpleNamespace(zones=ZONES, start=SimpleNamespace(release=release(**more)))
+    config = SimpleNamespace(zones=ZONES, start=SimpleNamespace(release=release(**more)))
     with pytest.raises(Unusable) as error:
-        services.checked({"service": "search", "far": far}, place)
+        services.checked({"service": "search", "far": far}, config)
     assert "follow" in error.value.do
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -23,11 +23,11 @@
 from lemonlead.gateway import discovery as drivers
 from lemonlead.gateway import resp, upkeep
 from lemonlead.gateway.clients import Client
+from lemonlead.gateway.config import address
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.dispatcher import Dispatcher as DispatcherOfGateway
 from lemonlead.gateway.http import Objects
-from lemonlead.gateway.place import address
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.planning import fleet
 from lemonlead.standins import clients
@@ -92,7 +92,7 @@
     of lists and of failures."""
     obligations = {**SETTINGS["Obligations"], "AskWithin": within}
     start = started({**SETTINGS, "Obligations": obligations}, 7, NOW)
-    place = SimpleNamespace(start=start, discovery=address(where), zones={}, kinds={})
+    config = SimpleNamespace(start=start, discovery=address(where), zones={}, kinds={})
     lists, failures = [], []
     dispatcher = SimpleNamespace(instances=SimpleNamespace(pools={}, listed=lambda *_: None))
     dispatcher.balancer = SimpleNamespace(
@@ -100,7 +100,7 @@
         list_failed=failures.append,
     )
     dispatcher.tell = lambda happened, *values: happened(NOW, *values)
-    return Discovery(place, dispatcher, Quiet(), Counters()), lists, failures
+    return Discovery(config, dispatcher, Quiet(), Counters()), lists, failures
 
 
 def watching(where):
