--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -43,7 +43,7 @@
     def __init__(self, start):
         release, balancers = start.release, max(start.balancers, 1)
         for lane in start.lanes:  # where no aim is told, the deadline is one; only ratios of such times count
-            lane.goal_time = lane.goal_time or lane.hard_stop or 1000 * MS
+            lane.goal_time = lane.goal_time or lane.deadline or 1000 * MS
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
@@ -118,7 +118,7 @@
         self.ask_at = now + int(self.rng.uniform(longest / 3, longest))
 
     def lookup_arrived(self, now, lookup):
-        self.wake(lookup.hard_stop, lookup)  # first of all: it ends then, also if a decision on it fails
+        self.wake(lookup.deadline, lookup)  # first of all: it ends then, also if a decision on it fails
         lookup.work = lookup.work or int(self.lane_work[lookup.lane.number])
         for counted in self.counts_of(lookup):
             self.taken.setdefault(counted, deque()).append(now)
@@ -256,11 +256,11 @@
 
     def settle(self, lookup, now, door):
         out = [send for send in lookup.sends if not send.end]
-        if out and now < lookup.hard_stop:
+        if out and now < lookup.deadline:
             return self.rescue(lookup, out, now, door)
         # Guards against the jam in which each lookup is turned away at many full machines.
         spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in lookup.sends[-1:])
-        if spent or now == lookup.arrived and self.sheds(lookup, now) or now >= lookup.hard_stop:
+        if spent or now == lookup.arrived and self.sheds(lookup, now) or now >= lookup.deadline:
             return self.give_up(lookup, door)
         self.work_in += lookup.work if now == lookup.arrived else 0
         if (member := self.choose(lookup, now)) is not None:
@@ -268,7 +268,7 @@
         wait = int(lookup.lane.goal_time / 8 * min(lookup.lane.revenue / self.mean_revenue, 1.0))
         if now >= lookup.arrived + wait or len(lookup.sends) >= self.sends_cap:
             return self.give_up(lookup, door)
-        until = min(lookup.arrived + wait, lookup.hard_stop)  # the longer, the seldomer it is looked at
+        until = min(lookup.arrived + wait, lookup.deadline)  # the longer, the seldomer it is looked at
         self.wake(min(until, now + max(TICK // 4, (until - lookup.arrived) // 32)), lookup)
         return False
 
@@ -285,7 +285,7 @@
                 member.build.sent.setdefault(counted, deque()).append(now)
             member.build.credit = max(member.build.credit - 1.0, -3.0)
         member.cold_from, member.cold_due = self.work_in, lookup.work * len(self.members)
-        door.send(lookup, member.id, lookup.hard_stop - now)
+        door.send(lookup, member.id, lookup.deadline - now)
         self.wake(self.overdue_at(send), lookup)
         return True
 
@@ -301,7 +301,7 @@
             self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
             if silent:  # its answer may still come and clear this; with few sends of one's own it tells most
                 member.group.lost += 0.2 * (1 - member.group.lost)
-                pause = int((lookup.hard_stop - now) * self.blind)
+                pause = int((lookup.deadline - now) * self.blind)
                 member.shunned_until = max(member.shunned_until, now + pause)
         if not lost and (len(out) > 1 or self.rescues < 1):
             return False
@@ -389,7 +389,7 @@
 
     def may_send(self, lookup, member, now):
         """The rules. Every send passes here, whatever asked for it."""
-        if not member.ready or now >= lookup.hard_stop or len(lookup.sends) >= self.sends_cap:
+        if not member.ready or now >= lookup.deadline or len(lookup.sends) >= self.sends_cap:
             return False
         lane = lookup.lane
         ran = [send for send in lookup.sends if send.end not in NEVER_RAN]
@@ -409,7 +409,7 @@
     def may_begin(self, now, send):
         """Asked before the first byte of a send, by a host whose sends may wait for a connection: until when
         its last byte has to be written, 0 if it may not begin."""
-        lookup, member, by = send.lookup, send.instance, send.lookup.hard_stop
+        lookup, member, by = send.lookup, send.instance, send.lookup.deadline
         ran = [other for other in lookup.sends if other is not send and other.end not in NEVER_RAN]
         if ran and lookup.lane.effect == STAMPED:
             by = min(by, self.repeated_by(ran))
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -22,7 +22,7 @@
 FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
 TAKEN = 5.0  # seconds for which our address is waited for, while a process before us still listens there
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
-# SIGKILL comes no sooner after SIGTERM than the longest hard stop, counted as this many seconds where it is
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this many seconds where it is
 # longer, and 0.7 s; a lookup that came in the last of these must have its answer by then.
 COUNTED = 3.0
 LAST = 0.2  # seconds in which the last answers go out
@@ -168,12 +168,12 @@
 
 def stop(server, dispatcher, log, follower):
     """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
-    it tells the ledger that it sends no more. What came by the end of LINGER has until its hard stop. What
+    it tells the ledger that it sends no more. What came by the end of LINGER has until its deadline. What
     came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
-    process ends LINGER, the longest hard stop and LAST after SIGTERM at the latest, but for what the ledger
+    process ends LINGER, the longest deadline and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
     log.info("stopping", open=len(dispatcher.asks))
-    longest = max((lane.hard_stop for lane in server.config.start.lanes), default=0) / 1e9
+    longest = max((lane.deadline for lane in server.config.start.lanes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -485,9 +485,9 @@
         if (lane.effect == at.HARMLESS) != (name == b"Q.ASK"):
             raise ValueError("this lane goes by the other command")
         customer = self.config.customers.get(said.get("t"), -1)
-        stop = arrived + in_ns(wait)
+        deadline = arrived + in_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
-        lookup = at.Lookup(id, lane, customer, key, arrived, stop, work, repeat)
+        lookup = at.Lookup(id, lane, customer, key, arrived, deadline, work, repeat)
         if self.sorting is not None:
             self.sorting.sort(arrived, lookup, words, said)
         return lookup
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -100,7 +100,7 @@
             lookup.key,
             self.names[lookup.lane.number],
             said.get("t", ""),
-            lookup.hard_stop - lookup.arrived,
+            lookup.deadline - lookup.arrived,
             lookup.work,
             lookup.repeat,
             stamped,
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -29,7 +29,7 @@
     number: int
     effect: str
     goal_time: int
-    hard_stop: int
+    deadline: int
     revenue: float
     late_share: float = 0.0  # share of the revenue that an answer past the goal time still earns
     goal_stretch: float = 0.0  # the goal time grows by this multiple of the lookup's own work
@@ -125,7 +125,7 @@
     customer: int
     key: int
     arrived: int
-    hard_stop: int  # the moment at which the client gives this try up
+    deadline: int  # the moment at which the client gives this try up
     work: int = 0  # the work hinted at, 0 without a hint
     repeat: bool = False
     sends: list = field(default_factory=list)
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -6,7 +6,7 @@
   carries a stamp, and only where the group that drops repeats and its memory are no wider than those of the
   lane asked for;
 - none names a lane or, where it is written out, a customer that does not exist;
-- none touches the hard stop, the command or the effect's mark: they are not among what a rule can give."""
+- none touches the deadline, the command or the effect's mark: they are not among what a rule can give."""
 
 from dataclasses import dataclass, field
 
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -132,7 +132,7 @@
                     fault(f"sites.{name}.{part}.{one}", one, ", ".join(known) or "nothing")
     for name, lane in told["lanes"].items():
         if lane["goal"] > lane["stop"]:
-            fault(f"lanes.{name}.goal", f"{lane['goal']}ns", "the hard stop at most")
+            fault(f"lanes.{name}.goal", f"{lane['goal']}ns", "the deadline at most")
     steps = told["release"]["steps"]
     if len(steps) != len(told["release"]["caps"]) or not steps or sorted(steps) != steps:
         fault("release.steps[0]", f"{len(steps)} steps", "rising ones, as many as caps, one at least")
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -247,7 +247,7 @@
         gateway = self.random.choice(here or [gateway for gateway in self.gateways if gateway.up] or [None])
         if gateway is None:
             return self.answered(want, "lost", 0)
-        wait = round(want.lane.hard_stop * self.fleet.patience)
+        wait = round(want.lane.deadline * self.fleet.patience)
         lookup = at.Lookup(next(self.ids), want.lane, 0, 0, self.now, self.now + wait, want.work)
         gateway.wants[lookup] = want
         self.at(self.now + wait, gateway.gave_up, lookup)
--- a/lemonlead/settings/schemas/fleet.cue
+++ b/lemonlead/settings/schemas/fleet.cue
@@ -9,7 +9,7 @@
 	work:    duration & >0s & <=1h       // mean, of one core
 	cv:      *1.0 | float & >0.0 & <=10.0 // standard deviation of the work by its mean
 	goal:    duration & >0s & <=1h       // goal time
-	stop:    duration & >0s & <=1h       // hard stop
+	stop:    duration & >0s & <=1h       // deadline
 	effect:  *"harmless" | "stamped" | "one-shot"
 	memory:  *8s | duration & >0s & <=1h // stamped: for how long repeats are dropped
 	revenue: *1.0 | float & >=0.0 & <=1000000.0
@@ -29,7 +29,7 @@
 clients: {
 	retries: *1 | int & >=0 & <=10
 	pause:   *100ms | duration & >=0s & <=1m // before a retry
-	patience: *1.0 | float & >0.0 & <=1.0    // share of the hard stop after which a client gives a try up
+	patience: *1.0 | float & >0.0 & <=1.0    // share of the deadline after which a client gives a try up
 }
 gateways: {
 	lookup_cpu:  *500us | duration & >0s & <=1s // of one core, a lookup
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -184,7 +184,7 @@
         work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
         key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
         lookup = at.Lookup(number, lane, customer, key, self.now, self.now + left, work)
-        self.open[number], self.latest = lookup, max(self.latest, lookup.hard_stop)
+        self.open[number], self.latest = lookup, max(self.latest, lookup.deadline)
         self.note("taken", number, lane.number, left, key, work)
         if self.random.random() < self.world["leave"]:
             self.after(self.random.random() * left, self.leave, lookup)
@@ -223,7 +223,7 @@
             )[0]
         if end == at.UNCONNECTED:
             takes = self.random.choice([0, min(self.start.connect_time, time_out)])
-        left = lookup.hard_stop - self.now if asked else time_out
+        left = lookup.deadline - self.now if asked else time_out
         if end == "silent" or takes >= left:
             takes, end = left, at.TIMED_OUT
         elif lookup.lane.streamed and end == at.SUCCEEDED:
--- a/tests/days.py
+++ b/tests/days.py
@@ -55,7 +55,7 @@
             lookup.over = True
             return door.push_back(lookup, LATE // 2)
         lookup.sends.append(at.Send(lookup, len(lookup.sends), best, now))
-        return door.send(lookup, best, lookup.hard_stop - now)
+        return door.send(lookup, best, lookup.deadline - now)
 
 
 @dataclass
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -171,7 +171,7 @@
 
 
 class Forgetful(Balancer):
-    """Gives up a lookup without an answer at its hard stop."""
+    """Gives up a lookup without an answer at its deadline."""
 
     def give_up(self, lookup, door):
         if not any(send.end in (at.TIMED_OUT, "") for send in lookup.sends):
@@ -184,8 +184,8 @@
     def give_up(self, lookup, door):
         if self.sends_seen(lookup):
             return super().give_up(lookup, door)
-        lookup.hard_stop += 60_000_000
-        self.wake(lookup.hard_stop, lookup)
+        lookup.deadline += 60_000_000
+        self.wake(lookup.deadline, lookup)
         return False
 
     def sends_seen(self, lookup):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("sends, left, allowed", [(3, 9, True), (4, 9, False), (0, 0, False), (0, -9, False)])
-def test_no_send_past_the_send_cap_or_the_hard_stop(sends, left, allowed):
+def test_no_send_past_the_send_cap_or_the_deadline(sends, left, allowed):
     made = balancer([line(1)])
     asked = lookup(left=left * MS)
     for _ in range(sends):
@@ -548,7 +548,7 @@
         (1, lambda made, asked: made.listed(NOW, [line(1, state=at.DRAINING)], False, True), False),
         (1, lambda made, asked: made.listed(NOW, [line(1, started=NOW)], False, True), False),  # it came back
         (1, lambda made, asked: made.lookup_left(NOW, asked), False),
-        (1, lambda made, asked: setattr(asked, "hard_stop", NOW), False),
+        (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
         (3, lambda made, asked: made.stage_told(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
         (3, lambda made, asked: made.stage_told(NOW, 2, 0, at.GOING_BACK, 0.0, 0), False),
@@ -560,7 +560,7 @@
     made.builds[2].sent[0] = deque([NOW])
     send = sent(asked, made.members[member])
     changed(made, asked)
-    assert made.may_begin(NOW, send) == (asked.hard_stop if allowed else 0)
+    assert made.may_begin(NOW, send) == (asked.deadline if allowed else 0)
 
 
 def test_lookups_that_are_over_are_forgotten_however_long_they_said_they_wait():
@@ -583,7 +583,7 @@
     for send in sends:
         send.counted = NOW
     for send in sends * 2:  # asked again, as where the connection had ended, it still counts once
-        assert made.may_begin(begun, send) == send.lookup.hard_stop
+        assert made.may_begin(begun, send) == send.lookup.deadline
     assert list(build.sent[0]) == [begun] * 2
     assert not made.exposure_left(build, lookup(), begun + 2010 * MS)  # its window, and two steps
     assert made.exposure_left(build, lookup(), begun + 2011 * MS)
@@ -596,7 +596,7 @@
     last = NOW + 1990 * MS  # two steps are spared
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
     first.end = at.REJECTED  # proven not to have run: it binds nothing
-    assert made.may_begin(last, again) == asked.hard_stop
+    assert made.may_begin(last, again) == asked.deadline
 
 
 # ---- rules may give a lookup another lane and key
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -275,10 +275,10 @@
         ask.lookup, made.balancer.members[id], moment, made.dispatcher))
 
 
-@pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the hard stop"])
+@pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the deadline"])
 def test_what_is_given_up_while_it_is_written_is_never_written_whole(world, narrow, monkeypatch, by):
     made = world(server := Slow().start(), limits={"AttemptsCap": 2}.items())
-    if by == "the hard stop":
+    if by == "the deadline":
         limit = instances.limit
         monkeypatch.setattr(instances, "limit", lambda until: limit(now() + 50 * MS))
     ask = stuck(made, server)
@@ -301,7 +301,7 @@
         made.ended()
     assert not server.whole()
     made.ended()
-    assert send.end == (at.UNCONNECTED if by in ("the hard stop", "a break") else at.NOT_SENT)
+    assert send.end == (at.UNCONNECTED if by in ("the deadline", "a break") else at.NOT_SENT)
     assert not made.unused() and made.instances.open == (by == "an answer")
 
 
@@ -405,7 +405,7 @@
     others = [made.made() for _ in range(2)]
 
     def arrive(moment):
-        spoilt.lookup.hard_stop = moment + 100 * MS
+        spoilt.lookup.deadline = moment + 100 * MS
         for ask in (spoilt, *others):
             made.dispatcher.lookup_arrived(moment, ask, ask.lookup)
 
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -247,7 +247,7 @@
     monkeypatch.setattr(gateways, "time", clock)
     monkeypatch.setattr(gateways.configs, "now", lambda: clock.at * 1e9)
     gateway_server = SimpleNamespace(
-        config=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(hard_stop=longest * 1e9)])),
+        config=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(deadline=longest * 1e9)])),
         close=lambda: None,
         close_idle=lambda: True,
         closed=threading.Event(),
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -69,7 +69,7 @@
     seen = []
     made.instances = SimpleNamespace(trip=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in))
     asked = lookup(now=0)
-    asked.hard_stop = now() + 5000 * MS
+    asked.deadline = now() + 5000 * MS
     made.tell(made.lookup_arrived, SimpleNamespace(words=WORDS), asked)
     assert seen == [asked.work]  # the module knows a new lookup by its moment, and counts its work once
 
@@ -140,7 +140,7 @@
     elif spoil == "drained":
         made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.DRAINING, 1.0, 0)], False, True)
     elif spoil == "late":
-        asked.hard_stop = now()
+        asked.deadline = now()
     else:
         made.instances.cancel(under_way.send)
     assert made.instances.outcome(under_way)[0] == at.NOT_SENT
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,6 +1,6 @@
 """The gateway, started as a program among stand-ins on loopback: what it takes, sends and answers.
 
-Everything waits on conditions; the one clock that matters is the hard stop where a test is about it.
+Everything waits on conditions; the one clock that matters is the deadline where a test is about it.
 """
 
 import contextlib
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize(
     "lane, ending", [("look", b"BUSY 62"), ("hold", b"BUSY 62"), ("buy", b"ERR aborted")]
 )
-def test_a_silent_instance_is_waited_for_until_the_hard_stop(tmp_path, lane, ending):
+def test_a_silent_instance_is_waited_for_until_the_deadline(tmp_path, lane, ending):
     asked = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: asked.wait(60) and None).start()) as ran:
         began = time.monotonic()
