--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -47,7 +47,7 @@
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
-        self.sends_cap, self.hold_off_cap = start.sends_cap, start.hold_off_cap
+        self.sends_cap, self.retry_after_cap = start.sends_cap, start.retry_after_cap
         self.connect_time, self.spare = start.connect_time, 2 * start.step
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
@@ -326,7 +326,7 @@
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(lookup)
         else:
-            door.push_back(lookup, min(self.hold_off_cap, lane.goal_time // 16))
+            door.push_back(lookup, min(self.retry_after_cap, lane.goal_time // 16))
         return True
 
     # ---- where to
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -159,8 +159,8 @@
     def cancel(self, send):
         self.chores.append((self.instances.cancel, send))
 
-    def push_back(self, lookup, hold_off):
-        pause = b" %d" % (hold_off // NS) if hold_off >= NS else b""
+    def push_back(self, lookup, retry_after):
+        pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
         self.answer(lookup, "pushed back", b"-BUSY%s\r\n" % pause)
 
     def abort(self, lookup):
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -89,8 +89,8 @@
     def cancel(self, send):
         self.world.at(self.world.now, self.ended, send, at.CANCELLED)
 
-    def push_back(self, lookup, hold_off):
-        self.answer(lookup, "pushed back", hold_off)
+    def push_back(self, lookup, retry_after):
+        self.answer(lookup, "pushed back", retry_after)
 
     def abort(self, lookup):
         self.answer(lookup, "aborted", 0)
@@ -114,9 +114,9 @@
             self.answer(lookup, "succeeded", 0)
         self.tell(self.balancer.send_ended, send, end, self.world.now - send.at, lookup not in self.wants, {})
 
-    def answer(self, lookup, ending, hold_off):
+    def answer(self, lookup, ending, retry_after):
         if (want := self.wants.pop(lookup, None)) is not None:
-            self.world.answered(want, ending, hold_off)
+            self.world.answered(want, ending, retry_after)
 
     def gave_up(self, lookup):
         if (want := self.wants.pop(lookup, None)) is not None:
@@ -171,7 +171,7 @@
             by_work=True,
             sends_cap=5,
             may_duplicate=True,
-            hold_off_cap=500 * NS_MS,
+            retry_after_cap=500 * NS_MS,
             release=self.release(),
             connect_time=CONNECT,
             idle_time=15 * S,
@@ -253,7 +253,7 @@
         self.at(self.now + wait, gateway.gave_up, lookup)
         gateway.tell(gateway.balancer.lookup_arrived, lookup)
 
-    def answered(self, want, ending, hold_off):
+    def answered(self, want, ending, retry_after):
         if ending == "succeeded":
             if self.now - want.first <= want.lane.goal_time:
                 want.second.answered += want.lane.revenue * want.work
@@ -261,7 +261,7 @@
         again = ending == "pushed back" or want.lane.effect != at.ONE_SHOT and ending != "succeeded"
         if again and want.left > 0:
             want.left -= 1
-            self.at(self.now + max(self.fleet.pause, hold_off), self.ask, want)
+            self.at(self.now + max(self.fleet.pause, retry_after), self.ask, want)
         elif ending == "pushed back":
             want.second.pushed_back += 1
         else:
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -138,7 +138,7 @@
     they hold what none can go by."""
     told = Told(settings, "settings")
     limits, rules, prices = told.part("Limits"), told.part("Obligations"), told.part("Tariffs")
-    hold_off = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
+    retry_after = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
     return at.Start(
         now=now, seed=salt, me=told.count("Me", 0), balancers=told.count("Balancers", 1),
         zone=told.count("Az", 0), step=told.time("Step"),
@@ -149,7 +149,8 @@
         ask_for_list=told.one_of("Discovery", ("push", "ask"), "push") == "ask",
         sends_cap=limits.count("AttemptsCap", 1, 1), may_cancel=limits.flag("Cancel"),
         may_duplicate=limits.flag("MayDuplicate"), may_probe=limits.flag("Probes"),
-        hold_off_cap=hold_off, connect_time=limits.time("ConnectTimeout"), idle_time=limits.time("IdleClose"),
+        retry_after_cap=retry_after, connect_time=limits.time("ConnectTimeout"),
+        idle_time=limits.time("IdleClose"),
         ask_within=rules.time("AskWithin"), drain_grace=rules.time("DrainGrace"),
         cold_time=rules.time("Cold"), cold_share=rules.number("ColdFrom", 1.0, 0, 1),
         cold_multiple=rules.number("OverloadFactor", 1.0),
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -41,9 +41,9 @@
     def cancel(self, send):
         self.reply.add("withdraw", self.number, send.lookup.id, send.number)
 
-    def push_back(self, lookup, hold_off):
+    def push_back(self, lookup, retry_after):
         del self.lookups[lookup.id]
-        self.reply.add("busy", self.number, lookup.id, hold_off / NS)
+        self.reply.add("busy", self.number, lookup.id, retry_after / NS)
 
     def abort(self, lookup):
         del self.lookups[lookup.id]
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -253,9 +253,9 @@
         elif send in self.trips:
             self.after(self.random.choice([0, 3 * MS]), self.end, send, at.CANCELLED)
 
-    def push_back(self, lookup, hold_off):
+    def push_back(self, lookup, retry_after):
         assert self.open.pop(lookup.id, None) is lookup
-        self.note("final", lookup.id, "busy", hold_off)
+        self.note("final", lookup.id, "busy", retry_after)
 
     def abort(self, lookup):
         assert self.open.pop(lookup.id, None) is lookup
@@ -383,7 +383,7 @@
                 if end == at.SUCCEEDED and self.asked[id]["key"]:
                     self.served.setdefault(self.asked[id]["key"], []).append((now, send["row"]["build"]))
 
-    def final(self, now, id, how, *hold_off):
+    def final(self, now, id, how, *retry_after):
         one = self.asked[id]
         if one["final"] is not None:
             self.wrong(1, f"{id} has two final answers")
@@ -397,8 +397,8 @@
         if how == "busy" and ran and alone:
             self.wrong(2, f"{id} is refused though it may have run")
         told = self.limits.get("MaxRetryAfter", 0) * MS if self.limits.get("RetryAfter") else 0
-        if hold_off and hold_off[0] > told:
-            self.wrong(2, f"{id} is told to stay away for {hold_off[0]} ns")
+        if retry_after and retry_after[0] > told:
+            self.wrong(2, f"{id} is told to stay away for {retry_after[0]} ns")
 
     def cancel(self, now, id, number):
         if not self.limits.get("Cancel"):
--- a/tests/days.py
+++ b/tests/days.py
@@ -140,10 +140,10 @@
             self.asked.update(self.kept[want])
         super().ask(want)
 
-    def answered(self, want, ending, hold_off):
+    def answered(self, want, ending, retry_after):
         if ending == "succeeded" and self.now - want.first <= want.lane.goal_time:
             self.served.update(self.kept[want])
-        super().answered(want, ending, hold_off)
+        super().answered(want, ending, retry_after)
 
     def share(self, what, which=None, third=None):
         """Of the lookups of this lane or customer (None: of all) in this third (None: all day)."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,8 +19,8 @@
     def cancel(self, send):
         self.calls.append(("cancel", send.lookup.id, send.number))
 
-    def push_back(self, lookup, hold_off):
-        self.calls.append(("push back", lookup.id, hold_off))
+    def push_back(self, lookup, retry_after):
+        self.calls.append(("push back", lookup.id, retry_after))
 
     def abort(self, lookup):
         self.calls.append(("abort", lookup.id))
@@ -57,7 +57,8 @@
     )
     rules = dict(
         step=5 * MS, sends_cap=4, may_cancel=True, may_duplicate=True, connect_time=250 * MS,
-        cold_time=5000 * MS, cold_share=0.4, cold_window=2000 * MS, cold_multiple=3.0, hold_off_cap=500 * MS,
+        cold_time=5000 * MS, cold_share=0.4, cold_window=2000 * MS, cold_multiple=3.0,
+        retry_after_cap=500 * MS,
     )
     start = at.Start(now=NOW, lanes=lanes or [lane()], release=release, **{"seed": 7, **rules, **more})
     made = Balancer(start)
