--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -35,7 +35,7 @@
 NEAR = 24  # instances that a balancer keeps to, or as many as it sends to eight times before an unused
 # connection closes: its own stretch of a ring of all; past them only if none of them is fit
 GOLDEN = 0.618034  # stretches that start at the multiples of this, modulo 1, cover the ring evenly
-STALE, WAITS = 5000 * MS, 8  # what is so old counts half; outcomes that show a lane or customer to wait
+STALE, WAITS = 5000 * MS, 8  # what is so old counts half; outcomes that show a lane or tenant to wait
 STRAIN = (-1, "strain")  # the pair's figure of the earlier build by what it was before the trial
 
 
@@ -77,7 +77,7 @@
         self.mean_work = sum(self.lane_work.values()) / max(len(self.lane_work), 1)  # of a lookup taken
         self.paced_at = start.now
         self.pace, self.rescues = 0.0, 5.0  # time to answer by goal time, smoothed; what RESCUES left over
-        # Of each lane and customer: last times by goal time; lower quartile; if it waits, its last test.
+        # Of each lane and tenant: last times by goal time; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
         self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, timers
         self.most_wakes = 1000  # past it those of lookups that are over go
@@ -364,7 +364,7 @@
         return excess > 0 and self.rng.random() < excess**weight
 
     def waits(self, lookup):
-        """Whether its lane or customer alone waits at all machines: this tells nothing of them or a build."""
+        """Whether its lane or tenant alone waits at all machines: this tells nothing of them or a build."""
         theirs = max(self.lows.get(kind, 0.0) for kind in kinds_of(lookup))
         return theirs > 0.8 and min(self.lows.values()) < 0.4
 
@@ -612,7 +612,7 @@
 
 
 def kinds_of(lookup):
-    return (("lane", lookup.lane.number), ("customer", lookup.customer))
+    return (("lane", lookup.lane.number), ("tenant", lookup.tenant))
 
 
 def middle(outcomes):
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -85,9 +85,9 @@
     from . import given
 
     (folder / "judged.cue").write_text(rules)
-    lanes, customers = given.platform(config)
+    lanes, tenants = given.platform(config)
     try:
-        made = load.load(folder / "judged.cue", lanes, customers)
+        made = load.load(folder / "judged.cue", lanes, tenants)
     except load.Unfit as error:
         raise click.UsageError("\n".join(load.lines(error.faults))) from None
 
--- a/lemonlead/commands/given.py
+++ b/lemonlead/commands/given.py
@@ -68,7 +68,7 @@
 
 
 def platform(path):
-    """Lanes by name and customers' names from a gateway's configuration, or from its `settings` object alone;
+    """Lanes by name and tenants' names from a gateway's configuration, or from its `settings` object alone;
     (None, None) without a path."""
     if path is None:
         return None, None
@@ -77,7 +77,7 @@
         told = config.get("settings", config)
         start = started(told, 0, 0)
         lanes = {lane["Name"]: start.lanes[number] for number, lane in enumerate(told["Lanes"])}
-        return lanes, [customer["Name"] for customer in told.get("Projects", [])]
+        return lanes, [tenant["Name"] for tenant in told.get("Projects", [])]
     except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise click.UsageError(f"--settings {path}: {type(error).__name__}: {error}") from None
 
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -484,10 +484,10 @@
             raise ValueError("a stamp out of bounds")
         if (lane.effect == at.HARMLESS) != (name == b"Q.ASK"):
             raise ValueError("this lane goes by the other command")
-        customer = self.config.customers.get(said.get("t"), -1)
+        tenant = self.config.tenants.get(said.get("t"), -1)
         deadline = arrived + in_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
-        lookup = at.Lookup(id, lane, customer, key, arrived, deadline, work, repeat)
+        lookup = at.Lookup(id, lane, tenant, key, arrived, deadline, work, repeat)
         if self.sorting is not None:
             self.sorting.sort(arrived, lookup, words, said)
         return lookup
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -70,7 +70,7 @@
         return active, shadow, told["shadow_share"]
 
     def rules(self, name):
-        return load.load(self.path.parent / name, self.config.lanes, self.config.customers, self.room)
+        return load.load(self.path.parent / name, self.config.lanes, self.config.tenants, self.room)
 
     # ---- for each lookup
 
@@ -117,7 +117,7 @@
         if given.key is not None:
             lookup.key, lookup.asked_key = given.key, lookup.key
         if given.customer is not None:
-            lookup.customer = self.config.customers.get(given.customer, -1)
+            lookup.tenant = self.config.tenants.get(given.customer, -1)
 
     def erred(self, now, rule, fault):
         self.counters.add("rules erred")
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -72,7 +72,7 @@
     zone: int = 0
     step: int = 0
     lanes: list = field(default_factory=list)
-    customer_shares: list = field(default_factory=list)  # lookups a second over all gateways
+    tenant_shares: list = field(default_factory=list)  # lookups a second over all gateways
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False
@@ -122,7 +122,7 @@
 class Lookup:
     id: int
     lane: Lane
-    customer: int
+    tenant: int
     key: int
     arrived: int
     deadline: int  # the moment at which the client gives this try up
--- a/lemonlead/matching/declared.py
+++ b/lemonlead/matching/declared.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declared:
-    """The longest and the most of what a lookup brings: bytes of a key and of a customer's name, attributes,
+    """The longest and the most of what a lookup brings: bytes of a key and of a tenant's name, attributes,
     bytes of one's name and value; and `longest`, code points, bytes or items of any value that is
     computed."""
 
--- a/lemonlead/matching/load.py
+++ b/lemonlead/matching/load.py
@@ -31,9 +31,9 @@
         raise Unfit([(fault.place, fault.code, fault.message) for fault in error.faults]) from None
 
 
-def load(path, lanes=None, customers=None, room=settings.LONGEST):
-    """The set that a file gives, for these lanes (at.Lane by name) and customers; without them names of lanes
-    and customers are not looked at. `room`: the most bytes of its files. Raises Unfit."""
+def load(path, lanes=None, tenants=None, room=settings.LONGEST):
+    """The set that a file gives, for these lanes (at.Lane by name) and tenants; without them names of lanes
+    and tenants are not looked at. `room`: the most bytes of its files. Raises Unfit."""
     file = read(path, room)
     told = file.value
     written = [
@@ -46,7 +46,7 @@
             told["version"],
             written,
             lanes or {},
-            customers,
+            tenants,
             declared,
             told["ceilings"]["rule"],
             told["ceilings"]["set"],
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -5,7 +5,7 @@
 - no rule weakens an effect: one-shot stays one-shot, stamped becomes one-shot at most; to stamped only what
   carries a stamp, and only where the group that drops repeats and its memory are no wider than those of the
   lane asked for;
-- none names a lane or, where it is written out, a customer that does not exist;
+- none names a lane or, where it is written out, a tenant that does not exist;
 - none touches the deadline, the command or the effect's mark: they are not among what a rule can give."""
 
 from dataclasses import dataclass, field
@@ -161,13 +161,13 @@
     """A whole set, checked. It does not change; many threads may ask it."""
 
     def __init__(
-        self, version, written, lanes, customers, declared=None, rule_cost=RULE_COST, set_cost=SET_COST
+        self, version, written, lanes, tenants, declared=None, rule_cost=RULE_COST, set_cost=SET_COST
     ):
-        """`lanes`: at.Lane by name, without any their names are not looked at; `customers`: names, any
+        """`lanes`: at.Lane by name, without any their names are not looked at; `tenants`: names, any
         collection, or None likewise. Raises Unfit with all faults at once."""
         names = tuple(lanes)
         self.version, self.lanes = version, lanes
-        self.customers = frozenset(customers) if customers is not None else None
+        self.tenants = frozenset(tenants) if tenants is not None else None
         self.declared = declared or Declared(lanes=names)
         self.faults, self.rules, seen = [], [], {}
         if len(written) > MOST_RULES:
@@ -239,7 +239,7 @@
                     fault = Fault(NAME, f"no lane {name!r} (there is {known})", node.line, node.column)
                     self.fault(number, part, fault)
         for part in ("lane", "customer"):
-            if part in gives and (self.lanes if part == "lane" else self.customers is not None):
+            if part in gives and (self.lanes if part == "lane" else self.tenants is not None):
                 getattr(self, f"look_at_{part}")(number, when, gives[part])
         return Rule(number, rule.name, when, gives, rule.labels, cost)
 
@@ -269,8 +269,8 @@
     def look_at_customer(self, number, when, expression):
         for node in tree.walk(expression.tree):
             said = isinstance(node, tree.Literal) and constant(expression.tree)
-            if said and node.value not in self.customers:
-                known = ", ".join(sorted(self.customers)) or "none"
+            if said and node.value not in self.tenants:
+                known = ", ".join(sorted(self.tenants)) or "none"
                 fault = Fault(NAME, f"no customer {node.value!r} (there is {known})", *expression.place())
                 return self.fault(number, "customer", fault)
 
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -144,7 +144,7 @@
         zone=told.count("Az", 0), step=told.time("Step"),
         lanes=[lane_of(lane, number) for number, lane in enumerate(told.parts("Lanes"))],
         release=release_of(told.part("FamilyInfo")),
-        customer_shares=[customer.number("QuotaPerS", 0.0) for customer in told.parts("Projects")],
+        tenant_shares=[tenant.number("QuotaPerS", 0.0) for tenant in told.parts("Projects")],
         over_share_worth=told.number("OverShareWorth", 1.0),
         ask_for_list=told.one_of("Discovery", ("push", "ask"), "push") == "ask",
         sends_cap=limits.count("AttemptsCap", 1, 1), may_cancel=limits.flag("Cancel"),
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -140,12 +140,12 @@
         else:
             seat.balancer.listed(self.now, self.lists[buffer], form in _FULL_LISTS, form != 0)
 
-    def work_item(self, seat, id, lane, customer, key, left, hint, flags):
+    def work_item(self, seat, id, lane, tenant, key, left, hint, flags):
         if lane not in seat.lanes:
             raise BadFrame(f"gateway {seat.number}: a lookup of the unknown lane {lane}")
         work = max(in_ns(hint), 0) if flags & 1 else 0
         lookup = at_door.Lookup(
-            id, seat.lanes[lane], customer, key, self.now, self.now + in_ns(left), work, bool(flags & 2)
+            id, seat.lanes[lane], tenant, key, self.now, self.now + in_ns(left), work, bool(flags & 2)
         )
         seat.lookups[id] = lookup
         seat.balancer.lookup_arrived(self.now, lookup)
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -179,11 +179,11 @@
         lane = self.random.choice(self.start.lanes)
         told = self.settings["Lanes"][lane.number].get("GiveUp", 0) or 1000.0
         left = int(min(told, 40_000.0) * self.random.choice([0.2, 1.0, 1.0]) * MS)
-        customers = len(self.settings.get("Projects", []))
-        customer = self.random.randrange(-1, customers) if customers else self.random.choice([0, -1])
+        tenants = len(self.settings.get("Projects", []))
+        tenant = self.random.randrange(-1, tenants) if tenants else self.random.choice([0, -1])
         work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
         key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
-        lookup = at.Lookup(number, lane, customer, key, self.now, self.now + left, work)
+        lookup = at.Lookup(number, lane, tenant, key, self.now, self.now + left, work)
         self.open[number], self.latest = lookup, max(self.latest, lookup.deadline)
         self.note("taken", number, lane.number, left, key, work)
         if self.random.random() < self.world["leave"]:
--- a/tests/days.py
+++ b/tests/days.py
@@ -1,5 +1,5 @@
 """Days of the planner's world with more of what the standing test asks about: what is sent to cold machines,
-what each lane and customer gets by thirds, gateways that die and come back, and the policy that each is held
+what each lane and tenant gets by thirds, gateways that die and come back, and the policy that each is held
 against, which sees the true state of every machine late. Times in nanoseconds; loads in lookups a second."""
 
 import bisect
@@ -60,7 +60,7 @@
 
 @dataclass
 class Day(World):
-    """`weights`: how often a lookup is of each customer. `burst`: the load, by the usual one, in the last
+    """`weights`: how often a lookup is of each tenant. `burst`: the load, by the usual one, in the last
     three fifths of each third of `length` seconds; in the rest it is 0.6. None: always the usual one."""
 
     length: int = 12
@@ -134,9 +134,9 @@
 
     def ask(self, want):
         if want not in self.kept:
-            customer = self.random.choices(range(len(self.weights)), self.weights)[0]
+            tenant = self.random.choices(range(len(self.weights)), self.weights)[0]
             third = min(want.first * 3 // (self.length * S), 2)
-            self.kept[want] = ("lane", want.lane.number, third), ("customer", customer, third)
+            self.kept[want] = ("lane", want.lane.number, third), ("tenant", tenant, third)
             self.asked.update(self.kept[want])
         super().ask(want)
 
@@ -146,7 +146,7 @@
         super().answered(want, ending, retry_after)
 
     def share(self, what, which=None, third=None):
-        """Of the lookups of this lane or customer (None: of all) in this third (None: all day)."""
+        """Of the lookups of this lane or tenant (None: of all) in this third (None: all day)."""
         keys = [key for key in self.asked if key[0] == what and which in (None, key[1])]
         keys = [key for key in keys if third in (None, key[2])]
         return sum(self.served[key] for key in keys) / sum(self.asked[key] for key in keys)
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -174,7 +174,7 @@
     start, lane = got.start, got.lanes["look"]
     assert (lane.effect, lane.group, lane.memory, lane.revenue) == ("one-shot", "all", 0, 1.0)
     assert (start.sends_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
-    assert (got.platform, got.news, got.connections, got.customers) == (None, None, 1000, {})
+    assert (got.platform, got.news, got.connections, got.tenants) == (None, None, 1000, {})
     assert read(tmp_path, {**config, "settings": {}}).lanes == {}
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -474,7 +474,7 @@
 
 
 def test_a_lane_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_pushed_back():
-    """Guards against waits of one lane or customer that drag down limits and costs for others."""
+    """Guards against waits of one lane or tenant that drag down limits and costs for others."""
     on, made, dispatcher = lane(1), balancer([line(1), line(2)], lanes=[lane(), lane(1)]), Dispatcher()
     for number in range(40):
         for asked, took in ((lookup(number), 100), (lookup(100 + number, on=on), 1500)):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,9 +36,9 @@
 DECLARED = Declared(lanes=tuple(LANES))
 
 
-def rules(*written, lanes=LANES, customers=CUSTOMERS, version="1", **more):
+def rules(*written, lanes=LANES, tenants=CUSTOMERS, version="1", **more):
     named = [Written(**{"name": f"r{number}", **one}) for number, one in enumerate(written)]
-    return RuleSet(version, named, lanes, customers, Declared(lanes=tuple(lanes)), **more)
+    return RuleSet(version, named, lanes, tenants, Declared(lanes=tuple(lanes)), **more)
 
 
 def asked(key=b"north/42", lane="fitment", **more):
@@ -435,7 +435,7 @@
         rules(
             {"when": "lookup.repeat", "key": f"'{n}'", "customer": f"'{n}'"},
             {"when": "!lookup.repeat", "key": f"'{n}'", "customer": f"'{n}'"},
-            customers=[str(n)],
+            tenants=[str(n)],
         )
         for n in range(20)
     ]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -336,7 +336,7 @@
     assert day.pressed() < 1
 
 
-# ---- what each lane and customer gets of what a policy serves that sees the true state late
+# ---- what each lane and tenant gets of what a policy serves that sees the true state late
 
 CROWD = """
 kinds: {fast: {cores: 3, slots: 70}, slow: {cores: 3, speed: 0.6, slots: 70}}
@@ -366,7 +366,7 @@
 @pytest.fixture(scope="module", params=WORK)
 def starved(request, tmp_path_factory):
     """Which lane is starved; a long day with bursts as the balancers and as the late-seeing policy serve it.
-    The last customer makes up most of the load and is far past its share."""
+    The last tenant makes up most of the load and is far past its share."""
     (path := tmp_path_factory.mktemp("fleet") / "fleet.cue").write_text(crowd(request.param))
     rules = dict(length=24, burst=1.3, weights=(0.05, 0.05, 0.2, 0.7))
     days = [Day(fleet.read(path), 2, late=late, **rules).played_out() for late in (False, True)]
@@ -381,10 +381,10 @@
     assert 0.03 < sum(seer.asked["lane", number, n] for n in range(3)) / sum(seer.asked.values()) * 2 < 0.07
 
 
-def test_each_customer_inside_its_share_gets_its_third_while_another_floods(starved):
+def test_each_tenant_inside_its_share_gets_its_third_while_another_floods(starved):
     _, ours, seer = starved
-    for customer in range(3):
-        assert ours.share("customer", customer) >= seer.share("customer", customer) / 3 > 0.1
+    for tenant in range(3):
+        assert ours.share("tenant", tenant) >= seer.share("tenant", tenant) / 3 > 0.1
 
 
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
