--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -23,12 +23,12 @@
 PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # a pair stays open for so long, and until each build has as many
 WARM_UP = 1000 * MS  # pairs start once each machine on trial has run for this long
 TOLERANCE, SERVICE_TOLERANCE, ERROR_TOLERANCE = 1.0, 0.5, 0.02  # a breach is worse by more than this
-USUAL = 6  # an unhinted lookup's work goes so often into its goal time
+USUAL = 6  # an unhinted lookup's work goes so often into its objective
 LOOKS, FLAGS = 8, 3  # looks at thin evidence a trial; wrong answers that send back, at twice the usual rate
 PACE_AGE = 2000 * MS  # what is known of how long answers take is no older than this
 STEEP = 2  # shed by so many times what is past the next
 LEAST = 0.5  # of the mean revenue: none is shed by less, so that it is let in half as often as at the mean
-EASY = 0.45  # the share of its goal time that a lookup may take on average before some are pushed back
+EASY = 0.45  # the share of its objective that a lookup may take on average before some are pushed back
 OVERDUE = 2.5  # times what its work usually takes; one answer in twenty or thirty is later
 LOST = 4  # a zone and kind costs so much more when all that was sent there of late was lost on the way
 RESCUES = 0.1  # second copies (or resends of what is slow) a lookup taken, so that a jam is not fed
@@ -43,7 +43,7 @@
     def __init__(self, start):
         release, balancers = start.release, max(start.balancers, 1)
         for lane in start.lanes:  # where no aim is told, the deadline is one; only ratios of such times count
-            lane.goal_time = lane.goal_time or lane.deadline or 1000 * MS
+            lane.latency_objective = lane.latency_objective or lane.deadline or 1000 * MS
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
@@ -52,7 +52,7 @@
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
         self.mean_revenue = sum(lane.revenue for lane in start.lanes) / max(len(start.lanes), 1) or 1.0
-        self.lane_work = {lane.number: lane.goal_time / USUAL for lane in start.lanes}
+        self.lane_work = {lane.number: lane.latency_objective / USUAL for lane in start.lanes}
         self.blind = max(0.0, 1 - USUAL / balancers)  # the share of a machine's load that others send unseen
         self.builds = Builds(*release.caps[:1] or [0.0], PAIRS, SEEN)
         self.sent_window, self.taken_window = release.window + 2 * start.step, release.window - 2 * start.step
@@ -61,8 +61,8 @@
         self.clocked = release.control == "automatic"
         self.vote_life, self.stage_time = release.vote_life, release.bake + 2 * WARM_UP  # none ends sooner
         # Nor does the last, after which earlier machines go, before what is sent in it is due its answers.
-        goals = [lane.goal_time for lane in start.lanes] or [0]
-        self.last_time = max(self.stage_time, release.bake + sum(goals) // len(goals))
+        objectives = [lane.latency_objective for lane in start.lanes] or [0]
+        self.last_time = max(self.stage_time, release.bake + sum(objectives) // len(objectives))
         self.born = start.now
         # How often one balancer may be wrong, so that as many as send a build back are so by rare luck only.
         self.chance = max(max(release.back_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
@@ -76,8 +76,8 @@
         self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of lookups; the work let in
         self.mean_work = sum(self.lane_work.values()) / max(len(self.lane_work), 1)  # of a lookup taken
         self.paced_at = start.now
-        self.pace, self.rescues = 0.0, 5.0  # time to answer by goal time, smoothed; what RESCUES left over
-        # Of each lane and tenant: last times by goal time; lower quartile; if it waits, its last test.
+        self.pace, self.rescues = 0.0, 5.0  # time to answer by objective, smoothed; what RESCUES left over
+        # Of each lane and tenant: last times by objective; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
         self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, timers
         self.most_wakes = 1000  # past it those of lookups that are over go
@@ -138,19 +138,19 @@
 
     def send_ended(self, now, send, end, took, over, report):
         send.end = end
-        member, lookup = send.instance, send.lookup
+        member, lookup, lane = send.instance, send.lookup, send.lookup.lane
         written_off = member.out.pop(send, send) is not None
         member.held -= 0 if written_off else lookup.work
         lookup.over = lookup.over or over
         self.due.extend([] if lookup.over else [lookup])
-        number, goal, waits = lookup.lane.number, max(lookup.lane.goal_time, 1), self.waits(lookup)
-        slow, answered = took > goal, end in (SUCCEEDED, ERRED, REJECTED)
+        number, objective, waits = lane.number, max(lane.latency_objective, 1), self.waits(lookup)
+        slow, answered = took > objective, end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
             for kind in kinds_of(lookup):
                 times = self.times.setdefault(kind, deque(maxlen=WAITS))
-                if took < 0.4 * goal and self.lows.get(kind, 0.0) > 0.8:
+                if took < 0.4 * objective and self.lows.get(kind, 0.0) > 0.8:
                     times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
-                times.append(took / goal)
+                times.append(took / objective)
                 self.lows[kind] = sorted(times)[WAITS // 4] if len(times) == WAITS else 0.5
         silent = member.heard_at <= send.at and end in (TIMED_OUT, CANCELLED)
         self.scarce += 0.1 * ((end == UNCONNECTED) - self.scarce)
@@ -166,17 +166,17 @@
             self.strike(member, now, 0.5 if end == RESET else 1)
         if not waits and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
             # Guards against those that fail at once and draw all. It could idle one that fails one kind.
-            spent = goal if end in (ERRED, REJECTED) else took
+            spent = objective if end in (ERRED, REJECTED) else took
             # A tenth of each; after a silence the whole way down, as one that sheds hears little. Not up: one
             # late answer makes no overload.
-            part, aged, self.paced_at = min(spent / goal, 2.0), (now - self.paced_at) / PACE_AGE, now
+            part, aged, self.paced_at = min(spent / objective, 2.0), (now - self.paced_at) / PACE_AGE, now
             self.pace += (min(max(aged, 0.1), 1.0) if part < self.pace else 0.1) * (part - self.pace)
             ratio, say = spent / max(lookup.work, 1), min(lookup.work / self.mean_work, 1) ** (1 - self.blind)
             for known, rate in ((member.group, 0.1), (member, 0.15)):  # a light one that queued says little
                 known.slowness += rate * say * (ratio - known.slowness) if known.slowness else ratio
             self.lane_work[number] += 0.01 * (lookup.work - self.lane_work[number])
         # Guards against queues, whatever fills them. The floor is for slow but idle machines.
-        if end == REJECTED or not waits and member.slowness * self.lane_work[number] > goal / 2.5:
+        if end == REJECTED or not waits and member.slowness * self.lane_work[number] > objective / 2.5:
             if now - member.cut_at > 200 * MS:  # one jam cuts once; what is told of times is in the ratios
                 member.cut_at, member.limit = now, max(member.limit * 0.8, 1.0)
         elif end == SUCCEEDED and 2 * (len(member.out) + 1) >= member.limit:
@@ -265,7 +265,7 @@
         self.work_in += lookup.work if now == lookup.arrived else 0
         if (member := self.choose(lookup, now)) is not None:
             return self.send(lookup, member, now, door)
-        wait = int(lookup.lane.goal_time / 8 * min(lookup.lane.revenue / self.mean_revenue, 1.0))
+        wait = int(lookup.lane.latency_objective / 8 * min(lookup.lane.revenue / self.mean_revenue, 1.0))
         if now >= lookup.arrived + wait or len(lookup.sends) >= self.sends_cap:
             return self.give_up(lookup, door)
         until = min(lookup.arrived + wait, lookup.deadline)  # the longer, the seldomer it is looked at
@@ -318,7 +318,7 @@
     def overdue_at(self, send):  # by what its work takes, too: a heavy lookup is not begun twice
         lookup, group = send.lookup, send.instance.group  # half of the time is waiting, heavy or light
         usual = group.took * (1 + lookup.work / group.work) / 2 if group.work else lookup.work
-        return send.at + max(lookup.lane.goal_time // 2, int(OVERDUE * usual))
+        return send.at + max(lookup.lane.latency_objective // 2, int(OVERDUE * usual))
 
     def give_up(self, lookup, door):
         lookup.over, lane, ends = True, lookup.lane, {send.end for send in lookup.sends}
@@ -326,7 +326,7 @@
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(lookup)
         else:
-            door.push_back(lookup, min(self.retry_after_cap, lane.goal_time // 16))
+            door.push_back(lookup, min(self.retry_after_cap, lane.latency_objective // 16))
         return True
 
     # ---- where to
@@ -354,8 +354,8 @@
     def sheds(self, lookup, now):
         """Where many share a machine, none can bound its queue: as answers take longer, each pushes back more
         of its own, the lowest revenue first. It could push back what has room elsewhere."""
-        if self.waits(lookup):  # it would only fill slots; one in two goal times shows when that ends
-            kinds, pause = kinds_of(lookup), 2 * lookup.lane.goal_time
+        if self.waits(lookup):  # it would only fill slots; one in two objectives shows when that ends
+            kinds, pause = kinds_of(lookup), 2 * lookup.lane.latency_objective
             if now < max(self.tested.get(kind, 0) for kind in kinds) + pause:
                 return True
             self.tested.update(dict.fromkeys(kinds, now))
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -28,11 +28,11 @@
 class Lane:
     number: int
     effect: str
-    goal_time: int
+    latency_objective: int
     deadline: int
     revenue: float
-    late_share: float = 0.0  # share of the revenue that an answer past the goal time still earns
-    goal_stretch: float = 0.0  # the goal time grows by this multiple of the lookup's own work
+    late_share: float = 0.0  # share of the revenue that an answer past the latency objective still earns
+    objective_stretch: float = 0.0  # the latency objective grows by this multiple of the lookup's own work
     group: str = "all"  # stamped: which instances drop repeats: "all", one "zone" or one "cell"
     memory: int = 0  # stamped: for how long they do
     streamed: bool = False
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -63,7 +63,7 @@
     on: float
     back: float
     boot: int
-    service: float  # the share of revenue that is to be answered within the goal time
+    service: float  # the share of revenue that is to be answered within the latency objective
 
     def without(self, names):
         """The fleet after these sites are lost: their clients are served at the others."""
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -17,9 +17,9 @@
 
 @dataclass(slots=True)
 class Steady:
-    """`service`: the share of revenue answered within the goal time, `lanes` the same by lane; `used`: the
-    share of each resource that is taken, 1 is all of it; `pushed_back`: the share of sends for which there is
-    no room."""
+    """`service`: the share of revenue answered within the latency objective, `lanes` the same by lane;
+    `used`: the share of each resource that is taken, 1 is all of it; `pushed_back`: the share of sends for
+    which there is no room."""
 
     service: float
     lanes: dict = field(default_factory=dict)
@@ -60,7 +60,8 @@
 
 
 def serve(fleet, stations, capacity, asked):
-    """By lane, the share answered within goal time and before the client gives up; and the share let in."""
+    """By lane, the share answered within latency objective and before the client gives up; and the share let
+    in."""
     total = sum(asked.values()) or 1e-9
     work = sum(rate * fleet.lanes[name].work for name, rate in asked.items()) / total / 1e9
     second = (
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -255,7 +255,7 @@
 
     def answered(self, want, ending, retry_after):
         if ending == "succeeded":
-            if self.now - want.first <= want.lane.goal_time:
+            if self.now - want.first <= want.lane.latency_objective:
                 want.second.answered += want.lane.revenue * want.work
             return
         again = ending == "pushed back" or want.lane.effect != at.ONE_SHOT and ending != "succeeded"
@@ -415,6 +415,6 @@
 
 
 def service(seconds):
-    """The share of the worth asked for in these seconds that was answered within the goal time."""
+    """The share of the worth asked for in these seconds that was answered within the latency objective."""
     worth = sum(second.worth for second in seconds)
     return sum(second.answered for second in seconds) / worth if worth else 1.0
--- a/lemonlead/settings/schemas/fleet.cue
+++ b/lemonlead/settings/schemas/fleet.cue
@@ -8,7 +8,7 @@
 #Lane: {
 	work:    duration & >0s & <=1h       // mean, of one core
 	cv:      *1.0 | float & >0.0 & <=10.0 // standard deviation of the work by its mean
-	goal:    duration & >0s & <=1h       // goal time
+	goal:    duration & >0s & <=1h       // latency objective
 	stop:    duration & >0s & <=1h       // deadline
 	effect:  *"harmless" | "stamped" | "one-shot"
 	memory:  *8s | duration & >0s & <=1h // stamped: for how long repeats are dropped
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -110,9 +110,9 @@
     # For the others, group and memory mean nothing; without a window repeats are told apart for no time.
     stamped = effect == at.STAMPED
     return at.Lane(
-        number=number, effect=effect, goal_time=told.time("Slo"), deadline=told.time("GiveUp"),
+        number=number, effect=effect, latency_objective=told.time("Slo"), deadline=told.time("GiveUp"),
         revenue=told.number("Worth", 1.0), late_share=told.number("LateWorth", 0.0),
-        goal_stretch=told.number("AimStretch", 0.0),
+        objective_stretch=told.number("AimStretch", 0.0),
         group=told.one_of("Group", ("all", "zone", "cell"), "all") if stamped else "all",
         memory=told.time("Window") if stamped else 0, streamed=told.flag("Stream"),
     )
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -213,7 +213,7 @@
         self.trips[send] = "written"
         self.note("send", lookup.id, send.number, instance_id)
         row = self.machines.get(int(instance_id[1:]))
-        goal = min(lookup.lane.goal_time or 100 * MS, 1000 * MS)
+        goal = min(lookup.lane.latency_objective or 100 * MS, 1000 * MS)
         takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
         if row is None or row["bad"] and self.random.random() < 0.5:
             end = self.random.choice([at.UNCONNECTED, at.RESET, "silent", at.ERRED, at.REJECTED])
--- a/tests/days.py
+++ b/tests/days.py
@@ -15,7 +15,8 @@
 
 class Seer:
     """In a balancer's place: the least busy of three machines by their true state of some time ago. What
-    would wait there for over a quarter of its goal time is pushed back: the best bound of those tried."""
+    would wait there for over a quarter of its latency objective is pushed back: the best bound of those
+    tried."""
 
     def __init__(self, day, number):
         self.day, self.due, self.random = day, deque(), random.Random(number)
@@ -51,7 +52,7 @@
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: seen[number], default=None)
         ran = lookup.lane.effect == at.ONE_SHOT and any(s.end not in at.NEVER_RAN for s in lookup.sends)
-        if best is None or ran or 4 * seen[best] > lookup.lane.goal_time:
+        if best is None or ran or 4 * seen[best] > lookup.lane.latency_objective:
             lookup.over = True
             return door.push_back(lookup, LATE // 2)
         lookup.sends.append(at.Send(lookup, len(lookup.sends), best, now))
@@ -69,7 +70,7 @@
     late: bool = False  # the late-seeing policy in place of the balancers
     sent: dict = field(default_factory=dict)  # by machine that is cold: when each send went there, its work
     asked: Counter = field(default_factory=Counter)  # by (what, which, third)
-    served: Counter = field(default_factory=Counter)  # likewise, answered within their goal time
+    served: Counter = field(default_factory=Counter)  # likewise, answered within their latency objective
 
     def __post_init__(self):
         super().__post_init__()
@@ -141,7 +142,7 @@
         super().ask(want)
 
     def answered(self, want, ending, retry_after):
-        if ending == "succeeded" and self.now - want.first <= want.lane.goal_time:
+        if ending == "succeeded" and self.now - want.first <= want.lane.latency_objective:
             self.served.update(self.kept[want])
         super().answered(want, ending, retry_after)
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -411,7 +411,7 @@
 
 @pytest.mark.parametrize("cap, age, after, verdict", [
     (0.1, 0, 3, at.ON), (0.1, 60, 2, None), (0.1, 60, 3, at.ON), (1.0, 0, 8, None), (1.0, 60, 2, None),
-    (1.0, 60, 3, at.ON),  # a rolling restart is not to hold the last stage for a goal time more
+    (1.0, 60, 3, at.ON),  # a rolling restart is not to hold the last stage for a latency objective more
 ])
 def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
     """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
@@ -518,7 +518,8 @@
 
 
 def test_open_connections_are_kept_to_where_new_ones_fail():
-    """Guards against squeezed or slow connections: each that fails costs a good part of the goal time."""
+    """Guards against squeezed or slow connections: each that fails costs a good part of the latency
+    objective."""
     made = balancer([line(n) for n in range(9)], idle_time=9 * SECOND)
     made.members[4].open_until, made.scarce = NOW + SECOND, 0.5
     assert made.choose(lookup(), NOW) is made.members[4]
