--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -25,7 +25,7 @@
 from lemonlead.standins import expressions
 
 DECLARED = Declared(key=1024, lanes=("fitment", "reserve"))
-LANES = {"fitment": at.Lane(0, at.HARMLESS, 1, 1, 1.0), "reserve": at.Lane(1, at.STAMPED, 1, 1, 1.0)}
+LANES = {"fitment": at.Lane(0, at.IDEMPOTENT, 1, 1, 1.0), "reserve": at.Lane(1, at.DEDUPLICATED, 1, 1, 1.0)}
 
 
 def least(run, times=5):
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -12,8 +12,8 @@
 from statistics import median
 
 from .interface import (
-    BACK, CANCELLED, COUNTED, ERRED, HARMLESS, HOLD, NEVER_RAN, ON, ON_TRIAL, ONE_SHOT, OVER_ALLOWANCE, READY,
-    REJECTED, RELEASED, RESET, SPOILT, STAMPED, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT, Send,
+    BACK, CANCELLED, COUNTED, DEDUPLICATED, ERRED, HOLD, IDEMPOTENT, NEVER_RAN, NON_IDEMPOTENT, ON, ON_TRIAL,
+    OVER_ALLOWANCE, READY, REJECTED, RELEASED, RESET, SPOILT, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT, Send,
 )
 from .odds import chance
 from .records import Builds, Group, Member
@@ -308,7 +308,7 @@
         if self.may_duplicate and (other := self.choose(lookup, now)) is not None:
             self.rescues -= not lost
             return self.send(lookup, other, now, door)
-        barred = self.may_duplicate or not self.may_cancel or lookup.lane.effect != HARMLESS
+        barred = self.may_duplicate or not self.may_cancel or lookup.lane.effect != IDEMPOTENT
         if barred or not (lost or silent):
             return False
         self.rescues -= 1
@@ -322,7 +322,7 @@
 
     def give_up(self, lookup, door):
         lookup.over, lane, ends = True, lookup.lane, {send.end for send in lookup.sends}
-        alone = lane.effect == ONE_SHOT or lane.effect == STAMPED and lane.group != "all"
+        alone = lane.effect == NON_IDEMPOTENT or lane.effect == DEDUPLICATED and lane.group != "all"
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(lookup)
         else:
@@ -381,8 +381,8 @@
 
     def usable(self, member, lookup, now):
         barred = member.held >= member.limit * self.mean_work or now < member.shunned_until
-        spoilt = member.build.bad and (lookup.lane.effect != HARMLESS or self.share < 0.5)
-        if barred or spoilt or member.strikes >= 1 and (member.out or lookup.lane.effect == ONE_SHOT):
+        spoilt = member.build.bad and (lookup.lane.effect != IDEMPOTENT or self.share < 0.5)
+        if barred or spoilt or member.strikes >= 1 and (member.out or lookup.lane.effect == NON_IDEMPOTENT):
             return False
         quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
         return quiet <= max(4 * (member.group.slowness or 2.0) * self.lane_work[lookup.lane.number], 300 * MS)
@@ -393,9 +393,9 @@
             return False
         lane = lookup.lane
         ran = [send for send in lookup.sends if send.end not in NEVER_RAN]
-        if ran and (lane.effect == ONE_SHOT or not self.may_duplicate and any(not s.end for s in ran)):
+        if ran and (lane.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran)):
             return False
-        if ran and lane.effect == STAMPED:
+        if ran and lane.effect == DEDUPLICATED:
             group = lane.group
             same = group == "all" or all(getattr(s.instance, group) == getattr(member, group) for s in ran)
             if not same or now >= self.repeated_by(ran) - self.connect_time:
@@ -411,7 +411,7 @@
         its last byte has to be written, 0 if it may not begin."""
         lookup, member, by = send.lookup, send.instance, send.lookup.deadline
         ran = [other for other in lookup.sends if other is not send and other.end not in NEVER_RAN]
-        if ran and lookup.lane.effect == STAMPED:
+        if ran and lookup.lane.effect == DEDUPLICATED:
             by = min(by, self.repeated_by(ran))
         fit = not lookup.over and now < by and self.members.get(member.id) is member
         fit = fit and not self.goes_back(lookup, member)
@@ -436,7 +436,7 @@
     def exposure_left(self, build, lookup, now):
         """The window is a little wider for sends than for lookups. A lower cap binds at once."""
         stage = build.stage if build is self.told else 0
-        if build.cap <= 0 or (stage < self.guarded_stages and lookup.lane.effect != HARMLESS):
+        if build.cap <= 0 or (stage < self.guarded_stages and lookup.lane.effect != IDEMPOTENT):
             return False
         for counted in self.counts_of(lookup):
             sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -102,8 +102,8 @@
 def ask(client, machines, judge, lane, key):
     before = [len(machine.got) for machine in machines]
     began = time.monotonic()
-    stamp = {"k": os.urandom(4).hex()} if lane == "hold" else {}
-    answer = client.ask(key.encode(), lane, **stamp).read()
+    idempotency_key = {"k": os.urandom(4).hex()} if lane == "hold" else {}
+    answer = client.ask(key.encode(), lane, **idempotency_key).read()
     took = time.monotonic() - began
     went = [f"i{n}" for n, machine in enumerate(machines) if len(machine.got) > before[n]]
     rule, treated = judge(lane, key)
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -480,9 +480,9 @@
         lane, hint = self.config.lanes[said["c"]], said.get("h", "0")
         if not NUMBER.fullmatch(said["d"]) or not NUMBER.fullmatch(hint) or not (wait := float(said["d"])):
             raise ValueError("a wait or a hint that is no number")
-        if lane.effect == at.STAMPED and not 0 < len(said["k"]) <= LONGEST_ID:
-            raise ValueError("a stamp out of bounds")
-        if (lane.effect == at.HARMLESS) != (name == b"Q.ASK"):
+        if lane.effect == at.DEDUPLICATED and not 0 < len(said["k"]) <= LONGEST_ID:
+            raise ValueError("an idempotency key out of bounds")
+        if (lane.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this lane goes by the other command")
         tenant = self.config.tenants.get(said.get("t"), -1)
         deadline = arrived + in_ns(wait)
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -94,7 +94,7 @@
 
     def seen(self, lookup, words, said):
         """The lookup as it was asked, for whichever set's bounds; what rules then give it does not show."""
-        stamped = lookup.lane.effect == at.STAMPED or bool(said.get("k"))
+        stamped = lookup.lane.effect == at.DEDUPLICATED or bool(said.get("k"))
         told = (
             COMMANDS[words[0].upper()],
             lookup.key,
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 # What a lane's lookups do when they run twice.
-HARMLESS, STAMPED, ONE_SHOT = "harmless", "stamped", "one-shot"
+IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
 # How a send ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
 UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
@@ -33,8 +33,8 @@
     revenue: float
     late_share: float = 0.0  # share of the revenue that an answer past the latency objective still earns
     objective_stretch: float = 0.0  # the latency objective grows by this multiple of the lookup's own work
-    group: str = "all"  # stamped: which instances drop repeats: "all", one "zone" or one "cell"
-    memory: int = 0  # stamped: for how long they do
+    group: str = "all"  # deduplicated: which instances drop repeats: "all", one "zone" or one "cell"
+    memory: int = 0  # deduplicated: for how long they do
     streamed: bool = False
 
 
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -2,9 +2,10 @@
 
 Checked when a set is loaded, and looked at again for each lookup (`RuleSet.give`):
 
-- no rule weakens an effect: one-shot stays one-shot, stamped becomes one-shot at most; to stamped only what
-  carries a stamp, and only where the group that drops repeats and its memory are no wider than those of the
-  lane asked for;
+- no rule weakens an effect: non-idempotent stays non-idempotent, deduplicated becomes non-idempotent at most;
+to deduplicated only what
+  carries an idempotency key, and only where the group that drops repeats and its memory are no wider than
+  those of the lane asked for;
 - none names a lane or, where it is written out, a tenant that does not exist;
 - none touches the deadline, the command or the effect's mark: they are not among what a rule can give."""
 
@@ -19,7 +20,7 @@
 from .index import Index
 from .kinds import BOOL, STRING
 
-RANKS = {at.HARMLESS: 0, at.STAMPED: 1, at.ONE_SHOT: 2}
+RANKS = {at.IDEMPOTENT: 0, at.DEDUPLICATED: 1, at.NON_IDEMPOTENT: 2}
 WIDTHS = {"cell": 0, "zone": 1, "all": 2}
 MOST_RULES, MOST_LABELS, LONGEST_NAME = 20_000, 8, 64
 RULE_COST, SET_COST = 2_000, 20_000  # steps; a set may name others
@@ -76,18 +77,18 @@
         return True
     if asked.streamed != given.streamed or RANKS[given.effect] < RANKS[asked.effect]:
         return False
-    if given.effect != at.STAMPED:
+    if given.effect != at.DEDUPLICATED:
         return True
-    if asked.effect != at.STAMPED:
+    if asked.effect != at.DEDUPLICATED:
         return stamped
     return WIDTHS[given.group] <= WIDTHS[asked.group] and given.memory <= asked.memory
 
 
-# ---- what an expression may be for lookups of one lane, with or without a stamp
+# ---- what an expression may be for lookups of one lane, with or without an idempotency key
 
 
 def decided(node, lane, stamped):
-    """True or False where lane and stamp alone decide a condition, else None."""
+    """True or False where lane and idempotency key alone decide a condition, else None."""
     match node:
         case tree.Literal(value=bool() as value):
             return value
@@ -246,7 +247,7 @@
     def look_at_lane(self, number, when, expression):
         """Every lane that it may give to every lookup that the rule may match; one fault, for the first."""
         for name, lane in self.lanes.items():
-            for stamped in (True,) if lane.effect == at.STAMPED else (False, True):
+            for stamped in (True,) if lane.effect == at.DEDUPLICATED else (False, True):
                 reached = decided(when.tree, name, stamped) is not False
                 if wrong := self.wrong_lane(expression, name, stamped, reached):
                     return self.fault(number, "lane", Fault(*wrong, *expression.place()))
@@ -261,8 +262,11 @@
             if other not in self.lanes:
                 return NAME, f"no lane {other!r} (there is {', '.join(self.lanes)})"
             if reached and not may_become(lane, self.lanes[other], stamped):
-                stamp = "" if lane.effect != at.HARMLESS else ", stamped" if stamped else ", no stamp"
-                become = f"{name} ({lane.effect}{stamp}) may become {other} ({self.lanes[other].effect})"
+                mark = (
+                    "" if lane.effect != at.IDEMPOTENT else ", idempotency key" if stamped
+                    else ", no idempotency key"
+                )
+                become = f"{name} ({lane.effect}{mark}) may become {other} ({self.lanes[other].effect})"
                 return VALUE, f"would weaken an effect: a lookup of {become}"
         return None
 
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -2,10 +2,12 @@
 
 from dataclasses import dataclass, replace
 
+from .. import interface as at
 from .. import settings
 
 MOST_MACHINES = 20_000  # of all sites; past it a file is refused
 S = 1_000_000_000
+EFFECTS = {"harmless": at.IDEMPOTENT, "stamped": at.DEDUPLICATED, "one-shot": at.NON_IDEMPOTENT}
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +151,10 @@
 def made(told):
     return Fleet(
         kinds={name: Kind(name, **kind) for name, kind in told["kinds"].items()},
-        lanes={name: Lane(name, **lane) for name, lane in told["lanes"].items()},
+        lanes={
+            name: Lane(name, **{**lane, "effect": EFFECTS[lane["effect"]]})
+            for name, lane in told["lanes"].items()
+        },
         sites={name: Site(name, **site) for name, site in told["sites"].items()},
         within=told["delay"]["within"],
         across=told["delay"]["across"],
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -12,6 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
+from .. import interface as at
 from ..standins import fleet as running
 from ..standins.clients import Client
 from ..standins.discovery import entry
@@ -20,7 +21,7 @@
 from .world import Counted, service
 
 MOST_AT_ONCE = 512  # tries of clients under way; one past them is counted as lost
-EFFECTS = {"harmless": "idempotent", "stamped": "deduplicated", "one-shot": "at_most_once"}
+EFFECTS = {at.IDEMPOTENT: "idempotent", at.DEDUPLICATED: "deduplicated", at.NON_IDEMPOTENT: "at_most_once"}
 
 
 def settings_of(fleet, site):
@@ -116,15 +117,15 @@
 
     def want(self, site, lane, work, second, first):
         """A lookup with its client's retries."""
-        key, stamp = os.urandom(6).hex(), os.urandom(6).hex()
+        key, idempotency_key = os.urandom(6).hex(), os.urandom(6).hex()
         for left in range(self.fleet.retries, -1, -1):
-            ending = self.attempt(site, lane, work, key, stamp)
+            ending = self.attempt(site, lane, work, key, idempotency_key)
             if ending == "succeeded":
                 if (time.monotonic() - first) * S <= lane.goal:
                     with self.lock:
                         second.answered += lane.revenue * work
                 return
-            if not left or ending != "pushed back" and lane.effect == "one-shot":
+            if not left or ending != "pushed back" and lane.effect == at.NON_IDEMPOTENT:
                 break
             time.sleep(self.fleet.pause / S)
         with self.lock:
@@ -133,19 +134,19 @@
             else:
                 second.lost += 1
 
-    def attempt(self, site, lane, work, key, stamp):
+    def attempt(self, site, lane, work, key, idempotency_key):
         port = self.random.choice(self.ports[site])
         with self.lock:
             client = self.spare.setdefault(port, []).pop() if self.spare.get(port) else None
         wait = lane.stop * self.fleet.patience / 1e6
         said = {"c": lane.name, "d": round(wait), "h": max(work // 1000, 1)}
-        if lane.effect == "stamped":
-            said["k"] = stamp
+        if lane.effect == at.DEDUPLICATED:
+            said["k"] = idempotency_key
         try:
             client = client or Client(port)
             client.sock.settimeout(wait / 1e3)
             answer = client.command(
-                b"Q.ASK" if lane.effect == "harmless" else b"Q.DO", key.encode(), said
+                b"Q.ASK" if lane.effect == at.IDEMPOTENT else b"Q.DO", key.encode(), said
             ).read()
         except OSError:
             if client is not None:
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -9,6 +9,7 @@
 
 from dataclasses import dataclass, field
 
+from .. import interface as at
 from . import queues
 
 ROUNDS, NEAR = 200, 1e-6
@@ -93,7 +94,9 @@
     lanes = {}
     for name in first:
         got, missed = answered[name]["goal"], 1 - answered[name]["stop"]
-        lanes[name] = got + missed * got if fleet.retries and fleet.lanes[name].effect != "one-shot" else got
+        lanes[name] = (
+            got + missed * got if fleet.retries and fleet.lanes[name].effect != at.NON_IDEMPOTENT else got
+        )
         lanes[name] = min(lanes[name], 1.0)
     worth = {name: rate * fleet.lanes[name].revenue * fleet.lanes[name].work for name, rate in first.items()}
     whole = sum(worth.values())
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -258,7 +258,7 @@
             if self.now - want.first <= want.lane.latency_objective:
                 want.second.answered += want.lane.revenue * want.work
             return
-        again = ending == "pushed back" or want.lane.effect != at.ONE_SHOT and ending != "succeeded"
+        again = ending == "pushed back" or want.lane.effect != at.NON_IDEMPOTENT and ending != "succeeded"
         if again and want.left > 0:
             want.left -= 1
             self.at(self.now + max(self.fleet.pause, retry_after), self.ask, want)
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -2,9 +2,9 @@
 clients with lookups under way, operators with commands under way, and a network between all that fails by
 order.
 
-What is counted is counted at nodes and clients alone: lookups answered and lost, one-shots that ran twice,
-gangs and groups that were broken, sends to nodes that were said to be clear, acknowledged commands that
-are gone. No code is shared with what is checked."""
+What is counted is counted at nodes and clients alone: lookups answered and lost, non-idempotent lookups that
+ran twice, gangs and groups that were broken, sends to nodes that were said to be clear, acknowledged commands
+that are gone. No code is shared with what is checked."""
 
 import contextlib
 import json
@@ -45,7 +45,7 @@
 
 
 class Shop(Node):
-    """A node that knows by lookup which one-shots it ran."""
+    """A node that knows by lookup which non-idempotent lookups it ran."""
 
     def __init__(self, *words, ran, **more):
         super().__init__(*words, **more)
@@ -309,7 +309,7 @@
             if told["taken"] != ended + told["open"]:
                 found.append(f"{name}: {told['taken']} lookups taken, {ended} ended, {told['open']} open")
         twice = [id for id, times in self.ran.items() if times > 1]
-        found += [f"one-shots that ran twice: {len(twice)}"] if twice else []
+        found += [f"non-idempotent lookups that ran twice: {len(twice)}"] if twice else []
         for node in self.nodes + self.far if not unheard else ():
             after, ended = node.counts["after clear"], node.counts["ended"]
             if after + ended:
--- a/lemonlead/standins/instances.py
+++ b/lemonlead/standins/instances.py
@@ -39,8 +39,8 @@
 
     Faults on demand: `silent` (reads, never answers), `failing` (the share of lookups that fail, by lane),
     `spoilt` (the share of answers that cannot be read), `slow` (work is multiplied by it). `memory`: seconds
-    for which it drops repeats of a stamp. Counts: `done` by lane, `ran` by stamp or id, `turned_away`,
-    `dropped`."""
+    for which it drops repeats of an idempotency key. Counts: `done` by lane, `ran` by idempotency key or id,
+    `turned_away`, `dropped`."""
 
     def __init__(self, work=0.0, slots=4, queue=16, cold=1.0, warm=0.0, memory=8.0, seed=1, **more):
         super().__init__(**more)
@@ -50,7 +50,7 @@
         self.silent, self.failing, self.spoilt, self.slow = threading.Event(), {}, 0.0, 1.0
         self.chance, self.lock, self.held, self.most = random.Random(seed), threading.Lock(), 0, slots + queue
         self.done, self.ran, self.turned_away, self.dropped = Counter(), Counter(), 0, 0
-        self.stamps = {}  # when each stamp was last answered, and with what
+        self.idempotency_keys = {}  # when each idempotency key was last answered, and with what
         self.react = self.answer
 
     def answer(self, words):
@@ -72,25 +72,26 @@
                 self.held -= 1
 
     def served(self, words, said):
-        lane, stamp = said["c"], said.get("k")
+        lane, idempotency_key = said["c"], said.get("k")
         with self.slots:
             with self.lock:
-                at, value = self.stamps.get(stamp, (0.0, None))
-                if stamp and value is not None and time.monotonic() - at < self.memory:
+                at, value = self.idempotency_keys.get(idempotency_key, (0.0, None))
+                if idempotency_key and value is not None and time.monotonic() - at < self.memory:
                     self.dropped += 1
                     return gives(value)
             time.sleep(self.needs_of(said) / self.speed() * self.slow)
             value = words[1]
             with self.lock:
                 self.done[lane] += 1
-                self.ran[stamp or words[2]] += 1
+                self.ran[idempotency_key or words[2]] += 1
                 if self.chance.random() < self.failing.get(lane, 0.0):
                     return b"-ERR failed\r\n"
-                if stamp:
-                    self.stamps = {
-                        k: v for k, v in self.stamps.items() if time.monotonic() - v[0] < self.memory
+                if idempotency_key:
+                    self.idempotency_keys = {
+                        k: v
+                        for k, v in self.idempotency_keys.items() if time.monotonic() - v[0] < self.memory
                     }
-                    self.stamps[stamp] = time.monotonic(), value
+                    self.idempotency_keys[idempotency_key] = time.monotonic(), value
                 if self.chance.random() < self.spoilt:
                     return b"#noise\r\n"
         return gives(value)
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -7,7 +7,7 @@
 NS = 1_000_000  # nanoseconds in one of the settings' and the wire's milliseconds
 LONGEST = 1e13  # milliseconds, some 300 years: no time told is longer, also where it counts from 1970
 MOST = 1e15  # no other figure told is larger: products of them stay finite
-EFFECTS = {"idempotent": at.HARMLESS, "deduplicated": at.STAMPED, "at_most_once": at.ONE_SHOT}
+EFFECTS = {"idempotent": at.IDEMPOTENT, "deduplicated": at.DEDUPLICATED, "at_most_once": at.NON_IDEMPOTENT}
 
 
 class Nonsense(ValueError):
@@ -106,15 +106,15 @@
 
 
 def lane_of(told, number):
-    effect = EFFECTS.get(told.word("Effect"), at.ONE_SHOT)  # one unknown here is run once at most
+    effect = EFFECTS.get(told.word("Effect"), at.NON_IDEMPOTENT)  # one unknown here is run once at most
     # For the others, group and memory mean nothing; without a window repeats are told apart for no time.
-    stamped = effect == at.STAMPED
+    deduplicated = effect == at.DEDUPLICATED
     return at.Lane(
         number=number, effect=effect, latency_objective=told.time("Slo"), deadline=told.time("GiveUp"),
         revenue=told.number("Worth", 1.0), late_share=told.number("LateWorth", 0.0),
         objective_stretch=told.number("AimStretch", 0.0),
-        group=told.one_of("Group", ("all", "zone", "cell"), "all") if stamped else "all",
-        memory=told.time("Window") if stamped else 0, streamed=told.flag("Stream"),
+        group=told.one_of("Group", ("all", "zone", "cell"), "all") if deduplicated else "all",
+        memory=told.time("Window") if deduplicated else 0, streamed=told.flag("Stream"),
     )
 
 
--- a/tests/days.py
+++ b/tests/days.py
@@ -51,7 +51,7 @@
         fit = [number for number in seen if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: seen[number], default=None)
-        ran = lookup.lane.effect == at.ONE_SHOT and any(s.end not in at.NEVER_RAN for s in lookup.sends)
+        ran = lookup.lane.effect == at.NON_IDEMPOTENT and any(s.end not in at.NEVER_RAN for s in lookup.sends)
         if best is None or ran or 4 * seen[best] > lookup.lane.latency_objective:
             lookup.over = True
             return door.push_back(lookup, LATE // 2)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,7 +42,7 @@
         return self.calls
 
 
-def lane(number=0, effect=at.HARMLESS, **more):
+def lane(number=0, effect=at.IDEMPOTENT, **more):
     return at.Lane(number, effect, 1000 * MS, 4000 * MS, 1.0, **more)
 
 
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -172,7 +172,7 @@
     config = {name: CONFIG[name] for name in ("name", "listen", "discovery", "seed")}
     got = read(tmp_path, {**config, "settings": settings, "limits": None, "release_api": None, "known": None})
     start, lane = got.start, got.lanes["look"]
-    assert (lane.effect, lane.group, lane.memory, lane.revenue) == ("one-shot", "all", 0, 1.0)
+    assert (lane.effect, lane.group, lane.memory, lane.revenue) == ("non-idempotent", "all", 0, 1.0)
     assert (start.sends_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
     assert (got.platform, got.news, got.connections, got.tenants) == (None, None, 1000, {})
     assert read(tmp_path, {**config, "settings": {}}).lanes == {}
@@ -184,7 +184,7 @@
     made.listed(got.start.now, [line(1), line(2)], True, True)
     asked = lookup(on=got.start.lanes[1], now=got.start.now)
     sent(asked, made.members[1], at.RESET, got.start.now)
-    assert asked.lane.effect == at.STAMPED
+    assert asked.lane.effect == at.DEDUPLICATED
     assert not made.may_send(asked, made.members[2], got.start.now)
     asked.sends[0].end = at.UNCONNECTED
     assert made.may_send(asked, made.members[2], got.start.now)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -9,9 +9,9 @@
 from lemonlead.balance import NEAR, Balancer, sound
 from lemonlead.odds import chance
 
-STAMPED_ZONE = lane(1, at.STAMPED, group="zone", memory=4000 * MS)
-STAMPED_ALL = lane(1, at.STAMPED, group="all", memory=8000 * MS)
-ONE_SHOT = lane(2, at.ONE_SHOT)
+DEDUPLICATED_ZONE = lane(1, at.DEDUPLICATED, group="zone", memory=4000 * MS)
+DEDUPLICATED_ALL = lane(1, at.DEDUPLICATED, group="all", memory=8000 * MS)
+NON_IDEMPOTENT = lane(2, at.NON_IDEMPOTENT)
 SECOND = 1000 * MS
 
 
@@ -25,16 +25,17 @@
     [
         (lane(), "", 1, 10, True),
         (lane(), at.ERRED, 1, 10, True),
-        (ONE_SHOT, at.UNCONNECTED, 1, 10, True),
-        (ONE_SHOT, at.REJECTED, 1, 10, True),
-        (ONE_SHOT, at.RESET, 0, 10, False),
-        (ONE_SHOT, at.ERRED, 0, 10, False),
-        (ONE_SHOT, "", 0, 10, False),
-        (STAMPED_ZONE, at.ERRED, 0, 10, True),
-        (STAMPED_ZONE, at.ERRED, 1, 10, False),
-        (STAMPED_ZONE, at.UNCONNECTED, 1, 10, True),
-        (STAMPED_ZONE, at.CANCELLED, 0, 3800, False),  # its memory would lapse before a slow connection opens
-        (STAMPED_ALL, at.TIMED_OUT, 1, 3800, True),
+        (NON_IDEMPOTENT, at.UNCONNECTED, 1, 10, True),
+        (NON_IDEMPOTENT, at.REJECTED, 1, 10, True),
+        (NON_IDEMPOTENT, at.RESET, 0, 10, False),
+        (NON_IDEMPOTENT, at.ERRED, 0, 10, False),
+        (NON_IDEMPOTENT, "", 0, 10, False),
+        (DEDUPLICATED_ZONE, at.ERRED, 0, 10, True),
+        (DEDUPLICATED_ZONE, at.ERRED, 1, 10, False),
+        (DEDUPLICATED_ZONE, at.UNCONNECTED, 1, 10, True),
+        # its memory would lapse before a slow connection opens
+        (DEDUPLICATED_ZONE, at.CANCELLED, 0, 3800, False),
+        (DEDUPLICATED_ALL, at.TIMED_OUT, 1, 3800, True),
     ],
 )
 def test_a_second_send_needs_the_lane_to_allow_it(on, end, zone, age, allowed):
@@ -64,11 +65,11 @@
     "on, end, answer",
     [
         (lane(), at.TIMED_OUT, "push back"),
-        (STAMPED_ALL, at.TIMED_OUT, "push back"),
-        (STAMPED_ZONE, at.TIMED_OUT, "abort"),
-        (STAMPED_ZONE, at.REJECTED, "push back"),
-        (ONE_SHOT, at.RESET, "abort"),
-        (ONE_SHOT, at.NOT_SENT, "push back"),
+        (DEDUPLICATED_ALL, at.TIMED_OUT, "push back"),
+        (DEDUPLICATED_ZONE, at.TIMED_OUT, "abort"),
+        (DEDUPLICATED_ZONE, at.REJECTED, "push back"),
+        (NON_IDEMPOTENT, at.RESET, "abort"),
+        (NON_IDEMPOTENT, at.NOT_SENT, "push back"),
     ],
 )
 def test_the_final_answer_tells_what_may_have_run(on, end, answer):
@@ -145,12 +146,12 @@
         ((2, 0, at.ON_TRIAL, 0.1), lane(), 3, 10, False),
         ((2, 0, at.ON_TRIAL, 0.0), lane(), 0, 99, False),
         ((2, 1, at.GOING_BACK, 0.0), lane(), 0, 99, False),
-        ((2, 0, at.RELEASED, 1.0), ONE_SHOT, 99, 0, True),
+        ((2, 0, at.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
         ((1, 2, at.RELEASED, 1.0), lane(), 2, 10, True),  # not announced: as in the first stage
         ((1, 2, at.RELEASED, 1.0), lane(), 3, 10, False),
-        ((1, 2, at.RELEASED, 1.0), ONE_SHOT, 0, 10, False),
-        ((2, 0, at.ON_TRIAL, 0.1), ONE_SHOT, 0, 10, False),  # guarded
-        ((2, 1, at.ON_TRIAL, 0.5), ONE_SHOT, 0, 10, True),
+        ((1, 2, at.RELEASED, 1.0), NON_IDEMPOTENT, 0, 10, False),
+        ((2, 0, at.ON_TRIAL, 0.1), NON_IDEMPOTENT, 0, 10, False),  # guarded
+        ((2, 1, at.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
     ],
 )
 def test_sends_to_a_build_on_trial_stay_within_the_cap(told, on, sends, taken, allowed):
@@ -168,7 +169,7 @@
     made.per_lane = True
     made.members[3].build.sent[0] = [NOW] * 2
     assert not made.exposure_left(made.members[3].build, lookup(), NOW)
-    assert made.exposure_left(made.members[3].build, lookup(on=STAMPED_ALL), NOW)
+    assert made.exposure_left(made.members[3].build, lookup(on=DEDUPLICATED_ALL), NOW)
 
 
 def test_a_key_that_the_new_build_answered_stays_with_it():
@@ -281,7 +282,7 @@
     made.send_ended(NOW + SECOND, send, at.TIMED_OUT, SECOND, False, {})
     assert not made.usable(member, lookup(2), NOW + SECOND)
     assert made.usable(member, lookup(2), NOW + 9 * SECOND)
-    assert not made.usable(member, lookup(2, on=ONE_SHOT), NOW + 9 * SECOND)
+    assert not made.usable(member, lookup(2, on=NON_IDEMPOTENT), NOW + 9 * SECOND)
     sent(lookup(3), member)
     assert not made.usable(member, lookup(2), NOW + 9 * SECOND)
 
@@ -403,7 +404,7 @@
 )
 def test_the_last_stage_is_voted_on_once_what_was_sent_in_it_was_due_its_answers(goal, cap, after, verdict):
     """Guards against a slow build that is released, where answers take seconds, before one has come."""
-    made = balancer([line(1), line(2, build=2)], [at.Lane(0, at.HARMLESS, goal * SECOND, 30 * SECOND, 1.0)])
+    made = balancer([line(1), line(2, build=2)], [at.Lane(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)])
     made.stage_told(NOW, 2, 1, at.ON_TRIAL, cap, 0)
     made.pair_at = NOW
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
@@ -415,7 +416,7 @@
 ])
 def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
     """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
-    lanes = [at.Lane(0, at.HARMLESS, 8 * SECOND, 30 * SECOND, 1.0)]
+    lanes = [at.Lane(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
     made = balancer([line(1), line(2, build=2)], lanes, told=None)
     made.stage_told(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
     made.pair_at = NOW - 9 * SECOND
@@ -591,7 +592,7 @@
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
-    repeated = lane(effect=at.STAMPED, memory=2000 * MS)
+    repeated = lane(effect=at.DEDUPLICATED, memory=2000 * MS)
     made, asked = balancer([line(1), line(2)], [repeated]), lookup(on=repeated)
     first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
     last = NOW + 1990 * MS  # two steps are spared
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -33,8 +33,8 @@
         said = dict(pair.split("=") for pair in extras.decode().split(","))
         assert (name, key, tuple(rest)) == (b"Q.ASK" if lane == "look" else b"Q.DO", b"7f3a", body)
         assert 0 < int(said.pop("d")) <= 20000
-        stamp = {"k": "5c"} if lane == "hold" else {}
-        assert said == {"c": lane, "t": "acme", "h": "5000", "r": "1", **stamp}
+        idempotency_key = {"k": "5c"} if lane == "hold" else {}
+        assert said == {"c": lane, "t": "acme", "h": "5000", "r": "1", **idempotency_key}
 
 
 def test_pipelined_commands_are_answered_in_their_order(tmp_path):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,13 +23,13 @@
 
 
 LANES = {
-    "fitment": lane(0, at.HARMLESS),
-    "stock": lane(1, at.HARMLESS),
-    "reserve": lane(2, at.STAMPED, memory=8 * S),
-    "zoned": lane(3, at.STAMPED, group="zone", memory=8 * S),
-    "short": lane(4, at.STAMPED, memory=2 * S),
-    "buy": lane(5, at.ONE_SHOT),
-    "stream": lane(6, at.HARMLESS, streamed=True),
+    "fitment": lane(0, at.IDEMPOTENT),
+    "stock": lane(1, at.IDEMPOTENT),
+    "reserve": lane(2, at.DEDUPLICATED, memory=8 * S),
+    "zoned": lane(3, at.DEDUPLICATED, group="zone", memory=8 * S),
+    "short": lane(4, at.DEDUPLICATED, memory=2 * S),
+    "buy": lane(5, at.NON_IDEMPOTENT),
+    "stream": lane(6, at.IDEMPOTENT, streamed=True),
 }
 PLAIN = {name: LANES[name] for name in ("fitment", "stock")}
 CUSTOMERS = ["acme", "others"]
@@ -95,7 +95,7 @@
         ("true", "lookup.lane == 'reserve' ? 'stock' : lookup.lane", "weaken"),
         ("true", "lookup.repeat ? 'fitment' : 'buy'", "weaken"),
         ("lookup.lane in ['fitment', 'reserve']", "'stock'", "weaken"),
-        ("lookup.lane == 'fitment'", "'reserve'", "no stamp"),
+        ("lookup.lane == 'fitment'", "'reserve'", "no idempotency key"),
         ("lookup.lane == 'fitment' || lookup.stamped", "'reserve'", "weaken"),
         ("lookup.lane != 'buy' && lookup.lane != 'stream' && lookup.stamped", "'reserve'", "zoned"),
         ("!(lookup.lane != 'reserve')", "'fitment'", "weaken"),
@@ -135,7 +135,7 @@
 def test_a_rule_that_keeps_or_strengthens_effects_is_admitted(when, lane):
     made = rules({"when": when, "lane": lane})
     for name, was in LANES.items():
-        for stamped in (True,) if was.effect == at.STAMPED else (True, False):
+        for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
             given = made.judge(asked(lane=name, stamped=stamped))
             assert given.rule is None or may_become(was, given.lane, stamped)
 
@@ -181,7 +181,7 @@
     except Unfit:
         return
     for name, was in LANES.items():
-        for stamped in (True,) if was.effect == at.STAMPED else (True, False):
+        for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
             for repeat in (True, False):
                 given = made.judge(asked(lane=name, stamped=stamped, repeat=repeat), errors := [])
                 assert not errors
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -48,8 +48,8 @@
     server = InstanceServer(failing)
     rules = text(("once", '''when: "lookup.key.startsWith('x/')", lane: "'buy'", customer: "'acme'"'''))
     with gateway(tmp_path, server.start(), rules=rules) as ran:
-        assert ran.client().ask(b"a").read() == b"BUSY 62"  # harmless: it may be asked again
-        assert ran.client().ask(b"x/a").read() == b"ERR aborted"  # treated as one-shot, it is not
+        assert ran.client().ask(b"a").read() == b"BUSY 62"  # idempotent: it may be asked again
+        assert ran.client().ask(b"x/a").read() == b"ERR aborted"  # treated as non-idempotent, it is not
         assert [words[3].split(b",")[0] for words in server.got][-1] == b"c=look" and server.got[-1][
             0
         ] == b"Q.ASK"
@@ -212,7 +212,7 @@
         ended = counted(ran.log(), "stopped")
         assert ended["taken"] == sum(ended.get(name, 0) for name in ("succeeded", "pushed_back", "aborted"))
         for machine in machines:  # no effect twice, whatever the rules said meanwhile
-            assert all(count == 1 for stamp, count in machine.ran.items())
+            assert all(count == 1 for idempotency_key, count in machine.ran.items())
 
 
 def test_a_set_on_trial_changes_nothing_and_its_differences_are_told(tmp_path):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -389,7 +389,7 @@
 
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
 def test_however_little_a_lane_earns_it_is_let_in_half_as_often_as_the_mean(pace):
-    lanes = [at.Lane(n, at.HARMLESS, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))]
+    lanes = [at.Lane(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))]
     made = balancer([line(1)], lanes=lanes, balancers=200)
     made.pace, let_in = pace, []
     for on in lanes:
@@ -400,7 +400,7 @@
 # ---- what was never sent on, and new connections that end in vain
 
 
-@pytest.mark.parametrize("effect", [at.HARMLESS, at.STAMPED, at.ONE_SHOT])
+@pytest.mark.parametrize("effect", [at.IDEMPOTENT, at.DEDUPLICATED, at.NON_IDEMPOTENT])
 @pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
 def test_what_no_instance_was_sent_is_refused_never_failed(effect, ends):
     on, dispatcher = lane(effect=effect, group="zone"), Dispatcher()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -90,9 +90,9 @@
     """Members log by structlog, and what reads logs reads both."""
     stream = io.StringIO()
     getattr(lines.opened(stream, gateway="g 0"), level)(event, **told)
-    stamp = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
+    idempotency_key = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
     render = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])
-    told = {"gateway": "g 0", **told, "event": event, "level": level, "timestamp": stamp}
+    told = {"gateway": "g 0", **told, "event": event, "level": level, "timestamp": idempotency_key}
     assert stream.getvalue() == render(None, level, told) + "\n"
 
 
