--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -28,7 +28,7 @@
 PACE_AGE = 2000 * MS  # what is known of how long answers take is no older than this
 STEEP = 2  # shed by so many times what is past the next
 LEAST = 0.5  # of the mean revenue: none is shed by less, so that it is let in half as often as at the mean
-EASY = 0.45  # the share of its objective that a lookup may take on average before some are pushed back
+EASY = 0.45  # the share of its objective that a lookup may take on average before some are rejected
 OVERDUE = 2.5  # times what its work usually takes; one answer in twenty or thirty is later
 LOST = 4  # a zone and kind costs so much more when all that was sent there of late was lost on the way
 RESCUES = 0.1  # second copies (or resends of what is slow) a lookup taken, so that a jam is not fed
@@ -326,7 +326,7 @@
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(lookup)
         else:
-            door.push_back(lookup, min(self.retry_after_cap, lane.latency_objective // 16))
+            door.reject(lookup, min(self.retry_after_cap, lane.latency_objective // 16))
         return True
 
     # ---- where to
@@ -352,8 +352,8 @@
         return best or (None if whole else self.choose(lookup, now, True))
 
     def sheds(self, lookup, now):
-        """Where many share a machine, none can bound its queue: as answers take longer, each pushes back more
-        of its own, the lowest revenue first. It could push back what has room elsewhere."""
+        """Where many share a machine, none can bound its queue: as answers take longer, each rejects more
+        of its own, the lowest revenue first. It could reject what has room elsewhere."""
         if self.waits(lookup):  # it would only fill slots; one in two objectives shows when that ends
             kinds, pause = kinds_of(lookup), 2 * lookup.lane.latency_objective
             if now < max(self.tested.get(kind, 0) for kind in kinds) + pause:
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -19,7 +19,7 @@
 MOST_ASKS, MOST_UNSENT = 64, 1 << 18  # unanswered commands, unsent bytes; past them no more is read
 SLOWEST = 5  # seconds for which a client may take none of its answers
 KNOCKS = 0.1  # seconds for which a new connection is waited for at a time
-EXTRA = 8  # connections past the bound, whose lookups are pushed back
+EXTRA = 8  # connections past the bound, whose lookups are rejected
 LOOK = 0.25  # seconds without a byte after which a connection is looked at
 PART = 0.9  # seconds from a connection's start to its first command; from a command's first byte to its last
 # Seconds between lookups after which a connection ends: some clients ask once and hold it. The shorter ones
@@ -372,8 +372,8 @@
                 sock.close()
 
     def admit(self, sock):
-        """Where all within the bound have a lookup, those of a few extra ones are pushed back at once: what
-        waited to be accepted would be late, and was begun nowhere. It could push back what would have found
+        """Where all within the bound have a lookup, those of a few extra ones are rejected at once: what
+        waited to be accepted would be late, and was begun nowhere. It could reject what would have found
         room a moment later."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, seconds(SLOWEST))
@@ -416,7 +416,7 @@
 
     def crowded(self):
         """Whether more clients than the bound wait for answers. Guards against places held for nothing: those
-        that say nothing must not have lookups past the bound pushed back."""
+        that say nothing must not have lookups past the bound rejected."""
         with self.room:
             return sum(bool(client.asks) for client in self.clients) > self.most
 
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -159,9 +159,9 @@
     def cancel(self, send):
         self.chores.append((self.instances.cancel, send))
 
-    def push_back(self, lookup, retry_after):
+    def reject(self, lookup, retry_after):
         pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
-        self.answer(lookup, "pushed back", b"-BUSY%s\r\n" % pause)
+        self.answer(lookup, "rejected", b"-BUSY%s\r\n" % pause)
 
     def abort(self, lookup):
         if all(send.end in UNWRITTEN for send in lookup.sends):
--- a/lemonlead/planning/answers.py
+++ b/lemonlead/planning/answers.py
@@ -119,14 +119,14 @@
 
 def part(name, seconds):
     asked = sum(second.asked for second in seconds)
-    pushed = sum(second.pushed_back for second in seconds)
+    rejected = sum(second.rejected for second in seconds)
     lost = sum(second.lost for second in seconds)
     return {
         "part": name,
         "seconds": len(seconds),
         "service": round(world.service(seconds), 4),
         "lookups": asked,
-        "pushed_back": round(pushed / max(asked, 1), 4),
+        "rejected": round(rejected / max(asked, 1), 4),
         "failed": round(lost / max(asked, 1), 4),
     }
 
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -125,12 +125,12 @@
                     with self.lock:
                         second.answered += lane.revenue * work
                 return
-            if not left or ending != "pushed back" and lane.effect == at.NON_IDEMPOTENT:
+            if not left or ending != "rejected" and lane.effect == at.NON_IDEMPOTENT:
                 break
             time.sleep(self.fleet.pause / S)
         with self.lock:
-            if ending == "pushed back":
-                second.pushed_back += 1
+            if ending == "rejected":
+                second.rejected += 1
             else:
                 second.lost += 1
 
@@ -158,7 +158,7 @@
         with self.lock:
             self.spare.setdefault(port, []).append(client)
         return (
-            "pushed back"
+            "rejected"
             if answer.startswith(b"BUSY")
             else "succeeded"
             if answer == key.encode()
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -13,19 +13,19 @@
 from . import queues
 
 ROUNDS, NEAR = 200, 1e-6
-FULL = 0.95  # of the cores: the balancers' limits keep queues from growing past it, the rest is pushed back
+FULL = 0.95  # of the cores: the balancers' limits keep queues from growing past it, the rest is rejected
 
 
 @dataclass(slots=True)
 class Steady:
     """`service`: the share of revenue answered within the latency objective, `lanes` the same by lane;
-    `used`: the share of each resource that is taken, 1 is all of it; `pushed_back`: the share of sends for
+    `used`: the share of each resource that is taken, 1 is all of it; `rejected`: the share of sends for
     which there is no room."""
 
     service: float
     lanes: dict = field(default_factory=dict)
     used: dict = field(default_factory=dict)
-    pushed_back: float = 0.0
+    rejected: float = 0.0
     asked: float = 0.0  # lookups a second with their retries
 
 
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -40,7 +40,7 @@
     asked: int = 0
     worth: float = 0.0
     answered: float = 0.0
-    pushed_back: int = 0
+    rejected: int = 0
     lost: int = 0
 
 
@@ -89,8 +89,8 @@
     def cancel(self, send):
         self.world.at(self.world.now, self.ended, send, at.CANCELLED)
 
-    def push_back(self, lookup, retry_after):
-        self.answer(lookup, "pushed back", retry_after)
+    def reject(self, lookup, retry_after):
+        self.answer(lookup, "rejected", retry_after)
 
     def abort(self, lookup):
         self.answer(lookup, "aborted", 0)
@@ -258,12 +258,12 @@
             if self.now - want.first <= want.lane.latency_objective:
                 want.second.answered += want.lane.revenue * want.work
             return
-        again = ending == "pushed back" or want.lane.effect != at.NON_IDEMPOTENT and ending != "succeeded"
+        again = ending == "rejected" or want.lane.effect != at.NON_IDEMPOTENT and ending != "succeeded"
         if again and want.left > 0:
             want.left -= 1
             self.at(self.now + max(self.fleet.pause, retry_after), self.ask, want)
-        elif ending == "pushed back":
-            want.second.pushed_back += 1
+        elif ending == "rejected":
+            want.second.rejected += 1
         else:
             want.second.lost += 1
 
--- a/lemonlead/standins/clients.py
+++ b/lemonlead/standins/clients.py
@@ -48,7 +48,7 @@
 class Crowd:
     """Clients that each go on asking, one lookup after the other, until told to stop. `ask(client, number)`
     writes the next lookup and returns what its answer must be, or None where any will do; `counts` has how
-    many answers were as they must be ("right"), pushed back, errors, or anything else ("wrong"), and lost
+    many answers were as they must be ("right"), rejected, errors, or anything else ("wrong"), and lost
     connections. A connection that ended as it had rested for long, just as a lookup was written, is none of
     these ("crossed"): the protocol has the client ask once more, on a new connection."""
 
@@ -94,7 +94,7 @@
         elif answer is CROSSED:
             ending = "crossed"
         elif isinstance(answer, resp.Fault):
-            ending = "pushed back" if answer.startswith(b"BUSY") else "errors"
+            ending = "rejected" if answer.startswith(b"BUSY") else "errors"
         else:
             ending = "right" if wanted is None or answer == wanted else "wrong"
         with self.lock:
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -277,7 +277,7 @@
     # ---- what came of it
 
     def counts(self, but=()):
-        """Of all lookups by their ending: right, pushed back, errors, wrong, lost. `but`: not those of these
+        """Of all lookups by their ending: right, rejected, errors, wrong, lost. `but`: not those of these
         gateways."""
         total = Counter()
         for name, crowd in zip(self.names, self.crowds, strict=True):
@@ -305,7 +305,7 @@
         found += [f"lookups errors: {heard['errors']}"] if heard["errors"] else []
         for name, ran in zip(self.names, self.gateways, strict=True):
             told = ran.counters()
-            ended = sum(told.get(what, 0) for what in ("succeeded", "pushed_back", "aborted", "left"))
+            ended = sum(told.get(what, 0) for what in ("succeeded", "rejected", "aborted", "left"))
             if told["taken"] != ended + told["open"]:
                 found.append(f"{name}: {told['taken']} lookups taken, {ended} ended, {told['open']} open")
         twice = [id for id, times in self.ran.items() if times > 1]
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -41,7 +41,7 @@
     def cancel(self, send):
         self.reply.add("withdraw", self.number, send.lookup.id, send.number)
 
-    def push_back(self, lookup, retry_after):
+    def reject(self, lookup, retry_after):
         del self.lookups[lookup.id]
         self.reply.add("busy", self.number, lookup.id, retry_after / NS)
 
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -253,7 +253,7 @@
         elif send in self.trips:
             self.after(self.random.choice([0, 3 * MS]), self.end, send, at.CANCELLED)
 
-    def push_back(self, lookup, retry_after):
+    def reject(self, lookup, retry_after):
         assert self.open.pop(lookup.id, None) is lookup
         self.note("final", lookup.id, "busy", retry_after)
 
--- a/tests/days.py
+++ b/tests/days.py
@@ -15,7 +15,7 @@
 
 class Seer:
     """In a balancer's place: the least busy of three machines by their true state of some time ago. What
-    would wait there for over a quarter of its latency objective is pushed back: the best bound of those
+    would wait there for over a quarter of its latency objective is rejected: the best bound of those
     tried."""
 
     def __init__(self, day, number):
@@ -54,7 +54,7 @@
         ran = lookup.lane.effect == at.NON_IDEMPOTENT and any(s.end not in at.NEVER_RAN for s in lookup.sends)
         if best is None or ran or 4 * seen[best] > lookup.lane.latency_objective:
             lookup.over = True
-            return door.push_back(lookup, LATE // 2)
+            return door.reject(lookup, LATE // 2)
         lookup.sends.append(at.Send(lookup, len(lookup.sends), best, now))
         return door.send(lookup, best, lookup.deadline - now)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,8 +19,8 @@
     def cancel(self, send):
         self.calls.append(("cancel", send.lookup.id, send.number))
 
-    def push_back(self, lookup, retry_after):
-        self.calls.append(("push back", lookup.id, retry_after))
+    def reject(self, lookup, retry_after):
+        self.calls.append(("reject", lookup.id, retry_after))
 
     def abort(self, lookup):
         self.calls.append(("abort", lookup.id))
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -107,7 +107,7 @@
     [(0, 1000.0), (0, 0), (None, 5000.0), (5.0, 20.0), (150.0, 500.0), (30_000.0, 60_000.0), (1e13, 1e13)],
 )
 def test_a_calm_fleet_serves_nearly_all_whatever_the_aims_and_worths(aim, deadline, balancers):
-    """A class without an aim took none, and where many share the fleet nine in ten were pushed back."""
+    """A class without an aim took none, and where many share the fleet nine in ten were rejected."""
     told = {"Name": "look", "Effect": "idempotent", "GiveUp": deadline}
     told |= {} if aim is None else {"Slo": aim}
     gap = min(max((aim or 1000.0) / 20, 2.0), 100.0)
@@ -209,7 +209,7 @@
 class Refusing(Balancer):
     def give_up(self, lookup, door):
         lookup.over = True
-        door.push_back(lookup, 0)
+        door.reject(lookup, 0)
         return True
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -64,12 +64,12 @@
 @pytest.mark.parametrize(
     "on, end, answer",
     [
-        (lane(), at.TIMED_OUT, "push back"),
-        (DEDUPLICATED_ALL, at.TIMED_OUT, "push back"),
+        (lane(), at.TIMED_OUT, "reject"),
+        (DEDUPLICATED_ALL, at.TIMED_OUT, "reject"),
         (DEDUPLICATED_ZONE, at.TIMED_OUT, "abort"),
-        (DEDUPLICATED_ZONE, at.REJECTED, "push back"),
+        (DEDUPLICATED_ZONE, at.REJECTED, "reject"),
         (NON_IDEMPOTENT, at.RESET, "abort"),
-        (NON_IDEMPOTENT, at.NOT_SENT, "push back"),
+        (NON_IDEMPOTENT, at.NOT_SENT, "reject"),
     ],
 )
 def test_the_final_answer_tells_what_may_have_run(on, end, answer):
@@ -85,12 +85,12 @@
     made, dispatcher = balancer([]), Dispatcher()
     made.lookup_arrived(NOW, lookup(left=left * MS))
     calls = [call[0] for ms in range(0, 600, 5) for call in dispatcher.pull(made, NOW + ms * MS)]
-    assert calls.count("push back") == 1
+    assert calls.count("reject") == 1
     calls = dispatcher.pull(made, NOW + SECOND)
     assert calls == []
 
 
-@pytest.mark.parametrize("rescues, answer", [(5.0, "send"), (0.5, "push back")])
+@pytest.mark.parametrize("rescues, answer", [(5.0, "send"), (0.5, "reject")])
 def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
     """Guards against the jam in which each lookup is turned away at many full machines."""
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
@@ -474,7 +474,7 @@
     assert chance([(worse, count, usual)]) == pytest.approx(most)
 
 
-def test_a_lane_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_pushed_back():
+def test_a_lane_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_rejected():
     """Guards against waits of one lane or tenant that drag down limits and costs for others."""
     on, made, dispatcher = lane(1), balancer([line(1), line(2)], lanes=[lane(), lane(1)]), Dispatcher()
     for number in range(40):
@@ -485,15 +485,15 @@
     for number in range(10):
         made.lookup_arrived(NOW, lookup(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
-    assert (calls.count("send"), calls.count("push back")) == (1, 9)
+    assert (calls.count("send"), calls.count("reject")) == (1, 9)
 
 
-@pytest.mark.parametrize("balancers, pushed", [(3, 0), (400, 100)])
-def test_slow_answers_push_back_where_limits_cannot_bound_queues(balancers, pushed):
+@pytest.mark.parametrize("balancers, rejected", [(3, 0), (400, 100)])
+def test_slow_answers_reject_where_limits_cannot_bound_queues(balancers, rejected):
     made = balancer([line(1)], balancers=balancers)
     made.pace = 2.0
-    assert sum(made.sheds(lookup(number), NOW) for number in range(200)) >= pushed
-    assert pushed or not made.sheds(lookup(), NOW)
+    assert sum(made.sheds(lookup(number), NOW) for number in range(200)) >= rejected
+    assert rejected or not made.sheds(lookup(), NOW)
 
 
 def test_a_cold_machine_is_not_met_by_hundreds_at_once():
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize(
     "size, room, fits", [(60_000, 95_000, True), (60_000, 85_000, False), (6_000, 1, True)]
 )
-def test_a_large_command_is_pushed_back_where_there_is_no_room_and_never_cut_short_once_taken(
+def test_a_large_command_is_rejected_where_there_is_no_room_and_never_cut_short_once_taken(
     tmp_path, size, room, fits
 ):
     """While it is read, half of its buffer counts as well."""
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -202,7 +202,7 @@
         over.set()
         said = counted(ran.log(), "stopped")
         assert said["open"] == 0 and said.get("left", 0) == 0
-        assert len(answers) == said["taken"] == said["succeeded"] + said["pushed_back"]
+        assert len(answers) == said["taken"] == said["succeeded"] + said["rejected"]
 
 
 def test_what_comes_behind_nonsense_after_sigterm_is_read_at_once(tmp_path):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -762,7 +762,7 @@
             for agent in agents:
                 agent.stopped.set()
             assert ran.counters()["ledger_failures"] == 0
-    assert code == 200 and set(counts) <= {"right", "pushed back"} and counts["right"] > 50
+    assert code == 200 and set(counts) <= {"right", "rejected"} and counts["right"] > 50
     assert all(node.counts["sends"] and not node.counts["after clear"] for node in fleet)
     assert (replicas.least, replicas.broken) == (2, 0)
     for node in fleet:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("heeds, ending", [(True, b"BUSY 62"), (False, b"BUSY")])
-def test_a_refused_connection_is_pushed_back_with_a_time_where_clients_heed_one(tmp_path, heeds, ending):
+def test_a_refused_connection_is_rejected_with_a_time_where_clients_heed_one(tmp_path, heeds, ending):
     server = InstanceServer()
     server.close()
     with gateway(tmp_path, server, settings={"Limits": {**LIMITS, "RetryAfter": heeds}}) as ran:
@@ -332,7 +332,7 @@
         gone.sock.close()
         until(lambda: ran.counters().get("left") == 1)
         said = ran.counters()
-        endings = [said.get(name, 0) for name in ("succeeded", "pushed_back", "aborted", "left", "open")]
+        endings = [said.get(name, 0) for name in ("succeeded", "rejected", "aborted", "left", "open")]
         assert said["taken"] == sum(endings) and endings[0] >= 1 and endings[3:] == [1, 1]
         gate.set()
 
@@ -396,7 +396,7 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and done.stdout == ""
 
 
-def test_at_the_bound_extra_clients_are_pushed_back_and_unused_ones_make_room(tmp_path):
+def test_at_the_bound_extra_clients_are_rejected_and_unused_ones_make_room(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
     with gateway(tmp_path, server.start(), limits={"sockets": 60}) as ran:  # 18 clients
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -200,7 +200,7 @@
     day.lose("two", 4 * world.S, 8 * world.S, silent=True)
     seconds = day.play(15)
     assert all(not gateway.wants for gateway in day.gateways)
-    assert sum(second.pushed_back + second.lost for second in seconds) < sum(
+    assert sum(second.rejected + second.lost for second in seconds) < sum(
         second.asked for second in seconds
     )
     assert 0 < world.service(seconds) < 1
@@ -226,7 +226,7 @@
     )
     day = world.World(read(text).grown(3.0), 2)
     seconds = day.play(10)
-    assert sum(second.pushed_back for second in seconds) > 0
+    assert sum(second.rejected for second in seconds) > 0
 
 
 def test_ten_thousand_instances_are_reckoned_in_time(read):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -587,7 +587,7 @@
             one.stop()
         assert not all_.faults() and not slow.faults() and not good.faults()
         counts = all_.counts()
-        assert counts["pushed back"] <= counts["right"] // 100, counts
+        assert counts["rejected"] <= counts["right"] // 100, counts
         for ran in all_.gateways:
             figures = ran.counters()
             assert figures["shift_share"] == 1000 and figures["shift_votes_on"] >= 4
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -210,7 +210,7 @@
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
         ended = counted(ran.log(), "stopped")
-        assert ended["taken"] == sum(ended.get(name, 0) for name in ("succeeded", "pushed_back", "aborted"))
+        assert ended["taken"] == sum(ended.get(name, 0) for name in ("succeeded", "rejected", "aborted"))
         for machine in machines:  # no effect twice, whatever the rules said meanwhile
             assert all(count == 1 for idempotency_key, count in machine.ran.items())
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -409,7 +409,7 @@
     for end in ends:
         sent(asked, made.members[1], end)
     made.give_up(asked, dispatcher)
-    assert dispatcher.calls[0][0] == "push back"
+    assert dispatcher.calls[0][0] == "reject"
 
 
 @pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
