--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -24,8 +24,11 @@
 from lemonlead.matching.rules import SET_COST, RuleSet, Written
 from lemonlead.standins import expressions
 
-DECLARED = Declared(key=1024, lanes=("fitment", "reserve"))
-LANES = {"fitment": at.Lane(0, at.IDEMPOTENT, 1, 1, 1.0), "reserve": at.Lane(1, at.DEDUPLICATED, 1, 1, 1.0)}
+DECLARED = Declared(key=1024, request_classes=("fitment", "reserve"))
+REQUEST_CLASSES = {
+    "fitment": at.RequestClass(0, at.IDEMPOTENT, 1, 1, 1.0),
+    "reserve": at.RequestClass(1, at.DEDUPLICATED, 1, 1, 1.0),
+}
 
 
 def least(run, times=5):
@@ -127,7 +130,7 @@
     rows, rng = [], random.Random(2)
     for count in (10, 100, 1000, 10_000):
         began = time.perf_counter()
-        made = RuleSet("1", written(count), LANES, None, DECLARED, set_cost=10**9)
+        made = RuleSet("1", written(count), REQUEST_CLASSES, None, DECLARED, set_cost=10**9)
         built = time.perf_counter() - began
         sample = [asked_of(rng, count) for _ in range(200 if count < 10_000 else 20)]
         for one in sample:
--- a/deploy/rules/rules.cue
+++ b/deploy/rules/rules.cue
@@ -1,4 +1,4 @@
-// An example for the lanes of the parts catalogue: fitment and stock-check (idempotent), reserve (deduplicated).
+// An example for the request classes of the parts catalogue: fitment and stock-check (idempotent), reserve (deduplicated).
 version: "2026-12-01"
 ceilings: {rule: 1000, set: 5000}
 
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -35,15 +35,15 @@
 NEAR = 24  # instances that a balancer keeps to, or as many as it sends to eight times before an unused
 # connection closes: its own stretch of a ring of all; past them only if none of them is fit
 GOLDEN = 0.618034  # stretches that start at the multiples of this, modulo 1, cover the ring evenly
-STALE, WAITS = 5000 * MS, 8  # what is so old counts half; outcomes that show a lane or tenant to wait
+STALE, WAITS = 5000 * MS, 8  # what is so old counts half; outcomes that show a class or tenant to wait
 STRAIN = (-1, "strain")  # the pair's figure of the earlier build by what it was before the trial
 
 
 class Balancer:
     def __init__(self, start):
-        release, balancers = start.release, max(start.balancers, 1)
-        for lane in start.lanes:  # where no aim is told, the deadline is one; only ratios of such times count
-            lane.latency_objective = lane.latency_objective or lane.deadline or 1000 * MS
+        release, classes, balancers = start.release, start.request_classes, max(start.balancers, 1)
+        for class_ in classes:  # where no aim is told, the deadline is one; only ratios of such times count
+            class_.latency_objective = class_.latency_objective or class_.deadline or 1000 * MS
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
@@ -51,17 +51,17 @@
         self.connect_time, self.spare = start.connect_time, 2 * start.step
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
-        self.mean_revenue = sum(lane.revenue for lane in start.lanes) / max(len(start.lanes), 1) or 1.0
-        self.lane_work = {lane.number: lane.latency_objective / USUAL for lane in start.lanes}
+        self.mean_revenue = sum(class_.revenue for class_ in classes) / max(len(classes), 1) or 1.0
+        self.class_work = {class_.number: class_.latency_objective / USUAL for class_ in classes}
         self.blind = max(0.0, 1 - USUAL / balancers)  # the share of a machine's load that others send unseen
         self.builds = Builds(*release.caps[:1] or [0.0], PAIRS, SEEN)
         self.sent_window, self.taken_window = release.window + 2 * start.step, release.window - 2 * start.step
-        self.free_sends, self.per_lane = release.free_sends, release.per_lane
+        self.free_sends, self.per_class = release.free_sends, release.per_class
         self.guarded_stages, self.forward_only = release.guarded_stages, release.forward_only
         self.clocked = release.control == "automatic"
         self.vote_life, self.stage_time = release.vote_life, release.bake + 2 * WARM_UP  # none ends sooner
         # Nor does the last, after which earlier machines go, before what is sent in it is due its answers.
-        objectives = [lane.latency_objective for lane in start.lanes] or [0]
+        objectives = [class_.latency_objective for class_ in classes] or [0]
         self.last_time = max(self.stage_time, release.bake + sum(objectives) // len(objectives))
         self.born = start.now
         # How often one balancer may be wrong, so that as many as send a build back are so by rare luck only.
@@ -74,19 +74,19 @@
         self.told = self.trial = self.judged = None
         self.like = set()  # kinds of machine that run it and the earlier build, where there are any
         self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of lookups; the work let in
-        self.mean_work = sum(self.lane_work.values()) / max(len(self.lane_work), 1)  # of a lookup taken
+        self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)  # of a lookup taken
         self.paced_at = start.now
         self.pace, self.rescues = 0.0, 5.0  # time to answer by objective, smoothed; what RESCUES left over
-        # Of each lane and tenant: last times by objective; lower quartile; if it waits, its last test.
+        # Of each class and tenant: last times by objective; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
-        self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, timers
+        self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, wakes
         self.most_wakes = 1000  # past it those of lookups that are over go
         # The more start together, the longer they spread their first call for the list.
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.ask_within // 2 or 2000 * MS)
         first = start.now + int(self.rng.random() * spread)
         self.next_tick, self.ask_at = start.now, first if start.ask_for_list else None
         self.ask_within = start.ask_within
-        self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, lane)
+        self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, class)
         self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of sends left unconnected
         self.news = self.look = False  # an outcome came since the pair was last judged; a vote may be due
         self.share = self.calm_time = 0.0  # of the load, due to the trial; last pair's median with no trial
@@ -119,7 +119,7 @@
 
     def lookup_arrived(self, now, lookup):
         self.wake(lookup.deadline, lookup)  # first of all: it ends then, also if a decision on it fails
-        lookup.work = lookup.work or int(self.lane_work[lookup.lane.number])
+        lookup.work = lookup.work or int(self.class_work[lookup.request_class.number])
         for counted in self.counts_of(lookup):
             self.taken.setdefault(counted, deque()).append(now)
             recent(self.taken[counted], now - self.taken_window)
@@ -138,12 +138,12 @@
 
     def send_ended(self, now, send, end, took, over, report):
         send.end = end
-        member, lookup, lane = send.instance, send.lookup, send.lookup.lane
+        member, lookup, class_ = send.instance, send.lookup, send.lookup.request_class
         written_off = member.out.pop(send, send) is not None
         member.held -= 0 if written_off else lookup.work
         lookup.over = lookup.over or over
         self.due.extend([] if lookup.over else [lookup])
-        number, objective, waits = lane.number, max(lane.latency_objective, 1), self.waits(lookup)
+        number, objective, waits = class_.number, max(class_.latency_objective, 1), self.waits(lookup)
         slow, answered = took > objective, end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
             for kind in kinds_of(lookup):
@@ -171,12 +171,13 @@
             # late answer makes no overload.
             part, aged, self.paced_at = min(spent / objective, 2.0), (now - self.paced_at) / PACE_AGE, now
             self.pace += (min(max(aged, 0.1), 1.0) if part < self.pace else 0.1) * (part - self.pace)
-            ratio, say = spent / max(lookup.work, 1), min(lookup.work / self.mean_work, 1) ** (1 - self.blind)
+            ratio = spent / max(lookup.work, 1)
+            say = min(lookup.work / self.mean_work, 1) ** (1 - self.blind)
             for known, rate in ((member.group, 0.1), (member, 0.15)):  # a light one that queued says little
                 known.slowness += rate * say * (ratio - known.slowness) if known.slowness else ratio
-            self.lane_work[number] += 0.01 * (lookup.work - self.lane_work[number])
+            self.class_work[number] += 0.01 * (lookup.work - self.class_work[number])
         # Guards against queues, whatever fills them. The floor is for slow but idle machines.
-        if end == REJECTED or not waits and member.slowness * self.lane_work[number] > objective / 2.5:
+        if end == REJECTED or not waits and member.slowness * self.class_work[number] > objective / 2.5:
             if now - member.cut_at > 200 * MS:  # one jam cuts once; what is told of times is in the ratios
                 member.cut_at, member.limit = now, max(member.limit * 0.8, 1.0)
         elif end == SUCCEEDED and 2 * (len(member.out) + 1) >= member.limit:
@@ -265,7 +266,8 @@
         self.work_in += lookup.work if now == lookup.arrived else 0
         if (member := self.choose(lookup, now)) is not None:
             return self.send(lookup, member, now, door)
-        wait = int(lookup.lane.latency_objective / 8 * min(lookup.lane.revenue / self.mean_revenue, 1.0))
+        class_ = lookup.request_class
+        wait = int(class_.latency_objective / 8 * min(class_.revenue / self.mean_revenue, 1.0))
         if now >= lookup.arrived + wait or len(lookup.sends) >= self.sends_cap:
             return self.give_up(lookup, door)
         until = min(lookup.arrived + wait, lookup.deadline)  # the longer, the seldomer it is looked at
@@ -299,7 +301,7 @@
         if (lost or silent) and member.out.pop(last, last) is None:  # written off: it holds no place there
             member.held -= lookup.work
             self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
-            if silent:  # its answer may still come and clear this; with few sends of one's own it tells most
+            if silent:  # its answer may still come and clear this; with few sends it tells most
                 member.group.lost += 0.2 * (1 - member.group.lost)
                 pause = int((lookup.deadline - now) * self.blind)
                 member.shunned_until = max(member.shunned_until, now + pause)
@@ -308,7 +310,7 @@
         if self.may_duplicate and (other := self.choose(lookup, now)) is not None:
             self.rescues -= not lost
             return self.send(lookup, other, now, door)
-        barred = self.may_duplicate or not self.may_cancel or lookup.lane.effect != IDEMPOTENT
+        barred = self.may_duplicate or not self.may_cancel or lookup.request_class.effect != IDEMPOTENT
         if barred or not (lost or silent):
             return False
         self.rescues -= 1
@@ -316,17 +318,17 @@
         return True
 
     def overdue_at(self, send):  # by what its work takes, too: a heavy lookup is not begun twice
-        lookup, group = send.lookup, send.instance.group  # half of the time is waiting, heavy or light
+        lookup, group = send.lookup, send.instance.group  # half of it is waiting, heavy or light
         usual = group.took * (1 + lookup.work / group.work) / 2 if group.work else lookup.work
-        return send.at + max(lookup.lane.latency_objective // 2, int(OVERDUE * usual))
+        return send.at + max(lookup.request_class.latency_objective // 2, int(OVERDUE * usual))
 
     def give_up(self, lookup, door):
-        lookup.over, lane, ends = True, lookup.lane, {send.end for send in lookup.sends}
-        alone = lane.effect == NON_IDEMPOTENT or lane.effect == DEDUPLICATED and lane.group != "all"
+        lookup.over, class_, ends = True, lookup.request_class, {s.end for s in lookup.sends}
+        alone = class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.group != "all"
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(lookup)
         else:
-            door.reject(lookup, min(self.retry_after_cap, lane.latency_objective // 16))
+            door.reject(lookup, min(self.retry_after_cap, class_.latency_objective // 16))
         return True
 
     # ---- where to
@@ -355,16 +357,16 @@
         """Where many share a machine, none can bound its queue: as answers take longer, each rejects more
         of its own, the lowest revenue first. It could reject what has room elsewhere."""
         if self.waits(lookup):  # it would only fill slots; one in two objectives shows when that ends
-            kinds, pause = kinds_of(lookup), 2 * lookup.lane.latency_objective
+            kinds, pause = kinds_of(lookup), 2 * lookup.request_class.latency_objective
             if now < max(self.tested.get(kind, 0) for kind in kinds) + pause:
                 return True
             self.tested.update(dict.fromkeys(kinds, now))
         excess = min(STEEP * (self.pace - EASY), 0.9) * self.blind
-        weight = max(lookup.lane.revenue / self.mean_revenue, LEAST)
+        weight = max(lookup.request_class.revenue / self.mean_revenue, LEAST)
         return excess > 0 and self.rng.random() < excess**weight
 
     def waits(self, lookup):
-        """Whether its lane or tenant alone waits at all machines: this tells nothing of them or a build."""
+        """Whether its class or tenant alone waits at all machines: this tells nothing of them or a build."""
         theirs = max(self.lows.get(kind, 0.0) for kind in kinds_of(lookup))
         return theirs > 0.8 and min(self.lows.values()) < 0.4
 
@@ -381,22 +383,23 @@
 
     def usable(self, member, lookup, now):
         barred = member.held >= member.limit * self.mean_work or now < member.shunned_until
-        spoilt = member.build.bad and (lookup.lane.effect != IDEMPOTENT or self.share < 0.5)
-        if barred or spoilt or member.strikes >= 1 and (member.out or lookup.lane.effect == NON_IDEMPOTENT):
+        class_ = lookup.request_class
+        spoilt = member.build.bad and (class_.effect != IDEMPOTENT or self.share < 0.5)
+        if barred or spoilt or member.strikes >= 1 and (member.out or class_.effect == NON_IDEMPOTENT):
             return False
         quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
-        return quiet <= max(4 * (member.group.slowness or 2.0) * self.lane_work[lookup.lane.number], 300 * MS)
+        return quiet <= max(4 * (member.group.slowness or 2.0) * self.class_work[class_.number], 300 * MS)
 
     def may_send(self, lookup, member, now):
         """The rules. Every send passes here, whatever asked for it."""
         if not member.ready or now >= lookup.deadline or len(lookup.sends) >= self.sends_cap:
             return False
-        lane = lookup.lane
+        class_ = lookup.request_class
         ran = [send for send in lookup.sends if send.end not in NEVER_RAN]
-        if ran and (lane.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran)):
+        if ran and class_.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran):
             return False
-        if ran and lane.effect == DEDUPLICATED:
-            group = lane.group
+        if ran and class_.effect == DEDUPLICATED:
+            group = class_.group
             same = group == "all" or all(getattr(s.instance, group) == getattr(member, group) for s in ran)
             if not same or now >= self.repeated_by(ran) - self.connect_time:
                 return False
@@ -411,7 +414,7 @@
         its last byte has to be written, 0 if it may not begin."""
         lookup, member, by = send.lookup, send.instance, send.lookup.deadline
         ran = [other for other in lookup.sends if other is not send and other.end not in NEVER_RAN]
-        if ran and lookup.lane.effect == DEDUPLICATED:
+        if ran and lookup.request_class.effect == DEDUPLICATED:
             by = min(by, self.repeated_by(ran))
         fit = not lookup.over and now < by and self.members.get(member.id) is member
         fit = fit and not self.goes_back(lookup, member)
@@ -431,12 +434,12 @@
         return older and not told.keys.isdisjoint(keys)
 
     def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
-        return ran[0].at + ran[0].lookup.lane.memory - self.spare
+        return ran[0].at + ran[0].lookup.request_class.memory - self.spare
 
     def exposure_left(self, build, lookup, now):
         """The window is a little wider for sends than for lookups. A lower cap binds at once."""
         stage = build.stage if build is self.told else 0
-        if build.cap <= 0 or (stage < self.guarded_stages and lookup.lane.effect != IDEMPOTENT):
+        if build.cap <= 0 or (stage < self.guarded_stages and lookup.request_class.effect != IDEMPOTENT):
             return False
         for counted in self.counts_of(lookup):
             sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
@@ -459,11 +462,10 @@
         return build.number > self.told.number or (build is self.told and build.phase != RELEASED)
 
     def counts_of(self, lookup):
-        """What a cap counts it by. Where rules may give another lane, the cap holds for the lane asked as
-        well as for the lane given: neither lends the other what it took."""
-        if not self.per_lane:
-            return (0,)
-        return (lookup.lane.number,) if lookup.asked is None else (lookup.asked.number, ~lookup.lane.number)
+        """What a cap counts it by. Where rules may give another class, the cap holds for the class asked as
+        well as for the class given: neither lends the other what it took."""
+        number = lookup.request_class.number if self.per_class else 0
+        return (lookup.asked.number, ~number) if self.per_class and lookup.asked else (number,)
 
     def wake(self, at, lookup):
         if len(self.wakes) >= self.most_wakes:  # guards against clients that say they wait for days
@@ -493,7 +495,7 @@
         on, warmth = member.build is self.judged, self.warmth(member, now)
         # Like against like: the same kinds of machine, and no cold ones on the earlier side.
         if (not self.like or member.kind in self.like) and (on or warmth == 1):
-            side = self.pair.setdefault((on, lookup.lane.number), [])
+            side = self.pair.setdefault((on, lookup.request_class.number), [])
             self.news = True
             side.append((took * warmth / max(lookup.work, 1), end == ERRED, member))
 
@@ -534,9 +536,9 @@
             over = [sum(t > earlier * (1 + TOLERANCE) for t, *_ in o) for o in (off, () if alike else on)]
             usual = (over[0] + 1) / (len(off) + 2)
             figures[-1, "p50"] = (earlier, ours, over[1], len(on), usual)
-        for (which, lane), side in self.pair.items():
+        for (which, class_), side in self.pair.items():
             if which:
-                figures[lane, "errors"] = erring(side, self.pair.get((False, lane), ()))
+                figures[class_, "errors"] = erring(side, self.pair.get((False, class_), ()))
         # Service time by that before it; the lower quartile, as other programs slow but some.
         strains = sorted(m.service / m.usual for m in fit if m.usual and m.build is not build)
         if self.calm_time and len(off) >= PAIR_OUTCOMES and 2 * len(strains) >= len(self.members) > 2:
@@ -565,7 +567,7 @@
                 build.doubt = True
                 enough = (breached >= 2 + timed or not build.pairs) and 2 * breached > len(seen)
                 if enough and (luck := chance([figures[2:] for figures in seen])) <= self.chance:
-                    why = f"lane {key[0]} {key[1]} {earlier:.2f} to {ours:.2f}, chance {luck:.5f}"
+                    why = f"request class {key[0]} {key[1]} {earlier:.2f} to {ours:.2f}, chance {luck:.5f}"
                     self.condemn(build, f"{breached} of {len(seen)} pairs breach, {why}", known, build.pairs)
 
     def condemn(self, build, why, known, lasting):
@@ -612,7 +614,7 @@
 
 
 def kinds_of(lookup):
-    return (("lane", lookup.lane.number), ("tenant", lookup.tenant))
+    return (("class", lookup.request_class.number), ("tenant", lookup.tenant))
 
 
 def middle(outcomes):
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -56,7 +56,7 @@
     settings = {"Projects": [{"Name": "acme", "QuotaPerS": 10.0}, {"Name": "others", "QuotaPerS": 10.0}]}
     machines = [Machine(work=0.005, slots=3, seed=number).start() for number in range(3)]
     with tempfile.TemporaryDirectory(prefix="lemonlead-try-") as folder:
-        config = Path(folder) / "lanes.json"
+        config = Path(folder) / "classes.json"
         config.write_text(json.dumps({**SETTINGS, **settings}))
         judge = judged_by(rules, Path(folder), config)
         with gateway(Path(folder), *machines, settings=settings, rules=rules) as ran:
@@ -85,9 +85,9 @@
     from . import given
 
     (folder / "judged.cue").write_text(rules)
-    lanes, tenants = given.platform(config)
+    request_classes, tenants = given.platform(config)
     try:
-        made = load.load(folder / "judged.cue", lanes, tenants)
+        made = load.load(folder / "judged.cue", request_classes, tenants)
     except load.Unfit as error:
         raise click.UsageError("\n".join(load.lines(error.faults))) from None
 
--- a/lemonlead/commands/given.py
+++ b/lemonlead/commands/given.py
@@ -68,16 +68,18 @@
 
 
 def platform(path):
-    """Lanes by name and tenants' names from a gateway's configuration, or from its `settings` object alone;
-    (None, None) without a path."""
+    """Request classes by name and tenants' names from a gateway's configuration, or from its `settings`
+    object alone; (None, None) without a path."""
     if path is None:
         return None, None
     try:
         config = json.loads(Path(path).read_text())
         told = config.get("settings", config)
         start = started(told, 0, 0)
-        lanes = {lane["Name"]: start.lanes[number] for number, lane in enumerate(told["Lanes"])}
-        return lanes, [tenant["Name"] for tenant in told.get("Projects", [])]
+        request_classes = {
+            lane["Name"]: start.request_classes[number] for number, lane in enumerate(told["Lanes"])
+        }
+        return request_classes, [tenant["Name"] for tenant in told.get("Projects", [])]
     except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise click.UsageError(f"--settings {path}: {type(error).__name__}: {error}") from None
 
--- a/lemonlead/commands/rules.py
+++ b/lemonlead/commands/rules.py
@@ -19,7 +19,7 @@
     "--lookup", default="", metavar="JSON", help='The lookup, e.g. \'{"key": "north/42"}\'.'
 )
 SETTINGS = click.option(
-    "--settings", metavar="FILE", help="A gateway's configuration: its lanes and tenants."
+    "--settings", metavar="FILE", help="A gateway's configuration: its request classes and tenants."
 )
 FILE = click.Path(exists=True, dir_okay=False)
 JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
@@ -38,12 +38,12 @@
 
 def loaded(file, settings, as_json, code=2):
     """The set, or the end of the command, by this exit code, with all that is wrong with it."""
-    lanes, tenants = given.platform(settings)
+    request_classes, tenants = given.platform(settings)
     waiting = threading.Timer(2.0, lambda: click.echo(f"reading {file} ...", err=True))
     waiting.daemon = True
     waiting.start()
     try:
-        return load.load(file, lanes, tenants)
+        return load.load(file, request_classes, tenants)
     except load.Unfit as error:
         say(
             {
@@ -93,8 +93,8 @@
 @SETTINGS
 @JSON
 def check(file, settings, as_json):
-    """Check a set of rules: one line a fault. Without --settings names of lanes and tenants are not looked
-    at.
+    """Check a set of rules: one line a fault. Without --settings names of request classes and tenants are not
+    looked at.
 
     Example: lemonlead rules check deploy/rules/rules.cue --settings config.json
     """
@@ -105,9 +105,9 @@
         "digest": rules.digest,
         "rules": len(rules.rules),
         "cost": rules.cost,
-        "lanes_checked": bool(rules.lanes),
+        "request_classes_checked": bool(rules.request_classes),
     }
-    note = "" if rules.lanes else " (lanes and tenants were not looked at: no --settings)"
+    note = "" if rules.request_classes else " (request classes and tenants were not looked at: no --settings)"
     say(
         told,
         as_json,
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -477,17 +477,17 @@
         said = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
         if len(said) < len(pairs) or not 0 < len(id) <= LONGEST_ID or len(key) > LONGEST_KEY:
             raise ValueError("a name twice, or an id or key out of bounds")
-        lane, hint = self.config.lanes[said["c"]], said.get("h", "0")
+        request_class, hint = self.config.request_classes[said["c"]], said.get("h", "0")
         if not NUMBER.fullmatch(said["d"]) or not NUMBER.fullmatch(hint) or not (wait := float(said["d"])):
             raise ValueError("a wait or a hint that is no number")
-        if lane.effect == at.DEDUPLICATED and not 0 < len(said["k"]) <= LONGEST_ID:
+        if request_class.effect == at.DEDUPLICATED and not 0 < len(said["k"]) <= LONGEST_ID:
             raise ValueError("an idempotency key out of bounds")
-        if (lane.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
-            raise ValueError("this lane goes by the other command")
+        if (request_class.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
+            raise ValueError("this request class goes by the other command")
         tenant = self.config.tenants.get(said.get("t"), -1)
         deadline = arrived + in_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
-        lookup = at.Lookup(id, lane, tenant, key, arrived, deadline, work, repeat)
+        lookup = at.Lookup(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.sorting is not None:
             self.sorting.sort(arrived, lookup, words, said)
         return lookup
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -35,7 +35,7 @@
     connections: int  # descriptors for clients and instances, half for each
     memory: int  # bytes that it may take
     start: at.Start
-    lanes: dict  # by the name that clients give
+    request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
     kinds: dict
@@ -129,10 +129,11 @@
 
 
 def settings_of(config, seed):
-    """What the balancer is told, the names of lanes and of tenants, and the settings as they stand."""
+    """What the balancer is told, the names of request classes and of tenants, and the settings as they
+    stand."""
     told = config.part("settings")
-    for lane in told.parts("Lanes"):
-        lane.one_of("Effect", EFFECTS, "at_most_once")
+    for request_class in told.parts("Lanes"):
+        request_class.one_of("Effect", EFFECTS, "at_most_once")
     return started(told.values, seed, now()), names_of(told, "Lanes"), names_of(told, "Projects"), told
 
 
@@ -148,7 +149,7 @@
         config = load(environment)
         if "settings" not in config.values:
             raise Nonsense("settings is missing; expected an object")
-        start, lanes, tenants, told = settings_of(config, seed_of(config))
+        start, request_classes, tenants, told = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
         api, known = optional(config, "release_api"), optional(config, "known")
         connections, memory = limits_of(config)
@@ -157,7 +158,8 @@
             listen=address_of(config, "listen", environment.get("ROUTER_LISTEN")),
             discovery=address_of(config, "discovery", environment.get("ROUTER_DISCOVERY")),
             platform=platform_of(api), connections=connections, memory=memory, start=start,
-            lanes=dict(zip(lanes, start.lanes, strict=True)), tenants=numbered(tenants),
+            request_classes=dict(zip(request_classes, start.request_classes, strict=True)),
+            tenants=numbered(tenants),
             zones=numbered(told.names("Areas")), kinds=numbered(told.names("Skus")),
             known=known.values or {"version": 0, "full": True, "servers": []}, news=news_of(api),
             pushed=told.values.get("Discovery") != "ask",
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -134,7 +134,7 @@
 
     def count(self, what, lookup):
         self.counters.add(what)
-        self.counters.add(f"{what} lane {lookup.lane.number}")
+        self.counters.add(f"{what} request class {lookup.request_class.number}")
 
     # ---- the door
 
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -24,7 +24,7 @@
         self.config, self.path, self.dispatcher, self.log, self.counters = (
             config, Path(path), dispatcher, log, counters
         )
-        self.names = {lane.number: name for name, lane in config.lanes.items()}
+        self.names = {request_class.number: name for name, request_class in config.request_classes.items()}
         self.room, self.standing = config.memory // SHARE, Standing()
         self.follow = None  # what the settings say of a ledger to follow; read at the start alone
 
@@ -70,7 +70,7 @@
         return active, shadow, told["shadow_share"]
 
     def rules(self, name):
-        return load.load(self.path.parent / name, self.config.lanes, self.config.tenants, self.room)
+        return load.load(self.path.parent / name, self.config.request_classes, self.config.tenants, self.room)
 
     # ---- for each lookup
 
@@ -79,7 +79,7 @@
         fails: rules may sort lookups, they may not lose one."""
         if self.standing.active is None:
             return
-        lookup.asked = lookup.lane
+        lookup.asked = lookup.request_class
         try:
             seen = self.seen(lookup, words, said)
             given = self.standing.judge(seen, lambda rule, fault: self.erred(now, rule, fault))
@@ -94,11 +94,11 @@
 
     def seen(self, lookup, words, said):
         """The lookup as it was asked, for whichever set's bounds; what rules then give it does not show."""
-        stamped = lookup.lane.effect == at.DEDUPLICATED or bool(said.get("k"))
+        stamped = lookup.request_class.effect == at.DEDUPLICATED or bool(said.get("k"))
         told = (
             COMMANDS[words[0].upper()],
             lookup.key,
-            self.names[lookup.lane.number],
+            self.names[lookup.request_class.number],
             said.get("t", ""),
             lookup.deadline - lookup.arrived,
             lookup.work,
@@ -113,7 +113,7 @@
             return
         self.counters.add("rules matched")
         if given.lane is not None:
-            lookup.lane = given.lane
+            lookup.request_class = given.lane
         if given.key is not None:
             lookup.key, lookup.asked_key = given.key, lookup.key
         if given.customer is not None:
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-# What a lane's lookups do when they run twice.
+# What a request class's lookups do when they run twice.
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
 # How a send ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class RequestClass:
     number: int
     effect: str
     latency_objective: int
@@ -51,7 +51,7 @@
     votes_per_s: float = 0.0
     window: int = 0
     free_sends: float = 0.0
-    per_lane: bool = False
+    per_class: bool = False
     guarded_stages: int = 0
     forward_only: bool = False
     caps: list = field(default_factory=list)
@@ -71,7 +71,7 @@
     balancers: int = 1
     zone: int = 0
     step: int = 0
-    lanes: list = field(default_factory=list)
+    request_classes: list = field(default_factory=list)
     tenant_shares: list = field(default_factory=list)  # lookups a second over all gateways
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
@@ -121,7 +121,7 @@
 @dataclass(slots=True, eq=False)
 class Lookup:
     id: int
-    lane: Lane
+    request_class: RequestClass
     tenant: int
     key: int
     arrived: int
@@ -130,7 +130,8 @@
     repeat: bool = False
     sends: list = field(default_factory=list)
     over: bool = False  # it has its final answer, or its client has left
-    asked: Lane | None = None  # the lane that the client named, where rules may give another; else None
+    # the request class that the client named, where rules may give another; else None
+    asked: RequestClass | None = None
     asked_key: object = None  # the client's key, where a rule gave another
 
 
--- a/lemonlead/matching/__init__.py
+++ b/lemonlead/matching/__init__.py
@@ -6,5 +6,5 @@
 asking all of them; `standing` holds the set in force and the one that is tried beside it.
 
 Nothing here but `load` reads a file, nothing a socket or a clock, and nothing sends or answers: what a rule
-gives is a lane, a key, a tenant and labels, and what it may never do is kept in `rules`. The gateway's way
-in is `lemonlead/gateway/sorting.py`."""
+gives is a request class, a key, a tenant and labels, and what it may never do is kept in `rules`. The
+gateway's way in is `lemonlead/gateway/sorting.py`."""
--- a/lemonlead/matching/declared.py
+++ b/lemonlead/matching/declared.py
@@ -17,18 +17,20 @@
     attribute_name: int = 64
     attribute: int = 256
     longest: int = 65536
-    lanes: tuple = ()  # the lanes' names, where they are known
+    request_classes: tuple = ()  # the request classes' names, where they are known
 
     def fields(self):
         """The type and bounds of each field of `lookup`."""
-        lanes = frozenset(self.lanes) or None
+        request_classes = frozenset(self.request_classes) or None
         moment = Bounds(
             low=0, high=10**9 * 10**9
         )  # NUMBER in gateway/clients.py allows nine digits of ms or us
         return {
             "command": (STRING, Bounds(16)),
             "key": (STRING, Bounds(self.key)),
-            "lane": (STRING, Bounds(max(map(len, self.lanes), default=128), values=lanes)),
+            "lane": (
+                STRING, Bounds(max(map(len, self.request_classes), default=128), values=request_classes)
+            ),
             "customer": (STRING, Bounds(self.customer)),
             "wait": (DURATION, moment),
             "work": (DURATION, moment),
--- a/lemonlead/matching/load.py
+++ b/lemonlead/matching/load.py
@@ -31,21 +31,22 @@
         raise Unfit([(fault.place, fault.code, fault.message) for fault in error.faults]) from None
 
 
-def load(path, lanes=None, tenants=None, room=settings.LONGEST):
-    """The set that a file gives, for these lanes (at.Lane by name) and tenants; without them names of lanes
-    and tenants are not looked at. `room`: the most bytes of its files. Raises Unfit."""
+def load(path, request_classes=None, tenants=None, room=settings.LONGEST):
+    """The set that a file gives, for these request classes (at.RequestClass by name) and tenants; without
+    them names of request classes and tenants are not looked at. `room`: the most bytes of its files. Raises
+    Unfit."""
     file = read(path, room)
     told = file.value
     written = [
         Written(rule["name"], *(rule.get(part) for part in PARTS[:-1]), labels=rule.get("labels", {}))
         for rule in told["rules"]
     ]
-    declared = Declared(**told["bounds"], lanes=tuple(lanes or ()))
+    declared = Declared(**told["bounds"], request_classes=tuple(request_classes or ()))
     try:
         return RuleSet(
             told["version"],
             written,
-            lanes or {},
+            request_classes or {},
             tenants,
             declared,
             told["ceilings"]["rule"],
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -5,8 +5,8 @@
 - no rule weakens an effect: non-idempotent stays non-idempotent, deduplicated becomes non-idempotent at most;
 to deduplicated only what
   carries an idempotency key, and only where the group that drops repeats and its memory are no wider than
-  those of the lane asked for;
-- none names a lane or, where it is written out, a tenant that does not exist;
+  those of the request class asked for;
+- none names a request class or, where it is written out, a tenant that does not exist;
 - none touches the deadline, the command or the effect's mark: they are not among what a rule can give."""
 
 from dataclasses import dataclass, field
@@ -54,7 +54,7 @@
     """What a lookup gets; None where the rule leaves it as it came. `rule` is None where none matched."""
 
     rule: Rule | None = None
-    lane: at.Lane | None = None
+    lane: at.RequestClass | None = None
     lane_name: str | None = None
     key: bytes | None = None
     customer: str | None = None
@@ -72,7 +72,8 @@
 
 
 def may_become(asked, given, stamped):
-    """Whether what was asked of one lane may be treated as another's without weakening its effect."""
+    """Whether what was asked of one request class may be treated as another's without weakening its
+    effect."""
     if asked is given:
         return True
     if asked.streamed != given.streamed or RANKS[given.effect] < RANKS[asked.effect]:
@@ -84,11 +85,11 @@
     return WIDTHS[given.group] <= WIDTHS[asked.group] and given.memory <= asked.memory
 
 
-# ---- what an expression may be for lookups of one lane, with or without an idempotency key
+# ---- what an expression may be for lookups of one request class, with or without an idempotency key
 
 
 def decided(node, lane, stamped):
-    """True or False where lane and idempotency key alone decide a condition, else None."""
+    """True or False where request class and idempotency key alone decide a condition, else None."""
     match node:
         case tree.Literal(value=bool() as value):
             return value
@@ -126,7 +127,8 @@
 
 
 def compared_lanes(root):
-    """The literals that a lookup's lane is compared with: one that is no lane is a slip, it never matches."""
+    """The literals that a lookup's request class is compared with: one that is no request class is a slip, it
+    never matches."""
     for node in tree.walk(root):
         match node:
             case tree.Binary(sign="==" | "!=", left=left, right=right):
@@ -162,14 +164,15 @@
     """A whole set, checked. It does not change; many threads may ask it."""
 
     def __init__(
-        self, version, written, lanes, tenants, declared=None, rule_cost=RULE_COST, set_cost=SET_COST
+        self, version, written, request_classes, tenants, declared=None, rule_cost=RULE_COST,
+        set_cost=SET_COST
     ):
-        """`lanes`: at.Lane by name, without any their names are not looked at; `tenants`: names, any
-        collection, or None likewise. Raises Unfit with all faults at once."""
-        names = tuple(lanes)
-        self.version, self.lanes = version, lanes
+        """`request_classes`: at.RequestClass by name, without any their names are not looked at; `tenants`:
+        names, any collection, or None likewise. Raises Unfit with all faults at once."""
+        names = tuple(request_classes)
+        self.version, self.request_classes = version, request_classes
         self.tenants = frozenset(tenants) if tenants is not None else None
-        self.declared = declared or Declared(lanes=names)
+        self.declared = declared or Declared(request_classes=names)
         self.faults, self.rules, seen = [], [], {}
         if len(written) > MOST_RULES:
             self.fault(0, "", Fault(COST, f"{len(written)} rules, {MOST_RULES} allowed"))
@@ -233,40 +236,43 @@
         if len(self.faults) > before:
             return None
         when, gives = parts.pop("when"), parts
-        for part, expression in (("when", when), *gives.items()) if self.lanes else ():
+        for part, expression in (("when", when), *gives.items()) if self.request_classes else ():
             for node, name in compared_lanes(expression.tree):
-                if name not in self.lanes:
-                    known = ", ".join(self.lanes)
+                if name not in self.request_classes:
+                    known = ", ".join(self.request_classes)
                     fault = Fault(NAME, f"no lane {name!r} (there is {known})", node.line, node.column)
                     self.fault(number, part, fault)
         for part in ("lane", "customer"):
-            if part in gives and (self.lanes if part == "lane" else self.tenants is not None):
+            if part in gives and (self.request_classes if part == "lane" else self.tenants is not None):
                 getattr(self, f"look_at_{part}")(number, when, gives[part])
         return Rule(number, rule.name, when, gives, rule.labels, cost)
 
     def look_at_lane(self, number, when, expression):
-        """Every lane that it may give to every lookup that the rule may match; one fault, for the first."""
-        for name, lane in self.lanes.items():
+        """Every request class that it may give to every lookup that the rule may match; one fault, for the
+        first."""
+        for name, lane in self.request_classes.items():
             for stamped in (True,) if lane.effect == at.DEDUPLICATED else (False, True):
                 reached = decided(when.tree, name, stamped) is not False
                 if wrong := self.wrong_lane(expression, name, stamped, reached):
                     return self.fault(number, "lane", Fault(*wrong, *expression.place()))
 
     def wrong_lane(self, expression, name, stamped, reached):
-        """A code and what is wrong with what it gives lookups of this lane, None if nothing is. `reached`:
-        whether the rule may match such lookups."""
-        given, lane = possible(expression.tree, name, stamped), self.lanes[name]
+        """A code and what is wrong with what it gives lookups of this request class, None if nothing is.
+        `reached`: whether the rule may match such lookups."""
+        given, lane = possible(expression.tree, name, stamped), self.request_classes[name]
         if given is None:
             return TYPE, "which lanes it may be cannot be told: use names in quotes, lookup.lane and ?:"
         for other in sorted(given):
-            if other not in self.lanes:
-                return NAME, f"no lane {other!r} (there is {', '.join(self.lanes)})"
-            if reached and not may_become(lane, self.lanes[other], stamped):
+            if other not in self.request_classes:
+                return NAME, f"no lane {other!r} (there is {', '.join(self.request_classes)})"
+            if reached and not may_become(lane, self.request_classes[other], stamped):
                 mark = (
                     "" if lane.effect != at.IDEMPOTENT else ", idempotency key" if stamped
                     else ", no idempotency key"
                 )
-                become = f"{name} ({lane.effect}{mark}) may become {other} ({self.lanes[other].effect})"
+                become = (
+                    f"{name} ({lane.effect}{mark}) may become {other} ({self.request_classes[other].effect})"
+                )
                 return VALUE, f"would weaken an effect: a lookup of {become}"
         return None
 
@@ -282,8 +288,8 @@
 
     def judge(self, asked, faults=None):
         """What the first rule that matches gives; NOTHING if none does. A rule that errs does not match: it
-        and its fault are added to `faults`. `asked` is a `declared.Asked`; the lane must be one of the
-        set's."""
+        and its fault are added to `faults`. `asked` is a `declared.Asked`; the request class must be one of
+        the set's."""
         rules = self.rules
         for number in self.index.candidates(asked):
             rule = rules[number]
@@ -311,9 +317,10 @@
         given = Given(rule)
         if (expression := rule.gives.get("lane")) is not None:
             name = given.lane_name = expression.value(asked)
-            lane, was = self.lanes.get(name), self.lanes.get(asked.lane)
+            lane, was = self.request_classes.get(name), self.request_classes.get(asked.lane)
             unfit = lane is None or was is None or not may_become(was, lane, asked.stamped)
-            if unfit and self.lanes:  # a command may have no lanes to look at: the name is all it tells then
+            # a command may have no request classes to look at: the name is all it tells then
+            if unfit and self.request_classes:
                 raise Erred(f"may not give lane {name[:40]!r} to a lookup of {asked.lane[:40]!r}")
             given.lane = lane
         if (expression := rule.gives.get("key")) is not None:
--- a/lemonlead/planning/answers.py
+++ b/lemonlead/planning/answers.py
@@ -57,10 +57,11 @@
             return None, "no site is left"
         best = steady.reckon(left.scaled(MOST_SCALE * 1000.0), pooled=False)
         if best.service < fleet.service:
-            lane = min(best.lanes, key=best.lanes.get)
+            request_class = min(best.request_classes, key=best.request_classes.get)
             return None, (
                 f"no number of instances meets it: with all the room there could be, service is "
-                f"{best.service:.3f}, lane {lane} {best.lanes[lane]:.3f}: its work alone takes too long"
+                f"{best.service:.3f}, request class {request_class} "
+                f"{best.request_classes[request_class]:.3f}: its work alone takes too long"
             )
         if not sum(count for _, _, count in left.machines()):
             return None, f"without {', '.join(names)} there is no instance to scale"
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet as it is written: sites, kinds of machine, lanes, clients. Times in whole nanoseconds."""
+"""A fleet as it is written: sites, kinds of machine, request classes, clients. Times in whole nanoseconds."""
 
 from dataclasses import dataclass, replace
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lane:
+class RequestClass:
     name: str
     work: int
     cv: float
@@ -35,13 +35,13 @@
     name: str
     gateways: int
     instances: dict  # how many, by kind's name
-    load: dict  # lookups a second, by lane's name
+    load: dict  # lookups a second, by request class's name
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
     kinds: dict
-    lanes: dict
+    request_classes: dict
     sites: dict
     within: int
     across: int
@@ -73,9 +73,17 @@
         lost = [site for name, site in self.sites.items() if name in names]
         if not kept or not lost:
             return replace(self, sites=kept)
-        load = {lane: sum(site.load.get(lane, 0.0) for site in lost) / len(kept) for lane in self.lanes}
+        load = {
+            request_class: sum(site.load.get(request_class, 0.0) for site in lost) / len(kept)
+            for request_class in self.request_classes
+        }
         moved = {
-            name: replace(site, load={lane: site.load.get(lane, 0.0) + load[lane] for lane in self.lanes})
+            name: replace(
+                site,
+                load={request_class: site.load.get(
+                    request_class, 0.0
+                ) + load[request_class] for request_class in self.request_classes}
+            )
             for name, site in kept.items()
         }
         return replace(self, sites=moved)
@@ -83,15 +91,20 @@
     def grown(self, factor):
         """The same with so many times the load."""
         sites = {
-            name: replace(site, load={lane: rate * factor for lane, rate in site.load.items()})
+            name: replace(
+                site, load={request_class: rate * factor for request_class, rate in site.load.items()}
+            )
             for name, site in self.sites.items()
         }
         return replace(self, sites=sites)
 
     def heavier(self, factor):
         """The same with so many times the work a lookup, as under a bad build everywhere."""
-        lanes = {name: replace(lane, work=round(lane.work * factor)) for name, lane in self.lanes.items()}
-        return replace(self, lanes=lanes)
+        request_classes = {
+            name: replace(request_class, work=round(request_class.work * factor))
+            for name, request_class in self.request_classes.items()
+        }
+        return replace(self, request_classes=request_classes)
 
     def scaled(self, factor):
         """The same with so many times the instances, rounded up, by site and kind."""
@@ -112,8 +125,8 @@
             if count
         ]
 
-    def rate(self, lane):
-        return sum(site.load.get(lane, 0.0) for site in self.sites.values())
+    def rate(self, request_class):
+        return sum(site.load.get(request_class, 0.0) for site in self.sites.values())
 
     def gateway_count(self):
         return sum(site.gateways for site in self.sites.values())
@@ -132,14 +145,14 @@
             for one in site[part]:
                 if one not in known:
                     fault(f"sites.{name}.{part}.{one}", one, ", ".join(known) or "nothing")
-    for name, lane in told["lanes"].items():
-        if lane["goal"] > lane["stop"]:
-            fault(f"lanes.{name}.goal", f"{lane['goal']}ns", "the deadline at most")
+    for name, request_class in told["lanes"].items():
+        if request_class["goal"] > request_class["stop"]:
+            fault(f"lanes.{name}.goal", f"{request_class['goal']}ns", "the deadline at most")
     steps = told["release"]["steps"]
     if len(steps) != len(told["release"]["caps"]) or not steps or sorted(steps) != steps:
         fault("release.steps[0]", f"{len(steps)} steps", "rising ones, as many as caps, one at least")
     if not faults and not (told["sites"] and told["lanes"]):
-        fault("sites", "no site or no lane", "one at least of each")
+        fault("sites", "no site or no request class", "one at least of each")
     count = sum(sum(site["instances"].values()) for site in told["sites"].values())
     if count > MOST_MACHINES:
         fault("sites", f"{count} instances", f"{MOST_MACHINES} at most")
@@ -151,9 +164,9 @@
 def made(told):
     return Fleet(
         kinds={name: Kind(name, **kind) for name, kind in told["kinds"].items()},
-        lanes={
-            name: Lane(name, **{**lane, "effect": EFFECTS[lane["effect"]]})
-            for name, lane in told["lanes"].items()
+        request_classes={
+            name: RequestClass(name, **{**request_class, "effect": EFFECTS[request_class["effect"]]})
+            for name, request_class in told["lanes"].items()
         },
         sites={name: Site(name, **site) for name, site in told["sites"].items()},
         within=told["delay"]["within"],
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -26,16 +26,16 @@
 
 def settings_of(fleet, site):
     """The fleet as a gateway is told it."""
-    lanes = [
+    request_classes = [
         {
-            "Name": lane.name,
-            "Effect": EFFECTS[lane.effect],
-            "Slo": lane.goal / 1e6,
-            "GiveUp": lane.stop / 1e6,
-            "Worth": lane.revenue,
-            "Window": lane.memory / 1e6,
+            "Name": request_class.name,
+            "Effect": EFFECTS[request_class.effect],
+            "Slo": request_class.goal / 1e6,
+            "GiveUp": request_class.stop / 1e6,
+            "Worth": request_class.revenue,
+            "Window": request_class.memory / 1e6,
         }
-        for lane in fleet.lanes.values()
+        for request_class in fleet.request_classes.values()
     ]
     rules = {
         "Cold": fleet.warm / 1e6,
@@ -48,7 +48,7 @@
         "Areas": list(fleet.sites),
         "Az": list(fleet.sites).index(site),
         "Skus": list(fleet.kinds),
-        "Lanes": lanes,
+        "Lanes": request_classes,
         "Balancers": fleet.gateway_count(),
         "Obligations": rules,
         "WorthBy": "work",
@@ -103,29 +103,29 @@
             for name, rate in site.load.items():
                 at = 0.0
                 while rate > 0 and (at := at + self.random.expovariate(rate)) < seconds:
-                    due.append((at, site.name, self.fleet.lanes[name]))
-        for at, site, lane in sorted(due, key=lambda one: one[0]):
-            spread = math.sqrt(math.log1p(lane.cv**2))
-            work = round(lane.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1000
+                    due.append((at, site.name, self.fleet.request_classes[name]))
+        for at, site, request_class in sorted(due, key=lambda one: one[0]):
+            spread = math.sqrt(math.log1p(request_class.cv**2))
+            work = round(request_class.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1000
             time.sleep(max(began + at - time.monotonic(), 0.0))
             second = counts[int(at)]
-            second.asked, second.worth = second.asked + 1, second.worth + lane.revenue * work
+            second.asked, second.worth = second.asked + 1, second.worth + request_class.revenue * work
             if pool._work_queue.qsize() > MOST_AT_ONCE:
                 second.lost += 1
             else:
-                pool.submit(self.want, site, lane, work, second, time.monotonic())
+                pool.submit(self.want, site, request_class, work, second, time.monotonic())
 
-    def want(self, site, lane, work, second, first):
+    def want(self, site, request_class, work, second, first):
         """A lookup with its client's retries."""
         key, idempotency_key = os.urandom(6).hex(), os.urandom(6).hex()
         for left in range(self.fleet.retries, -1, -1):
-            ending = self.attempt(site, lane, work, key, idempotency_key)
+            ending = self.attempt(site, request_class, work, key, idempotency_key)
             if ending == "succeeded":
-                if (time.monotonic() - first) * S <= lane.goal:
+                if (time.monotonic() - first) * S <= request_class.goal:
                     with self.lock:
-                        second.answered += lane.revenue * work
+                        second.answered += request_class.revenue * work
                 return
-            if not left or ending != "rejected" and lane.effect == at.NON_IDEMPOTENT:
+            if not left or ending != "rejected" and request_class.effect == at.NON_IDEMPOTENT:
                 break
             time.sleep(self.fleet.pause / S)
         with self.lock:
@@ -134,19 +134,19 @@
             else:
                 second.lost += 1
 
-    def attempt(self, site, lane, work, key, idempotency_key):
+    def attempt(self, site, request_class, work, key, idempotency_key):
         port = self.random.choice(self.ports[site])
         with self.lock:
             client = self.spare.setdefault(port, []).pop() if self.spare.get(port) else None
-        wait = lane.stop * self.fleet.patience / 1e6
-        said = {"c": lane.name, "d": round(wait), "h": max(work // 1000, 1)}
-        if lane.effect == at.DEDUPLICATED:
+        wait = request_class.stop * self.fleet.patience / 1e6
+        said = {"c": request_class.name, "d": round(wait), "h": max(work // 1000, 1)}
+        if request_class.effect == at.DEDUPLICATED:
             said["k"] = idempotency_key
         try:
             client = client or Client(port)
             client.sock.settimeout(wait / 1e3)
             answer = client.command(
-                b"Q.ASK" if lane.effect == at.IDEMPOTENT else b"Q.DO", key.encode(), said
+                b"Q.ASK" if request_class.effect == at.IDEMPOTENT else b"Q.DO", key.encode(), said
             ).read()
         except OSError:
             if client is not None:
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -1,5 +1,5 @@
-"""A steady load on a fleet, reckoned with closed forms: service by lane, and how much of each resource is
-used.
+"""A steady load on a fleet, reckoned with closed forms: service by request class, and how much of each
+resource is used.
 
 The balancers choose the cheapest instance of those that they see. That lies between two extremes, both
 reckoned: each machine by itself with a share of the lookups by its speed (`apart`), and all machines of a
@@ -18,12 +18,12 @@
 
 @dataclass(slots=True)
 class Steady:
-    """`service`: the share of revenue answered within the latency objective, `lanes` the same by lane;
-    `used`: the share of each resource that is taken, 1 is all of it; `rejected`: the share of sends for
-    which there is no room."""
+    """`service`: the share of revenue answered within the latency objective, `request_classes` the same by
+    request class; `used`: the share of each resource that is taken, 1 is all of it; `rejected`: the share of
+    sends for which there is no room."""
 
     service: float
-    lanes: dict = field(default_factory=dict)
+    request_classes: dict = field(default_factory=dict)
     used: dict = field(default_factory=dict)
     rejected: float = 0.0
     asked: float = 0.0  # lookups a second with their retries
@@ -36,7 +36,7 @@
         for kind, count in merged(fleet)
     ]
     capacity = sum(times * servers * kind.speed for times, kind, servers in stations) or 1e-9
-    first = {name: fleet.rate(name) for name in fleet.lanes}
+    first = {name: fleet.rate(name) for name in fleet.request_classes}
     asked = {name: rate * (1 + fleet.retries if flooded else 1) for name, rate in first.items()}
     for _ in range(ROUNDS):
         answered, room = serve(fleet, stations, capacity, asked)
@@ -61,13 +61,13 @@
 
 
 def serve(fleet, stations, capacity, asked):
-    """By lane, the share answered within latency objective and before the client gives up; and the share let
-    in."""
+    """By request class, the share answered within latency objective and before the client gives up; and the
+    share let in."""
     total = sum(asked.values()) or 1e-9
-    work = sum(rate * fleet.lanes[name].work for name, rate in asked.items()) / total / 1e9
+    work = sum(rate * fleet.request_classes[name].work for name, rate in asked.items()) / total / 1e9
     second = (
         sum(
-            rate * (fleet.lanes[name].work / 1e9) ** 2 * (1 + fleet.lanes[name].cv ** 2)
+            rate * (fleet.request_classes[name].work / 1e9) ** 2 * (1 + fleet.request_classes[name].cv ** 2)
             for name, rate in asked.items()
         )
         / total
@@ -80,9 +80,9 @@
         share = times * servers * kind.speed / capacity
         rate = total * room * share / times
         for name in asked:
-            lane = fleet.lanes[name]
-            own = lane.work / 1e9 / kind.speed, lane.cv
-            for limit, until in (("goal", lane.goal), ("stop", lane.stop * fleet.patience)):
+            request_class = fleet.request_classes[name]
+            own = request_class.work / 1e9 / kind.speed, request_class.cv
+            for limit, until in (("goal", request_class.goal), ("stop", request_class.stop * fleet.patience)):
                 left = until / 1e9 - trip
                 found[name][limit] += (
                     share * room * queues.within(left, servers, rate, work / kind.speed, cv, own)
@@ -91,27 +91,33 @@
 
 
 def summed(fleet, first, asked, answered, room, capacity):
-    lanes = {}
+    request_classes = {}
     for name in first:
         got, missed = answered[name]["goal"], 1 - answered[name]["stop"]
-        lanes[name] = (
-            got + missed * got if fleet.retries and fleet.lanes[name].effect != at.NON_IDEMPOTENT else got
+        request_classes[name] = (
+            got + missed * got if fleet.retries and fleet.request_classes[name].effect != at.NON_IDEMPOTENT
+            else got
         )
-        lanes[name] = min(lanes[name], 1.0)
-    worth = {name: rate * fleet.lanes[name].revenue * fleet.lanes[name].work for name, rate in first.items()}
+        request_classes[name] = min(request_classes[name], 1.0)
+    worth = {
+        name: rate * fleet.request_classes[name].revenue * fleet.request_classes[name].work
+        for name, rate in first.items()
+    }
     whole = sum(worth.values())
-    service = sum(lanes[name] * worth[name] for name in first) / whole if whole else 1.0
+    service = sum(request_classes[name] * worth[name] for name in first) / whole if whole else 1.0
     total = sum(asked.values())
-    load = sum(rate * fleet.lanes[name].work for name, rate in asked.items()) / 1e9
-    return Steady(service, lanes, used(fleet, asked, total, load, capacity), 1 - room, total)
+    load = sum(rate * fleet.request_classes[name].work for name, rate in asked.items()) / 1e9
+    return Steady(service, request_classes, used(fleet, asked, total, load, capacity), 1 - room, total)
 
 
 def used(fleet, asked, total, load, capacity):
     """Each resource by what there is of it."""
     busiest = max(sum(site.load.values()) / site.gateways for site in fleet.sites.values())
-    growth = total / max(sum(fleet.rate(name) for name in fleet.lanes), 1e-9)
+    growth = total / max(sum(fleet.rate(name) for name in fleet.request_classes), 1e-9)
     each = busiest * growth  # lookups a second of the busiest gateway
-    held = sum(rate / max(total, 1e-9) * fleet.lanes[name].work for name, rate in asked.items()) / 1e9
+    held = (
+        sum(rate / max(total, 1e-9) * fleet.request_classes[name].work for name, rate in asked.items()) / 1e9
+    )
     utilised = min(load / capacity, 0.99)
     open_lookups = each * held / (1 - utilised)  # by Little's law, in work or waiting
     connections = (fleet.descriptors - 24) / 2
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -48,7 +48,7 @@
 class Want:
     """What a client wants, over all its tries."""
 
-    lane: object
+    request_class: object
     site: object
     first: int
     work: int
@@ -141,9 +141,12 @@
         fleet = self.fleet
         self.zones = {name: number for number, name in enumerate(fleet.sites)}
         self.kinds = {name: number for number, name in enumerate(fleet.kinds)}
-        self.lanes = {
-            name: at.Lane(number, lane.effect, lane.goal, lane.stop, lane.revenue, memory=lane.memory)
-            for number, (name, lane) in enumerate(fleet.lanes.items())
+        self.request_classes = {
+            name: at.RequestClass(
+                number, request_class.effect, request_class.goal, request_class.stop, request_class.revenue,
+                memory=request_class.memory
+            )
+            for number, (name, request_class) in enumerate(fleet.request_classes.items())
         }
         self.machines = []
         for site, kind, times in fleet.machines():
@@ -167,7 +170,7 @@
             balancers=fleet.gateway_count(),
             zone=self.zones[site],
             step=5 * NS_MS,
-            lanes=list(self.lanes.values()),
+            request_classes=list(self.request_classes.values()),
             by_work=True,
             sends_cap=5,
             may_duplicate=True,
@@ -235,30 +238,34 @@
         if self.now >= end:
             return
         self.at(self.now + gap, self.arrive, site, name, rate, end)
-        lane, spread = self.fleet.lanes[name], math.sqrt(math.log1p(self.fleet.lanes[name].cv ** 2))
-        work = round(lane.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1
+        request_class, spread = (
+            self.fleet.request_classes[name], math.sqrt(math.log1p(self.fleet.request_classes[name].cv ** 2))
+        )
+        work = round(request_class.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1
         second = self.seconds[self.now // S]
         second.asked += 1
-        second.worth += lane.revenue * work
-        self.ask(Want(self.lanes[name], site, self.now, work, self.fleet.retries, second))
+        second.worth += request_class.revenue * work
+        self.ask(Want(self.request_classes[name], site, self.now, work, self.fleet.retries, second))
 
     def ask(self, want):
         here = [gateway for gateway in self.gateways if gateway.up and gateway.site == want.site]
         gateway = self.random.choice(here or [gateway for gateway in self.gateways if gateway.up] or [None])
         if gateway is None:
             return self.answered(want, "lost", 0)
-        wait = round(want.lane.deadline * self.fleet.patience)
-        lookup = at.Lookup(next(self.ids), want.lane, 0, 0, self.now, self.now + wait, want.work)
+        wait = round(want.request_class.deadline * self.fleet.patience)
+        lookup = at.Lookup(next(self.ids), want.request_class, 0, 0, self.now, self.now + wait, want.work)
         gateway.wants[lookup] = want
         self.at(self.now + wait, gateway.gave_up, lookup)
         gateway.tell(gateway.balancer.lookup_arrived, lookup)
 
     def answered(self, want, ending, retry_after):
         if ending == "succeeded":
-            if self.now - want.first <= want.lane.latency_objective:
-                want.second.answered += want.lane.revenue * want.work
+            if self.now - want.first <= want.request_class.latency_objective:
+                want.second.answered += want.request_class.revenue * want.work
             return
-        again = ending == "rejected" or want.lane.effect != at.NON_IDEMPOTENT and ending != "succeeded"
+        again = (
+            ending == "rejected" or want.request_class.effect != at.NON_IDEMPOTENT and ending != "succeeded"
+        )
         if again and want.left > 0:
             want.left -= 1
             self.at(self.now + max(self.fleet.pause, retry_after), self.ask, want)
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -43,11 +43,11 @@
     def __init__(self, number, cap, pairs, outcomes):
         self.number, self.cap = number, cap
         self.stage, self.phase = -1, ON_TRIAL  # no stage has been told
-        self.sent = {}  # times of its sends within the window, by lane where the cap counts so
+        self.sent = {}  # times of its sends within the window, by request class where the cap counts so
         self.keys = set()  # keys that it has answered, kept where they bind
         self.credit = 0.0  # sends that it is due by its machines' share
         self.began, self.tried = 0, False  # when its stage began; seen on trial, so there is an earlier build
-        self.pairs = deque(maxlen=pairs)  # pairs in view: what was compared, by (lane, metric)
+        self.pairs = deque(maxlen=pairs)  # pairs in view: what was compared, by (request class, metric)
         self.seen = deque(maxlen=outcomes)  # its outcomes in closed pairs, the last of them
         self.answers, self.flags = 0, 0  # all it gave, and those that clients found wrong
         self.doubt = self.bad = False  # the medians breach; it is voted back for good
--- a/lemonlead/settings/schemas/fleet.cue
+++ b/lemonlead/settings/schemas/fleet.cue
@@ -17,7 +17,7 @@
 #Site: {
 	gateways:  int & >=1 & <=1000
 	instances: {[=~"^[a-z][a-z0-9-]{0,31}$"]: int & >=0 & <=10000}     // by kind
-	load:      {[=~"^[a-z][a-z0-9-]{0,31}$"]: float & >=0.0 & <=1000000.0} // lookups a second, by lane
+	load:      {[=~"^[a-z][a-z0-9-]{0,31}$"]: float & >=0.0 & <=1000000.0} // lookups a second, by request class
 }
 kinds: {[=~"^[a-z][a-z0-9-]{0,31}$"]: #Kind}
 lanes: {[=~"^[a-z][a-z0-9-]{0,31}$"]: #Lane}
--- a/lemonlead/settings/schemas/rules.cue
+++ b/lemonlead/settings/schemas/rules.cue
@@ -2,7 +2,7 @@
 #Rule: {
 	name:      string & =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 	when:      string                   // an expression that gives bool
-	lane?:     string                   // an expression: the lane that it is treated as
+	lane?:     string                   // an expression: the request class that it is treated as
 	key?:      string                   // an expression: the key that it is routed by
 	customer?: string                   // an expression: the tenant that it counts for
 	labels?: {[=~"^[a-z][a-z0-9_]{0,31}$"]: string & =~"^[A-Za-z0-9._-]{0,64}$"}
--- a/lemonlead/standins/clients.py
+++ b/lemonlead/standins/clients.py
@@ -21,11 +21,14 @@
         self.sock.sendall(data)
         return self
 
-    def ask(self, key=b"aa", lane="look", wait=20000, body=(), **more):
+    def ask(self, key=b"aa", request_class="look", wait=20000, body=(), **more):
         """Writes a lookup."""
-        said = {"c": lane, "t": "acme", "d": wait, **({"k": "5c"} if lane == "hold" else {}), **more}
+        said = {
+            "c": request_class, "t": "acme", "d": wait, **({"k": "5c"} if request_class == "hold" else {}),
+            **more,
+        }
         extras = ",".join(f"{name}={value}" for name, value in said.items()).encode()
-        name = b"Q.ASK" if lane == "look" else b"Q.DO"
+        name = b"Q.ASK" if request_class == "look" else b"Q.DO"
         return self.write(resp.command([name, key, os.urandom(8).hex().encode(), extras, *body]))
 
     def command(self, name, key, said, *body):
--- a/lemonlead/standins/expressions.py
+++ b/lemonlead/standins/expressions.py
@@ -168,7 +168,7 @@
 def lookups(declared):
     """Lookups that make matching dear or make it err: the longest of all, none of it, not UTF-8, past the
     bounds."""
-    lane = declared.lanes[0] if declared.lanes else "fitment"
+    lane = declared.request_classes[0] if declared.request_classes else "fitment"
     full = {f"{n:0{declared.attribute_name}d}": "a" * declared.attribute for n in range(declared.attributes)}
     longest = declared.key
     return [
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -26,7 +26,7 @@
 
 GATEWAY = re.compile(rb'gateway(?:=|": ?")([A-Za-z0-9_.-]+)')
 LENGTH = re.compile(rb"Content-Length: (\d+)", re.IGNORECASE)
-LANES = ("look", "look", "look", "hold", "buy")
+REQUEST_CLASSES = ("look", "look", "look", "hold", "buy")
 MOST_MOMENTS = 10_000
 PARTS = ("nodes", "reservations", "gangs", "groups", "sites", "loads", "services", "service_pages")
 PARTS += ("moves", "moving", "holds")
@@ -219,7 +219,7 @@
 
     def ask(self, client, number):
         key = b"%016x" % self.random.getrandbits(64)
-        client.ask(key, lane=self.random.choice(LANES), wait=8000)
+        client.ask(key, request_class=self.random.choice(REQUEST_CLASSES), wait=8000)
         return key
 
     def operate(self, site="here", count=2, cluster=None):
--- a/lemonlead/standins/instances.py
+++ b/lemonlead/standins/instances.py
@@ -33,14 +33,14 @@
 
 
 class Machine(InstanceServer):
-    """An instance with worker slots and a queue. It needs `work` seconds for a lookup, by lane (None: for all
-    others), for one slot; `queue` more may wait, what is past that is turned away unseen. From `start` on its
-    speed rises from `cold` (a share) to the whole in `warm` seconds.
+    """An instance with worker slots and a queue. It needs `work` seconds for a lookup, by request class
+    (None: for all others), for one slot; `queue` more may wait, what is past that is turned away unseen. From
+    `start` on its speed rises from `cold` (a share) to the whole in `warm` seconds.
 
-    Faults on demand: `silent` (reads, never answers), `failing` (the share of lookups that fail, by lane),
-    `spoilt` (the share of answers that cannot be read), `slow` (work is multiplied by it). `memory`: seconds
-    for which it drops repeats of an idempotency key. Counts: `done` by lane, `ran` by idempotency key or id,
-    `turned_away`, `dropped`."""
+    Faults on demand: `silent` (reads, never answers), `failing` (the share of lookups that fail, by request
+    class), `spoilt` (the share of answers that cannot be read), `slow` (work is multiplied by it). `memory`:
+    seconds for which it drops repeats of an idempotency key. Counts: `done` by request class, `ran` by
+    idempotency key or id, `turned_away`, `dropped`."""
 
     def __init__(self, work=0.0, slots=4, queue=16, cold=1.0, warm=0.0, memory=8.0, seed=1, **more):
         super().__init__(**more)
@@ -72,7 +72,7 @@
                 self.held -= 1
 
     def served(self, words, said):
-        lane, idempotency_key = said["c"], said.get("k")
+        request_class, idempotency_key = said["c"], said.get("k")
         with self.slots:
             with self.lock:
                 at, value = self.idempotency_keys.get(idempotency_key, (0.0, None))
@@ -82,9 +82,9 @@
             time.sleep(self.needs_of(said) / self.speed() * self.slow)
             value = words[1]
             with self.lock:
-                self.done[lane] += 1
+                self.done[request_class] += 1
                 self.ran[idempotency_key or words[2]] += 1
-                if self.chance.random() < self.failing.get(lane, 0.0):
+                if self.chance.random() < self.failing.get(request_class, 0.0):
                     return b"-ERR failed\r\n"
                 if idempotency_key:
                     self.idempotency_keys = {
--- a/lemonlead/told.py
+++ b/lemonlead/told.py
@@ -105,11 +105,11 @@
         return [Told({key: value}, self.where).number(key, 0, 0, most) for value in values]
 
 
-def lane_of(told, number):
+def request_class_of(told, number):
     effect = EFFECTS.get(told.word("Effect"), at.NON_IDEMPOTENT)  # one unknown here is run once at most
     # For the others, group and memory mean nothing; without a window repeats are told apart for no time.
     deduplicated = effect == at.DEDUPLICATED
-    return at.Lane(
+    return at.RequestClass(
         number=number, effect=effect, latency_objective=told.time("Slo"), deadline=told.time("GiveUp"),
         revenue=told.number("Worth", 1.0), late_share=told.number("LateWorth", 0.0),
         objective_stretch=told.number("AimStretch", 0.0),
@@ -125,7 +125,7 @@
         bake=told.time("Bake"), vote_life=told.time("BallotTtl"), answer_time=told.time("ApiTimeout"),
         votes_per_s=told.number("VoteAllowance", 0.0), window=told.time("ExposureWindow"),
         free_sends=told.number("SpareTries", 0.0),
-        per_lane=told.one_of("CapScope", ("all", "each_class"), "all") == "each_class",
+        per_class=told.one_of("CapScope", ("all", "each_class"), "all") == "each_class",
         guarded_stages=told.count("GuardedStages", 0), forward_only=told.flag("ForwardOnly"),
         caps=told.numbers("StageCap", 1), steps=told.numbers("Steps"),
         old_price=told.number("StaleBuildPrice", 0.0), harm_price=told.number("HarmFee", 0.0),
@@ -142,7 +142,10 @@
     return at.Start(
         now=now, seed=salt, me=told.count("Me", 0), balancers=told.count("Balancers", 1),
         zone=told.count("Az", 0), step=told.time("Step"),
-        lanes=[lane_of(lane, number) for number, lane in enumerate(told.parts("Lanes"))],
+        request_classes=[
+            request_class_of(request_class, number)
+            for number, request_class in enumerate(told.parts("Lanes"))
+        ],
         release=release_of(told.part("FamilyInfo")),
         tenant_shares=[tenant.number("QuotaPerS", 0.0) for tenant in told.parts("Projects")],
         over_share_worth=told.number("OverShareWorth", 1.0),
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -30,7 +30,9 @@
         self.lookups = {}
         self.out = {}  # (lookup id, send number): Send, also past the lookup's end
         self.armed = None
-        self.lanes = {lane.number: lane for lane in start.lanes}
+        self.request_classes = {
+            request_class.number: request_class for request_class in start.request_classes
+        }
         self.fields = start.report_fields
         self.balancer = Balancer(start)
 
@@ -140,12 +142,13 @@
         else:
             seat.balancer.listed(self.now, self.lists[buffer], form in _FULL_LISTS, form != 0)
 
-    def work_item(self, seat, id, lane, tenant, key, left, hint, flags):
-        if lane not in seat.lanes:
-            raise BadFrame(f"gateway {seat.number}: a lookup of the unknown lane {lane}")
+    def work_item(self, seat, id, request_class, tenant, key, left, hint, flags):
+        if request_class not in seat.request_classes:
+            raise BadFrame(f"gateway {seat.number}: a lookup of the unknown request class {request_class}")
         work = max(in_ns(hint), 0) if flags & 1 else 0
         lookup = at_door.Lookup(
-            id, seat.lanes[lane], tenant, key, self.now, self.now + in_ns(left), work, bool(flags & 2)
+            id, seat.request_classes[request_class], tenant, key, self.now, self.now + in_ns(left), work,
+            bool(flags & 2)
         )
         seat.lookups[id] = lookup
         seat.balancer.lookup_arrived(self.now, lookup)
@@ -188,5 +191,5 @@
     def scorecard(self, seat, *counted):
         pass  # a balancer judges by its own outcomes
 
-    def bad_answer(self, seat, instance, lane, age):
+    def bad_answer(self, seat, instance, request_class, age):
         seat.balancer.answer_wrong(self.now, instance)
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -176,16 +176,16 @@
 
     def arrive(self, number):
         self.ahead -= 1
-        lane = self.random.choice(self.start.lanes)
-        told = self.settings["Lanes"][lane.number].get("GiveUp", 0) or 1000.0
+        request_class = self.random.choice(self.start.request_classes)
+        told = self.settings["Lanes"][request_class.number].get("GiveUp", 0) or 1000.0
         left = int(min(told, 40_000.0) * self.random.choice([0.2, 1.0, 1.0]) * MS)
         tenants = len(self.settings.get("Projects", []))
         tenant = self.random.randrange(-1, tenants) if tenants else self.random.choice([0, -1])
         work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
         key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
-        lookup = at.Lookup(number, lane, tenant, key, self.now, self.now + left, work)
+        lookup = at.Lookup(number, request_class, tenant, key, self.now, self.now + left, work)
         self.open[number], self.latest = lookup, max(self.latest, lookup.deadline)
-        self.note("taken", number, lane.number, left, key, work)
+        self.note("taken", number, request_class.number, left, key, work)
         if self.random.random() < self.world["leave"]:
             self.after(self.random.random() * left, self.leave, lookup)
         self.balancer.lookup_arrived(self.now, lookup)
@@ -213,7 +213,7 @@
         self.trips[send] = "written"
         self.note("send", lookup.id, send.number, instance_id)
         row = self.machines.get(int(instance_id[1:]))
-        goal = min(lookup.lane.latency_objective or 100 * MS, 1000 * MS)
+        goal = min(lookup.request_class.latency_objective or 100 * MS, 1000 * MS)
         takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
         if row is None or row["bad"] and self.random.random() < 0.5:
             end = self.random.choice([at.UNCONNECTED, at.RESET, "silent", at.ERRED, at.REJECTED])
@@ -226,7 +226,7 @@
         left = lookup.deadline - self.now if asked else time_out
         if end == "silent" or takes >= left:
             takes, end = left, at.TIMED_OUT
-        elif lookup.lane.streamed and end == at.SUCCEEDED:
+        elif lookup.request_class.streamed and end == at.SUCCEEDED:
             self.after(takes / 2, self.first_byte, send)
         self.after(takes, self.end, send, end)
 
@@ -333,12 +333,13 @@
             self.lowered[build] = now
         self.news = (build, stage, phase, cap)
 
-    def taken(self, now, id, lane, left, key, work):
+    def taken(self, now, id, request_class, left, key, work):
         self.asked[id] = {
-            "lane": self.told["Lanes"][lane], "n": lane, "at": now, "until": now + left, "key": key,
+            "lane": self.told["Lanes"][request_class], "n": request_class, "at": now, "until": now + left,
+            "key": key,
             "sends": [], "final": None, "work": work or 1,
         }
-        self.takes.append((now, lane))
+        self.takes.append((now, request_class))
 
     def send(self, now, id, number, instance):
         one = self.asked[id]
@@ -360,8 +361,8 @@
         self.sends.append((now, instance, row, one["n"], id))
 
     def effect(self, now, id, one, row):
-        lane, before = one["lane"], one["sends"]
-        effect = lane.get("Effect", "at_most_once")
+        request_class, before = one["lane"], one["sends"]
+        effect = request_class.get("Effect", "at_most_once")
         ran = [s for s in before if s["end"] not in NEVER]
         if len(before) >= self.limits.get("AttemptsCap", 1):
             self.wrong(2, f"{id} gets attempt {len(before) + 1}")
@@ -370,10 +371,10 @@
         if effect == "at_most_once" and ran:
             self.wrong(2, f"{id}, at most once, gets another attempt")
         if effect == "deduplicated" and ran:
-            group = lane.get("Group", "all")
+            group = request_class.get("Group", "all")
             if group != "all" and any(s["row"][group] != row[group] for s in ran):
                 self.wrong(2, f"{id}, deduplicated, leaves its {group}")
-            if now - ran[0]["at"] >= lane["Window"] * MS:
+            if now - ran[0]["at"] >= request_class["Window"] * MS:
                 self.wrong(2, f"{id}, deduplicated, goes again past its window")
 
     def outcome(self, now, id, number, end):
@@ -429,10 +430,12 @@
                 self.wrong(5, f"{id} goes to build {build} at cap 0")
             return
         alone = self.release.get("CapScope") == "each_class"
-        lanes = (one["n"],) if alone else range(len(self.told["Lanes"]))
+        request_classes = (one["n"],) if alone else range(len(self.told["Lanes"]))
         since = max(now - self.window, self.lowered.get(build, 0))
-        sent = 1 + sum(m > since and r["build"] == build and n in lanes for m, _, r, n, _ in self.sends)
-        taken = sum(m > now - self.window and n in lanes for m, n in self.takes)
+        sent = 1 + sum(
+            m > since and r["build"] == build and n in request_classes for m, _, r, n, _ in self.sends
+        )
+        taken = sum(m > now - self.window and n in request_classes for m, n in self.takes)
         if sent > self.release.get("SpareTries", 0.0) + cap * taken + 1e-9 and self.window:
             self.wrong(5, f"{id} is attempt {sent} at build {build}, of {taken} taken at cap {cap}")
 
--- a/tests/days.py
+++ b/tests/days.py
@@ -1,6 +1,7 @@
 """Days of the planner's world with more of what the standing test asks about: what is sent to cold machines,
-what each lane and tenant gets by thirds, gateways that die and come back, and the policy that each is held
-against, which sees the true state of every machine late. Times in nanoseconds; loads in lookups a second."""
+what each request class and tenant gets by thirds, gateways that die and come back, and the policy that each
+is held against, which sees the true state of every machine late. Times in nanoseconds; loads in lookups a
+second."""
 
 import bisect
 import random
@@ -51,8 +52,10 @@
         fit = [number for number in seen if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: seen[number], default=None)
-        ran = lookup.lane.effect == at.NON_IDEMPOTENT and any(s.end not in at.NEVER_RAN for s in lookup.sends)
-        if best is None or ran or 4 * seen[best] > lookup.lane.latency_objective:
+        ran = lookup.request_class.effect == at.NON_IDEMPOTENT and any(
+            s.end not in at.NEVER_RAN for s in lookup.sends
+        )
+        if best is None or ran or 4 * seen[best] > lookup.request_class.latency_objective:
             lookup.over = True
             return door.reject(lookup, LATE // 2)
         lookup.sends.append(at.Send(lookup, len(lookup.sends), best, now))
@@ -104,9 +107,12 @@
         return held / machine.kind.cores / machine.kind.speed
 
     def mean_work(self):
-        lanes = self.fleet.lanes.items()
-        rates = {name: self.fleet.rate(name) for name, _ in lanes}
-        return sum(rates[name] * lane.work for name, lane in lanes) / sum(rates.values())
+        request_classes = self.fleet.request_classes.items()
+        rates = {name: self.fleet.rate(name) for name, _ in request_classes}
+        return (
+            sum(rates[name] * request_class.work for name, request_class in request_classes)
+            / sum(rates.values())
+        )
 
     # ---- gateways that die and come back
 
@@ -137,17 +143,17 @@
         if want not in self.kept:
             tenant = self.random.choices(range(len(self.weights)), self.weights)[0]
             third = min(want.first * 3 // (self.length * S), 2)
-            self.kept[want] = ("lane", want.lane.number, third), ("tenant", tenant, third)
+            self.kept[want] = ("class", want.request_class.number, third), ("tenant", tenant, third)
             self.asked.update(self.kept[want])
         super().ask(want)
 
     def answered(self, want, ending, retry_after):
-        if ending == "succeeded" and self.now - want.first <= want.lane.latency_objective:
+        if ending == "succeeded" and self.now - want.first <= want.request_class.latency_objective:
             self.served.update(self.kept[want])
         super().answered(want, ending, retry_after)
 
     def share(self, what, which=None, third=None):
-        """Of the lookups of this lane or tenant (None: of all) in this third (None: all day)."""
+        """Of the lookups of this request class or tenant (None: of all) in this third (None: all day)."""
         keys = [key for key in self.asked if key[0] == what and which in (None, key[1])]
         keys = [key for key in keys if third in (None, key[2])]
         return sum(self.served[key] for key in keys) / sum(self.asked[key] for key in keys)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,15 +42,15 @@
         return self.calls
 
 
-def lane(number=0, effect=at.IDEMPOTENT, **more):
-    return at.Lane(number, effect, 1000 * MS, 4000 * MS, 1.0, **more)
+def request_class(number=0, effect=at.IDEMPOTENT, **more):
+    return at.RequestClass(number, effect, 1000 * MS, 4000 * MS, 1.0, **more)
 
 
 def line(id=1, build=1, zone=0, cell=0, state=at.READY, started=0, kind=0):
     return at.Instance(id, zone, kind, build, cell, state, 1.0, started)
 
 
-def balancer(lines=(), lanes=None, told=(1, 0, at.RELEASED, 1.0), release=None, **more):
+def balancer(lines=(), request_classes=None, told=(1, 0, at.RELEASED, 1.0), release=None, **more):
     release = release or at.Release(
         window=2000 * MS, free_sends=2, caps=[0.1, 0.5, 1.0], steps=[0.1, 0.5, 1.0], vote_life=4000 * MS,
         answer_time=800 * MS, votes_per_s=100.0, bake=1000 * MS,
@@ -60,7 +60,10 @@
         cold_time=5000 * MS, cold_share=0.4, cold_window=2000 * MS, cold_multiple=3.0,
         retry_after_cap=500 * MS,
     )
-    start = at.Start(now=NOW, lanes=lanes or [lane()], release=release, **{"seed": 7, **rules, **more})
+    start = at.Start(
+        now=NOW, request_classes=request_classes or [request_class()], release=release,
+        **{"seed": 7, **rules, **more},
+    )
     made = Balancer(start)
     made.listed(NOW, list(lines), True, True)
     if told is not None:
@@ -69,7 +72,7 @@
 
 
 def lookup(id=1, on=None, now=NOW, left=4000 * MS, key=0, work=100 * MS):
-    return at.Lookup(id, on or lane(), 0, key, now, now + left, work)
+    return at.Lookup(id, on or request_class(), 0, key, now, now + left, work)
 
 
 def sent(asked, member, end="", at_time=NOW):
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -25,7 +25,7 @@
 
 
 def lanes_of(names):
-    lane = {
+    request_class = {
         "GiveUp": some.sampled_from([0, 1, 20, 150.0, 1000.0, 5000.0, 30_000.0, 1e13]), "Slo": TIMES,
         "Effect": some.sampled_from(["idempotent", "deduplicated", "at_most_once"]), "Window": TIMES,
     }
@@ -33,7 +33,9 @@
         "AimStretch": FIGURES, "LateWorth": SHARES, "Worth": FIGURES, "Stream": FLAGS,
         "Group": some.sampled_from(["all", "zone", "cell"]),
     }
-    return some.tuples(*[some_of({**lane, "Name": some.just(name)}, more) for name in names]).map(list)
+    return (
+        some.tuples(*[some_of({**request_class, "Name": some.just(name)}, more) for name in names]).map(list)
+    )
 
 
 def named(most):
@@ -111,8 +113,8 @@
     told = {"Name": "look", "Effect": "idempotent", "GiveUp": deadline}
     told |= {} if aim is None else {"Slo": aim}
     gap = min(max((aim or 1000.0) / 20, 2.0), 100.0)
-    for lanes, worth in ((1, 0), (1, 1.0), (40, 1e6)):
-        named = [{**told, "Name": f"n{n}", "Worth": worth * (n % 2)} for n in range(lanes)]
+    for request_classes, worth in ((1, 0), (1, 1.0), (40, 1e6)):
+        named = [{**told, "Name": f"n{n}", "Worth": worth * (n % 2)} for n in range(request_classes)]
         assert served({"Lanes": named, "Balancers": balancers}, gap=gap) > 0.93
 
 
@@ -124,8 +126,8 @@
 
 
 def test_a_lookup_that_may_wait_for_long_is_looked_at_but_some_dozens_of_times():
-    lanes = [{"Name": "look", "Effect": "idempotent", "Slo": 1e7, "GiveUp": 40_000.0}]
-    play = Play({**SETTINGS, "Lanes": lanes}, {**WORLD, "machines": 0, "changes": 0, "lookups": 20})
+    request_classes = [{"Name": "look", "Effect": "idempotent", "Slo": 1e7, "GiveUp": 40_000.0}]
+    play = Play({**SETTINGS, "Lanes": request_classes}, {**WORLD, "machines": 0, "changes": 0, "lookups": 20})
     met = ways(play.run())
     assert met["final busy"] == 20 and play.wakes < 20 * 40
 
@@ -135,7 +137,7 @@
     made = Balancer(started({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **release}}, 7, BEGIN))
     made.listed(BEGIN, [at.Instance(f"i{n}", 0, 0, n, 0, at.READY, 1.0, 0) for n in (1, 2)], True, True)
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
-    sends, made_lane = {}, started(SETTINGS, 7, BEGIN).lanes[0]
+    sends, made_lane = {}, started(SETTINGS, 7, BEGIN).request_classes[0]
     for build in (1, 2):
         lookup = at.Lookup(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
         made.lookup_arrived(at_, lookup)
@@ -154,7 +156,7 @@
 def test_a_send_that_waited_past_the_window_counts_in_that_in_which_it_begins():
     made, sends = waiting({"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]})
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
-    other = at.Lookup(3, sends[2].lookup.lane, 0, b"", BEGIN, BEGIN + 60_000 * MS)
+    other = at.Lookup(3, sends[2].lookup.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
     assert made.may_begin(late, sends[2])
     assert not made.may_send(other, made.members["i2"], late)
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -59,16 +59,18 @@
     return text
 
 
-LANE, LIMITS, RULES = ("settings", "Lanes", 0), ("settings", "Limits"), ("settings", "Obligations")
+REQUEST_CLASS, LIMITS, RULES = ("settings", "Lanes", 0), ("settings", "Limits"), ("settings", "Obligations")
 NEWS, RELEASE = ("release_api", "news"), ("settings", "FamilyInfo")
 TIMES = [
-    (*LANE, "Slo"), (*LANE, "GiveUp"), ("settings", "Lanes", 1, "Window"), (*LIMITS, "ConnectTimeout"),
+    (*REQUEST_CLASS, "Slo"), (*REQUEST_CLASS, "GiveUp"), ("settings", "Lanes", 1, "Window"),
+    (*LIMITS, "ConnectTimeout"),
     (*LIMITS, "IdleClose"), (*LIMITS, "MaxRetryAfter"), (*RULES, "AskWithin"), (*RULES, "DrainGrace"),
     (*RULES, "Cold"), (*RULES, "Fall"), (*RELEASE, "Bake"), (*RELEASE, "BallotTtl"), (*RELEASE, "ApiTimeout"),
     (*RELEASE, "ExposureWindow"), ("settings", "Step"),
 ]
 NUMBERS = [
-    (*LANE, "Worth"), (*LANE, "LateWorth"), (*LANE, "AimStretch"), (*RULES, "ColdFrom"),
+    (*REQUEST_CLASS, "Worth"), (*REQUEST_CLASS, "LateWorth"), (*REQUEST_CLASS, "AimStretch"),
+    (*RULES, "ColdFrom"),
     (*RULES, "OverloadFactor"), (*RELEASE, "VoteAllowance"), (*RELEASE, "SpareTries"), ("settings", "Me"),
     (*RELEASE, "AyesNeeded"), (*RELEASE, "NoesNeeded"), (*RELEASE, "GuardedStages"), (*LIMITS, "AttemptsCap"),
     ("settings", "Balancers"), ("settings", "Az"), ("settings", "Projects", 0, "QuotaPerS"),
@@ -76,11 +78,11 @@
     (*RELEASE, "HarmFee"), ("limits", "sockets"), ("limits", "memory_mb"),
 ]
 FLAGS = [
-    (*LANE, "Stream"), (*LIMITS, "Cancel"), (*LIMITS, "MayDuplicate"), (*LIMITS, "Probes"),
+    (*REQUEST_CLASS, "Stream"), (*LIMITS, "Cancel"), (*LIMITS, "MayDuplicate"), (*LIMITS, "Probes"),
     (*LIMITS, "RetryAfter"), (*RELEASE, "ForwardOnly"),
 ]
 OBJECTS = [
-    LANE, LIMITS, RULES, RELEASE, ("settings",), ("settings", "Tariffs"), ("settings", "Report"),
+    REQUEST_CLASS, LIMITS, RULES, RELEASE, ("settings",), ("settings", "Tariffs"), ("settings", "Report"),
     ("settings", "Projects", 0), ("limits",), ("release_api",), NEWS, ("known",),
 ]
 LISTS = [
@@ -88,10 +90,11 @@
     (*RELEASE, "StageCap"), (*RELEASE, "Steps"), ("settings", "Report", "Fields"),
 ]
 WORDS = [
-    (*LANE, "Effect"), ("settings", "Lanes", 1, "Group"), (*RELEASE, "Control"), (*RELEASE, "CapScope"),
+    (*REQUEST_CLASS, "Effect"), ("settings", "Lanes", 1, "Group"), (*RELEASE, "Control"),
+    (*RELEASE, "CapScope"),
     (*RELEASE, "Style"), ("settings", "Discovery"), ("settings", "WorthBy"),
 ]
-NAMES = [(*LANE, "Name"), ("settings", "Projects", 0, "Name"), ("name",)]
+NAMES = [(*REQUEST_CLASS, "Name"), ("settings", "Projects", 0, "Name"), ("name",)]
 ADDRESSES = [("listen",), ("discovery",), ("release_api", "address")]
 NO_NUMBER = ["1000", None, True, [], {}, -1, -0.5, NAN, INFINITE, -INFINITE, 1e300, 10**400]
 CASES = [
@@ -119,7 +122,7 @@
 
 
 def test_a_sound_configuration_is_read(tmp_path):
-    assert list(read(tmp_path, CONFIG).lanes) == ["look", "hold", "buy"]
+    assert list(read(tmp_path, CONFIG).request_classes) == ["look", "hold", "buy"]
 
 
 @pytest.mark.parametrize("path", sorted({path for path, _ in CASES}, key=str), ids=lambda path: str(path[-1]))
@@ -167,24 +170,26 @@
 
 
 def test_absent_keys_have_defaults_and_unknown_ones_are_ignored(tmp_path):
-    """Also a lane's group and memory, which mean something for deduplicated ones alone."""
+    """Also a request class's group and memory, which mean something for deduplicated ones alone."""
     settings = {"Lanes": [{"Name": "look", "Group": "off", "Window": -1, "Mood": [None]}], "Mood": {}}
     config = {name: CONFIG[name] for name in ("name", "listen", "discovery", "seed")}
     got = read(tmp_path, {**config, "settings": settings, "limits": None, "release_api": None, "known": None})
-    start, lane = got.start, got.lanes["look"]
-    assert (lane.effect, lane.group, lane.memory, lane.revenue) == ("non-idempotent", "all", 0, 1.0)
+    start, request_class = got.start, got.request_classes["look"]
+    assert (request_class.effect, request_class.group, request_class.memory, request_class.revenue) == (
+        "non-idempotent", "all", 0, 1.0
+    )
     assert (start.sends_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
     assert (got.platform, got.news, got.connections, got.tenants) == (None, None, 1000, {})
-    assert read(tmp_path, {**config, "settings": {}}).lanes == {}
+    assert read(tmp_path, {**config, "settings": {}}).request_classes == {}
 
 
 def test_a_deduplicated_class_without_a_window_is_never_sent_again_once_it_may_have_run(tmp_path):
     got = read(tmp_path, changed("settings", "Lanes", 1, "Window", to=ABSENT))
     made = Balancer(got.start)
     made.listed(got.start.now, [line(1), line(2)], True, True)
-    asked = lookup(on=got.start.lanes[1], now=got.start.now)
+    asked = lookup(on=got.start.request_classes[1], now=got.start.now)
     sent(asked, made.members[1], at.RESET, got.start.now)
-    assert asked.lane.effect == at.DEDUPLICATED
+    assert asked.request_class.effect == at.DEDUPLICATED
     assert not made.may_send(asked, made.members[2], got.start.now)
     asked.sends[0].end = at.UNCONNECTED
     assert made.may_send(asked, made.members[2], got.start.now)
@@ -198,7 +203,7 @@
 @pytest.mark.parametrize(
     "config",
     [
-        changed(*LANE, "Slo", to=NAN), changed("settings", "Lanes", 1, "Name", to="look"),
+        changed(*REQUEST_CLASS, "Slo", to=NAN), changed("settings", "Lanes", 1, "Name", to="look"),
         changed("known", "servers", to={"a": 1}),
         changed("known", "servers", to=[{"id": "i0", "state": "up"}]),
         changed("known", "servers", to=[{"id": "i0", "state": "draining", "weight": 10**400}]),
@@ -221,8 +226,8 @@
     with gateway(tmp_path, server) as ran:
         until(lambda: ran.discovery.asked)
         config = {**ran.config, "discovery": discovery.address}
-        for count, lanes in enumerate(({"a": 1}, [{"Name": "look", "Effect": "maybe"}]), start=1):
-            ran.reload(json.dumps({**config, "settings": {**SETTINGS, "Lanes": lanes}}))
+        for count, request_classes in enumerate(({"a": 1}, [{"Name": "look", "Effect": "maybe"}]), start=1):
+            ran.reload(json.dumps({**config, "settings": {**SETTINGS, "Lanes": request_classes}}))
             until(lambda count=count: ran.log().count('event="configuration unfit"') == count)
         assert ran.client().ask().read() == b"aa" and not discovery.asked
         assert "event=\"configuration read\"" not in ran.log()
@@ -233,9 +238,9 @@
 
 
 def test_names_of_any_letters_are_known_as_the_settings_give_them(tmp_path):
-    lanes = [{**SETTINGS["Lanes"][0], "Name": "pièce à vue"}, *SETTINGS["Lanes"][1:]]
-    settings = {"Lanes": lanes, "Projects": [{"Name": "Île = une"}]}
+    request_classes = [{**SETTINGS["Lanes"][0], "Name": "pièce à vue"}, *SETTINGS["Lanes"][1:]]
+    settings = {"Lanes": request_classes, "Projects": [{"Name": "Île = une"}]}
     with gateway(tmp_path, InstanceServer().start(), settings=settings) as ran:
         said = {"c": "pièce à vue", "t": "Île = une", "d": 20000}
         assert ran.client().command(b"Q.ASK", b"aa", said).read() == b"aa"
-        assert ran.counters()["succeeded_lane_0"] == 1
+        assert ran.counters()["succeeded_request_class_0"] == 1
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -3,15 +3,15 @@
 from collections import Counter, deque
 
 import pytest
-from helpers import MS, NOW, Dispatcher, balancer, judged, lane, line, lookup, sent
+from helpers import MS, NOW, Dispatcher, balancer, judged, line, lookup, request_class, sent
 
 from lemonlead import interface as at
 from lemonlead.balance import NEAR, Balancer, sound
 from lemonlead.odds import chance
 
-DEDUPLICATED_ZONE = lane(1, at.DEDUPLICATED, group="zone", memory=4000 * MS)
-DEDUPLICATED_ALL = lane(1, at.DEDUPLICATED, group="all", memory=8000 * MS)
-NON_IDEMPOTENT = lane(2, at.NON_IDEMPOTENT)
+DEDUPLICATED_ZONE = request_class(1, at.DEDUPLICATED, group="zone", memory=4000 * MS)
+DEDUPLICATED_ALL = request_class(1, at.DEDUPLICATED, group="all", memory=8000 * MS)
+NON_IDEMPOTENT = request_class(2, at.NON_IDEMPOTENT)
 SECOND = 1000 * MS
 
 
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize(
     "on, end, zone, age, allowed",
     [
-        (lane(), "", 1, 10, True),
-        (lane(), at.ERRED, 1, 10, True),
+        (request_class(), "", 1, 10, True),
+        (request_class(), at.ERRED, 1, 10, True),
         (NON_IDEMPOTENT, at.UNCONNECTED, 1, 10, True),
         (NON_IDEMPOTENT, at.REJECTED, 1, 10, True),
         (NON_IDEMPOTENT, at.RESET, 0, 10, False),
@@ -38,7 +38,7 @@
         (DEDUPLICATED_ALL, at.TIMED_OUT, 1, 3800, True),
     ],
 )
-def test_a_second_send_needs_the_lane_to_allow_it(on, end, zone, age, allowed):
+def test_a_second_send_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
     made = balancer([line(1, zone=0), line(2, zone=zone)])
     asked = lookup(on=on, left=30 * SECOND)
     sent(asked, made.members[1], end)
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     "on, end, answer",
     [
-        (lane(), at.TIMED_OUT, "reject"),
+        (request_class(), at.TIMED_OUT, "reject"),
         (DEDUPLICATED_ALL, at.TIMED_OUT, "reject"),
         (DEDUPLICATED_ZONE, at.TIMED_OUT, "abort"),
         (DEDUPLICATED_ZONE, at.REJECTED, "reject"),
@@ -140,15 +140,15 @@
 @pytest.mark.parametrize(
     "told, on, sends, taken, allowed",
     [
-        ((2, 0, at.ON_TRIAL, 0.1), lane(), 1, 0, True),  # free sends
-        ((2, 0, at.ON_TRIAL, 0.1), lane(), 2, 0, False),
-        ((2, 0, at.ON_TRIAL, 0.1), lane(), 2, 10, True),
-        ((2, 0, at.ON_TRIAL, 0.1), lane(), 3, 10, False),
-        ((2, 0, at.ON_TRIAL, 0.0), lane(), 0, 99, False),
-        ((2, 1, at.GOING_BACK, 0.0), lane(), 0, 99, False),
+        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free sends
+        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 0, False),
+        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 10, True),
+        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 3, 10, False),
+        ((2, 0, at.ON_TRIAL, 0.0), request_class(), 0, 99, False),
+        ((2, 1, at.GOING_BACK, 0.0), request_class(), 0, 99, False),
         ((2, 0, at.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
-        ((1, 2, at.RELEASED, 1.0), lane(), 2, 10, True),  # not announced: as in the first stage
-        ((1, 2, at.RELEASED, 1.0), lane(), 3, 10, False),
+        ((1, 2, at.RELEASED, 1.0), request_class(), 2, 10, True),  # not announced: as in the first stage
+        ((1, 2, at.RELEASED, 1.0), request_class(), 3, 10, False),
         ((1, 2, at.RELEASED, 1.0), NON_IDEMPOTENT, 0, 10, False),
         ((2, 0, at.ON_TRIAL, 0.1), NON_IDEMPOTENT, 0, 10, False),  # guarded
         ((2, 1, at.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
@@ -164,9 +164,9 @@
     assert made.may_send(lookup(99, on=on), made.members[3], NOW) is allowed
 
 
-def test_lanes_are_counted_apart_where_told():
+def test_request_classes_are_counted_apart_where_told():
     made = trial()
-    made.per_lane = True
+    made.per_class = True
     made.members[3].build.sent[0] = [NOW] * 2
     assert not made.exposure_left(made.members[3].build, lookup(), NOW)
     assert made.exposure_left(made.members[3].build, lookup(on=DEDUPLICATED_ALL), NOW)
@@ -404,7 +404,9 @@
 )
 def test_the_last_stage_is_voted_on_once_what_was_sent_in_it_was_due_its_answers(goal, cap, after, verdict):
     """Guards against a slow build that is released, where answers take seconds, before one has come."""
-    made = balancer([line(1), line(2, build=2)], [at.Lane(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)])
+    made = balancer(
+        [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)]
+    )
     made.stage_told(NOW, 2, 1, at.ON_TRIAL, cap, 0)
     made.pair_at = NOW
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
@@ -416,8 +418,8 @@
 ])
 def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
     """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
-    lanes = [at.Lane(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
-    made = balancer([line(1), line(2, build=2)], lanes, told=None)
+    request_classes = [at.RequestClass(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
+    made = balancer([line(1), line(2, build=2)], request_classes, told=None)
     made.stage_told(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
     made.pair_at = NOW - 9 * SECOND
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
@@ -474,9 +476,12 @@
     assert chance([(worse, count, usual)]) == pytest.approx(most)
 
 
-def test_a_lane_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_rejected():
-    """Guards against waits of one lane or tenant that drag down limits and costs for others."""
-    on, made, dispatcher = lane(1), balancer([line(1), line(2)], lanes=[lane(), lane(1)]), Dispatcher()
+def test_a_request_class_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_rejected():
+    """Guards against waits of one request class or tenant that drag down limits and costs for others."""
+    on, made, dispatcher = (
+        request_class(1), balancer([line(1), line(2)], request_classes=[request_class(), request_class(1)]),
+        Dispatcher(),
+    )
     for number in range(40):
         for asked, took in ((lookup(number), 100), (lookup(100 + number, on=on), 1500)):
             member = made.members[1 + number % 2]
@@ -592,7 +597,7 @@
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
-    repeated = lane(effect=at.DEDUPLICATED, memory=2000 * MS)
+    repeated = request_class(effect=at.DEDUPLICATED, memory=2000 * MS)
     made, asked = balancer([line(1), line(2)], [repeated]), lookup(on=repeated)
     first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
     last = NOW + 1990 * MS  # two steps are spared
@@ -601,7 +606,7 @@
     assert made.may_begin(last, again) == asked.deadline
 
 
-# ---- rules may give a lookup another lane and key
+# ---- rules may give a lookup another request class and key
 
 
 def ruled(id, asked, given, **more):
@@ -610,9 +615,9 @@
     return made
 
 
-def test_a_cap_by_lane_holds_for_the_lane_asked_and_for_the_lane_given():
-    one, other = lane(0), lane(1)
-    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_lane=True)
+def test_a_cap_by_request_class_holds_for_the_request_class_asked_and_for_the_request_class_given():
+    one, other = request_class(0), request_class(1)
+    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, at.ON_TRIAL, 0.5), release)
     build = made.builds[2]
     for number in range(8):  # so many were taken, asked for as `one` and treated as `other`
@@ -623,7 +628,8 @@
         assert made.exposure_left(build, asked_one, NOW), sends
         sent_now(made, build, asked_one)
     assert not made.exposure_left(build, asked_one, NOW)
-    # What was treated as the other lane lends the lane asked nothing, and the other way round.
+    # What was treated as the other request class lends the request class asked nothing, and the other way
+    # round.
     assert not made.exposure_left(build, ruled(22, one, one), NOW)
     assert not made.exposure_left(build, ruled(23, other, other), NOW)
     for sends in range(2):
@@ -651,9 +657,9 @@
 
 
 def test_without_rules_lookups_are_counted_as_they_were():
-    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_lane=True)
-    made = balancer([line(1)], [lane(0), lane(1)], release=release)
-    made.lookup_arrived(NOW, lookup(1, lane(1)))
+    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_class=True)
+    made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
+    made.lookup_arrived(NOW, lookup(1, request_class(1)))
     assert list(made.taken) == [1]
 
 
@@ -776,9 +782,9 @@
 
 
 @pytest.mark.parametrize("took, waits", [(300, False), (900, True)])
-def test_a_lane_that_waited_is_served_again_after_one_quick_test(took, waits):
-    made = balancer([line(1)], lanes=[lane(0), lane(1)], balancers=200)
-    made.lows[("lane", 1)], made.pace, asked = 0.2, 1.0, lookup()
+def test_a_request_class_that_waited_is_served_again_after_one_quick_test(took, waits):
+    made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
+    made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, lookup()
     for n in range(8):
         made.send_ended(NOW, sent(lookup(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
     assert made.waits(asked)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -117,7 +117,7 @@
     ]
 
 
-def test_check_with_settings_looks_at_lanes(run, tmp_path):
+def test_check_with_settings_looks_at_request_classes(run, tmp_path):
     assert run("rules", "check", "good.cue", "--settings", "config.json").exit_code == 0
     (tmp_path / "lane.cue").write_text(GOOD.replace("buy", "sell"))
     assert run("rules", "check", "lane.cue").exit_code == 0
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -54,8 +54,9 @@
         )
         self.dispatcher.discovery = SimpleNamespace(ask=lambda: None)
         self.dispatcher.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
-        self.balancer, self.lanes = (
-            self.dispatcher.balancer, {lane.number: lane for lane in config.start.lanes}
+        self.balancer, self.request_classes = (
+            self.dispatcher.balancer,
+            {request_class.number: request_class for request_class in config.start.request_classes}
         )
         self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
         self.asked, self.faulty = [], False
@@ -80,13 +81,13 @@
         self.dispatcher.tell(self.dispatcher.lookup_arrived, ask, ask.lookup)
         return ask
 
-    def made(self, lane=0, body=b"BODY"):
+    def made(self, request_class=0, body=b"BODY"):
         id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
         ask = Ask(world=self, words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
-        ask.lookup = at.Lookup(id, self.lanes[lane], 0, id, moment, moment + WAIT)
+        ask.lookup = at.Lookup(id, self.request_classes[request_class], 0, id, moment, moment + WAIT)
         self.asked.append(ask)
         return ask
 
@@ -344,9 +345,9 @@
 
 def test_a_repeat_does_not_begin_past_the_time_for_which_repeats_are_dropped(world, monkeypatch):
     made = world(first := InstanceServer(lambda words: None).start())  # it may have run there
-    made.lanes[1].memory = 10000 * MS
+    made.request_classes[1].memory = 10000 * MS
     halt = Halt(monkeypatch, Connection, "connect", after=True)
-    ask = made.ask(lane=1)
+    ask = made.ask(request_class=1)
     assert halt.reached.wait(60)
     monkeypatch.undo()
     made.list("i1", other := InstanceServer().start())
@@ -371,7 +372,7 @@
 
     monkeypatch.setattr(Connection, "write", fails)
     made.keep_time()
-    ask = made.ask(lane=2)  # it may run only once
+    ask = made.ask(request_class=2)  # it may run only once
     assert made.answered(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
     assert [send.end for send in ask.lookup.sends] == [at.RESET] and made.instances.open == 0
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -124,7 +124,8 @@
 ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
 
 
-SLOW = [{**lane, "Slo": 400_000.0, "GiveUp": 400_000.0} for lane in SETTINGS["Lanes"]]  # nor sent twice
+# nor sent twice
+SLOW = [{**request_class, "Slo": 400_000.0, "GiveUp": 400_000.0} for request_class in SETTINGS["Lanes"]]
 
 
 class Paused:
@@ -612,7 +613,7 @@
     server = Held()
     with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
         late = Late(monkeypatch, ran.dispatcher, "cut_short")
-        client = ran.client().ask(lane="buy").write(b"noise\r\n")
+        client = ran.client().ask(request_class="buy").write(b"noise\r\n")
         assert late.met.wait(60)
         server.go.set()
         assert client.read() == b"aa"
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -120,7 +120,7 @@
 
 # ---- what comes on connections that stay open
 
-STOPS = {"Lanes": [{**lane, "GiveUp": 1500.0} for lane in SETTINGS["Lanes"]]}
+STOPS = {"Lanes": [{**request_class, "GiveUp": 1500.0} for request_class in SETTINGS["Lanes"]]}
 
 
 def refused(port):
@@ -247,7 +247,9 @@
     monkeypatch.setattr(gateways, "time", clock)
     monkeypatch.setattr(gateways.configs, "now", lambda: clock.at * 1e9)
     gateway_server = SimpleNamespace(
-        config=SimpleNamespace(start=SimpleNamespace(lanes=[SimpleNamespace(deadline=longest * 1e9)])),
+        config=SimpleNamespace(
+            start=SimpleNamespace(request_classes=[SimpleNamespace(deadline=longest * 1e9)])
+        ),
         close=lambda: None,
         close_idle=lambda: True,
         closed=threading.Event(),
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -15,7 +15,7 @@
 from lemonlead.matching.rules import RULE_COST
 from lemonlead.standins import expressions
 
-DECLARED = Declared(key=1024, lanes=("fitment", "reserve"))
+DECLARED = Declared(key=1024, request_classes=("fitment", "reserve"))
 ASKED = Asked(
     DECLARED,
     "Q.ASK",
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -23,18 +23,20 @@
 LIMITS = SETTINGS["Limits"]
 
 
-@pytest.mark.parametrize("lane, body", [("look", ()), ("hold", (b"BODY",)), ("buy", (b"\0\r\n" * 9000,))])
-def test_a_lookup_of_each_effect_succeeds_and_is_passed_on_unchanged(tmp_path, lane, body):
+@pytest.mark.parametrize(
+    "request_class, body", [("look", ()), ("hold", (b"BODY",)), ("buy", (b"\0\r\n" * 9000,))]
+)
+def test_a_lookup_of_each_effect_succeeds_and_is_passed_on_unchanged(tmp_path, request_class, body):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         assert ran.client().write(resp.command([b"PING"])).read() == b"PONG"
-        assert ran.client().ask(b"7f3a", lane, body=body, h=5000, r=1).read() == b"7f3a"
+        assert ran.client().ask(b"7f3a", request_class, body=body, h=5000, r=1).read() == b"7f3a"
         (name, key, _, extras, *rest), = server.got
         said = dict(pair.split("=") for pair in extras.decode().split(","))
-        assert (name, key, tuple(rest)) == (b"Q.ASK" if lane == "look" else b"Q.DO", b"7f3a", body)
+        assert (name, key, tuple(rest)) == (b"Q.ASK" if request_class == "look" else b"Q.DO", b"7f3a", body)
         assert 0 < int(said.pop("d")) <= 20000
-        idempotency_key = {"k": "5c"} if lane == "hold" else {}
-        assert said == {"c": lane, "t": "acme", "h": "5000", "r": "1", **idempotency_key}
+        idempotency_key = {"k": "5c"} if request_class == "hold" else {}
+        assert said == {"c": request_class, "t": "acme", "h": "5000", "r": "1", **idempotency_key}
 
 
 def test_pipelined_commands_are_answered_in_their_order(tmp_path):
@@ -113,7 +115,7 @@
 def test_what_cannot_be_read_is_turned_away_soon_though_a_lookup_before_it_waits(tmp_path):
     hold = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: hold.wait(60) and None).start()) as ran:
-        client = ran.client().ask(lane="buy").write(b"noise\r\n")
+        client = ran.client().ask(request_class="buy").write(b"noise\r\n")
         began = time.monotonic()
         assert client.read() == b"ERR aborted" and client.read().startswith(b"ERR ") and client.read() is None
         assert time.monotonic() - began < 3
@@ -140,7 +142,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, lane, ending",
+    "answer, request_class, ending",
     [
         (b"-BUSY\r\n", "look", b"BUSY 62"), (b"-BUSY\r\n", "buy", b"BUSY 62"),  # never ran
         (b"-ERR failed\r\n", "buy", b"ERR aborted"), (b"-ERR failed\r\n", "look", b"BUSY 62"),
@@ -150,7 +152,7 @@
         (b"*3\r\n$5\r\nab", "buy", b"ERR aborted"),  # broken amid the answer
     ],
 )
-def test_what_a_lone_instance_does_decides_how_a_lookup_ends(tmp_path, answer, lane, ending):
+def test_what_a_lone_instance_does_decides_how_a_lookup_ends(tmp_path, answer, request_class, ending):
     server = InstanceServer()
 
     def react(words):
@@ -161,7 +163,7 @@
 
     server.react = react
     with gateway(tmp_path, server.start()) as ran:
-        assert ran.client().ask(lane=lane, wait=15000).read() == ending
+        assert ran.client().ask(request_class=request_class, wait=15000).read() == ending
         assert len(server.got) == 1 or ending == b"BUSY 62"
 
 
@@ -170,17 +172,17 @@
     server = InstanceServer()
     server.close()
     with gateway(tmp_path, server, settings={"Limits": {**LIMITS, "RetryAfter": heeds}}) as ran:
-        assert ran.client().ask(lane="buy").read() == ending
+        assert ran.client().ask(request_class="buy").read() == ending
 
 
 @pytest.mark.parametrize(
-    "lane, ending", [("look", b"BUSY 62"), ("hold", b"BUSY 62"), ("buy", b"ERR aborted")]
+    "request_class, ending", [("look", b"BUSY 62"), ("hold", b"BUSY 62"), ("buy", b"ERR aborted")]
 )
-def test_a_silent_instance_is_waited_for_until_the_deadline(tmp_path, lane, ending):
+def test_a_silent_instance_is_waited_for_until_the_deadline(tmp_path, request_class, ending):
     asked = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: asked.wait(60) and None).start()) as ran:
         began = time.monotonic()
-        assert ran.client().ask(lane=lane, wait=400).read() == ending
+        assert ran.client().ask(request_class=request_class, wait=400).read() == ending
         assert time.monotonic() - began >= 0.39
         until(lambda: ran.counters().get("sends_timed_out") == 1)
         asked.set()
@@ -207,7 +209,7 @@
         plug.setblocking(False)
         plug.connect_ex((host, int(port)))
     with gateway(tmp_path, drained, other, entries=[entry("i0", drained)]) as ran:
-        client = ran.client().ask(lane="buy")
+        client = ran.client().ask(request_class="buy")
         until(lambda: ran.counters().get("connections_made") == 1)
         ran.discovery.tell(entry("i0", drained, "draining"), entry("i1", other))
         until(lambda: ran.counters().get("lists_told", 0) >= 2)
@@ -400,9 +402,9 @@
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
     with gateway(tmp_path, server.start(), limits={"sockets": 60}) as ran:  # 18 clients
-        busy = [ran.client().ask(lane="buy") for _ in range(18)]
+        busy = [ran.client().ask(request_class="buy") for _ in range(18)]
         until(lambda: ran.counters().get("taken") == 18)
-        assert ran.client().ask(lane="buy").read().startswith(b"BUSY")
+        assert ran.client().ask(request_class="buy").read().startswith(b"BUSY")
         hold.set()
         for client in busy:
             client.read()
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -173,7 +173,7 @@
 
 def test_a_goal_that_no_size_meets_is_said_to_be_one_and_why(read):
     found, why = answers.size(read(FLEET.replace("goal: 1200ms", "goal: 50ms")))
-    assert found is None and "lane look" in why
+    assert found is None and "request class look" in why
     assert answers.size(read(), 2) == (None, "no site is left")
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,27 +18,29 @@
 S = 1_000_000_000
 
 
-def lane(number, effect, **more):
-    return at.Lane(number, effect, S, 4 * S, 1.0, **more)
-
-
-LANES = {
-    "fitment": lane(0, at.IDEMPOTENT),
-    "stock": lane(1, at.IDEMPOTENT),
-    "reserve": lane(2, at.DEDUPLICATED, memory=8 * S),
-    "zoned": lane(3, at.DEDUPLICATED, group="zone", memory=8 * S),
-    "short": lane(4, at.DEDUPLICATED, memory=2 * S),
-    "buy": lane(5, at.NON_IDEMPOTENT),
-    "stream": lane(6, at.IDEMPOTENT, streamed=True),
+def request_class(number, effect, **more):
+    return at.RequestClass(number, effect, S, 4 * S, 1.0, **more)
+
+
+REQUEST_CLASSES = {
+    "fitment": request_class(0, at.IDEMPOTENT),
+    "stock": request_class(1, at.IDEMPOTENT),
+    "reserve": request_class(2, at.DEDUPLICATED, memory=8 * S),
+    "zoned": request_class(3, at.DEDUPLICATED, group="zone", memory=8 * S),
+    "short": request_class(4, at.DEDUPLICATED, memory=2 * S),
+    "buy": request_class(5, at.NON_IDEMPOTENT),
+    "stream": request_class(6, at.IDEMPOTENT, streamed=True),
 }
-PLAIN = {name: LANES[name] for name in ("fitment", "stock")}
+PLAIN = {name: REQUEST_CLASSES[name] for name in ("fitment", "stock")}
 CUSTOMERS = ["acme", "others"]
-DECLARED = Declared(lanes=tuple(LANES))
+DECLARED = Declared(request_classes=tuple(REQUEST_CLASSES))
 
 
-def rules(*written, lanes=LANES, tenants=CUSTOMERS, version="1", **more):
+def rules(*written, request_classes=REQUEST_CLASSES, tenants=CUSTOMERS, version="1", **more):
     named = [Written(**{"name": f"r{number}", **one}) for number, one in enumerate(written)]
-    return RuleSet(version, named, lanes, tenants, Declared(lanes=tuple(lanes)), **more)
+    return RuleSet(
+        version, named, request_classes, tenants, Declared(request_classes=tuple(request_classes)), **more
+    )
 
 
 def asked(key=b"north/42", lane="fitment", **more):
@@ -56,11 +58,13 @@
             "labels": {"tier": "gold"},
         },
         {"when": "true", "lane": "'fitment'"},
-        lanes=PLAIN,
+        request_classes=PLAIN,
     )
     given = made.judge(asked())
-    assert (given.rule.name, given.lane, given.key, given.customer) == ("r1", LANES["stock"], b"42", "others")
-    assert made.judge(asked(b"x")).lane is LANES["fitment"]
+    assert (given.rule.name, given.lane, given.key, given.customer) == (
+        "r1", REQUEST_CLASSES["stock"], b"42", "others"
+    )
+    assert made.judge(asked(b"x")).lane is REQUEST_CLASSES["fitment"]
     assert rules({"when": "false"}).judge(asked()) is NOTHING
 
 
@@ -85,7 +89,7 @@
     ],
 )
 def test_an_effect_is_never_weakened(was, becomes, stamped, may):
-    assert may_become(LANES[was], LANES[becomes], stamped) is may
+    assert may_become(REQUEST_CLASSES[was], REQUEST_CLASSES[becomes], stamped) is may
 
 
 @pytest.mark.parametrize(
@@ -107,7 +111,9 @@
         ("lookup.lane == 'fitment'", "lookup.repeat ? 'nothing' : 'fitment'", "no lane 'nothing'"),
     ],
 )
-def test_a_rule_that_could_weaken_an_effect_or_name_no_lane_is_refused_when_it_is_loaded(when, lane, words):
+def test_a_rule_that_could_weaken_an_effect_or_name_no_request_class_is_refused_when_it_is_loaded(
+    when, lane, words
+):
     with pytest.raises(Unfit) as raised:
         rules({"when": when, "lane": lane})
     ((number, part, fault),) = raised.value.faults
@@ -134,7 +140,7 @@
 )
 def test_a_rule_that_keeps_or_strengthens_effects_is_admitted(when, lane):
     made = rules({"when": when, "lane": lane})
-    for name, was in LANES.items():
+    for name, was in REQUEST_CLASSES.items():
         for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
             given = made.judge(asked(lane=name, stamped=stamped))
             assert given.rule is None or may_become(was, given.lane, stamped)
@@ -143,7 +149,7 @@
 def test_what_passes_the_look_when_loaded_is_looked_at_again_for_each_lookup():
     """As though the first look had a hole."""
     made = rules({"when": "lookup.lane == 'reserve'", "lane": "'buy'"}, {"when": "true", "key": "'later'"})
-    made.lanes = {**LANES, "buy": LANES["fitment"]}
+    made.request_classes = {**REQUEST_CLASSES, "buy": REQUEST_CLASSES["fitment"]}
     errors = []
     given = made.judge(
         asked(lane="reserve", stamped=True), errors
@@ -158,11 +164,11 @@
 
     def lane_of(depth):
         if depth == 0 or rng.random() < 0.2:
-            return rng.choice([f"'{name}'" for name in LANES] + ["lookup.lane"])
+            return rng.choice([f"'{name}'" for name in REQUEST_CLASSES] + ["lookup.lane"])
         return f"({test_of(2)} ? {lane_of(depth - 1)} : {lane_of(depth - 1)})"
 
     def test_of(depth):
-        name = f"'{rng.choice(list(LANES))}'"
+        name = f"'{rng.choice(list(REQUEST_CLASSES))}'"
         one = rng.choice(
             [
                 f"lookup.lane == {name}",
@@ -180,7 +186,7 @@
         made = rules({"when": test_of(3), "lane": lane_of(2)})
     except Unfit:
         return
-    for name, was in LANES.items():
+    for name, was in REQUEST_CLASSES.items():
         for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
             for repeat in (True, False):
                 given = made.judge(asked(lane=name, stamped=stamped, repeat=repeat), errors := [])
@@ -238,12 +244,14 @@
         rules(*dear)
 
 
-@pytest.mark.parametrize("key, lane", [(b"\xff", None), (b"k" * 2000, None), (b"1/0", LANES["stock"])])
+@pytest.mark.parametrize(
+    "key, lane", [(b"\xff", None), (b"k" * 2000, None), (b"1/0", REQUEST_CLASSES["stock"])]
+)
 def test_a_rule_that_errs_does_not_match_and_is_told_of(key, lane):
     made = rules(
         {"when": "!(1 / int(lookup.key.split('/', 2)[1]) <= 0)"},
         {"when": "lookup.key.startsWith('1')", "lane": "'stock'"},
-        lanes=PLAIN,
+        request_classes=PLAIN,
     )
     errors = []
     assert made.judge(asked(key), errors).lane is lane
@@ -304,7 +312,7 @@
     for _ in range(40):
         one = asked(
             rng.choice((f"k{rng.randrange(14)}".encode(), b"", b"\xff", b"x" * 2000)),
-            rng.choice(list(LANES)),
+            rng.choice(list(REQUEST_CLASSES)),
             customer=rng.choice(("acme", "k3", "k11")),
             body_size=rng.randrange(15),
             wait=rng.randrange(12) * S,
@@ -378,11 +386,11 @@
 
 def test_differences_of_a_set_on_trial_are_counted_by_rule():
     made = standing(
-        rules({"when": "true", "lane": "'stock'"}, lanes=PLAIN),
+        rules({"when": "true", "lane": "'stock'"}, request_classes=PLAIN),
         rules(
             {"when": "lookup.customer == 'acme'", "lane": "'stock'", "name": "alike"},
             {"when": "true"},
-            lanes=PLAIN,
+            request_classes=PLAIN,
         ),
     )
     for customer in ("acme", "others"):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -15,7 +15,7 @@
 import pytest
 import test_following
 import test_moves
-from helpers import MS, NOW, lane
+from helpers import MS, NOW, request_class
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
@@ -66,7 +66,10 @@
         self.now, self.rng, self.events, self.turns = NOW, random.Random(seed), [], count()
         self.works = works or (lambda id, rng: (at.SUCCEEDED, int(30 * MS * rng.lognormvariate(0, 0.3))))
         self.sends, self.votes, self.real, self.asked = [], [], [], []
-        told = dict(lanes=[lane()], release=release(), sends_cap=4, may_duplicate=True, may_cancel=True)
+        told = dict(
+            request_classes=[request_class()], release=release(), sends_cap=4, may_duplicate=True,
+            may_cancel=True,
+        )
         start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
         self.config = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
@@ -162,7 +165,7 @@
         self.clocked(self.dispatcher.tell, self.dispatcher.stage_told, number, stage, phase, cap, 0)
 
     def ask(self, number):
-        only, until = self.config.start.lanes[0], self.now + 4 * SECOND
+        only, until = self.config.start.request_classes[0], self.now + 4 * SECOND
         lookup = at.Lookup(number, only, 0, number, self.now, until, 20 * MS)
         ask = SimpleNamespace(client=SimpleNamespace(flush=lambda: None), words=[b""] * 4, answer=None)
         self.asked.append(ask)
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -229,7 +229,7 @@
         assert "all/once:5" in line and "differs:5" in line
 
 
-def test_a_lane_of_rules_is_told_to_nobody_that_does_not_ask(tmp_path):
+def test_a_request_class_of_rules_is_told_to_nobody_that_does_not_ask(tmp_path):
     """Off: nothing of the rules is imported, and nothing of theirs is logged."""
     server = InstanceServer(lambda words: gives(words[1]))
     with gateway(tmp_path, server.start()) as ran:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -17,7 +17,7 @@
 
 import pytest
 from days import Day, S
-from helpers import MS, NOW, Dispatcher, balancer, lane, line, lookup, sent
+from helpers import MS, NOW, Dispatcher, balancer, request_class, line, lookup, sent
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
@@ -336,7 +336,7 @@
     assert day.pressed() < 1
 
 
-# ---- what each lane and tenant gets of what a policy serves that sees the true state late
+# ---- what each request class and tenant gets of what a policy serves that sees the true state late
 
 CROWD = """
 kinds: {fast: {cores: 3, slots: 70}, slow: {cores: 3, speed: 0.6, slots: 70}}
@@ -356,29 +356,41 @@
 
 
 def crowd(starved=None):
-    """A fleet that its usual load fills; one lane has a twentieth of the lookups, a fifth of the revenue."""
-    shares = {lane: 0.05 if lane == starved else 0.95 / 3 if starved else 0.25 for lane in WORK}
-    rate = 2 * (3 + 3 * 0.6) / sum(shares[lane] * work for lane, work in WORK.items())
-    load = "{" + ", ".join(f"{lane}: {share * rate:.2f}" for lane, share in shares.items()) + "}"
+    """A fleet that its usual load fills; one request class has a twentieth of the lookups, a fifth of the
+    revenue."""
+    shares = {
+        request_class: 0.05 if request_class == starved else 0.95 / 3 if starved else 0.25
+        for request_class in WORK
+    }
+    rate = 2 * (3 + 3 * 0.6) / sum(shares[request_class] * work for request_class, work in WORK.items())
+    load = (
+        "{" + ", ".join(f"{request_class}: {share * rate:.2f}" for request_class, share in shares.items())
+        + "}"
+    )
     return re.sub(rf"(\t{starved}: .*revenue:) 2.0", r"\1 0.4", CROWD.replace("LOAD", load))
 
 
 @pytest.fixture(scope="module", params=WORK)
 def starved(request, tmp_path_factory):
-    """Which lane is starved; a long day with bursts as the balancers and as the late-seeing policy serve it.
-    The last tenant makes up most of the load and is far past its share."""
+    """Which request class is starved; a long day with bursts as the balancers and as the late-seeing policy
+    serve it. The last tenant makes up most of the load and is far past its share."""
     (path := tmp_path_factory.mktemp("fleet") / "fleet.cue").write_text(crowd(request.param))
     rules = dict(length=24, burst=1.3, weights=(0.05, 0.05, 0.2, 0.7))
     days = [Day(fleet.read(path), 2, late=late, **rules).played_out() for late in (False, True)]
     return list(WORK).index(request.param), *days
 
 
-def test_the_lane_of_least_revenue_and_all_others_get_their_half_in_each_third_of_a_long_day(starved):
+def test_the_request_class_of_least_revenue_and_all_others_get_their_half_in_each_third_of_a_long_day(
+    starved
+):
     number, ours, seer = starved
     for third in (None, 0, 1, 2):
-        for lanes in (None, *range(4)):
-            assert ours.share("lane", lanes, third) >= 0.5 * seer.share("lane", lanes, third) > 0.15
-    assert 0.03 < sum(seer.asked["lane", number, n] for n in range(3)) / sum(seer.asked.values()) * 2 < 0.07
+        for request_classes in (None, *range(4)):
+            assert (
+                ours.share("class", request_classes, third)
+                >= 0.5 * seer.share("class", request_classes, third) > 0.15
+            )
+    assert 0.03 < sum(seer.asked["class", number, n] for n in range(3)) / sum(seer.asked.values()) * 2 < 0.07
 
 
 def test_each_tenant_inside_its_share_gets_its_third_while_another_floods(starved):
@@ -388,11 +400,13 @@
 
 
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
-def test_however_little_a_lane_earns_it_is_let_in_half_as_often_as_the_mean(pace):
-    lanes = [at.Lane(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))]
-    made = balancer([line(1)], lanes=lanes, balancers=200)
+def test_however_little_a_request_class_earns_it_is_let_in_half_as_often_as_the_mean(pace):
+    request_classes = [
+        at.RequestClass(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))
+    ]
+    made = balancer([line(1)], request_classes=request_classes, balancers=200)
     made.pace, let_in = pace, []
-    for on in lanes:
+    for on in request_classes:
         let_in.append(sum(not made.sheds(lookup(on=on), NOW) for _ in range(5000)))
     assert let_in[0] >= 0.48 * let_in[1] and let_in[0] < let_in[1] < let_in[2]
 
@@ -403,8 +417,8 @@
 @pytest.mark.parametrize("effect", [at.IDEMPOTENT, at.DEDUPLICATED, at.NON_IDEMPOTENT])
 @pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
 def test_what_no_instance_was_sent_is_refused_never_failed(effect, ends):
-    on, dispatcher = lane(effect=effect, group="zone"), Dispatcher()
-    made = balancer([line(1)], lanes=[on])
+    on, dispatcher = request_class(effect=effect, group="zone"), Dispatcher()
+    made = balancer([line(1)], request_classes=[on])
     asked = lookup(on=on)
     for end in ends:
         sent(asked, made.members[1], end)
@@ -414,7 +428,9 @@
 
 @pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
 def test_the_gateway_counts_what_it_answers_as_failed_and_never_sent(ends, counted):
-    made = DispatcherOfGateway(at.Start(now=NOW, seed=1, lanes=[lane()]), Quiet(), Counters())
+    made = DispatcherOfGateway(
+        at.Start(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
+    )
     asked = lookup()
     asked.sends = [at.Send(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
