--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's CPU a lookup and memory, in ratios of one run: without rules, with sets of rules, with one on
+"""A gateway's CPU a request and memory, in ratios of one run: without rules, with sets of rules, with one on
 trial beside, and as an earlier revision had it. `python -m benchmarks.gateway [--base REV] [--lookups N]`; a
 few minutes.
 
@@ -45,7 +45,7 @@
     return (int(fields[11]) + int(fields[12])) / TICK, int(rss)
 
 
-def play(lookups, **more):
+def play(requests, **more):
     server = InstanceServer()
     with tempfile.TemporaryDirectory() as folder, fleet.gateway(Path(folder), server.start(), **more) as ran:
         os.sched_setaffinity(ran.process.pid, GATEWAY)
@@ -56,11 +56,11 @@
             client.ask(h=1000).read()
         time.sleep(0.5)
         before, resting = used(ran.process.pid)
-        for _ in range(lookups):
+        for _ in range(requests):
             client.ask(os.urandom(4).hex().encode(), h=1000).read()
         after, _ = used(ran.process.pid)
-        until(lambda: ran.counters()["taken"] == lookups + 200)
-        return (after - before) / lookups * 1e6, resting / 1024
+        until(lambda: ran.counters()["taken"] == requests + 200)
+        return (after - before) / requests * 1e6, resting / 1024
 
 
 def main():
--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -1,7 +1,7 @@
-"""Rules over lookups, measured by ratios of one run. `python -m benchmarks.matching [--json]`; about a
+"""Rules over requests, measured by ratios of one run. `python -m benchmarks.matching [--json]`; about a
 minute.
 
-1. Time by cost: of every admitted hostile and drawn expression on the dearest lookups, in steps of this run.
+1. Time by cost: of every admitted hostile and drawn expression on the dearest requests, in steps of this run.
 2. Ways to run an expression: closures, the code object, and parsing it anew each time.
 3. The index against the plain order at 10 to 10,000 rules, and its parts against plain ways to do the
 same."""
--- a/benchmarks/whole.py
+++ b/benchmarks/whole.py
@@ -1,5 +1,5 @@
 """Everything at once, for long: two clusters, gateways that follow, nodes that are drained in turn, a service
-that moves there and back, lookups and commands under way; and members that are killed (every other time with
+that moves there and back, requests and commands under way; and members that are killed (every other time with
 the folder wiped), paused and cut off, one trouble after the other.
 
 python -m benchmarks.whole --kills 200 --seed 1 [--gateways 2] [--nodes 6] [--only kill,wipe] [--folder DIR]
@@ -228,7 +228,7 @@
         told = {"kind": "reserve", "reservation": "front", "service": "front", "units": 6, "site": "here"}
         assert louis.done(id="front", **told)[0] == 200
         all_.serve().operate(count=2).operate(count=2, cluster=ebene)
-        all_.wait_lookups(50)
+        all_.wait_requests(50)
         troubles = Troubles(all_, arguments.seed, arguments.only.split(","))
         work, began = Work(all_), time.monotonic()
         work.start()
@@ -251,7 +251,7 @@
         rows = [[f"trouble: {what}", count] for what, count in sorted(troubles.counts.items())]
         rows += [["processes killed", killed], ["seconds", round(time.monotonic() - began)]]
         rows += [[what, count] for what, count in sorted(work.counts.items())]
-        rows += [[f"lookups {what}", count] for what, count in sorted(all_.counts().items())]
+        rows += [[f"requests {what}", count] for what, count in sorted(all_.counts().items())]
         rows += [["commands acknowledged", all_.acknowledged()]]
         for what, gaps in sorted(troubles.gaps.items()):
             rows.append(
--- a/lemonlead/__init__.py
+++ b/lemonlead/__init__.py
@@ -1,1 +1,1 @@
-"""lemonlead: a lookup router and release judge."""
+"""lemonlead: a request router and release judge."""
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -1,4 +1,4 @@
-"""Every decision of a balancer: where a lookup goes, what becomes of it, and how a build is voted on.
+"""Every decision of a balancer: where a request goes, what becomes of it, and how a build is voted on.
 
 The host makes one `Balancer` a gateway from what is told at start and reports what happens by the "inputs",
 which only update what is known. It then calls `decide(now, door)` until that returns False: each makes one
@@ -23,15 +23,15 @@
 PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # a pair stays open for so long, and until each build has as many
 WARM_UP = 1000 * MS  # pairs start once each machine on trial has run for this long
 TOLERANCE, SERVICE_TOLERANCE, ERROR_TOLERANCE = 1.0, 0.5, 0.02  # a breach is worse by more than this
-USUAL = 6  # an unhinted lookup's work goes so often into its objective
+USUAL = 6  # an unhinted request's work goes so often into its objective
 LOOKS, FLAGS = 8, 3  # looks at thin evidence a trial; wrong answers that send back, at twice the usual rate
 PACE_AGE = 2000 * MS  # what is known of how long answers take is no older than this
 STEEP = 2  # shed by so many times what is past the next
 LEAST = 0.5  # of the mean revenue: none is shed by less, so that it is let in half as often as at the mean
-EASY = 0.45  # the share of its objective that a lookup may take on average before some are rejected
+EASY = 0.45  # the share of its objective that a request may take on average before some are rejected
 OVERDUE = 2.5  # times what its work usually takes; one answer in twenty or thirty is later
 LOST = 4  # a zone and kind costs so much more when all that was sent there of late was lost on the way
-RESCUES = 0.1  # second copies (or resends of what is slow) a lookup taken, so that a jam is not fed
+RESCUES = 0.1  # second copies (or resends of what is slow) a request taken, so that a jam is not fed
 NEAR = 24  # instances that a balancer keeps to, or as many as it sends to eight times before an unused
 # connection closes: its own stretch of a ring of all; past them only if none of them is fit
 GOLDEN = 0.618034  # stretches that start at the multiples of this, modulo 1, cover the ring evenly
@@ -68,19 +68,19 @@
         self.chance = max(max(release.back_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
         self.vote_wait = release.answer_time + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
         self.members, self.groups = {}, {}  # by id, by zone and kind
-        # The members in the order in which this balancer uses them, and the time between lookups, smoothed.
+        # The members in the order in which this balancer uses them, and the time between requests, smoothed.
         self.ring, self.start_at, self.gap, self.last = [], start.me * GOLDEN % 1.0, 1e9, start.now
         # The build of the last news; the one on trial that has machines; the one that votes can still move.
         self.told = self.trial = self.judged = None
         self.like = set()  # kinds of machine that run it and the earlier build, where there are any
-        self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of lookups; the work let in
-        self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)  # of a lookup taken
+        self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of requests; the work let in
+        self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)  # of a request taken
         self.paced_at = start.now
         self.pace, self.rescues = 0.0, 5.0  # time to answer by objective, smoothed; what RESCUES left over
         # Of each class and tenant: last times by objective; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
-        self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # lookups, lines, wakes
-        self.most_wakes = 1000  # past it those of lookups that are over go
+        self.due, self.notes, self.wakes, self.turns = deque(), deque(), [], count()  # requests, lines, wakes
+        self.most_wakes = 1000  # past it those of requests that are over go
         # The more start together, the longer they spread their first call for the list.
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.ask_within // 2 or 2000 * MS)
         first = start.now + int(self.rng.random() * spread)
@@ -117,13 +117,13 @@
         longest = min(900 * MS, 2 * self.ask_within or 900 * MS)  # a call that failed holds for four times
         self.ask_at = now + int(self.rng.uniform(longest / 3, longest))
 
-    def lookup_arrived(self, now, lookup):
-        self.wake(lookup.deadline, lookup)  # first of all: it ends then, also if a decision on it fails
-        lookup.work = lookup.work or int(self.class_work[lookup.request_class.number])
-        for counted in self.counts_of(lookup):
+    def request_arrived(self, now, request):
+        self.wake(request.deadline, request)  # first of all: it ends then, also if a decision on it fails
+        request.work = request.work or int(self.class_work[request.request_class.number])
+        for counted in self.counts_of(request):
             self.taken.setdefault(counted, deque()).append(now)
             recent(self.taken[counted], now - self.taken_window)
-        self.mean_work += 0.01 * (lookup.work - self.mean_work)
+        self.mean_work += 0.01 * (request.work - self.mean_work)
         self.gap, self.last = self.gap + 0.05 * (now - self.last - self.gap), now
         self.rescues = min(self.rescues + RESCUES * (1 - self.pace * self.blind), 20.0)
         if self.trial is not None:
@@ -131,22 +131,22 @@
             able = [(m, self.able(m, now) / (m.group.slowness or 1.0)) for m in self.members.values()]
             self.share = sum(can for m, can in able if m.build is self.trial) / sum(can for _, can in able)
             self.trial.credit = min(self.trial.credit + self.share, 2.0)
-        self.due.append(lookup)
+        self.due.append(request)
 
-    def lookup_left(self, now, lookup):
-        lookup.over = True  # also once its answer streams: the end is the client's then
+    def request_left(self, now, request):
+        request.over = True  # also once its answer streams: the end is the client's then
 
     def send_ended(self, now, send, end, took, over, report):
         send.end = end
-        member, lookup, class_ = send.instance, send.lookup, send.lookup.request_class
+        member, request, class_ = send.instance, send.request, send.request.request_class
         written_off = member.out.pop(send, send) is not None
-        member.held -= 0 if written_off else lookup.work
-        lookup.over = lookup.over or over
-        self.due.extend([] if lookup.over else [lookup])
-        number, objective, waits = class_.number, max(class_.latency_objective, 1), self.waits(lookup)
+        member.held -= 0 if written_off else request.work
+        request.over = request.over or over
+        self.due.extend([] if request.over else [request])
+        number, objective, waits = class_.number, max(class_.latency_objective, 1), self.waits(request)
         slow, answered = took > objective, end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
-            for kind in kinds_of(lookup):
+            for kind in kinds_of(request):
                 times = self.times.setdefault(kind, deque(maxlen=WAITS))
                 if took < 0.4 * objective and self.lows.get(kind, 0.0) > 0.8:
                     times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
@@ -171,11 +171,11 @@
             # late answer makes no overload.
             part, aged, self.paced_at = min(spent / objective, 2.0), (now - self.paced_at) / PACE_AGE, now
             self.pace += (min(max(aged, 0.1), 1.0) if part < self.pace else 0.1) * (part - self.pace)
-            ratio = spent / max(lookup.work, 1)
-            say = min(lookup.work / self.mean_work, 1) ** (1 - self.blind)
+            ratio = spent / max(request.work, 1)
+            say = min(request.work / self.mean_work, 1) ** (1 - self.blind)
             for known, rate in ((member.group, 0.1), (member, 0.15)):  # a light one that queued says little
                 known.slowness += rate * say * (ratio - known.slowness) if known.slowness else ratio
-            self.class_work[number] += 0.01 * (lookup.work - self.class_work[number])
+            self.class_work[number] += 0.01 * (request.work - self.class_work[number])
         # Guards against queues, whatever fills them. The floor is for slow but idle machines.
         if end == REJECTED or not waits and member.slowness * self.class_work[number] > objective / 2.5:
             if now - member.cut_at > 200 * MS:  # one jam cuts once; what is told of times is in the ratios
@@ -185,13 +185,13 @@
         if end == SUCCEEDED:
             member.build.answers, group = member.build.answers + 1, member.group
             group.took = smoothed(group.took, took, 0.05)
-            group.work = smoothed(group.work, max(lookup.work, 1), 0.05)
-        if end == SUCCEEDED and self.forward_only and lookup.key:
-            member.build.keys.update({lookup.key, lookup.asked_key or lookup.key})
+            group.work = smoothed(group.work, max(request.work, 1), 0.05)
+        if end == SUCCEEDED and self.forward_only and request.key:
+            member.build.keys.update({request.key, request.asked_key or request.key})
         # Answers are the build's, and what was waited for in vain while others got theirs; the path is not.
         theirs = end in (SUCCEEDED, ERRED) or slow and not over and (self.blind > 0.5 or not silent)
         if self.pair_at is not None and not waits and theirs:
-            self.note_outcome(now, member, lookup, end, took)
+            self.note_outcome(now, member, request, end, took)
         if service := report.get("svc_ms"):
             member.service = smoothed(member.service, service, 0.3)
             if self.trial is None:
@@ -200,7 +200,7 @@
     def strike(self, member, now, weight):
         """Guards against the dead, silent or cut off; one reset is no sign. It could harm slow connects."""
         member.strikes += weight
-        # Of the network and of restarts, not of lookups: whatever their deadlines, it is tried again in 3 s.
+        # Of the network and of restarts, not of requests: whatever their deadlines, it is tried again in 3 s.
         wait = min(250 * MS << min(int(member.strikes), 4), 3000 * MS) if member.strikes >= 1 else 0
         member.shunned_until = now + int(wait * self.rng.uniform(0.7, 1.0))
 
@@ -251,91 +251,91 @@
         if look and self.cast_vote(now, door):
             return True
         while self.due:
-            if not (lookup := self.due.popleft()).over and self.settle(lookup, now, door):
+            if not (request := self.due.popleft()).over and self.settle(request, now, door):
                 return True
         return False
 
-    def settle(self, lookup, now, door):
-        out = [send for send in lookup.sends if not send.end]
-        if out and now < lookup.deadline:
-            return self.rescue(lookup, out, now, door)
-        # Guards against the jam in which each lookup is turned away at many full machines.
-        spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in lookup.sends[-1:])
-        if spent or now == lookup.arrived and self.sheds(lookup, now) or now >= lookup.deadline:
-            return self.give_up(lookup, door)
-        self.work_in += lookup.work if now == lookup.arrived else 0
-        if (member := self.choose(lookup, now)) is not None:
-            return self.send(lookup, member, now, door)
-        class_ = lookup.request_class
+    def settle(self, request, now, door):
+        out = [send for send in request.sends if not send.end]
+        if out and now < request.deadline:
+            return self.rescue(request, out, now, door)
+        # Guards against the jam in which each request is turned away at many full machines.
+        spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in request.sends[-1:])
+        if spent or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
+            return self.give_up(request, door)
+        self.work_in += request.work if now == request.arrived else 0
+        if (member := self.choose(request, now)) is not None:
+            return self.send(request, member, now, door)
+        class_ = request.request_class
         wait = int(class_.latency_objective / 8 * min(class_.revenue / self.mean_revenue, 1.0))
-        if now >= lookup.arrived + wait or len(lookup.sends) >= self.sends_cap:
-            return self.give_up(lookup, door)
-        until = min(lookup.arrived + wait, lookup.deadline)  # the longer, the seldomer it is looked at
-        self.wake(min(until, now + max(TICK // 4, (until - lookup.arrived) // 32)), lookup)
+        if now >= request.arrived + wait or len(request.sends) >= self.sends_cap:
+            return self.give_up(request, door)
+        until = min(request.arrived + wait, request.deadline)  # the longer, the seldomer it is looked at
+        self.wake(min(until, now + max(TICK // 4, (until - request.arrived) // 32)), request)
         return False
 
-    def send(self, lookup, member, now, door):
-        self.rescues -= any(send.end == REJECTED for send in lookup.sends[-1:])
-        send = Send(lookup, len(lookup.sends), member, now)
-        lookup.sends.append(send)
+    def send(self, request, member, now, door):
+        self.rescues -= any(send.end == REJECTED for send in request.sends[-1:])
+        send = Send(request, len(request.sends), member, now)
+        request.sends.append(send)
         member.heard_at = member.heard_at if member.out else now
         member.out[send] = None
-        member.held += lookup.work
+        member.held += request.work
         if self.on_trial(member.build):
             send.counted = now
-            for counted in self.counts_of(lookup):
+            for counted in self.counts_of(request):
                 member.build.sent.setdefault(counted, deque()).append(now)
             member.build.credit = max(member.build.credit - 1.0, -3.0)
-        member.cold_from, member.cold_due = self.work_in, lookup.work * len(self.members)
-        door.send(lookup, member.id, lookup.deadline - now)
-        self.wake(self.overdue_at(send), lookup)
+        member.cold_from, member.cold_due = self.work_in, request.work * len(self.members)
+        door.send(request, member.id, request.deadline - now)
+        self.wake(self.overdue_at(send), request)
         return True
 
-    def rescue(self, lookup, out, now, door):
-        """Guards against machines that are silent, stalled or jammed, or lose lookups; in a jam of all the
+    def rescue(self, request, out, now, door):
+        """Guards against machines that are silent, stalled or jammed, or lose requests; in a jam of all the
         budget binds. What later ones overtook is lost and free; it could begin a heavy one twice."""
         last, member = out[-1], out[-1].instance
-        if now < self.overdue_at(last) or self.waits(lookup):
+        if now < self.overdue_at(last) or self.waits(request):
             return False
         lost, silent = member.newest > last.at, member.heard_at <= last.at
         if (lost or silent) and member.out.pop(last, last) is None:  # written off: it holds no place there
-            member.held -= lookup.work
+            member.held -= request.work
             self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
             if silent:  # its answer may still come and clear this; with few sends it tells most
                 member.group.lost += 0.2 * (1 - member.group.lost)
-                pause = int((lookup.deadline - now) * self.blind)
+                pause = int((request.deadline - now) * self.blind)
                 member.shunned_until = max(member.shunned_until, now + pause)
         if not lost and (len(out) > 1 or self.rescues < 1):
             return False
-        if self.may_duplicate and (other := self.choose(lookup, now)) is not None:
+        if self.may_duplicate and (other := self.choose(request, now)) is not None:
             self.rescues -= not lost
-            return self.send(lookup, other, now, door)
-        barred = self.may_duplicate or not self.may_cancel or lookup.request_class.effect != IDEMPOTENT
+            return self.send(request, other, now, door)
+        barred = self.may_duplicate or not self.may_cancel or request.request_class.effect != IDEMPOTENT
         if barred or not (lost or silent):
             return False
         self.rescues -= 1
         door.cancel(last)
         return True
 
-    def overdue_at(self, send):  # by what its work takes, too: a heavy lookup is not begun twice
-        lookup, group = send.lookup, send.instance.group  # half of it is waiting, heavy or light
-        usual = group.took * (1 + lookup.work / group.work) / 2 if group.work else lookup.work
-        return send.at + max(lookup.request_class.latency_objective // 2, int(OVERDUE * usual))
+    def overdue_at(self, send):  # by what its work takes, too: a heavy request is not begun twice
+        request, group = send.request, send.instance.group  # half of it is waiting, heavy or light
+        usual = group.took * (1 + request.work / group.work) / 2 if group.work else request.work
+        return send.at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
 
-    def give_up(self, lookup, door):
-        lookup.over, class_, ends = True, lookup.request_class, {s.end for s in lookup.sends}
+    def give_up(self, request, door):
+        request.over, class_, ends = True, request.request_class, {s.end for s in request.sends}
         alone = class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.group != "all"
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
-            door.abort(lookup)
+            door.abort(request)
         else:
-            door.reject(lookup, min(self.retry_after_cap, class_.latency_objective // 16))
+            door.reject(request, min(self.retry_after_cap, class_.latency_objective // 16))
         return True
 
     # ---- where to
 
-    def choose(self, lookup, now, whole=False):
+    def choose(self, request, now, whole=False):
         """The instance that costs least, untried before tried, of the build that is due a send first."""
-        tried = [send.instance for send in lookup.sends]
+        tried = [send.instance for send in request.sends]
         due = self.trial is not None and self.trial.credit >= 1 and not self.trial.bad
         trial = {build for build in self.builds.values() if self.on_trial(build)}
         pool = [m for m in self.ring if whole or (m.build in trial) is due]
@@ -347,30 +347,30 @@
             pool = [m for m in pool if now >= m.shunned_until][:near]
         best = least = None
         for member in pool:
-            rank = (member in tried, (member.build in trial) is not due, self.cost(member, lookup, now))
-            better = (best is None or rank < least) and self.usable(member, lookup, now)
-            if better and self.may_send(lookup, member, now):
+            rank = (member in tried, (member.build in trial) is not due, self.cost(member, request, now))
+            better = (best is None or rank < least) and self.usable(member, request, now)
+            if better and self.may_send(request, member, now):
                 best, least = member, rank
-        return best or (None if whole else self.choose(lookup, now, True))
+        return best or (None if whole else self.choose(request, now, True))
 
-    def sheds(self, lookup, now):
+    def sheds(self, request, now):
         """Where many share a machine, none can bound its queue: as answers take longer, each rejects more
         of its own, the lowest revenue first. It could reject what has room elsewhere."""
-        if self.waits(lookup):  # it would only fill slots; one in two objectives shows when that ends
-            kinds, pause = kinds_of(lookup), 2 * lookup.request_class.latency_objective
+        if self.waits(request):  # it would only fill slots; one in two objectives shows when that ends
+            kinds, pause = kinds_of(request), 2 * request.request_class.latency_objective
             if now < max(self.tested.get(kind, 0) for kind in kinds) + pause:
                 return True
             self.tested.update(dict.fromkeys(kinds, now))
         excess = min(STEEP * (self.pace - EASY), 0.9) * self.blind
-        weight = max(lookup.request_class.revenue / self.mean_revenue, LEAST)
+        weight = max(request.request_class.revenue / self.mean_revenue, LEAST)
         return excess > 0 and self.rng.random() < excess**weight
 
-    def waits(self, lookup):
+    def waits(self, request):
         """Whether its class or tenant alone waits at all machines: this tells nothing of them or a build."""
-        theirs = max(self.lows.get(kind, 0.0) for kind in kinds_of(lookup))
+        theirs = max(self.lows.get(kind, 0.0) for kind in kinds_of(request))
         return theirs > 0.8 and min(self.lows.values()) < 0.4
 
-    def cost(self, member, lookup, now):
+    def cost(self, member, request, now):
         """Time to answer by what is out; old figures yield to the group's; the blinder, the more chance. Few
         sends of one's own tell of a lost zone sooner than of each of its instances."""
         slowness = member.group.slowness or 1.0
@@ -379,23 +379,23 @@
         across = 1.0 if member.zone == self.zone else self.across
         chance = self.rng.uniform(0.9, 1.1) * self.rng.expovariate(1.0) ** (self.blind / 2)
         lost = 1 + LOST * member.group.lost
-        return lost * slowness * (lookup.work + member.held) * across * chance / self.warmth(member, now)
+        return lost * slowness * (request.work + member.held) * across * chance / self.warmth(member, now)
 
-    def usable(self, member, lookup, now):
+    def usable(self, member, request, now):
         barred = member.held >= member.limit * self.mean_work or now < member.shunned_until
-        class_ = lookup.request_class
+        class_ = request.request_class
         spoilt = member.build.bad and (class_.effect != IDEMPOTENT or self.share < 0.5)
         if barred or spoilt or member.strikes >= 1 and (member.out or class_.effect == NON_IDEMPOTENT):
             return False
         quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
         return quiet <= max(4 * (member.group.slowness or 2.0) * self.class_work[class_.number], 300 * MS)
 
-    def may_send(self, lookup, member, now):
+    def may_send(self, request, member, now):
         """The rules. Every send passes here, whatever asked for it."""
-        if not member.ready or now >= lookup.deadline or len(lookup.sends) >= self.sends_cap:
+        if not member.ready or now >= request.deadline or len(request.sends) >= self.sends_cap:
             return False
-        class_ = lookup.request_class
-        ran = [send for send in lookup.sends if send.end not in NEVER_RAN]
+        class_ = request.request_class
+        ran = [send for send in request.sends if send.end not in NEVER_RAN]
         if ran and class_.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran):
             return False
         if ran and class_.effect == DEDUPLICATED:
@@ -405,43 +405,43 @@
                 return False
         if (can := self.able(member, now)) < 1 and (self.work_in - member.cold_from) * can < member.cold_due:
             return False
-        if self.goes_back(lookup, member):
+        if self.goes_back(request, member):
             return False
-        return not self.on_trial(member.build) or self.exposure_left(member.build, lookup, now)
+        return not self.on_trial(member.build) or self.exposure_left(member.build, request, now)
 
     def may_begin(self, now, send):
         """Asked before the first byte of a send, by a host whose sends may wait for a connection: until when
         its last byte has to be written, 0 if it may not begin."""
-        lookup, member, by = send.lookup, send.instance, send.lookup.deadline
-        ran = [other for other in lookup.sends if other is not send and other.end not in NEVER_RAN]
-        if ran and lookup.request_class.effect == DEDUPLICATED:
+        request, member, by = send.request, send.instance, send.request.deadline
+        ran = [other for other in request.sends if other is not send and other.end not in NEVER_RAN]
+        if ran and request.request_class.effect == DEDUPLICATED:
             by = min(by, self.repeated_by(ran))
-        fit = not lookup.over and now < by and self.members.get(member.id) is member
-        fit = fit and not self.goes_back(lookup, member)
+        fit = not request.over and now < by and self.members.get(member.id) is member
+        fit = fit and not self.goes_back(request, member)
         if fit and self.on_trial(member.build):  # it counts from now on, as it may have waited past a window
-            sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(lookup)]
+            sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(request)]
             for times in [times for times in sent if send.counted in times]:
                 times.remove(send.counted)
-            if (fit := self.exposure_left(member.build, lookup, now)):
+            if (fit := self.exposure_left(member.build, request, now)):
                 send.counted = now
                 for times in sent:
                     times.append(now)
         return by if fit else 0
 
-    def goes_back(self, lookup, member):  # keys are kept only where they bind
-        told, keys = self.told, (lookup.key, lookup.asked_key)
+    def goes_back(self, request, member):  # keys are kept only where they bind
+        told, keys = self.told, (request.key, request.asked_key)
         older = told is not None and member.build.number < told.number and told.phase in (ON_TRIAL, RELEASED)
         return older and not told.keys.isdisjoint(keys)
 
     def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
-        return ran[0].at + ran[0].lookup.request_class.memory - self.spare
+        return ran[0].at + ran[0].request.request_class.memory - self.spare
 
-    def exposure_left(self, build, lookup, now):
-        """The window is a little wider for sends than for lookups. A lower cap binds at once."""
+    def exposure_left(self, build, request, now):
+        """The window is a little wider for sends than for requests. A lower cap binds at once."""
         stage = build.stage if build is self.told else 0
-        if build.cap <= 0 or (stage < self.guarded_stages and lookup.request_class.effect != IDEMPOTENT):
+        if build.cap <= 0 or (stage < self.guarded_stages and request.request_class.effect != IDEMPOTENT):
             return False
-        for counted in self.counts_of(lookup):
+        for counted in self.counts_of(request):
             sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
             taken = recent(self.taken.get(counted, ()), now - self.taken_window)
             if sent + 1 > self.free_sends + build.cap * taken:
@@ -461,18 +461,18 @@
             return build is self.trial
         return build.number > self.told.number or (build is self.told and build.phase != RELEASED)
 
-    def counts_of(self, lookup):
+    def counts_of(self, request):
         """What a cap counts it by. Where rules may give another class, the cap holds for the class asked as
         well as for the class given: neither lends the other what it took."""
-        number = lookup.request_class.number if self.per_class else 0
-        return (lookup.asked.number, ~number) if self.per_class and lookup.asked else (number,)
+        number = request.request_class.number if self.per_class else 0
+        return (request.asked.number, ~number) if self.per_class and request.asked else (number,)
 
-    def wake(self, at, lookup):
+    def wake(self, at, request):
         if len(self.wakes) >= self.most_wakes:  # guards against clients that say they wait for days
             self.wakes = [wake for wake in self.wakes if not wake[2].over]
             heapq.heapify(self.wakes)
             self.most_wakes = 2 * len(self.wakes) + 1000
-        heapq.heappush(self.wakes, (at, next(self.turns), lookup))
+        heapq.heappush(self.wakes, (at, next(self.turns), request))
 
     # ---- the gate: the build on trial against the earlier one, in pairs of short windows
 
@@ -491,13 +491,13 @@
         kinds = {(member.kind, member.build is judged) for member in self.members.values()}
         self.like = {kind for kind, on in kinds if (kind, not on) in kinds}
 
-    def note_outcome(self, now, member, lookup, end, took):
+    def note_outcome(self, now, member, request, end, took):
         on, warmth = member.build is self.judged, self.warmth(member, now)
         # Like against like: the same kinds of machine, and no cold ones on the earlier side.
         if (not self.like or member.kind in self.like) and (on or warmth == 1):
-            side = self.pair.setdefault((on, lookup.request_class.number), [])
+            side = self.pair.setdefault((on, request.request_class.number), [])
             self.news = True
-            side.append((took * warmth / max(lookup.work, 1), end == ERRED, member))
+            side.append((took * warmth / max(request.work, 1), end == ERRED, member))
 
     def tick(self, now):
         self.next_tick, self.look = now + TICK, True
@@ -613,8 +613,8 @@
     return len(times)
 
 
-def kinds_of(lookup):
-    return (("class", lookup.request_class.number), ("tenant", lookup.tenant))
+def kinds_of(request):
+    return (("class", request.request_class.number), ("tenant", request.tenant))
 
 
 def middle(outcomes):
--- a/lemonlead/commands/__init__.py
+++ b/lemonlead/commands/__init__.py
@@ -17,11 +17,11 @@
 }
 HELP = {
     "gateway": "Run one gateway, as its environment and configuration say.",
-    "rules": "Check, evaluate and measure rules over lookups.",
+    "rules": "Check, evaluate and measure rules over requests.",
     "settings": "Check and show settings files.",
     "capacity": "Say what a fleet can bear: what breaks first, how many instances, what losses do.",
     "member": "Run one member of a cluster: a ledger that several gateways hold together.",
-    "try": "Start a gateway among stand-ins, ask some lookups, show where each went.",
+    "try": "Start a gateway among stand-ins, ask some requests, show where each went.",
 }
 
 
@@ -43,7 +43,7 @@
 
 @click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """lemonlead: a lookup router and release judge.
+    """lemonlead: a request router and release judge.
 
     Example: lemonlead rules eval "hash(lookup.key) % 100 < 5" --lookup '{"key": "north/42"}'
     """
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -1,4 +1,4 @@
-"""`lemonlead try`: a gateway among stand-ins, a few lookups, and where each went."""
+"""`lemonlead try`: a gateway among stand-ins, a few requests, and where each went."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 	{name: "canary", when: "hash(lookup.key) % 100 < 25", labels: {tier: "canary"}},
 ]
 '''
-LOOKUPS = [
+REQUESTS = [
     ("look", "north/1"),
     ("look", "big/7"),
     ("hold", "part-9"),
@@ -44,8 +44,9 @@
 @click.option("--rules", "file", metavar="FILE", help="A set of rules in place of the one shown.")
 @click.option("--json", "as_json", is_flag=True, help="For machines.")
 def command(file, as_json):
-    """Start three stand-in instances, discovery, a platform and a gateway on loopback, ask some lookups, show
-    where each went and which rule it matched, and stop. Nothing else is needed, and nothing is left behind.
+    """Start three stand-in instances, discovery, a platform and a gateway on loopback, ask some requests,
+    show where each went and which rule it matched, and stop. Nothing else is needed, and nothing is left
+    behind.
 
     Example: lemonlead try
     """
@@ -60,12 +61,12 @@
         config.write_text(json.dumps({**SETTINGS, **settings}))
         judge = judged_by(rules, Path(folder), config)
         with gateway(Path(folder), *machines, settings=settings, rules=rules) as ran:
-            rows = [ask(ran.client(), machines, judge, lane, key) for lane, key in LOOKUPS]
+            rows = [ask(ran.client(), machines, judge, lane, key) for lane, key in REQUESTS]
             counts = ran.counters()
             ran.process.send_signal(signal.SIGTERM)
             code = ran.process.wait(30)
             reasons = sorted(set(re.findall(r"reason=(\S+)", ran.log())))
-    told = {"lookups": rows, "counters": counts, "exit": code, "reasons": reasons}
+    told = {"requests": rows, "counters": counts, "exit": code, "reasons": reasons}
     if as_json:
         return click.echo(json.dumps(told))
     click.echo("A gateway among stand-ins\n")
@@ -79,8 +80,8 @@
 
 
 def judged_by(rules, folder, config):
-    """What the rules give a lookup, reckoned here beside the gateway; None where they are unfit (it then says
-    so)."""
+    """What the rules give a request, reckoned here beside the gateway; None where they are unfit (it then
+    says so)."""
     from ..matching import load
     from . import given
 
--- a/lemonlead/commands/given.py
+++ b/lemonlead/commands/given.py
@@ -27,7 +27,7 @@
 
 
 def lookup_told(text):
-    """A lookup's fields from JSON; a usage error that names what is wrong."""
+    """A request's fields from JSON; a usage error that names what is wrong."""
     try:
         told = json.loads(text) if text else {}
     except (ValueError, RecursionError) as error:
@@ -51,7 +51,7 @@
 
 
 def asked(told, declared):
-    """The lookup as expressions see it."""
+    """The request as expressions see it."""
     return Asked(
         declared,
         told.get("command", "Q.ASK"),
--- a/lemonlead/commands/rules.py
+++ b/lemonlead/commands/rules.py
@@ -16,7 +16,7 @@
 from . import given
 
 LOOKUP = click.option(
-    "--lookup", default="", metavar="JSON", help='The lookup, e.g. \'{"key": "north/42"}\'.'
+    "--lookup", default="", metavar="JSON", help='The request, e.g. \'{"key": "north/42"}\'.'
 )
 SETTINGS = click.option(
     "--settings", metavar="FILE", help="A gateway's configuration: its request classes and tenants."
@@ -28,7 +28,7 @@
 
 @click.group(name="rules")
 def command():
-    """Check, evaluate and measure rules over lookups."""
+    """Check, evaluate and measure rules over requests."""
 
 
 def say(told, as_json, lines=()):
@@ -113,7 +113,7 @@
         as_json,
         [
             f"fine: {len(rules.rules)} rules, version {rules.version}, digest {rules.digest}, at most "
-            f"{rules.cost} steps a lookup{note}"
+            f"{rules.cost} steps a request{note}"
         ],
     )
 
@@ -124,7 +124,7 @@
 @LOOKUP
 @JSON
 def explain(file, settings, lookup, as_json):
-    """Say which rule a lookup matches, and why those before it do not. Exit 1 if none does.
+    """Say which rule a request matches, and why those before it do not. Exit 1 if none does.
 
     Example: lemonlead rules explain rules.cue --settings config.json --lookup '{"lane": "look", "key": "a"}'
     """
@@ -166,7 +166,7 @@
     ]
     gave = ", ".join(f"{name} {value}" for name, value in gives.items() if value is not None)
     lines.append(
-        f"gives {gave or 'nothing'}" if result.rule else "no rule matches: the lookup goes as it was asked"
+        f"gives {gave or 'nothing'}" if result.rule else "no rule matches: the request goes as it was asked"
     )
     say(told, as_json, lines)
     sys.exit(result.rule is None)
@@ -177,7 +177,7 @@
 @SETTINGS
 @JSON
 def cost(file, settings, as_json):
-    """Say what each rule and the whole set may cost a lookup, the dearest first, and how the set is indexed.
+    """Say what each rule and the whole set may cost a request, the dearest first, and how the set is indexed.
 
     Example: lemonlead rules cost deploy/rules/rules.cue
     """
@@ -193,7 +193,7 @@
     rows = [(rule.name, rule.cost) for rule in dearest[:MOST_SHOWN]]
     groups = [(group["kind"], group["subject"], group["rules"]) for group in told["index"]["groups"]]
     always = told["index"]["always"]
-    click.echo(f"{file}: {rules.cost} steps a lookup at most; asked each time: {always} rules\n")
+    click.echo(f"{file}: {rules.cost} steps a request at most; asked each time: {always} rules\n")
     click.echo(tabulate(rows, ["rule", "steps at most"]) + "\n")
     click.echo(tabulate(groups, ["how", "what it looks at", "rules"]))
 
@@ -201,11 +201,11 @@
 @command.command()
 @click.argument("old", type=FILE)
 @click.argument("new", type=FILE)
-@click.option("--lookups", metavar="FILE", help="One lookup in JSON a line, to see what each set gives it.")
+@click.option("--lookups", metavar="FILE", help="One request in JSON a line, to see what each set gives it.")
 @SETTINGS
 @JSON
 def diff(old, new, lookups, settings, as_json):
-    """Say how two sets differ, by rule, and for given lookups by what they get. Exit 1 if they do.
+    """Say how two sets differ, by rule, and for given requests by what they get. Exit 1 if they do.
 
     Example: lemonlead rules diff old.cue new.cue --lookups sample.jsonl --settings config.json
     """
@@ -243,7 +243,7 @@
         except (OSError, UnicodeDecodeError) as error:
             raise click.UsageError(f"--lookups {lookups}: {error}") from None
     say(
-        {"rules": changes, "lookups": count, "differ": rows},
+        {"rules": changes, "requests": count, "differ": rows},
         as_json,
         [
             *(f"{row['change']} {row['rule']}".strip() for row in changes),
@@ -251,7 +251,7 @@
                 f"{json.dumps(row['lookup'])}: {row['old']} before, {row['new']} now"
                 for row in rows[:MOST_SHOWN]
             ),
-            f"{len(changes)} changes of rules, {len(rows)} of {count} lookups get something else",
+            f"{len(changes)} changes of rules, {len(rows)} of {count} requests get something else",
         ],
     )
     sys.exit(bool(changes or rows))
@@ -268,7 +268,7 @@
 @click.option("--seconds", default=1.0, type=click.FloatRange(0.05, 60), help="For each of both ways.")
 @JSON
 def bench(file, settings, lookup, seconds, as_json):
-    """Measure one lookup against a set: by the index, and by each rule in its order.
+    """Measure one request against a set: by the index, and by each rule in its order.
 
     Example: lemonlead rules bench rules.cue --lookup '{"key": "north/42"}'
     """
--- a/lemonlead/following/sides.py
+++ b/lemonlead/following/sides.py
@@ -1,4 +1,4 @@
-"""Which side of a move takes a service's lookups, and how the one balancer is shown it. Decisions alone: no
+"""Which side of a move takes a service's requests, and how the one balancer is shown it. Decisions alone: no
 I/O, no clock; inputs only update what is known.
 
 The far side's instances are listed as a build on trial, of a made-up number above all real ones, and the
@@ -20,7 +20,7 @@
 
 
 class Sides:
-    """`service`: whose lookups they are; `far`: other clusters' names to the zones of their instances."""
+    """`service`: whose requests they are; `far`: other clusters' names to the zones of their instances."""
 
     def __init__(self, service, far):
         self.service, self.far = service, {name: frozenset(zones) for name, zones in far.items()}
@@ -64,7 +64,7 @@
                     self.ends[True].clear()
 
     def anew(self):
-        """Another cluster is followed from now on, whose entries count from 1 again. Lookups go on as they
+        """Another cluster is followed from now on, whose entries count from 1 again. Requests go on as they
         did until it has a move of the service."""
         self.past, self.known, self.first = True, None, self.first + FIRST
 
@@ -97,7 +97,7 @@
         return (self.move["epoch"], self.move["stage"]) if self.move else None
 
     def share(self):
-        """Thousandths of the lookups that go to the far side: of the record, or none while that waits."""
+        """Thousandths of the requests that go to the far side: of the record, or none while that waits."""
         return self.move["share"] if self.move is not None and not self.waits() else 0
 
     def waits(self):
@@ -134,7 +134,7 @@
         )
 
     def in_use(self, share):
-        """Ids of those that may take lookups, and of these the far ones. Only as many of each side as its
+        """Ids of those that may take requests, and of these the far ones. Only as many of each side as its
         share is due, so that one in use is as busy there as here; but no near one busier than without the
         move. The same at every gateway."""
         if not share:
@@ -201,5 +201,5 @@
 
 
 def width(count, share):
-    """Of so many instances, how many take lookups at this share: at least one."""
+    """Of so many instances, how many take requests at this share: at least one."""
     return max(-(-count * share // ALL), 1) if count and share else 0
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -23,7 +23,7 @@
 TAKEN = 5.0  # seconds for which our address is waited for, while a process before us still listens there
 LINGER = 0.5  # seconds after SIGTERM in which connections still come
 # SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this many seconds where it is
-# longer, and 0.7 s; a lookup that came in the last of these must have its answer by then.
+# longer, and 0.7 s; a request that came in the last of these must have its answer by then.
 COUNTED = 3.0
 LAST = 0.2  # seconds in which the last answers go out
 TICK = 0.02  # seconds between looks, while it starts or stops, for what it waits for
@@ -84,7 +84,7 @@
     threads += [releases.hear, releases.poll] if config.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
-    if config.pushed:  # no lookup goes by the list of before our start, unless discovery cannot be reached
+    if config.pushed:  # no request goes by the list of before our start, unless discovery cannot be reached
         discovery.ask()
         until = time.monotonic() + FIRST_LIST
         while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
@@ -167,9 +167,9 @@
 
 
 def stop(server, dispatcher, log, follower):
-    """Serves what still comes, then closes connections between lookups and ends what was taken; last of all
+    """Serves what still comes, then closes connections between requests and ends what was taken; last of all
     it tells the ledger that it sends no more. What came by the end of LINGER has until its deadline. What
-    came later, on a connection that stood between lookups at no moment, has until SIGKILL could come. The
+    came later, on a connection that stood between requests at no moment, has until SIGKILL could come. The
     process ends LINGER, the longest deadline and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
     log.info("stopping", open=len(dispatcher.asks))
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -19,16 +19,16 @@
 MOST_ASKS, MOST_UNSENT = 64, 1 << 18  # unanswered commands, unsent bytes; past them no more is read
 SLOWEST = 5  # seconds for which a client may take none of its answers
 KNOCKS = 0.1  # seconds for which a new connection is waited for at a time
-EXTRA = 8  # connections past the bound, whose lookups are rejected
+EXTRA = 8  # connections past the bound, whose requests are rejected
 LOOK = 0.25  # seconds without a byte after which a connection is looked at
 PART = 0.9  # seconds from a connection's start to its first command; from a command's first byte to its last
-# Seconds between lookups after which a connection ends: some clients ask once and hold it. The shorter ones
+# Seconds between requests after which a connection ends: some clients ask once and hold it. The shorter ones
 # hold from half the bound on.
 REST, SHORT_REST = 2.0, 0.25
-# Seconds without a lookup after which a connection may make room: where none ever came, at the bound, past
-# the extra ones. Its next lookup may be on its way, the more likely the sooner after the last answer.
+# Seconds without a request after which a connection may make room: where none ever came, at the bound, past
+# the extra ones. Its next request may be on its way, the more likely the sooner after the last answer.
 MUTE, UNUSED, HARDLY_USED = 0.1, 0.5, 0.05
-# Of a client that sent what cannot be read: for so long lookups from before it are waited for; so many bytes
+# Of a client that sent what cannot be read: for so long requests from before it are waited for; so many bytes
 # are still taken, for so long, that the error reaches it.
 PATIENCE, DREGS, DREGS_TIME = 0.5, 1 << 18, 0.2
 GLANCE = 0.1  # seconds between looks, while nothing more is read of a client, whether it has gone
@@ -36,7 +36,7 @@
 PENALTY, MOST_PENALTY = 0.1, 1.0  # seconds before more is read after a command that makes no sense; they grow
 LARGE = 8192  # bytes past which a command counts against the room for all
 LEFT, RESET = "client closed", "reset"  # why a connection ends that the client ended, in order or not
-WORDS = {b"Q.ASK": (4,), b"Q.DO": (4, 5)}  # how many words a lookup has
+WORDS = {b"Q.ASK": (4,), b"Q.DO": (4, 5)}  # how many words a request has
 LONGEST_ID, LONGEST_KEY = 128, 1024
 NUMBER = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
 
@@ -44,10 +44,10 @@
 class Ask:
     """One command of a client's, and its answer once there is one."""
 
-    __slots__ = ("client", "words", "answer", "lookup", "weight")
+    __slots__ = ("client", "words", "answer", "request", "weight")
 
-    def __init__(self, client, words, answer=None, lookup=None):
-        self.client, self.words, self.answer, self.lookup = client, words, answer, lookup
+    def __init__(self, client, words, answer=None, request=None):
+        self.client, self.words, self.answer, self.request = client, words, answer, request
         self.weight = 0  # its bytes, where they are counted against the room for all
 
 
@@ -109,12 +109,12 @@
             self.weigh()
 
     def done(self):
-        """Whether nothing is left to answer: what it asked by halves is no lookup yet, but will be."""
+        """Whether nothing is left to answer: what it asked by halves is no request yet, but will be."""
         with self.room:
             return not (self.asks or self.unsent) and self.reader.empty()
 
     def rests(self):
-        """Ends it if it has stood between lookups, or without the first, for too long; what has come by then
+        """Ends it if it has stood between requests, or without the first, for too long; what has come by then
         is read first. Clients may have a bound of their own, and those that hold theirs for good keep out all
         others, long before there is no room here. It could end some that are used again: they come anew."""
         rest = REST if len(self.server.clients) < self.server.most // 2 else SHORT_REST
@@ -145,12 +145,12 @@
         if name == b"PING":
             return self.put(Ask(self, (), b"+PONG\r\n"))
         try:
-            lookup = self.server.lookup(arrived, name, words)
+            request = self.server.request(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
-            self.put(Ask(self, (), resp.error(f"ERR no lookup: {text}")))
+            self.put(Ask(self, (), resp.error(f"ERR no request: {text}")))
             return self.fault()
-        ask, size = Ask(self, words, None, lookup), sum(map(len, words))
+        ask, size = Ask(self, words, None, request), sum(map(len, words))
         self.put(ask)
         dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.crowded()
         if size > LARGE and self.server.weigh(size):
@@ -158,14 +158,14 @@
         elif size > LARGE:
             turned_away = True
         dispatcher.tell(
-            dispatcher.lookup_turned_away if turned_away else dispatcher.lookup_arrived, ask, lookup
+            dispatcher.request_turned_away if turned_away else dispatcher.request_arrived, ask, request
         )
         if ask.answer is dispatcher.TWICE:
             self.fault()
 
     def fault(self):
         """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
-        self.server.counters.add("bad lookups")
+        self.server.counters.add("bad requests")
         self.faults += 1
         with self.room:  # not once it stops: what came behind it may have no time left then
             self.wait(lambda: self.server.stopping, min(self.faults * PENALTY, MOST_PENALTY))
@@ -193,14 +193,14 @@
             self.flush()
 
     def turn_away(self, error):
-        """What cannot be read gets an error, soon though earlier lookups wait; then the connection ends."""
+        """What cannot be read gets an error, soon though earlier requests wait; then the connection ends."""
         with self.room:
             self.wait(lambda: not self.asks, PATIENCE)
             if self.broken:
                 return
-            lookups = self.unanswered()
-        if lookups:
-            self.server.dispatcher.tell(self.server.dispatcher.cut_short, lookups)
+            requests = self.unanswered()
+        if requests:
+            self.server.dispatcher.tell(self.server.dispatcher.cut_short, requests)
         self.put(Ask(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
             self.wait(lambda: not (self.asks or self.writing), SLOWEST)
@@ -213,19 +213,19 @@
                 left -= len(data)
 
     def unanswered(self):
-        return [ask.lookup for ask in self.asks if ask.lookup and ask.answer is None]
+        return [ask.request for ask in self.asks if ask.request and ask.answer is None]
 
     def doubtful(self):
         return not self.asked or self.faults > 0
 
     def idle(self):
-        """Whether it stands between lookups, as far as can be seen from outside."""
+        """Whether it stands between requests, as far as can be seen from outside."""
         since = self.part_since  # once: its thread may end the part meanwhile
         part = since is not None and time.monotonic() - since < PART
         return not (self.asks or self.unsent or part or self.reason)
 
     def leave(self, reason):
-        """Has its thread close it if it stands between lookups; what has come by now is read first."""
+        """Has its thread close it if it stands between requests; what has come by now is read first."""
         with self.room:
             if self.idle():
                 self.stop_reading(reason)
@@ -290,7 +290,7 @@
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def in_vain(self):
-        """Whether some of a lookup has come and nothing was answered, though it is a new connection."""
+        """Whether some of a request has come and nothing was answered, though it is a new connection."""
         return not self.answered and (self.asked or not self.reader.empty() or self.unread())
 
     def unread(self):
@@ -306,13 +306,13 @@
         with self.room:
             while self.writing:
                 self.room.wait()
-            lookups = self.unanswered()
+            requests = self.unanswered()
             self.weight += sum(ask.weight for ask in self.asks)
             self.asks.clear()
             self.sock.close()
         self.server.weigh(-self.weight)
-        if lookups:
-            self.server.dispatcher.tell(self.server.dispatcher.client_left, lookups)
+        if requests:
+            self.server.dispatcher.tell(self.server.dispatcher.client_left, requests)
         self.server.gone(self)
 
 
@@ -332,7 +332,7 @@
         self.closed = threading.Event()
         self.clients, self.room = set(), threading.Condition()
         self.held, self.most_held = 0, config.memory // 8  # bytes of large commands, of all clients
-        self.sorting = None  # rules over lookups, where they are switched on
+        self.sorting = None  # rules over requests, where they are switched on
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(KNOCKS))
@@ -372,7 +372,7 @@
                 sock.close()
 
     def admit(self, sock):
-        """Where all within the bound have a lookup, those of a few extra ones are rejected at once: what
+        """Where all within the bound have a request, those of a few extra ones are rejected at once: what
         waited to be accepted would be late, and was begun nowhere. It could reject what would have found
         room a moment later."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -416,7 +416,7 @@
 
     def crowded(self):
         """Whether more clients than the bound wait for answers. Guards against places held for nothing: those
-        that say nothing must not have lookups past the bound rejected."""
+        that say nothing must not have requests past the bound rejected."""
         with self.room:
             return sum(bool(client.asks) for client in self.clients) > self.most
 
@@ -444,7 +444,7 @@
         self.listener.close()
 
     def close_idle(self):
-        """Ends the clients' connections as they stand between lookups, whether any are left. One that never
+        """Ends the clients' connections as they stand between requests, whether any are left. One that never
         asked is given a moment, as it was made to ask."""
         with self.room:
             clients = list(self.clients)
@@ -455,22 +455,23 @@
         return bool(clients)
 
     def hurry(self, since):
-        """Has each lookup that came after `since` answered now, with those before it on its connection, from
-        which no more is read. Guards against clients whose connection stands between lookups at no moment:
+        """Has each request that came after `since` answered now, with those before it on its connection, from
+        which no more is read. Guards against clients whose connection stands between requests at no moment:
         what SIGKILL finds unanswered there would be lost. It gives up what might have been served."""
         with self.room:
             clients = list(self.clients)
         for client in clients:
             with client.room, contextlib.suppress(OSError):
-                lookups = client.unanswered()
-                if not any(lookup.arrived > since for lookup in lookups):
+                requests = client.unanswered()
+                if not any(request.arrived > since for request in requests):
                     continue
                 client.last, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
-            self.dispatcher.tell(self.dispatcher.cut_short, lookups)
+            self.dispatcher.tell(self.dispatcher.cut_short, requests)
 
-    def lookup(self, arrived, name, words):
-        """A lookup from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no sense."""
+    def request(self, arrived, name, words):
+        """A request from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no
+        sense."""
         if len(words) not in WORDS.get(name, ()):
             raise ValueError("no such command")
         key, id, extras = words[1], words[2], words[3].decode()
@@ -487,7 +488,7 @@
         tenant = self.config.tenants.get(said.get("t"), -1)
         deadline = arrived + in_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
-        lookup = at.Lookup(id, request_class, tenant, key, arrived, deadline, work, repeat)
+        request = at.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.sorting is not None:
-            self.sorting.sort(arrived, lookup, words, said)
-        return lookup
+            self.sorting.sort(arrived, request, words, said)
+        return request
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -9,7 +9,7 @@
 from . import resp
 from .config import now
 
-MOST_FAULTS = 8  # of one turn, and one for each open lookup: then the rest waits for the next
+MOST_FAULTS = 8  # of one turn, and one for each open request: then the rest waits for the next
 AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
 UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of sends of which no instance has had all
 
@@ -17,16 +17,16 @@
 class Dispatcher:
     """The balancer's door. Nothing blocks under the lock: what might is put into `chores`, which whoever held
     the lock does once it is free. What is told and what is decided on it share one moment, as the interface
-    asks: a balancer knows by it that a lookup has just come."""
+    asks: a balancer knows by it that a request has just come."""
 
-    TWICE = resp.error("ERR no lookup: its id is that of an open one")
+    TWICE = resp.error("ERR no request: its id is that of an open one")
 
     def __init__(self, start, log, counters):
         self.lock = threading.Condition()
         self.log_line, self.counters = log, counters
         self.balancer = Balancer(start)
-        self.ids = set()  # those of the lookups below
-        self.asks = {}  # the lookups that want an answer: by lookup, the client's command
+        self.ids = set()  # those of the requests below
+        self.asks = {}  # the requests that want an answer: by request, the client's command
         self.chores = []
         self.instances = self.discovery = self.releases = None  # the drivers, set before the first call
         self.service = None  # between the platform and the balancer, where a service's moves are followed
@@ -41,7 +41,7 @@
         for chore, *values in chores:
             try:
                 chore(*values)
-            except Exception:  # the chores after it are other lookups'
+            except Exception:  # the chores after it are other requests'
                 self.fault(traceback.format_exc())
 
     def turn(self, happened, *values):
@@ -79,49 +79,49 @@
         self.counters.add("faults")
         self.log_line.error("fault", reason=text)
 
-    def lookup_arrived(self, moment, ask, lookup):
-        if not self.taken(ask, lookup):
+    def request_arrived(self, moment, ask, request):
+        if not self.taken(ask, request):
             return
-        lookup.arrived = moment
-        self.balancer.lookup_arrived(moment, lookup)
+        request.arrived = moment
+        self.balancer.request_arrived(moment, request)
 
-    def lookup_turned_away(self, moment, ask, lookup):
+    def request_turned_away(self, moment, ask, request):
         """It came past the bound on clients: it is given up as the balancer gives up any."""
-        if self.taken(ask, lookup):
-            self.balancer.give_up(lookup, self)
+        if self.taken(ask, request):
+            self.balancer.give_up(request, self)
 
-    def cut_short(self, moment, lookups):
+    def cut_short(self, moment, requests):
         """Their connection is to end: those that still want an answer get their last one."""
-        for lookup in lookups:
-            if lookup in self.asks:
-                self.balancer.give_up(lookup, self)
+        for request in requests:
+            if request in self.asks:
+                self.balancer.give_up(request, self)
 
-    def taken(self, ask, lookup):
-        """Whether it is: an id that another open lookup has would make two answers of one."""
-        if lookup.id in self.ids:
+    def taken(self, ask, request):
+        """Whether it is: an id that another open request has would make two answers of one."""
+        if request.id in self.ids:
             ask.answer = self.TWICE
             self.chores.append((ask.client.flush,))
             return False
-        self.asks[lookup] = ask
-        self.ids.add(lookup.id)
-        self.count("taken", lookup)
+        self.asks[request] = ask
+        self.ids.add(request.id)
+        self.count("taken", request)
         return True
 
-    def client_left(self, moment, lookups):
-        for lookup in lookups:
-            if self.asks.pop(lookup, None) is not None:
-                self.ids.discard(lookup.id)
-                self.count("left", lookup)
-                self.drop(lookup)
-                self.balancer.lookup_left(moment, lookup)
+    def client_left(self, moment, requests):
+        for request in requests:
+            if self.asks.pop(request, None) is not None:
+                self.ids.discard(request.id)
+                self.count("left", request)
+                self.drop(request)
+                self.balancer.request_left(moment, request)
 
     def send_ended(self, moment, send, end, value):
-        if end == at.SUCCEEDED and send.lookup in self.asks:
-            self.answer(send.lookup, "succeeded", resp.bulk(value))
+        if end == at.SUCCEEDED and send.request in self.asks:
+            self.answer(send.request, "succeeded", resp.bulk(value))
         self.counters.add(f"sends {end}")
         if self.service is not None:
             self.service.ended(moment, send, end)
-        self.balancer.send_ended(moment, send, end, moment - send.at, send.lookup not in self.asks, {})
+        self.balancer.send_ended(moment, send, end, moment - send.at, send.request not in self.asks, {})
 
     def stage_told(self, moment, *news):
         """The platform's news of the newest build."""
@@ -130,43 +130,43 @@
     def may_begin(self, send):
         """The moment by which its last byte has to be written; 0 if it may not begin."""
         with self.lock:
-            return self.balancer.may_begin(now(), send) if send.lookup in self.asks else 0
+            return self.balancer.may_begin(now(), send) if send.request in self.asks else 0
 
-    def count(self, what, lookup):
+    def count(self, what, request):
         self.counters.add(what)
-        self.counters.add(f"{what} request class {lookup.request_class.number}")
+        self.counters.add(f"{what} request class {request.request_class.number}")
 
     # ---- the door
 
-    def answer(self, lookup, ending, data):
-        ask = self.asks.pop(lookup)
-        self.ids.discard(lookup.id)
-        self.count(ending, lookup)
-        self.drop(lookup)  # before the answer can go out, so that no send of it is written whole after that
+    def answer(self, request, ending, data):
+        ask = self.asks.pop(request)
+        self.ids.discard(request.id)
+        self.count(ending, request)
+        self.drop(request)  # before the answer can go out, so that no send of it is written whole after that
         ask.answer = data
         self.chores.append((ask.client.flush,))
 
-    def drop(self, lookup):
-        if any(not send.end for send in lookup.sends):
-            self.instances.drop(lookup.sends)
+    def drop(self, request):
+        if any(not send.end for send in request.sends):
+            self.instances.drop(request.sends)
 
-    def send(self, lookup, instance_id, time_out):
+    def send(self, request, instance_id, time_out):
         self.counters.add("sends")
         until = now() + time_out
-        trip = self.instances.trip(lookup.sends[-1], instance_id, self.asks[lookup].words, until)
+        trip = self.instances.trip(request.sends[-1], instance_id, self.asks[request].words, until)
         self.chores.append((self.instances.start, trip))
 
     def cancel(self, send):
         self.chores.append((self.instances.cancel, send))
 
-    def reject(self, lookup, retry_after):
+    def reject(self, request, retry_after):
         pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
-        self.answer(lookup, "rejected", b"-BUSY%s\r\n" % pause)
+        self.answer(request, "rejected", b"-BUSY%s\r\n" % pause)
 
-    def abort(self, lookup):
-        if all(send.end in UNWRITTEN for send in lookup.sends):
+    def abort(self, request):
+        if all(send.end in UNWRITTEN for send in request.sends):
             self.counters.add("aborted unsent")
-        self.answer(lookup, "aborted", resp.error("ERR aborted"))
+        self.answer(request, "aborted", resp.error("ERR aborted"))
 
     def watch_list(self):
         self.discovery.ask()
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -1,4 +1,4 @@
-"""Instances: a thread for each send, one lookup a connection at a time, connections kept for the next."""
+"""Instances: a thread for each send, one request a connection at a time, connections kept for the next."""
 
 import contextlib
 import socket
@@ -127,7 +127,7 @@
         return trip
 
     def drop(self, sends):
-        """Their lookup is over: of those that are not written whole the last byte is written no more."""
+        """Their request is over: of those that are not written whole the last byte is written no more."""
         with self.lock:
             for trip in filter(None, map(self.trips.get, sends)):
                 if not trip.written:
@@ -180,7 +180,7 @@
                     connection.used = now()
                     pool.unused.append(connection)
             elif connection is not None:
-                # More than an answer, or half of one, would be taken for the next lookup's.
+                # More than an answer, or half of one, would be taken for the next request's.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
@@ -200,7 +200,7 @@
                 by = 0 if made is None or trip.cancelled else self.dispatcher.may_begin(trip.send)
                 if not by:
                     return at.NOT_SENT, None
-                # Looked at last of all: what comes unasked would be taken for this lookup's answer, and on a
+                # Looked at last of all: what comes unasked would be taken for this request's answer, and on a
                 # connection that has ended nothing of this send has been written.
                 if made or trip.connection.quiet():
                     break
@@ -278,7 +278,7 @@
 
 
 def ending(value):
-    """How a send ended by the whole value that came back, and the lookup's answer if it succeeded. What the
+    """How a send ended by the whole value that came back, and the request's answer if it succeeded. What the
     protocol does not list is spoilt, but for a load report, which may be anything that can be read."""
     if type(value) is list and len(value) == 3 and type(value[0]) is bytes and value[1] is None:
         return at.SUCCEEDED, value[0]
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -1,6 +1,6 @@
-"""The gateway's way into the rules: reads them, asks them for each lookup, and logs what they do.
+"""The gateway's way into the rules: reads them, asks them for each request, and logs what they do.
 
-Imported only where LEMONLEAD_SETTINGS names a file. No rule is decided here: what a lookup gets, and what no
+Imported only where LEMONLEAD_SETTINGS names a file. No rule is decided here: what a request gets, and what no
 rule may do, is in `lemonlead/matching/rules.py`."""
 
 import time
@@ -72,18 +72,18 @@
     def rules(self, name):
         return load.load(self.path.parent / name, self.config.request_classes, self.config.tenants, self.room)
 
-    # ---- for each lookup
+    # ---- for each request
 
-    def sort(self, now, lookup, words, said):
-        """Gives a lookup that has just been read what the rules say. It goes as it was asked if anything
-        fails: rules may sort lookups, they may not lose one."""
+    def sort(self, now, request, words, said):
+        """Gives a request that has just been read what the rules say. It goes as it was asked if anything
+        fails: rules may sort requests, they may not lose one."""
         if self.standing.active is None:
             return
-        lookup.asked = lookup.request_class
+        request.asked = request.request_class
         try:
-            seen = self.seen(lookup, words, said)
+            seen = self.seen(request, words, said)
             given = self.standing.judge(seen, lambda rule, fault: self.erred(now, rule, fault))
-            self.give(lookup, given)
+            self.give(request, given)
             if self.standing.shadow is not None and self.standing.wants_shadow(now):
                 began = time.thread_time_ns()
                 self.standing.try_shadow(seen, given)
@@ -92,32 +92,32 @@
             self.counters.add("rules faults")
             self.dispatcher.fault(traceback.format_exc())
 
-    def seen(self, lookup, words, said):
-        """The lookup as it was asked, for whichever set's bounds; what rules then give it does not show."""
-        stamped = lookup.request_class.effect == at.DEDUPLICATED or bool(said.get("k"))
+    def seen(self, request, words, said):
+        """The request as it was asked, for whichever set's bounds; what rules then give it does not show."""
+        stamped = request.request_class.effect == at.DEDUPLICATED or bool(said.get("k"))
         told = (
             COMMANDS[words[0].upper()],
-            lookup.key,
-            self.names[lookup.request_class.number],
+            request.key,
+            self.names[request.request_class.number],
             said.get("t", ""),
-            lookup.deadline - lookup.arrived,
-            lookup.work,
-            lookup.repeat,
+            request.deadline - request.arrived,
+            request.work,
+            request.repeat,
             stamped,
             sum(map(len, words[4:])),
         )
         return lambda declared: Asked(declared, *told)
 
-    def give(self, lookup, given):
+    def give(self, request, given):
         if given.rule is None:
             return
         self.counters.add("rules matched")
         if given.lane is not None:
-            lookup.request_class = given.lane
+            request.request_class = given.lane
         if given.key is not None:
-            lookup.key, lookup.asked_key = given.key, lookup.key
+            request.key, request.asked_key = given.key, request.key
         if given.customer is not None:
-            lookup.tenant = self.config.tenants.get(given.customer, -1)
+            request.tenant = self.config.tenants.get(given.customer, -1)
 
     def erred(self, now, rule, fault):
         self.counters.add("rules erred")
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-# What a request class's lookups do when they run twice.
+# What a request class's requests do when they run twice.
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
 # How a send ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
 UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
-SPOILT, UNFIT = "spoilt", "unfit"  # an answer that cannot be read; the instance cannot use this lookup
+SPOILT, UNFIT = "spoilt", "unfit"  # an answer that cannot be read; the instance cannot use this request
 NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that a send did not run
 # An instance's state as listed.
 GONE, DRAINING, READY = 0, 1, 2
@@ -32,7 +32,7 @@
     deadline: int
     revenue: float
     late_share: float = 0.0  # share of the revenue that an answer past the latency objective still earns
-    objective_stretch: float = 0.0  # the latency objective grows by this multiple of the lookup's own work
+    objective_stretch: float = 0.0  # the latency objective grows by this multiple of the request's own work
     group: str = "all"  # deduplicated: which instances drop repeats: "all", one "zone" or one "cell"
     memory: int = 0  # deduplicated: for how long they do
     streamed: bool = False
@@ -72,7 +72,7 @@
     zone: int = 0
     step: int = 0
     request_classes: list = field(default_factory=list)
-    tenant_shares: list = field(default_factory=list)  # lookups a second over all gateways
+    tenant_shares: list = field(default_factory=list)  # requests a second over all gateways
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, eq=False)
 class Send:
-    lookup: "Lookup"
+    request: "Request"
     number: int
     instance: object
     at: int
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lookup:
+class Request:
     id: int
     request_class: RequestClass
     tenant: int
@@ -138,10 +138,10 @@
 class Door(Protocol):
     """What a balancer may ask of its host; each call takes effect at once."""
 
-    def send(self, lookup: Lookup, instance_id: int, time_out: int) -> None: ...
+    def send(self, request: Request, instance_id: int, time_out: int) -> None: ...
     def cancel(self, send: Send) -> None: ...
-    def reject(self, lookup: Lookup, retry_after: int) -> None: ...
-    def abort(self, lookup: Lookup) -> None: ...
+    def reject(self, request: Request, retry_after: int) -> None: ...
+    def abort(self, request: Request) -> None: ...
     def watch_list(self) -> None: ...
     def vote(self, build: int, stage: int, verdict: int) -> None: ...
     def log(self, text: str) -> None: ...
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -21,7 +21,7 @@
 
 class Follower(Struct, frozen=True):
     since: int = 0  # index of the entry that took it in
-    services: tuple[str, ...] = ()  # whose lookups it sends, and on whose moves it votes
+    services: tuple[str, ...] = ()  # whose requests it sends, and on whose moves it votes
 
 
 class Follow(Command, frozen=True, tag="follow"):
--- a/lemonlead/matching/declared.py
+++ b/lemonlead/matching/declared.py
@@ -1,4 +1,4 @@
-"""What a lookup offers to expressions, and the bounds that costs are reckoned with."""
+"""What a request offers to expressions, and the bounds that costs are reckoned with."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declared:
-    """The longest and the most of what a lookup brings: bytes of a key and of a tenant's name, attributes,
+    """The longest and the most of what a request brings: bytes of a key and of a tenant's name, attributes,
     bytes of one's name and value; and `longest`, code points, bytes or items of any value that is
     computed."""
 
@@ -44,12 +44,12 @@
         }
 
 
-NONE = {}  # the attributes of a lookup that brings none; never changed
+NONE = {}  # the attributes of a request that brings none; never changed
 UNSURE = frozenset(("key", "customer", "attributes"))  # may be past their bounds, or not UTF-8
 
 
 class Asked:
-    """One lookup as expressions see it. What is not UTF-8 or past its declared bound is left unset: reading
+    """One request as expressions see it. What is not UTF-8 or past its declared bound is left unset: reading
     it is an error of the expression's, so that no cost was reckoned for less than what is read."""
 
     __slots__ = (
--- a/lemonlead/matching/exact.py
+++ b/lemonlead/matching/exact.py
@@ -32,7 +32,7 @@
 
 
 def compiled(node):
-    """A function of a lookup (`declared.Asked`) that gives the value, or raises Erred."""
+    """A function of a request (`declared.Asked`) that gives the value, or raises Erred."""
     run = closure(node)
 
     def value(lookup):
--- a/lemonlead/matching/expression.py
+++ b/lemonlead/matching/expression.py
@@ -12,7 +12,7 @@
 
 class Expression:
     """`Expression(text, declared)` raises Fault where the text is not one. `kind` is its type, `cost` the
-    steps of one evaluation at worst, with what the lookup declares as its bounds."""
+    steps of one evaluation at worst, with what the request declares as its bounds."""
 
     __slots__ = ("text", "tree", "kind", "cost", "quick", "exact")
 
@@ -32,7 +32,7 @@
         return first
 
     def value(self, asked):
-        """The value for a lookup; Erred where it has none."""
+        """The value for a request; Erred where it has none."""
         try:
             return self.quick(asked)
         except exact.ERRORS:
--- a/lemonlead/matching/faults.py
+++ b/lemonlead/matching/faults.py
@@ -15,7 +15,7 @@
 
 
 class Erred(Fault):
-    """An expression that was admitted gave no value for this lookup: division by zero, no such index, ..."""
+    """An expression that was admitted gave no value for this request: division by zero, no such index, ..."""
 
     def __init__(self, message, line=1, column=1):
         super().__init__(VALUE, message, line, column)
--- a/lemonlead/matching/index.py
+++ b/lemonlead/matching/index.py
@@ -1,4 +1,4 @@
-"""Finds the rules that may match a lookup without asking all of them, in the order of the set.
+"""Finds the rules that may match a request without asking all of them, in the order of the set.
 
 A condition `a && b && c` holds only if each of its parts does, so one part suffices to leave a rule out. For
 each rule the part is chosen that leaves it out most often: equality (a table by value), a prefix (a trie), a
@@ -293,7 +293,7 @@
         return sizes[name, value if name[0] == PREFIX else ""]
 
     def candidates(self, asked):
-        """The places of the rules that may match, in order. A subject that has no value for this lookup
+        """The places of the rules that may match, in order. A subject that has no value for this request
         leaves out all rules that must have it: they would err, or be false by another part."""
         lists = [self.always] if self.always else []
         for value_of_subject, finds in self.subjects:
--- a/lemonlead/matching/quick.py
+++ b/lemonlead/matching/quick.py
@@ -14,7 +14,7 @@
 
 
 def compiled(node):
-    """A function of a lookup that gives the value, or raises anything of `exact.ERRORS`."""
+    """A function of a request that gives the value, or raises anything of `exact.ERRORS`."""
     return Writer().function(node)
 
 
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -1,6 +1,6 @@
-"""Rules: what matches a lookup, and what it then gets. Everything that a rule may never do is kept here.
+"""Rules: what matches a request, and what it then gets. Everything that a rule may never do is kept here.
 
-Checked when a set is loaded, and looked at again for each lookup (`RuleSet.give`):
+Checked when a set is loaded, and looked at again for each request (`RuleSet.give`):
 
 - no rule weakens an effect: non-idempotent stays non-idempotent, deduplicated becomes non-idempotent at most;
 to deduplicated only what
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class Given:
-    """What a lookup gets; None where the rule leaves it as it came. `rule` is None where none matched."""
+    """What a request gets; None where the rule leaves it as it came. `rule` is None where none matched."""
 
     rule: Rule | None = None
     lane: at.RequestClass | None = None
@@ -85,7 +85,7 @@
     return WIDTHS[given.group] <= WIDTHS[asked.group] and given.memory <= asked.memory
 
 
-# ---- what an expression may be for lookups of one request class, with or without an idempotency key
+# ---- what an expression may be for requests of one request class, with or without an idempotency key
 
 
 def decided(node, lane, stamped):
@@ -127,8 +127,8 @@
 
 
 def compared_lanes(root):
-    """The literals that a lookup's request class is compared with: one that is no request class is a slip, it
-    never matches."""
+    """The literals that a request's request class is compared with: one that is no request class is a slip,
+    it never matches."""
     for node in tree.walk(root):
         match node:
             case tree.Binary(sign="==" | "!=", left=left, right=right):
@@ -248,7 +248,7 @@
         return Rule(number, rule.name, when, gives, rule.labels, cost)
 
     def look_at_lane(self, number, when, expression):
-        """Every request class that it may give to every lookup that the rule may match; one fault, for the
+        """Every request class that it may give to every request that the rule may match; one fault, for the
         first."""
         for name, lane in self.request_classes.items():
             for stamped in (True,) if lane.effect == at.DEDUPLICATED else (False, True):
@@ -257,8 +257,8 @@
                     return self.fault(number, "lane", Fault(*wrong, *expression.place()))
 
     def wrong_lane(self, expression, name, stamped, reached):
-        """A code and what is wrong with what it gives lookups of this request class, None if nothing is.
-        `reached`: whether the rule may match such lookups."""
+        """A code and what is wrong with what it gives requests of this request class, None if nothing is.
+        `reached`: whether the rule may match such requests."""
         given, lane = possible(expression.tree, name, stamped), self.request_classes[name]
         if given is None:
             return TYPE, "which lanes it may be cannot be told: use names in quotes, lookup.lane and ?:"
@@ -284,7 +284,7 @@
                 fault = Fault(NAME, f"no customer {node.value!r} (there is {known})", *expression.place())
                 return self.fault(number, "customer", fault)
 
-    # ---- for each lookup
+    # ---- for each request
 
     def judge(self, asked, faults=None):
         """What the first rule that matches gives; NOTHING if none does. A rule that errs does not match: it
--- a/lemonlead/matching/standing.py
+++ b/lemonlead/matching/standing.py
@@ -1,6 +1,6 @@
 """The rules in force, and the set that is tried beside them.
 
-A set is put in force by one assignment, so a lookup is judged by one set alone, and what it was given stays
+A set is put in force by one assignment, so a request is judged by one set alone, and what it was given stays
 with it. The set on trial may only use what its budget of time holds; where it would have given something else
 is counted by rule. Moments come in as arguments, in whole nanoseconds."""
 
@@ -50,7 +50,7 @@
             self.active, self.shadow = active, shadow
 
     def judge(self, seen, erred=None):
-        """What the active set gives. `seen(declared)` gives the lookup as a set declares it
+        """What the active set gives. `seen(declared)` gives the request as a set declares it
         (`declared.Asked`), so that no set reads more than its costs were reckoned with. `erred(rule, fault)`
         is told of each that errs."""
         active = self.active
@@ -72,7 +72,7 @@
         return given
 
     def wants_shadow(self, now):
-        """Whether the other set is to be asked for this lookup too; counted where its budget is spent."""
+        """Whether the other set is to be asked for this request too; counted where its budget is spent."""
         with self.lock:
             if self.shadow is None:
                 return False
@@ -121,7 +121,7 @@
 
 
 def differs(one, other):
-    """Whether two sets give a lookup something else. Rules' names do not count, what is given does."""
+    """Whether two sets give a request something else. Rules' names do not count, what is given does."""
     return what(one) != what(other)
 
 
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -20,7 +20,7 @@
 )
 
 # Steps of a source's record. While it is ASKED the destination has not been called. Up to SHIFTING a move may
-# be stopped; each that is not done ends by way of GOING_BACK (no lookup goes there any more) and DROPPING
+# be stopped; each that is not done ends by way of GOING_BACK (no request goes there any more) and DROPPING
 # (the destination is told).
 ASKED, RESERVING, WARMING = "asked", "reserving", "warming"
 MEMBERS, SHIFTING = "members", "shifting"
@@ -31,7 +31,7 @@
 # States of a destination's record.
 HELD, WARM, KEPT, DROPPED = "held", "warm", "kept", "dropped"
 
-STAGES = (50, 250, 500, 900, 1000)  # thousandths of the lookups that go there; judged up to the last but one
+STAGES = (50, 250, 500, 900, 1000)  # thousandths of the requests that go there; judged up to the last but one
 BAKE = 3_000_000_000  # ledger time that a stage stands at least
 PATIENCE = 1_800_000_000_000  # ledger time after which a step before settling sends the move back
 MOST_OPEN = 64  # moves not yet told to their destinations
@@ -58,7 +58,7 @@
 
 
 class Move(Struct, frozen=True):
-    """The source's record. `share`: thousandths of the lookups that go there. `at`: index of the entry that
+    """The source's record. `share`: thousandths of the requests that go there. `at`: index of the entry that
     last changed where they go. `since`: ledger moment at which the step or stage began. `taken`, `told`:
     the destination's entries that prove that it holds, and that it knows the end (-1: nobody to tell)."""
 
@@ -244,7 +244,7 @@
     if move.step in BEFORE_SETTLING:
         send_back(draft, command.move, move, STOPPED, "stopped by an operator", "")
     elif move.step in (SETTLING, DONE):
-        raise TooLate(f"move {command.move} is {move.step}: all lookups go to {move.to}")
+        raise TooLate(f"move {command.move} is {move.step}: all requests go to {move.to}")
     return {"step": draft.get("moves", command.move).step}
 
 
@@ -304,7 +304,7 @@
 
 
 def on_needed(followers):
-    """Votes that a stage wants. Where no gateway follows for the service, nobody shifts its lookups by this
+    """Votes that a stage wants. Where no gateway follows for the service, nobody shifts its requests by this
     ledger."""
     return (followers + 1) // 2
 
@@ -383,7 +383,7 @@
 
 
 def shifted(draft, name, move, command):
-    """The next stage, or once all lookups go there, the point of no return."""
+    """The next stage, or once all requests go there, the point of no return."""
     if draft.moment - move.since < BAKE:
         raise NotAwaited(f"stage {move.stage} stands since less than {BAKE // 10**9} s")
     if move.share < STAGES[-1]:
@@ -519,7 +519,7 @@
 
 
 class HoldDrop(HoldCommand, frozen=True, tag="hold_drop"):
-    """The source's record says that the move went back, and no lookup comes any more."""
+    """The source's record says that the move went back, and no request comes any more."""
 
 
 class HoldEnd(Command, frozen=True, tag="hold_end"):
--- a/lemonlead/planning/answers.py
+++ b/lemonlead/planning/answers.py
@@ -49,7 +49,7 @@
 
 def size(fleet, lost=0, work=1.0):
     """The fewest instances, by the fleet's own shares of sites and kinds, that meet the goal with any `lost`
-    sites gone and so many times the work a lookup; None and why where no size does."""
+    sites gone and so many times the work a request; None and why where no size does."""
     worst = None
     for names in itertools.combinations(fleet.sites, lost):
         left = fleet.without(names).heavier(work)
@@ -126,7 +126,7 @@
         "part": name,
         "seconds": len(seconds),
         "service": round(world.service(seconds), 4),
-        "lookups": asked,
+        "requests": asked,
         "rejected": round(rejected / max(asked, 1), 4),
         "failed": round(lost / max(asked, 1), 4),
     }
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -35,7 +35,7 @@
     name: str
     gateways: int
     instances: dict  # how many, by kind's name
-    load: dict  # lookups a second, by request class's name
+    load: dict  # requests a second, by request class's name
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
         return replace(self, sites=sites)
 
     def heavier(self, factor):
-        """The same with so many times the work a lookup, as under a bad build everywhere."""
+        """The same with so many times the work a request, as under a bad build everywhere."""
         request_classes = {
             name: replace(request_class, work=round(request_class.work * factor))
             for name, request_class in self.request_classes.items()
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -58,7 +58,7 @@
 
 
 def machine_of(kind, seed):
-    """A stand-in that needs the work that a lookup hints at, by its speed."""
+    """A stand-in that needs the work that a request hints at, by its speed."""
     made = Machine(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
     made.needs_of = lambda said: float(said.get("h", 0)) / 1e6 / kind.speed
     return made
@@ -116,7 +116,7 @@
                 pool.submit(self.want, site, request_class, work, second, time.monotonic())
 
     def want(self, site, request_class, work, second, first):
-        """A lookup with its client's retries."""
+        """A request with its client's retries."""
         key, idempotency_key = os.urandom(6).hex(), os.urandom(6).hex()
         for left in range(self.fleet.retries, -1, -1):
             ending = self.attempt(site, request_class, work, key, idempotency_key)
@@ -152,7 +152,7 @@
             if client is not None:
                 client.sock.close()
             return "given up"
-        if answer is None:  # closed between lookups: it asks once more, on a new connection
+        if answer is None:  # closed between requests: it asks once more, on a new connection
             client.sock.close()
             return "given up"
         with self.lock:
--- a/lemonlead/planning/queues.py
+++ b/lemonlead/planning/queues.py
@@ -36,7 +36,7 @@
 
 
 def within(limit, servers, rate, work, cv, own=None):
-    """The share of lookups that wait and are served within the limit. `work`, `cv`: of all that is served
+    """The share of requests that wait and are served within the limit. `work`, `cv`: of all that is served
     there; `own`: (work, cv) of those asked about, if they are of one kind among others."""
     share, mean = waiting(servers, rate, work, cv)
     found = 0.0
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -2,7 +2,7 @@
 resource is used.
 
 The balancers choose the cheapest instance of those that they see. That lies between two extremes, both
-reckoned: each machine by itself with a share of the lookups by its speed (`apart`), and all machines of a
+reckoned: each machine by itself with a share of the requests by its speed (`apart`), and all machines of a
 kind as one queue (`pooled`). Clients who give up ask again: the load is a fixed point, found from below (a
 fleet that was calm) and from above (one that was flooded). Where the two differ the fleet does not come back
 by itself after a flood."""
@@ -26,7 +26,7 @@
     request_classes: dict = field(default_factory=dict)
     used: dict = field(default_factory=dict)
     rejected: float = 0.0
-    asked: float = 0.0  # lookups a second with their retries
+    asked: float = 0.0  # requests a second with their retries
 
 
 def reckon(fleet, pooled=False, flooded=False):
@@ -114,15 +114,15 @@
     """Each resource by what there is of it."""
     busiest = max(sum(site.load.values()) / site.gateways for site in fleet.sites.values())
     growth = total / max(sum(fleet.rate(name) for name in fleet.request_classes), 1e-9)
-    each = busiest * growth  # lookups a second of the busiest gateway
+    each = busiest * growth  # requests a second of the busiest gateway
     held = (
         sum(rate / max(total, 1e-9) * fleet.request_classes[name].work for name, rate in asked.items()) / 1e9
     )
     utilised = min(load / capacity, 0.99)
-    open_lookups = each * held / (1 - utilised)  # by Little's law, in work or waiting
+    open_requests = each * held / (1 - utilised)  # by Little's law, in work or waiting
     connections = (fleet.descriptors - 24) / 2
     return {
         "cores of instances": load / capacity,
         "cores of gateways": each * fleet.lookup_cpu / 1e9 / fleet.gateway_cores,
-        "connections of gateways": open_lookups / connections,
+        "connections of gateways": open_requests / connections,
     }
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -22,7 +22,7 @@
 
 
 class Machine:
-    """`cores` lookups in work at once, the others wait in their order; `slots` bounds both together."""
+    """`cores` requests in work at once, the others wait in their order; `slots` bounds both together."""
 
     def __init__(self, number, site, kind):
         self.number, self.site, self.kind = number, site, kind
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Counted:
-    """Of the lookups that were first asked within one second: how many, their worth, and the worth
+    """Of the requests that were first asked within one second: how many, their worth, and the worth
     answered."""
 
     asked: int = 0
@@ -62,7 +62,7 @@
     def __init__(self, world, site, number, start):
         self.world, self.site, self.number = world, site, number
         self.balancer, self.up, self.armed = Balancer(start), True, None
-        self.wants = {}  # by lookup, of those that want an answer
+        self.wants = {}  # by request, of those that want an answer
 
     def tell(self, happened, *values):
         if not self.up:
@@ -83,17 +83,17 @@
 
     # ---- the door
 
-    def send(self, lookup, instance_id, time_out):
-        self.world.send(self, lookup.sends[-1], instance_id, time_out)
+    def send(self, request, instance_id, time_out):
+        self.world.send(self, request.sends[-1], instance_id, time_out)
 
     def cancel(self, send):
         self.world.at(self.world.now, self.ended, send, at.CANCELLED)
 
-    def reject(self, lookup, retry_after):
-        self.answer(lookup, "rejected", retry_after)
+    def reject(self, request, retry_after):
+        self.answer(request, "rejected", retry_after)
 
-    def abort(self, lookup):
-        self.answer(lookup, "aborted", 0)
+    def abort(self, request):
+        self.answer(request, "aborted", 0)
 
     def watch_list(self):
         pass
@@ -109,19 +109,21 @@
     def ended(self, send, end):
         if send.end or not self.up:
             return
-        lookup = send.lookup
-        if end == at.SUCCEEDED and lookup in self.wants:
-            self.answer(lookup, "succeeded", 0)
-        self.tell(self.balancer.send_ended, send, end, self.world.now - send.at, lookup not in self.wants, {})
+        request = send.request
+        if end == at.SUCCEEDED and request in self.wants:
+            self.answer(request, "succeeded", 0)
+        self.tell(
+            self.balancer.send_ended, send, end, self.world.now - send.at, request not in self.wants, {}
+        )
 
-    def answer(self, lookup, ending, retry_after):
-        if (want := self.wants.pop(lookup, None)) is not None:
+    def answer(self, request, ending, retry_after):
+        if (want := self.wants.pop(request, None)) is not None:
             self.world.answered(want, ending, retry_after)
 
-    def gave_up(self, lookup):
-        if (want := self.wants.pop(lookup, None)) is not None:
+    def gave_up(self, request):
+        if (want := self.wants.pop(request, None)) is not None:
             self.world.answered(want, "given up", 0)
-            self.tell(self.balancer.lookup_left, lookup)
+            self.tell(self.balancer.request_left, request)
 
 
 @dataclass
@@ -253,10 +255,10 @@
         if gateway is None:
             return self.answered(want, "lost", 0)
         wait = round(want.request_class.deadline * self.fleet.patience)
-        lookup = at.Lookup(next(self.ids), want.request_class, 0, 0, self.now, self.now + wait, want.work)
-        gateway.wants[lookup] = want
-        self.at(self.now + wait, gateway.gave_up, lookup)
-        gateway.tell(gateway.balancer.lookup_arrived, lookup)
+        request = at.Request(next(self.ids), want.request_class, 0, 0, self.now, self.now + wait, want.work)
+        gateway.wants[request] = want
+        self.at(self.now + wait, gateway.gave_up, request)
+        gateway.tell(gateway.balancer.request_arrived, request)
 
     def answered(self, want, ending, retry_after):
         if ending == "succeeded":
@@ -302,7 +304,7 @@
         while machine.queue and machine.busy < machine.kind.cores and not machine.paused:
             gateway, send, way = machine.queue.popleft()
             machine.busy += 1
-            takes = round(send.lookup.work * machine.factor / machine.kind.speed / self.warmth(machine))
+            takes = round(send.request.work * machine.factor / machine.kind.speed / self.warmth(machine))
             self.at(self.now + takes, self.finish, machine, machine.life, gateway, send, way)
 
     def warmth(self, machine):
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -28,7 +28,7 @@
         self.heard_at = now  # its last answer, or the first send after it stood idle
         self.newest = 0  # when the latest send that it answered was sent
         self.slowness = 0.0  # time to answer by work, smoothed; 0: not yet known
-        self.limit, self.cut_at = limit, 0  # usual lookups that it may hold of this balancer; when last cut
+        self.limit, self.cut_at = limit, 0  # usual requests that it may hold of this balancer; when last cut
         self.service = self.usual = 0.0  # its reported service time of late, and while no build is on trial
         self.failed, self.answered = 0, 0  # errors, answers
         self.open_until = 0  # until when a connection to it stays open, as far as is told
--- a/lemonlead/settings/schemas/fleet.cue
+++ b/lemonlead/settings/schemas/fleet.cue
@@ -3,7 +3,7 @@
 #Kind: {
 	cores:  int & >=1 & <=256
 	speed:  *1.0 | float & >0.0 & <=100.0
-	slots:  *64 | int & >=1 & <=100000   // lookups that a machine holds in work or waiting; more are turned away
+	slots:  *64 | int & >=1 & <=100000   // requests that a machine holds in work or waiting; more are turned away
 }
 #Lane: {
 	work:    duration & >0s & <=1h       // mean, of one core
@@ -17,7 +17,7 @@
 #Site: {
 	gateways:  int & >=1 & <=1000
 	instances: {[=~"^[a-z][a-z0-9-]{0,31}$"]: int & >=0 & <=10000}     // by kind
-	load:      {[=~"^[a-z][a-z0-9-]{0,31}$"]: float & >=0.0 & <=1000000.0} // lookups a second, by request class
+	load:      {[=~"^[a-z][a-z0-9-]{0,31}$"]: float & >=0.0 & <=1000000.0} // requests a second, by request class
 }
 kinds: {[=~"^[a-z][a-z0-9-]{0,31}$"]: #Kind}
 lanes: {[=~"^[a-z][a-z0-9-]{0,31}$"]: #Lane}
@@ -32,7 +32,7 @@
 	patience: *1.0 | float & >0.0 & <=1.0    // share of the deadline after which a client gives a try up
 }
 gateways: {
-	lookup_cpu:  *500us | duration & >0s & <=1s // of one core, a lookup
+	lookup_cpu:  *500us | duration & >0s & <=1s // of one core, a request
 	cores:       *1.0 | float & >0.0 & <=64.0
 	descriptors: *1024 | int & >=32 & <=1000000
 }
@@ -44,7 +44,7 @@
 }
 release: {
 	steps:  *[0.04, 0.1, 0.25, 0.55, 1.0] | [...#Share] // of the fleet's places that get a machine, by stage
-	caps:   *[0.08, 0.2, 0.5, 1.0, 1.0] | [...#Share]   // of the lookups that a gateway took
+	caps:   *[0.08, 0.2, 0.5, 1.0, 1.0] | [...#Share]   // of the requests that a gateway took
 	bake:   *1s | duration & >=0s & <=1h                // that a stage lasts at least
 	window: *4s | duration & >0s & <=10m
 	free:   *2 | int & >=0 & <=1000
--- a/lemonlead/settings/schemas/gateway.cue
+++ b/lemonlead/settings/schemas/gateway.cue
@@ -9,7 +9,7 @@
 	name?:   string // this gateway's in the ledger, its own only; without it the configuration's
 	members: {[=~"^[A-Za-z0-9][A-Za-z0-9_.:/-]{0,99}$"]: string} // name to host:port; more are learned
 	wait:    *2s | duration & >=0s & <=10s // a start waits so long for the ledger's first word
-	// The service that its lookups are of, to take part in its moves; of each cluster that it may move to, the
+	// The service that its requests are of, to take part in its moves; of each cluster that it may move to, the
 	// zone of the instances there, or the beginning of zones' names before a star. All others are near.
 	service?: string & =~"^[A-Za-z0-9][A-Za-z0-9_.:/-]{0,99}$"
 	far?:     {[=~"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$"]: string}
--- a/lemonlead/settings/schemas/rules.cue
+++ b/lemonlead/settings/schemas/rules.cue
@@ -1,4 +1,4 @@
-// A set of rules over lookups.
+// A set of rules over requests.
 #Rule: {
 	name:      string & =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 	when:      string                   // an expression that gives bool
@@ -8,12 +8,12 @@
 	labels?: {[=~"^[a-z][a-z0-9_]{0,31}$"]: string & =~"^[A-Za-z0-9._-]{0,64}$"}
 }
 version: string & =~"^[A-Za-z0-9._-]{1,64}$"
-// Steps that one rule and the whole set may cost a lookup at worst.
+// Steps that one rule and the whole set may cost a request at worst.
 ceilings: {
 	rule: *2000 | int & >=1 & <=1000000
 	set:  *20000 | int & >=1 & <=10000000
 }
-// The longest and the most of what a lookup may bring; what is past it cannot be read by a rule.
+// The longest and the most of what a request may bring; what is past it cannot be read by a rule.
 bounds: {
 	key:            *256 | int & >=1 & <=65536
 	customer:       *128 | int & >=1 & <=1024
--- a/lemonlead/standins/clients.py
+++ b/lemonlead/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients: one connection that asks lookups, and several that go on asking."""
+"""Clients: one connection that asks requests, and several that go on asking."""
 
 import os
 import socket
@@ -22,7 +22,7 @@
         return self
 
     def ask(self, key=b"aa", request_class="look", wait=20000, body=(), **more):
-        """Writes a lookup."""
+        """Writes a request."""
         said = {
             "c": request_class, "t": "acme", "d": wait, **({"k": "5c"} if request_class == "hold" else {}),
             **more,
@@ -32,7 +32,7 @@
         return self.write(resp.command([name, key, os.urandom(8).hex().encode(), extras, *body]))
 
     def command(self, name, key, said, *body):
-        """Writes a lookup of these extras as they are."""
+        """Writes a request of these extras as they are."""
         extras = ",".join(f"{one}={value}" for one, value in said.items()).encode()
         return self.write(resp.command([name, key, os.urandom(8).hex().encode(), extras, *body]))
 
@@ -49,10 +49,10 @@
 
 
 class Crowd:
-    """Clients that each go on asking, one lookup after the other, until told to stop. `ask(client, number)`
-    writes the next lookup and returns what its answer must be, or None where any will do; `counts` has how
+    """Clients that each go on asking, one request after the other, until told to stop. `ask(client, number)`
+    writes the next request and returns what its answer must be, or None where any will do; `counts` has how
     many answers were as they must be ("right"), rejected, errors, or anything else ("wrong"), and lost
-    connections. A connection that ended as it had rested for long, just as a lookup was written, is none of
+    connections. A connection that ended as it had rested for long, just as a request was written, is none of
     these ("crossed"): the protocol has the client ask once more, on a new connection."""
 
     def __init__(self, port, count, ask):
@@ -110,7 +110,7 @@
             return sum(self.counts.values())
 
     def stop(self, within=30.0):
-        """Ends after the lookups that are out; the counts."""
+        """Ends after the requests that are out; the counts."""
         self.stopped.set()
         until = time.monotonic() + within
         for thread in self.threads:
--- a/lemonlead/standins/expressions.py
+++ b/lemonlead/standins/expressions.py
@@ -1,4 +1,4 @@
-"""Expressions that mean harm, and expressions drawn at random by the grammar and the types; and lookups to
+"""Expressions that mean harm, and expressions drawn at random by the grammar and the types; and requests to
 match.
 
 For tests and benchmarks: each must be refused when it is loaded, or keep what its cost promises."""
@@ -166,7 +166,7 @@
 
 
 def lookups(declared):
-    """Lookups that make matching dear or make it err: the longest of all, none of it, not UTF-8, past the
+    """Requests that make matching dear or make it err: the longest of all, none of it, not UTF-8, past the
     bounds."""
     lane = declared.request_classes[0] if declared.request_classes else "fitment"
     full = {f"{n:0{declared.attribute_name}d}": "a" * declared.attribute for n in range(declared.attributes)}
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -1,10 +1,10 @@
 """A whole installation on loopback: clusters of members, gateways that follow the first of them, nodes,
-clients with lookups under way, operators with commands under way, and a network between all that fails by
+clients with requests under way, operators with commands under way, and a network between all that fails by
 order.
 
-What is counted is counted at nodes and clients alone: lookups answered and lost, non-idempotent lookups that
-ran twice, gangs and groups that were broken, sends to nodes that were said to be clear, acknowledged commands
-that are gone. No code is shared with what is checked."""
+What is counted is counted at nodes and clients alone: requests answered and lost, non-idempotent requests
+that ran twice, gangs and groups that were broken, sends to nodes that were said to be clear, acknowledged
+commands that are gone. No code is shared with what is checked."""
 
 import contextlib
 import json
@@ -45,7 +45,7 @@
 
 
 class Shop(Node):
-    """A node that knows by lookup which non-idempotent lookups it ran."""
+    """A node that knows by request which non-idempotent requests it ran."""
 
     def __init__(self, *words, ran, **more):
         super().__init__(*words, **more)
@@ -119,7 +119,7 @@
 
 class Installation:
     """`clusters`: name to names of its members; the first is followed by gateways and nodes. `far`: how many
-    nodes the second cluster has, `service`: what lookups are of, for its moves there. Used as a context it
+    nodes the second cluster has, `service`: what requests are of, for its moves there. Used as a context it
     ends all that it started."""
 
     def __init__(
@@ -236,10 +236,10 @@
     def answered(self):
         return sum(crowd.total() for crowd in self.crowds)
 
-    def wait_lookups(self, more, patience=60):
+    def wait_requests(self, more, patience=60):
         """Until so many more were answered."""
         upto = self.answered() + more
-        until(lambda: self.answered() >= upto, lambda: f"lookups: {self.counts()}", patience)
+        until(lambda: self.answered() >= upto, lambda: f"requests: {self.counts()}", patience)
 
     def wait_acknowledged(self, more, patience=60):
         """Until so many more commands of operators were acknowledged."""
@@ -277,7 +277,7 @@
     # ---- what came of it
 
     def counts(self, but=()):
-        """Of all lookups by their ending: right, rejected, errors, wrong, lost. `but`: not those of these
+        """Of all requests by their ending: right, rejected, errors, wrong, lost. `but`: not those of these
         gateways."""
         total = Counter()
         for name, crowd in zip(self.names, self.crowds, strict=True):
@@ -299,17 +299,17 @@
     def faults(self, unheard=()):
         """All that went wrong, as texts; asked once operators are stopped and the network is whole.
         `unheard`: gateways that were cut off past their lease. They go on by their last list, so that a node
-        may be down with lookups of theirs, which then end in errors; nothing else is excused."""
+        may be down with requests of theirs, which then end in errors; nothing else is excused."""
         every, heard = self.counts(), self.counts(but=unheard)
-        found = [f"lookups {what}: {every[what]}" for what in ("wrong", "lost") if every[what]]
-        found += [f"lookups errors: {heard['errors']}"] if heard["errors"] else []
+        found = [f"requests {what}: {every[what]}" for what in ("wrong", "lost") if every[what]]
+        found += [f"requests errors: {heard['errors']}"] if heard["errors"] else []
         for name, ran in zip(self.names, self.gateways, strict=True):
             told = ran.counters()
             ended = sum(told.get(what, 0) for what in ("succeeded", "rejected", "aborted", "left"))
             if told["taken"] != ended + told["open"]:
-                found.append(f"{name}: {told['taken']} lookups taken, {ended} ended, {told['open']} open")
+                found.append(f"{name}: {told['taken']} requests taken, {ended} ended, {told['open']} open")
         twice = [id for id, times in self.ran.items() if times > 1]
-        found += [f"non-idempotent lookups that ran twice: {len(twice)}"] if twice else []
+        found += [f"non-idempotent requests that ran twice: {len(twice)}"] if twice else []
         for node in self.nodes + self.far if not unheard else ():
             after, ended = node.counts["after clear"], node.counts["ended"]
             if after + ended:
--- a/lemonlead/standins/instances.py
+++ b/lemonlead/standins/instances.py
@@ -33,11 +33,11 @@
 
 
 class Machine(InstanceServer):
-    """An instance with worker slots and a queue. It needs `work` seconds for a lookup, by request class
+    """An instance with worker slots and a queue. It needs `work` seconds for a request, by request class
     (None: for all others), for one slot; `queue` more may wait, what is past that is turned away unseen. From
     `start` on its speed rises from `cold` (a share) to the whole in `warm` seconds.
 
-    Faults on demand: `silent` (reads, never answers), `failing` (the share of lookups that fail, by request
+    Faults on demand: `silent` (reads, never answers), `failing` (the share of requests that fail, by request
     class), `spoilt` (the share of answers that cannot be read), `slow` (work is multiplied by it). `memory`:
     seconds for which it drops repeats of an idempotency key. Counts: `done` by request class, `ran` by
     idempotency key or id, `turned_away`, `dropped`."""
@@ -97,7 +97,7 @@
         return gives(value)
 
     def needs_of(self, said):
-        """Seconds of one slot that a lookup with these extras needs at full speed."""
+        """Seconds of one slot that a request with these extras needs at full speed."""
         return self.work.get(said["c"], self.work.get(None, 0.0))
 
     def speed(self):
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -1,8 +1,8 @@
 """Nodes: instances that obey a ledger's permits, and that count by themselves what happened to them.
 
-A `Node` takes lookups at an address of its own for each gateway, so that it knows whose a send is. An `Agent`
-tells it the ledger's permits and reports what it does. `Job` (a gang's) and `Replicas` (a group's) look at
-their nodes alone, not at any ledger. No code is shared with what is checked."""
+A `Node` takes requests at an address of its own for each gateway, so that it knows whose a send is. An
+`Agent` tells it the ledger's permits and reports what it does. `Job` (a gang's) and `Replicas` (a group's)
+look at their nodes alone, not at any ledger. No code is shared with what is checked."""
 
 import contextlib
 import http.client
@@ -45,9 +45,9 @@
 
 
 class Node:
-    """`sends`: (moment, gateway, state) of each lookup taken. `counts`: "sends", "after clear" (lookups that
-    came although every gateway was said to have stopped), "old permits" (refused), "downs", "ended" (lookups
-    cut off by going down). `states`: (moment, state), in order."""
+    """`sends`: (moment, gateway, state) of each request taken. `counts`: "sends", "after clear" (requests
+    that came although every gateway was said to have stopped), "old permits" (refused), "downs", "ended"
+    (requests cut off by going down). `states`: (moment, state), in order."""
 
     def __init__(self, name, work=0.0, away=0.0, catch_up=0.0):
         self.name, self.work, self.away, self.catch_up = name, work, away, catch_up
@@ -62,7 +62,7 @@
         self.may_catch_up.set()
         self.killed = threading.Event()
 
-    # ---- lookups
+    # ---- requests
 
     def listen(self, gateway):
         """The address at which this gateway reaches it."""
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -29,7 +29,7 @@
 
 
 class Gateway:
-    """Of one cluster; sends one service's lookups, votes on its moves. `nodes`: names, all of them ready by
+    """Of one cluster; sends one service's requests, votes on its moves. `nodes`: names, all of them ready by
     discovery's word."""
 
     def __init__(self, cluster, name, service, nodes, seed):
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -22,13 +22,13 @@
 
 
 class Seat:
-    """One balancer's place: the door it calls through, its open lookups and its timer."""
+    """One balancer's place: the door it calls through, its open requests and its timer."""
 
     def __init__(self, number, start):
         self.number = number
         self.reply = None
-        self.lookups = {}
-        self.out = {}  # (lookup id, send number): Send, also past the lookup's end
+        self.requests = {}
+        self.out = {}  # (request id, send number): Send, also past the request's end
         self.armed = None
         self.request_classes = {
             request_class.number: request_class for request_class in start.request_classes
@@ -36,20 +36,20 @@
         self.fields = start.report_fields
         self.balancer = Balancer(start)
 
-    def send(self, lookup, instance_id, time_out):
-        self.out[lookup.id, lookup.sends[-1].number] = lookup.sends[-1]
-        self.reply.add("pass_on", self.number, lookup.id, instance_id, time_out / NS)
+    def send(self, request, instance_id, time_out):
+        self.out[request.id, request.sends[-1].number] = request.sends[-1]
+        self.reply.add("pass_on", self.number, request.id, instance_id, time_out / NS)
 
     def cancel(self, send):
-        self.reply.add("withdraw", self.number, send.lookup.id, send.number)
+        self.reply.add("withdraw", self.number, send.request.id, send.number)
 
-    def reject(self, lookup, retry_after):
-        del self.lookups[lookup.id]
-        self.reply.add("busy", self.number, lookup.id, retry_after / NS)
+    def reject(self, request, retry_after):
+        del self.requests[request.id]
+        self.reply.add("busy", self.number, request.id, retry_after / NS)
 
-    def abort(self, lookup):
-        del self.lookups[lookup.id]
-        self.reply.add("finish_error", self.number, lookup.id)
+    def abort(self, request):
+        del self.requests[request.id]
+        self.reply.add("finish_error", self.number, request.id)
 
     def watch_list(self):
         self.reply.add("watch", self.number, 1)
@@ -144,32 +144,32 @@
 
     def work_item(self, seat, id, request_class, tenant, key, left, hint, flags):
         if request_class not in seat.request_classes:
-            raise BadFrame(f"gateway {seat.number}: a lookup of the unknown request class {request_class}")
+            raise BadFrame(f"gateway {seat.number}: a request of the unknown request class {request_class}")
         work = max(in_ns(hint), 0) if flags & 1 else 0
-        lookup = at_door.Lookup(
+        request = at_door.Request(
             id, seat.request_classes[request_class], tenant, key, self.now, self.now + in_ns(left), work,
             bool(flags & 2)
         )
-        seat.lookups[id] = lookup
-        seat.balancer.lookup_arrived(self.now, lookup)
+        seat.requests[id] = request
+        seat.balancer.request_arrived(self.now, request)
 
     def first_byte(self, seat, id, instance, lag, number):
         if (send := seat.out.get((id, number))) is not None:
-            seat.balancer.lookup_left(self.now, send.lookup)
+            seat.balancer.request_left(self.now, send.request)
 
     def reply(self, seat, id, number, lag, ended, instance, code, count, *gauge):
         send = seat.out.pop((id, number), None)
         if send is None:
             return
         if ended:
-            seat.lookups.pop(id, None)
+            seat.requests.pop(id, None)
         end = _ENDS.get(code, at_door.ERRED)
         report = dict(zip(seat.fields, gauge[:count], strict=False))
         seat.balancer.send_ended(self.now, send, end, in_ns(lag), bool(ended), report)
 
     def left(self, seat, id):
-        if (lookup := seat.lookups.pop(id, None)) is not None:
-            seat.balancer.lookup_left(self.now, lookup)
+        if (request := seat.requests.pop(id, None)) is not None:
+            seat.balancer.request_left(self.now, request)
 
     def wakeup(self, seat, token):
         # An older timer, overtaken by a nearer one, must not arm another. The wire's clock is rounded.
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -35,7 +35,7 @@
         self.balancer = make(self.start)
         self.open, self.trips, self.armed, self.wakes = {}, {}, None, 0
         self.machines, self.watching, self.latest = {}, False, BEGIN  # when the last client gives up
-        self.ahead = world["lookups"] + world["changes"]  # that are still to come
+        self.ahead = world["requests"] + world["changes"]  # that are still to come
         self.build, self.stage, self.phase, self.cap, self.since = 1, 0, at.RELEASED, 1.0, BEGIN
         self.step = max(int(settings.get("Step", 0) * MS), 0)
 
@@ -59,7 +59,7 @@
             self.stage_told()
         self.pull()
         at_ms = 0.0
-        for number in range(world["lookups"]):
+        for number in range(world["requests"]):
             if self.random.random() >= world["bursts"]:
                 at_ms += self.random.expovariate(1.0) * world["gap"]
             self.after(at_ms * MS, self.arrive, number)
@@ -172,7 +172,7 @@
         age = self.now - self.since
         self.balancer.stage_told(self.now, self.build, self.stage, self.phase, self.cap, age)
 
-    # ---- lookups
+    # ---- requests
 
     def arrive(self, number):
         self.ahead -= 1
@@ -183,22 +183,22 @@
         tenant = self.random.randrange(-1, tenants) if tenants else self.random.choice([0, -1])
         work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
         key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
-        lookup = at.Lookup(number, request_class, tenant, key, self.now, self.now + left, work)
-        self.open[number], self.latest = lookup, max(self.latest, lookup.deadline)
+        request = at.Request(number, request_class, tenant, key, self.now, self.now + left, work)
+        self.open[number], self.latest = request, max(self.latest, request.deadline)
         self.note("taken", number, request_class.number, left, key, work)
         if self.random.random() < self.world["leave"]:
-            self.after(self.random.random() * left, self.leave, lookup)
-        self.balancer.lookup_arrived(self.now, lookup)
+            self.after(self.random.random() * left, self.leave, request)
+        self.balancer.request_arrived(self.now, request)
 
-    def leave(self, lookup):
-        if self.open.pop(lookup.id, None) is not None:
-            self.note("final", lookup.id, "left")
-            self.balancer.lookup_left(self.now, lookup)
+    def leave(self, request):
+        if self.open.pop(request.id, None) is not None:
+            self.note("final", request.id, "left")
+            self.balancer.request_left(self.now, request)
 
     # ---- the door
 
-    def send(self, lookup, instance_id, time_out):
-        send = lookup.sends[-1]
+    def send(self, request, instance_id, time_out):
+        send = request.sends[-1]
         self.trips[send] = "new"
         if self.world["connects"] and self.random.random() < self.world["connects"]:
             most = min(self.start.connect_time, time_out, 2000 * MS)
@@ -206,14 +206,16 @@
         return self.begin(send, instance_id, time_out, False)
 
     def begin(self, send, instance_id, time_out, asked=True):
-        lookup = send.lookup
+        request = send.request
         cancelled = self.trips.get(send) == "cancelled"
-        if asked and (cancelled or lookup.id not in self.open or not self.balancer.may_begin(self.now, send)):
+        if asked and (
+            cancelled or request.id not in self.open or not self.balancer.may_begin(self.now, send)
+        ):
             return self.after(0, self.end, send, at.NOT_SENT)
         self.trips[send] = "written"
-        self.note("send", lookup.id, send.number, instance_id)
+        self.note("send", request.id, send.number, instance_id)
         row = self.machines.get(int(instance_id[1:]))
-        goal = min(lookup.request_class.latency_objective or 100 * MS, 1000 * MS)
+        goal = min(request.request_class.latency_objective or 100 * MS, 1000 * MS)
         takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
         if row is None or row["bad"] and self.random.random() < 0.5:
             end = self.random.choice([at.UNCONNECTED, at.RESET, "silent", at.ERRED, at.REJECTED])
@@ -223,43 +225,43 @@
             )[0]
         if end == at.UNCONNECTED:
             takes = self.random.choice([0, min(self.start.connect_time, time_out)])
-        left = lookup.deadline - self.now if asked else time_out
+        left = request.deadline - self.now if asked else time_out
         if end == "silent" or takes >= left:
             takes, end = left, at.TIMED_OUT
-        elif lookup.request_class.streamed and end == at.SUCCEEDED:
+        elif request.request_class.streamed and end == at.SUCCEEDED:
             self.after(takes / 2, self.first_byte, send)
         self.after(takes, self.end, send, end)
 
     def first_byte(self, send):
-        if send in self.trips and self.open.pop(send.lookup.id, None) is not None:
-            self.note("final", send.lookup.id, "streamed")
-            self.balancer.lookup_left(self.now, send.lookup)
+        if send in self.trips and self.open.pop(send.request.id, None) is not None:
+            self.note("final", send.request.id, "streamed")
+            self.balancer.request_left(self.now, send.request)
 
     def end(self, send, end):
         if self.trips.pop(send, None) is None:
             return
-        lookup = send.lookup
-        self.note("outcome", lookup.id, send.number, end)
-        if end == at.SUCCEEDED and self.open.pop(lookup.id, None) is not None:
-            self.note("final", lookup.id, "served")
-        over = lookup.id not in self.open
+        request = send.request
+        self.note("outcome", request.id, send.number, end)
+        if end == at.SUCCEEDED and self.open.pop(request.id, None) is not None:
+            self.note("final", request.id, "served")
+        over = request.id not in self.open
         report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
         self.balancer.send_ended(self.now, send, end, self.now - send.at, over, report)
 
     def cancel(self, send):
-        self.note("cancel", send.lookup.id, send.number)
+        self.note("cancel", send.request.id, send.number)
         if self.trips.get(send) == "new":
             self.trips[send] = "cancelled"
         elif send in self.trips:
             self.after(self.random.choice([0, 3 * MS]), self.end, send, at.CANCELLED)
 
-    def reject(self, lookup, retry_after):
-        assert self.open.pop(lookup.id, None) is lookup
-        self.note("final", lookup.id, "busy", retry_after)
+    def reject(self, request, retry_after):
+        assert self.open.pop(request.id, None) is request
+        self.note("final", request.id, "busy", retry_after)
 
-    def abort(self, lookup):
-        assert self.open.pop(lookup.id, None) is lookup
-        self.note("final", lookup.id, "failed")
+    def abort(self, request):
+        assert self.open.pop(request.id, None) is request
+        self.note("final", request.id, "failed")
 
     def watch_list(self):
         self.note("watch asked")
@@ -283,7 +285,7 @@
 
 
 WORLD = {
-    "seed": 1, "machines": 4, "news": True, "lookups": 60, "bursts": 0.3, "gap": 20.0, "changes": 10,
+    "seed": 1, "machines": 4, "news": True, "requests": 60, "bursts": 0.3, "gap": 20.0, "changes": 10,
     "apart": 0.5, "in_steps": False, "bad": 0.1, "good": 60, "slow": 0.1, "leave": 0.05, "connects": 0.0,
     "unheard": 0.2, "hints": False,
 }
--- a/tests/days.py
+++ b/tests/days.py
@@ -1,6 +1,6 @@
 """Days of the planner's world with more of what the standing test asks about: what is sent to cold machines,
 what each request class and tenant gets by thirds, gateways that die and come back, and the policy that each
-is held against, which sees the true state of every machine late. Times in nanoseconds; loads in lookups a
+is held against, which sees the true state of every machine late. Times in nanoseconds; loads in requests a
 second."""
 
 import bisect
@@ -30,41 +30,41 @@
     def wake_at(self):
         return 1 << 62
 
-    def lookup_arrived(self, now, lookup):
-        self.due.append(lookup)
+    def request_arrived(self, now, request):
+        self.due.append(request)
 
-    def lookup_left(self, now, lookup):
-        lookup.over = True
+    def request_left(self, now, request):
+        request.over = True
 
     def send_ended(self, now, send, end, took, over, report):
-        send.end, send.lookup.over = end, send.lookup.over or over
-        self.due.append(send.lookup)
+        send.end, send.request.over = end, send.request.over or over
+        self.due.append(send.request)
 
     def decide(self, now, door):
         while self.due:
-            if not (lookup := self.due.popleft()).over:
-                self.settle(lookup, now, door)
+            if not (request := self.due.popleft()).over:
+                self.settle(request, now, door)
                 return True
         return False
 
-    def settle(self, lookup, now, door):
-        seen, tried = self.day.seen[0], [send.instance for send in lookup.sends]
+    def settle(self, request, now, door):
+        seen, tried = self.day.seen[0], [send.instance for send in request.sends]
         fit = [number for number in seen if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: seen[number], default=None)
-        ran = lookup.request_class.effect == at.NON_IDEMPOTENT and any(
-            s.end not in at.NEVER_RAN for s in lookup.sends
+        ran = request.request_class.effect == at.NON_IDEMPOTENT and any(
+            s.end not in at.NEVER_RAN for s in request.sends
         )
-        if best is None or ran or 4 * seen[best] > lookup.request_class.latency_objective:
-            lookup.over = True
-            return door.reject(lookup, LATE // 2)
-        lookup.sends.append(at.Send(lookup, len(lookup.sends), best, now))
-        return door.send(lookup, best, lookup.deadline - now)
+        if best is None or ran or 4 * seen[best] > request.request_class.latency_objective:
+            request.over = True
+            return door.reject(request, LATE // 2)
+        request.sends.append(at.Send(request, len(request.sends), best, now))
+        return door.send(request, best, request.deadline - now)
 
 
 @dataclass
 class Day(World):
-    """`weights`: how often a lookup is of each tenant. `burst`: the load, by the usual one, in the last
+    """`weights`: how often a request is of each tenant. `burst`: the load, by the usual one, in the last
     three fifths of each third of `length` seconds; in the rest it is 0.6. None: always the usual one."""
 
     length: int = 12
@@ -102,8 +102,8 @@
             self.at(self.now + LATE, self.look)
 
     def waits(self, machine):
-        """How long a lookup that comes now waits there, in nanoseconds."""
-        held = sum(send.lookup.work for _, send, _ in machine.queue) + machine.busy * self.mean_work() / 2
+        """How long a request that comes now waits there, in nanoseconds."""
+        held = sum(send.request.work for _, send, _ in machine.queue) + machine.busy * self.mean_work() / 2
         return held / machine.kind.cores / machine.kind.speed
 
     def mean_work(self):
@@ -136,7 +136,7 @@
     def send(self, gateway, send, number, time_out):
         machine = self.machines[number]
         if machine.started and self.now < machine.started + self.fleet.warm:
-            self.sent.setdefault(number, []).append((self.now, send.lookup.work))
+            self.sent.setdefault(number, []).append((self.now, send.request.work))
         super().send(gateway, send, number, time_out)
 
     def ask(self, want):
@@ -153,13 +153,13 @@
         super().answered(want, ending, retry_after)
 
     def share(self, what, which=None, third=None):
-        """Of the lookups of this request class or tenant (None: of all) in this third (None: all day)."""
+        """Of the requests of this request class or tenant (None: of all) in this third (None: all day)."""
         keys = [key for key in self.asked if key[0] == what and which in (None, key[1])]
         keys = [key for key in keys if third in (None, key[2])]
         return sum(self.served[key] for key in keys) / sum(self.asked[key] for key in keys)
 
     def pressed(self):
-        """The most that any cold machine got in a window by what it bears: N + 3 x root of N + 3 lookups of
+        """The most that any cold machine got in a window by what it bears: N + 3 x root of N + 3 requests of
         mean work, N being what is told to be allowed at the window's start."""
         fleet, mean, most = self.fleet, self.mean_work(), 0.0
         for number, sends in self.sent.items():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,17 +13,17 @@
     def __init__(self):
         self.calls = []
 
-    def send(self, lookup, instance_id, time_out):
-        self.calls.append(("send", lookup.id, instance_id))
+    def send(self, request, instance_id, time_out):
+        self.calls.append(("send", request.id, instance_id))
 
     def cancel(self, send):
-        self.calls.append(("cancel", send.lookup.id, send.number))
+        self.calls.append(("cancel", send.request.id, send.number))
 
-    def reject(self, lookup, retry_after):
-        self.calls.append(("reject", lookup.id, retry_after))
+    def reject(self, request, retry_after):
+        self.calls.append(("reject", request.id, retry_after))
 
-    def abort(self, lookup):
-        self.calls.append(("abort", lookup.id))
+    def abort(self, request):
+        self.calls.append(("abort", request.id))
 
     def watch_list(self):
         self.calls.append(("watch",))
@@ -71,12 +71,12 @@
     return made
 
 
-def lookup(id=1, on=None, now=NOW, left=4000 * MS, key=0, work=100 * MS):
-    return at.Lookup(id, on or request_class(), 0, key, now, now + left, work)
+def request(id=1, on=None, now=NOW, left=4000 * MS, key=0, work=100 * MS):
+    return at.Request(id, on or request_class(), 0, key, now, now + left, work)
 
 
 def sent(asked, member, end="", at_time=NOW):
-    """A send of this lookup to this member, as ended so."""
+    """A send of this request to this member, as ended so."""
     send = at.Send(asked, len(asked.sends), member, at_time, end)
     asked.sends.append(send)
     if not end:
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -75,7 +75,7 @@
 )
 WORLDS = some.fixed_dictionaries({
     "seed": some.integers(0, 2**32), "machines": some.sampled_from([0, 1, 2, 5, 12]), "news": FLAGS,
-    "lookups": some.sampled_from([1, 10, 80]), "bursts": some.sampled_from([0.0, 0.5, 1.0]),
+    "requests": some.sampled_from([1, 10, 80]), "bursts": some.sampled_from([0.0, 0.5, 1.0]),
     "gap": some.sampled_from([0.01, 2.0, 30.0, 300.0]), "changes": some.sampled_from([0, 8, 40]),
     "apart": some.sampled_from([0.0, 0.5, 1.0]), "in_steps": FLAGS, "bad": some.sampled_from([0.0, 0.2, 1.0]),
     "good": some.sampled_from([2, 60, 10_000]), "slow": some.sampled_from([0.01, 0.2, 3.0]),
@@ -95,7 +95,7 @@
 
 # ---- what was found so, each in its smallest form
 
-CALM = {"machines": 6, "good": 1e9, "bad": 0.0, "changes": 0, "leave": 0.0, "bursts": 0.0, "lookups": 300}
+CALM = {"machines": 6, "good": 1e9, "bad": 0.0, "changes": 0, "leave": 0.0, "bursts": 0.0, "requests": 300}
 
 
 def served(told, **world):
@@ -125,9 +125,11 @@
         assert longest * MS / 3 <= made.ask_at - BEGIN <= longest * MS
 
 
-def test_a_lookup_that_may_wait_for_long_is_looked_at_but_some_dozens_of_times():
+def test_a_request_that_may_wait_for_long_is_looked_at_but_some_dozens_of_times():
     request_classes = [{"Name": "look", "Effect": "idempotent", "Slo": 1e7, "GiveUp": 40_000.0}]
-    play = Play({**SETTINGS, "Lanes": request_classes}, {**WORLD, "machines": 0, "changes": 0, "lookups": 20})
+    play = Play(
+        {**SETTINGS, "Lanes": request_classes}, {**WORLD, "machines": 0, "changes": 0, "requests": 20}
+    )
     met = ways(play.run())
     assert met["final busy"] == 20 and play.wakes < 20 * 40
 
@@ -139,10 +141,10 @@
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
     sends, made_lane = {}, started(SETTINGS, 7, BEGIN).request_classes[0]
     for build in (1, 2):
-        lookup = at.Lookup(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
-        made.lookup_arrived(at_, lookup)
-        lookup.sends.append(at.Send(lookup, 0, made.members[f"i{build}"], at_))
-        sends[build] = lookup.sends[0]
+        request = at.Request(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
+        made.request_arrived(at_, request)
+        request.sends.append(at.Send(request, 0, made.members[f"i{build}"], at_))
+        sends[build] = request.sends[0]
     return made, sends
 
 
@@ -156,7 +158,7 @@
 def test_a_send_that_waited_past_the_window_counts_in_that_in_which_it_begins():
     made, sends = waiting({"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]})
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
-    other = at.Lookup(3, sends[2].lookup.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
+    other = at.Request(3, sends[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
     assert made.may_begin(late, sends[2])
     assert not made.may_send(other, made.members["i2"], late)
@@ -173,45 +175,45 @@
 
 
 class Forgetful(Balancer):
-    """Gives up a lookup without an answer at its deadline."""
+    """Gives up a request without an answer at its deadline."""
 
-    def give_up(self, lookup, door):
-        if not any(send.end in (at.TIMED_OUT, "") for send in lookup.sends):
-            return super().give_up(lookup, door)
-        lookup.over = True
+    def give_up(self, request, door):
+        if not any(send.end in (at.TIMED_OUT, "") for send in request.sends):
+            return super().give_up(request, door)
+        request.over = True
         return True
 
 
 class Late(Balancer):
-    def give_up(self, lookup, door):
-        if self.sends_seen(lookup):
-            return super().give_up(lookup, door)
-        lookup.deadline += 60_000_000
-        self.wake(lookup.deadline, lookup)
+    def give_up(self, request, door):
+        if self.sends_seen(request):
+            return super().give_up(request, door)
+        request.deadline += 60_000_000
+        self.wake(request.deadline, request)
         return False
 
-    def sends_seen(self, lookup):
-        seen, lookup.repeat = lookup.repeat, True
+    def sends_seen(self, request):
+        seen, request.repeat = request.repeat, True
         return seen
 
 
 class Repeating(Balancer):
     """Takes what may have run for what has not."""
 
-    def may_send(self, lookup, member, now):
-        ends = [send.end for send in lookup.sends]
-        for send in lookup.sends:
+    def may_send(self, request, member, now):
+        ends = [send.end for send in request.sends]
+        for send in request.sends:
             send.end = send.end and at.REJECTED
-        found = super().may_send(lookup, member, now)
-        for send, end in zip(lookup.sends, ends, strict=True):
+        found = super().may_send(request, member, now)
+        for send, end in zip(request.sends, ends, strict=True):
             send.end = end
         return found
 
 
 class Refusing(Balancer):
-    def give_up(self, lookup, door):
-        lookup.over = True
-        door.reject(lookup, 0)
+    def give_up(self, request, door):
+        request.over = True
+        door.reject(request, 0)
         return True
 
 
@@ -243,18 +245,18 @@
     def able(self, member, now):
         return 1.0
 
-    def cost(self, member, lookup, now):
+    def cost(self, member, request, now):
         return 0.0 if self.warmth(member, now) < 1 else 1.0
 
 
 class Bold(Balancer):
     """Heeds no cap."""
 
-    def exposure_left(self, build, lookup, now):
+    def exposure_left(self, build, request, now):
         return True
 
-    def choose(self, lookup, now, whole=False):
-        return super().choose(lookup, now, True)
+    def choose(self, request, now, whole=False):
+        return super().choose(request, now, True)
 
 
 class Backward(Balancer):
@@ -278,11 +280,11 @@
         ("2", Impatient, {"Limits": {"AttemptsCap": 5}}, {**BAD, "slow": 2.0}),
         ("2", Impatient, {"Limits": {"AttemptsCap": 2, "MayDuplicate": True}}, {**BAD, "slow": 2.0}),
         ("3", Deaf, {}, {"changes": 40}),
-        ("3", Lazy, {"Obligations": {"AskWithin": 200.0}}, {"changes": 40, "unheard": 0.8, "lookups": 200}),
-        ("4", Rash, {"Obligations": COLD}, {"changes": 40, "machines": 8, "lookups": 200}),
-        ("5", Bold, {}, {"changes": 40, "lookups": 200}),
+        ("3", Lazy, {"Obligations": {"AskWithin": 200.0}}, {"changes": 40, "unheard": 0.8, "requests": 200}),
+        ("4", Rash, {"Obligations": COLD}, {"changes": 40, "machines": 8, "requests": 200}),
+        ("5", Bold, {}, {"changes": 40, "requests": 200}),
         ("5", Bold, {"FamilyInfo": GUARDED}, {"changes": 40}),
-        ("5", Backward, {"FamilyInfo": ONE_WAY}, {"changes": 40, "lookups": 200}),
+        ("5", Backward, {"FamilyInfo": ONE_WAY}, {"changes": 40, "requests": 200}),
     ],
 )
 def test_a_fault_put_in_is_caught(rule, make, told, world):
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from helpers import line, lookup, sent
+from helpers import line, request, sent
 
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
@@ -187,7 +187,7 @@
     got = read(tmp_path, changed("settings", "Lanes", 1, "Window", to=ABSENT))
     made = Balancer(got.start)
     made.listed(got.start.now, [line(1), line(2)], True, True)
-    asked = lookup(on=got.start.request_classes[1], now=got.start.now)
+    asked = request(on=got.start.request_classes[1], now=got.start.now)
     sent(asked, made.members[1], at.RESET, got.start.now)
     assert asked.request_class.effect == at.DEDUPLICATED
     assert not made.may_send(asked, made.members[2], got.start.now)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -3,7 +3,7 @@
 from collections import Counter, deque
 
 import pytest
-from helpers import MS, NOW, Dispatcher, balancer, judged, line, lookup, request_class, sent
+from helpers import MS, NOW, Dispatcher, balancer, judged, line, request, request_class, sent
 
 from lemonlead import interface as at
 from lemonlead.balance import NEAR, Balancer, sound
@@ -40,14 +40,14 @@
 )
 def test_a_second_send_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
     made = balancer([line(1, zone=0), line(2, zone=zone)])
-    asked = lookup(on=on, left=30 * SECOND)
+    asked = request(on=on, left=30 * SECOND)
     sent(asked, made.members[1], end)
     assert made.may_send(asked, made.members[2], NOW + age * MS) is allowed
 
 
 def test_no_second_send_while_one_is_out_where_copies_are_barred():
     made = balancer([line(1), line(2)], may_duplicate=False)
-    asked = lookup()
+    asked = request()
     sent(asked, made.members[1])
     assert not made.may_send(asked, made.members[2], NOW)
 
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("sends, left, allowed", [(3, 9, True), (4, 9, False), (0, 0, False), (0, -9, False)])
 def test_no_send_past_the_send_cap_or_the_deadline(sends, left, allowed):
     made = balancer([line(1)])
-    asked = lookup(left=left * MS)
+    asked = request(left=left * MS)
     for _ in range(sends):
         sent(asked, made.members[1], at.UNCONNECTED)
     assert made.may_send(asked, made.members[1], NOW) is allowed
@@ -74,16 +74,16 @@
 )
 def test_the_final_answer_tells_what_may_have_run(on, end, answer):
     made, dispatcher = balancer([line(1)]), Dispatcher()
-    asked = lookup(on=on)
+    asked = request(on=on)
     sent(asked, made.members[1], end)
     made.give_up(asked, dispatcher)
     assert [call[0] for call in dispatcher.calls] == [answer] and asked.over
 
 
 @pytest.mark.parametrize("left", [0, -5, 300])
-def test_a_lookup_that_nobody_can_take_is_answered_once_and_in_time(left):
+def test_a_request_that_nobody_can_take_is_answered_once_and_in_time(left):
     made, dispatcher = balancer([]), Dispatcher()
-    made.lookup_arrived(NOW, lookup(left=left * MS))
+    made.request_arrived(NOW, request(left=left * MS))
     calls = [call[0] for ms in range(0, 600, 5) for call in dispatcher.pull(made, NOW + ms * MS)]
     assert calls.count("reject") == 1
     calls = dispatcher.pull(made, NOW + SECOND)
@@ -92,10 +92,10 @@
 
 @pytest.mark.parametrize("rescues, answer", [(5.0, "send"), (0.5, "reject")])
 def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
-    """Guards against the jam in which each lookup is turned away at many full machines."""
+    """Guards against the jam in which each request is turned away at many full machines."""
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     made.rescues = rescues
-    asked = lookup()
+    asked = request()
     sent(asked, made.members[1])
     made.send_ended(NOW + MS, asked.sends[0], at.REJECTED, MS, False, {})
     assert [call[0] for call in dispatcher.pull(made, NOW + MS)] == [answer]
@@ -105,7 +105,7 @@
 def test_nothing_new_goes_to_what_drains_or_is_gone(state):
     made, dispatcher = balancer([line(1)]), Dispatcher()
     made.listed(NOW, [line(1, state=state)], False, True)
-    made.lookup_arrived(NOW, lookup())
+    made.request_arrived(NOW, request())
     assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "send"]
 
 
@@ -130,7 +130,7 @@
     got = 0
     for step in range(400):
         now = NOW + step * 5 * MS
-        made.lookup_arrived(now, lookup(step, now=now, work=20 * MS))
+        made.request_arrived(now, request(step, now=now, work=20 * MS))
         got += sum(call[0] == "send" and call[2] == 1 for call in dispatcher.pull(made, now))
         for member in made.members.values():
             member.out.clear()
@@ -159,26 +159,26 @@
     made.guarded_stages = 1
     made.stage_told(NOW, *told, 0)
     for number in range(taken):
-        made.lookup_arrived(NOW, lookup(number, on=on))
+        made.request_arrived(NOW, request(number, on=on))
     made.members[3].build.sent[0] = deque([NOW] * sends)
-    assert made.may_send(lookup(99, on=on), made.members[3], NOW) is allowed
+    assert made.may_send(request(99, on=on), made.members[3], NOW) is allowed
 
 
 def test_request_classes_are_counted_apart_where_told():
     made = trial()
     made.per_class = True
     made.members[3].build.sent[0] = [NOW] * 2
-    assert not made.exposure_left(made.members[3].build, lookup(), NOW)
-    assert made.exposure_left(made.members[3].build, lookup(on=DEDUPLICATED_ALL), NOW)
+    assert not made.exposure_left(made.members[3].build, request(), NOW)
+    assert made.exposure_left(made.members[3].build, request(on=DEDUPLICATED_ALL), NOW)
 
 
 def test_a_key_that_the_new_build_answered_stays_with_it():
     made = trial()
     made.members[3].build.keys.add(77)
-    assert not made.may_send(lookup(key=77), made.members[1], NOW)
-    assert made.may_send(lookup(key=78), made.members[1], NOW)
+    assert not made.may_send(request(key=77), made.members[1], NOW)
+    assert made.may_send(request(key=78), made.members[1], NOW)
     made.stage_told(NOW, 2, 0, at.GOING_BACK, 0.0, 0)
-    assert made.may_send(lookup(key=77), made.members[1], NOW)
+    assert made.may_send(request(key=77), made.members[1], NOW)
 
 
 def outcomes(slow=1.0, errs=0, count=20, machines=4, faulty=None):
@@ -275,16 +275,16 @@
     assert ("vote", 2, 1, at.BACK) in dispatcher.pull(made, NOW + 3500 * MS)  # a change does not wait
 
 
-def test_a_silent_machine_is_shunned_and_then_tried_with_one_lookup():
+def test_a_silent_machine_is_shunned_and_then_tried_with_one_request():
     made = balancer([line(1)])
-    member, asked = made.members[1], lookup()
+    member, asked = made.members[1], request()
     send = sent(asked, member)
     made.send_ended(NOW + SECOND, send, at.TIMED_OUT, SECOND, False, {})
-    assert not made.usable(member, lookup(2), NOW + SECOND)
-    assert made.usable(member, lookup(2), NOW + 9 * SECOND)
-    assert not made.usable(member, lookup(2, on=NON_IDEMPOTENT), NOW + 9 * SECOND)
-    sent(lookup(3), member)
-    assert not made.usable(member, lookup(2), NOW + 9 * SECOND)
+    assert not made.usable(member, request(2), NOW + SECOND)
+    assert made.usable(member, request(2), NOW + 9 * SECOND)
+    assert not made.usable(member, request(2, on=NON_IDEMPOTENT), NOW + 9 * SECOND)
+    sent(request(3), member)
+    assert not made.usable(member, request(2), NOW + 9 * SECOND)
 
 
 @pytest.mark.parametrize("took, grows", [(100, True), (900, False)])
@@ -293,7 +293,7 @@
     member = made.members[1]
     member.limit = 1.0
     for number in range(20):
-        asked = lookup(number)
+        asked = request(number)
         made.send_ended(NOW + number * SECOND, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
     assert (member.limit > 1.5) is grows
 
@@ -302,7 +302,7 @@
 def test_answers_that_are_none_speak_against_no_machine_and_no_build(end, again):
     made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
     made.pair_at, member = NOW, made.members[2]
-    member.slowness, asked = 1.0, lookup()
+    member.slowness, asked = 1.0, request()
     made.send_ended(NOW, sent(asked, member), end, MS, False, {})
     assert (member.strikes, member.failed, member.slowness, member.limit, made.pair) == (0, 0, 1.0, 3.0, {})
     assert [call[0] for call in Dispatcher().pull(made, NOW + 1)] == ["send" if again else "abort"]
@@ -316,17 +316,17 @@
     made = balancer([line(1)])
     member = made.members[1]
     for end in ends:
-        made.send_ended(NOW, sent(lookup(), member), end, MS, True, {})
+        made.send_ended(NOW, sent(request(), member), end, MS, True, {})
     assert (member.shunned_until > NOW) is shunned
-    sent(lookup(), member)
-    assert made.usable(member, lookup(), NOW) is not shunned
+    sent(request(), member)
+    assert made.usable(member, request(), NOW) is not shunned
 
 
-def test_one_light_lookup_that_queued_makes_no_machine_slow():
+def test_one_light_request_that_queued_makes_no_machine_slow():
     made = balancer([line(1), line(2)])
     member = made.members[1]
     member.slowness = member.group.slowness = 2.0
-    made.send_ended(NOW, sent(lookup(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
+    made.send_ended(NOW, sent(request(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
     assert member.slowness <= 3.0 and member.group.slowness <= 3.0
 
 
@@ -342,7 +342,7 @@
     heard, newest, budget, again, held, strikes
 ):
     made = balancer([line(1), line(2)])
-    made.rescues, member, asked = budget, made.members[1], lookup()
+    made.rescues, member, asked = budget, made.members[1], request()
     send = sent(asked, member)
     member.heard_at, member.newest = NOW + heard, NOW + newest
     made.due.append(asked)
@@ -352,23 +352,23 @@
     assert member.held == 0 and (member.slowness == 0) is (held == 0)
 
 
-def test_what_was_kept_of_older_builds_and_lookups_is_dropped():
+def test_what_was_kept_of_older_builds_and_requests_is_dropped():
     made = balancer([line(1)])
     for number in range(2, 9):
         made.listed(NOW, [line(number, build=number)], True, True)
         made.stage_told(NOW, number, 0, at.RELEASED, 1.0, 0)
     for second in range(20):
-        made.lookup_arrived(NOW + second * SECOND, lookup(second))
+        made.request_arrived(NOW + second * SECOND, request(second))
     assert set(made.builds) == {8} and len(made.taken[0]) <= 2
 
 
-def test_a_machine_that_fails_at_once_does_not_draw_lookups():
+def test_a_machine_that_fails_at_once_does_not_draw_requests():
     """Guards against the machine that errs or rejects in a millisecond and so never looks busy."""
     made = balancer([line(1), line(2)])
     for number in range(40):
         for member, end, took in ((made.members[1], at.ERRED, MS), (made.members[2], at.SUCCEEDED, 100 * MS)):
-            made.send_ended(NOW, sent(lookup(number), member), end, took, True, {})
-    costs = [made.cost(member, lookup(99), NOW) for member in made.members.values()]
+            made.send_ended(NOW, sent(request(number), member), end, took, True, {})
+    costs = [made.cost(member, request(99), NOW) for member in made.members.values()]
     assert costs[0] > 3 * costs[1]
 
 
@@ -483,12 +483,12 @@
         Dispatcher(),
     )
     for number in range(40):
-        for asked, took in ((lookup(number), 100), (lookup(100 + number, on=on), 1500)):
+        for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
             member = made.members[1 + number % 2]
             made.send_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
     assert all(member.slowness < 2 < member.limit for member in made.members.values())
     for number in range(10):
-        made.lookup_arrived(NOW, lookup(200 + number, on=on))
+        made.request_arrived(NOW, request(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
     assert (calls.count("send"), calls.count("reject")) == (1, 9)
 
@@ -497,8 +497,8 @@
 def test_slow_answers_reject_where_limits_cannot_bound_queues(balancers, rejected):
     made = balancer([line(1)], balancers=balancers)
     made.pace = 2.0
-    assert sum(made.sheds(lookup(number), NOW) for number in range(200)) >= rejected
-    assert rejected or not made.sheds(lookup(), NOW)
+    assert sum(made.sheds(request(number), NOW) for number in range(200)) >= rejected
+    assert rejected or not made.sheds(request(), NOW)
 
 
 def test_a_cold_machine_is_not_met_by_hundreds_at_once():
@@ -506,7 +506,7 @@
     met = 0
     for seed in range(200):
         made = balancer([line(n, started=NOW) for n in range(50)], balancers=200, seed=seed)
-        made.lookup_arrived(NOW, asked := lookup())
+        made.request_arrived(NOW, asked := request())
         met += made.may_send(asked, made.members[1], NOW)
     assert met < 20
 
@@ -516,7 +516,7 @@
     made = balancer([line(1), line(2)])
     member, member.group.slowness = made.members[1], 1.0
     member.slowness, member.heard_at = 10.0, NOW - age
-    assert (made.cost(member, lookup(), NOW) > 5 * made.cost(made.members[2], lookup(), NOW)) is known
+    assert (made.cost(member, request(), NOW) > 5 * made.cost(made.members[2], request(), NOW)) is known
 
 
 def test_idle_balancers_sleep():
@@ -528,15 +528,15 @@
     objective."""
     made = balancer([line(n) for n in range(9)], idle_time=9 * SECOND)
     made.members[4].open_until, made.scarce = NOW + SECOND, 0.5
-    assert made.choose(lookup(), NOW) is made.members[4]
+    assert made.choose(request(), NOW) is made.members[4]
     made.members[4].ready = False
-    assert made.choose(lookup(), NOW) is not made.members[4]
+    assert made.choose(request(), NOW) is not made.members[4]
 
 
 @pytest.mark.parametrize("work, overdue", [(100, True), (400, False)])
-def test_a_heavy_lookup_is_not_begun_twice(work, overdue):
+def test_a_heavy_request_is_not_begun_twice(work, overdue):
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
-    asked = lookup(work=work * MS)
+    asked = request(work=work * MS)
     made.send(asked, made.members[1], NOW, dispatcher)
     assert made.rescue(asked, asked.sends, NOW + 600 * MS, dispatcher) is overdue
 
@@ -545,7 +545,7 @@
     made = balancer([line(n) for n in range(200)])
     for member in made.members.values():
         member.shunned_until = 0 if member.id == 7 else NOW + SECOND
-    assert made.choose(lookup(), NOW) is made.members[7]
+    assert made.choose(request(), NOW) is made.members[7]
 
 
 @pytest.mark.parametrize(
@@ -554,7 +554,7 @@
         (1, lambda made, asked: None, True),
         (1, lambda made, asked: made.listed(NOW, [line(1, state=at.DRAINING)], False, True), False),
         (1, lambda made, asked: made.listed(NOW, [line(1, started=NOW)], False, True), False),  # it came back
-        (1, lambda made, asked: made.lookup_left(NOW, asked), False),
+        (1, lambda made, asked: made.request_left(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
         (3, lambda made, asked: made.stage_told(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
@@ -563,18 +563,18 @@
     ],
 )
 def test_a_send_that_waited_begins_only_while_it_still_may(member, changed, allowed):
-    made, asked = trial(), lookup()
+    made, asked = trial(), request()
     made.builds[2].sent[0] = deque([NOW])
     send = sent(asked, made.members[member])
     changed(made, asked)
     assert made.may_begin(NOW, send) == (asked.deadline if allowed else 0)
 
 
-def test_lookups_that_are_over_are_forgotten_however_long_they_said_they_wait():
+def test_requests_that_are_over_are_forgotten_however_long_they_said_they_wait():
     made, dispatcher, days = balancer([line(1)]), Dispatcher(), 10**9 * MS
-    open_ones = [lookup(id, left=days) for id in range(3)]
+    open_ones = [request(id, left=days) for id in range(3)]
     for number in range(5000):
-        made.lookup_arrived(NOW, asked := open_ones[number] if number < 3 else lookup(left=days))
+        made.request_arrived(NOW, asked := open_ones[number] if number < 3 else request(left=days))
         asked.over = number >= 3
     assert len(made.wakes) <= 1000 and {wake[2] for wake in made.wakes} >= set(open_ones)
     made.due.clear()
@@ -583,22 +583,22 @@
 
 
 def test_an_attempt_counts_against_the_cap_from_when_it_begins():
-    made, asked = trial(), [lookup(left=9000 * MS) for _ in range(2)]
+    made, asked = trial(), [request(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
     build.sent[0] = deque([NOW] * 2)  # as many as are free
     sends = [sent(one, made.members[3]) for one in asked]
     for send in sends:
         send.counted = NOW
     for send in sends * 2:  # asked again, as where the connection had ended, it still counts once
-        assert made.may_begin(begun, send) == send.lookup.deadline
+        assert made.may_begin(begun, send) == send.request.deadline
     assert list(build.sent[0]) == [begun] * 2
-    assert not made.exposure_left(build, lookup(), begun + 2010 * MS)  # its window, and two steps
-    assert made.exposure_left(build, lookup(), begun + 2011 * MS)
+    assert not made.exposure_left(build, request(), begun + 2010 * MS)  # its window, and two steps
+    assert made.exposure_left(build, request(), begun + 2011 * MS)
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
     repeated = request_class(effect=at.DEDUPLICATED, memory=2000 * MS)
-    made, asked = balancer([line(1), line(2)], [repeated]), lookup(on=repeated)
+    made, asked = balancer([line(1), line(2)], [repeated]), request(on=repeated)
     first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
     last = NOW + 1990 * MS  # two steps are spared
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
@@ -606,11 +606,11 @@
     assert made.may_begin(last, again) == asked.deadline
 
 
-# ---- rules may give a lookup another request class and key
+# ---- rules may give a request another request class and key
 
 
 def ruled(id, asked, given, **more):
-    made = lookup(id, given, **more)
+    made = request(id, given, **more)
     made.asked = asked
     return made
 
@@ -621,7 +621,7 @@
     made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, at.ON_TRIAL, 0.5), release)
     build = made.builds[2]
     for number in range(8):  # so many were taken, asked for as `one` and treated as `other`
-        made.lookup_arrived(NOW, ruled(number, one, other))
+        made.request_arrived(NOW, ruled(number, one, other))
     asked_one, given_other = ruled(20, one, other), ruled(21, other, one)
     assert made.exposure_left(build, asked_one, NOW)
     for sends in range(6):  # 2 free and half of 8
@@ -647,19 +647,19 @@
 def test_where_keys_bind_the_key_asked_binds_as_well_as_the_key_given(key):
     release = at.Release(window=2000 * MS, free_sends=9, caps=[1.0], steps=[1.0], forward_only=True)
     made = balancer([line(1), line(2, build=2)], None, (2, 0, at.ON_TRIAL, 1.0), release)
-    first = lookup(1, key=b"given")
+    first = request(1, key=b"given")
     first.asked_key = b"asked"
-    made.lookup_arrived(NOW, first)
+    made.request_arrived(NOW, first)
     made.send_ended(NOW, sent(first, made.members[2]), at.SUCCEEDED, 5 * MS, True, {})
-    again = lookup(2, key=key)
+    again = request(2, key=key)
     assert not made.may_send(again, made.members[1], NOW)
-    assert made.may_send(lookup(3, key=b"x"), made.members[1], NOW)
+    assert made.may_send(request(3, key=b"x"), made.members[1], NOW)
 
 
-def test_without_rules_lookups_are_counted_as_they_were():
+def test_without_rules_requests_are_counted_as_they_were():
     release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
-    made.lookup_arrived(NOW, lookup(1, request_class(1)))
+    made.request_arrived(NOW, request(1, request_class(1)))
     assert list(made.taken) == [1]
 
 
@@ -676,7 +676,7 @@
     covered = Counter()
     for made in fleet_of(balancers, instances):
         near = {member.id for member in made.ring[:NEAR]}
-        assert {made.choose(lookup(n), NOW).id for n in range(5)} <= near
+        assert {made.choose(request(n), NOW).id for n in range(5)} <= near
         covered.update(member.id for member in made.ring[:NEAR])
     mean = balancers * NEAR / instances
     assert len(covered) == instances
@@ -687,16 +687,16 @@
     made = fleet_of(40, 60)[7]
     for member in made.ring[: NEAR - 1]:
         member.shunned_until = NOW + SECOND
-    assert {made.choose(lookup(n), NOW) for n in range(400)} <= set(made.ring[NEAR - 1 : 2 * NEAR - 1])
+    assert {made.choose(request(n), NOW) for n in range(400)} <= set(made.ring[NEAR - 1 : 2 * NEAR - 1])
 
 
 @pytest.mark.parametrize("gap, all_of_them", [(300 * MS, False), (5 * MS, True)])
-def test_a_balancer_with_more_lookups_uses_more_instances(gap, all_of_them):
+def test_a_balancer_with_more_requests_uses_more_instances(gap, all_of_them):
     made = fleet_of(40, 60)[7]
     for n in range(200):
-        made.lookup_arrived(NOW + n * gap, lookup(n))
+        made.request_arrived(NOW + n * gap, request(n))
     made.due.clear()
-    near = {made.choose(lookup(n), NOW).id for n in range(1000)}
+    near = {made.choose(request(n), NOW).id for n in range(1000)}
     assert (len(near) == 60) is all_of_them
 
 
@@ -712,32 +712,32 @@
     made = balancer([line(1)], balancers=200)
     made.pace, made.paced_at = 1.0, NOW
     for n in range(1, 3):
-        asked = lookup(n, now=NOW + n * gap)
+        asked = request(n, now=NOW + n * gap)
         made.send_ended(NOW + n * gap, sent(asked, made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
-    assert any(made.sheds(lookup(9), NOW) for _ in range(100)) is shed
+    assert any(made.sheds(request(9), NOW) for _ in range(100)) is shed
 
 
 @pytest.mark.parametrize("balancers, left", [(3, False), (200, True)])
 def test_with_few_sends_of_its_own_a_silent_machine_is_left_until_it_answers(balancers, left):
     made = balancer([line(1), line(2)], balancers=balancers)
-    member, asked = made.members[1], lookup()
+    member, asked = made.members[1], request()
     send = sent(asked, member)
     made.due.append(asked)
     member.heard_at = NOW
     Dispatcher().pull(made, NOW + 600 * MS)
-    assert made.usable(member, lookup(2), NOW + 3 * SECOND) is not left
+    assert made.usable(member, request(2), NOW + 3 * SECOND) is not left
     made.send_ended(NOW + 800 * MS, send, at.SUCCEEDED, 800 * MS, False, {})
-    assert made.usable(member, lookup(2), NOW + 800 * MS)
+    assert made.usable(member, request(2), NOW + 800 * MS)
 
 
 def test_a_zone_whose_sends_are_lost_costs_more_and_less_again_once_it_answers():
     made = balancer([line(1), line(2), line(3, zone=1)], balancers=40)
     lost, other = made.members[2], made.members[3]
     for n in range(6):
-        made.send_ended(NOW, sent(lookup(n), made.members[1]), at.UNCONNECTED, MS, False, {})
-    assert sum(made.cost(lost, lookup(), NOW) > made.cost(other, lookup(), NOW) for _ in range(200)) > 150
+        made.send_ended(NOW, sent(request(n), made.members[1]), at.UNCONNECTED, MS, False, {})
+    assert sum(made.cost(lost, request(), NOW) > made.cost(other, request(), NOW) for _ in range(200)) > 150
     for n in range(12):
-        made.send_ended(NOW, sent(lookup(n), made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.send_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
     assert lost.group.lost < 0.1
 
 
@@ -747,10 +747,10 @@
     member = made.members[1]
     for n in range(200):  # light ones take ten times their work, heavy ones hardly more than theirs
         light = n % 2
-        asked = lookup(n, work=(10 if light else 190) * MS)
+        asked = request(n, work=(10 if light else 190) * MS)
         took = (100 if light else 300) * MS
         made.send_ended(NOW, sent(asked, member), at.SUCCEEDED, took, False, {})
-    send = sent(lookup(work=work * MS), member)
+    send = sent(request(work=work * MS), member)
     assert made.overdue_at(send) - NOW == pytest.approx(due * MS, rel=0.15)
 
 
@@ -784,29 +784,29 @@
 @pytest.mark.parametrize("took, waits", [(300, False), (900, True)])
 def test_a_request_class_that_waited_is_served_again_after_one_quick_test(took, waits):
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
-    made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, lookup()
+    made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, request()
     for n in range(8):
-        made.send_ended(NOW, sent(lookup(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
+        made.send_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
     assert made.waits(asked)
     made.send_ended(NOW, sent(asked, made.members[1]), at.SUCCEEDED, took * MS, False, {})
-    assert made.waits(lookup()) is waits
+    assert made.waits(request()) is waits
 
 
 def test_one_late_answer_after_a_silence_makes_no_overload():
     made = balancer([line(1)], balancers=200)
     made.pace, made.paced_at = 0.2, NOW - 3 * SECOND
-    made.send_ended(NOW, sent(lookup(), made.members[1]), at.SUCCEEDED, 2 * SECOND, False, {})
+    made.send_ended(NOW, sent(request(), made.members[1]), at.SUCCEEDED, 2 * SECOND, False, {})
     assert made.pace == pytest.approx(0.38)
 
 
-def test_nothing_grows_while_builds_ids_and_lookups_come_and_go():
+def test_nothing_grows_while_builds_ids_and_requests_come_and_go():
     made, dispatcher, moment = balancer(balancers=200), Dispatcher(), NOW
     for build in range(1, 200):
         made.stage_told(moment, build, 0, at.RELEASED, 1.0, 0)
         made.listed(moment, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True)
         for n in range(10):
-            asked = lookup((build, n), now=moment, left=4 * SECOND)
-            made.lookup_arrived(moment, asked)
+            asked = request((build, n), now=moment, left=4 * SECOND)
+            made.request_arrived(moment, asked)
             dispatcher.pull(made, moment)
             end = (at.SUCCEEDED, at.TIMED_OUT, at.RESET, at.UNCONNECTED)[n % 4]
             for send in [send for send in asked.sends if not send.end]:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -96,7 +96,7 @@
         "[" * 100_000,
     ],
 )
-def test_a_lookup_that_is_none_is_misuse(run, lookup):
+def test_a_request_that_is_none_is_misuse(run, lookup):
     done = run("rules", "eval", "true", "--lookup", lookup)
     assert done.exit_code == 2 and "--lookup" in done.output and "Traceback" not in done.output
 
@@ -152,7 +152,7 @@
     assert told["indexed_us"] > 0 and told["plain_us"] > 0
 
 
-def test_diff_tells_rules_and_lookups_that_differ(run, tmp_path):
+def test_diff_tells_rules_and_requests_that_differ(run, tmp_path):
     (tmp_path / "new.cue").write_text(
         GOOD.replace("'n'", "'m'").replace("]\n", '\t{name: "x", when: "false"},\n]\n')
     )
@@ -161,7 +161,7 @@
     told = json.loads(done.output)
     assert (
         done.exit_code == 1
-        and told["lookups"] == 2
+        and told["requests"] == 2
         and [row["lookup"]["key"] for row in told["differ"]] == ["n1"]
     )
     assert {(row["rule"], row["change"]) for row in told["rules"]} == {("x", "added"), ("n", "changed")}
@@ -193,14 +193,14 @@
     assert run(*words, "--nothing").exit_code == 2
 
 
-def test_try_shows_where_each_lookup_went_and_leaves_nothing_behind():
+def test_try_shows_where_each_request_went_and_leaves_nothing_behind():
     done = subprocess.run(
         [sys.executable, "-m", "lemonlead", "try", "--json"], capture_output=True, text=True, timeout=120
     )
     told = json.loads(done.stdout)
     assert done.returncode == 0 and told["exit"] == 0
-    assert all(row["answer"] == row["key"] and row["went_to"] for row in told["lookups"])
-    assert {row["rule"] for row in told["lookups"]} >= {"big-customer", "careful"}
+    assert all(row["answer"] == row["key"] and row["went_to"] for row in told["requests"])
+    assert {row["rule"] for row in told["requests"]} >= {"big-customer", "careful"}
 
 
 @pytest.mark.parametrize("module, kept_out", [
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -35,7 +35,7 @@
 
     def __setattr__(self, name, value):
         if name == "answer":
-            trips = [self.world.instances.trips.get(send) for send in self.lookup.sends]
+            trips = [self.world.instances.trips.get(send) for send in self.request.sends]
             self.free = [trip for trip in trips if trip and not (trip.written or trip.cancelled)]
         super().__setattr__(name, value)
 
@@ -76,9 +76,9 @@
         self.dispatcher.tell(listed)
 
     def ask(self, **more):
-        """A lookup that a client sends; its answer is put into what is given back."""
+        """A request that a client sends; its answer is put into what is given back."""
         ask = self.made(**more)
-        self.dispatcher.tell(self.dispatcher.lookup_arrived, ask, ask.lookup)
+        self.dispatcher.tell(self.dispatcher.request_arrived, ask, ask.request)
         return ask
 
     def made(self, request_class=0, body=b"BODY"):
@@ -87,7 +87,7 @@
         ask = Ask(world=self, words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
-        ask.lookup = at.Lookup(id, self.request_classes[request_class], 0, id, moment, moment + WAIT)
+        ask.request = at.Request(id, self.request_classes[request_class], 0, id, moment, moment + WAIT)
         self.asked.append(ask)
         return ask
 
@@ -103,7 +103,7 @@
 
         def told():
             with self.dispatcher.lock:
-                sends = [send for ask in self.asked for send in ask.lookup.sends]
+                sends = [send for ask in self.asked for send in ask.request.sends]
                 return not self.instances.trips and all(send.end for send in sends)
 
         until(told)
@@ -154,7 +154,7 @@
     halt = Halt(monkeypatch, made.instances, "reach", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
-    made.dispatcher.tell(made.dispatcher.client_left, [given_up.lookup])
+    made.dispatcher.tell(made.dispatcher.client_left, [given_up.request])
     late = answered + made.instances.idle_time
     monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
     halt.opened.set()
@@ -174,7 +174,7 @@
     assert halt.reached.wait(60)
     until(lambda: server.connections)
     accepted = now()
-    made.dispatcher.tell(made.dispatcher.client_left, [given_up.lookup])
+    made.dispatcher.tell(made.dispatcher.client_left, [given_up.request])
     halt.opened.set()
     made.ended()
     (connection,) = made.unused()
@@ -273,7 +273,7 @@
 def second(made, ask, id="i1"):
     """Decides on another attempt."""
     made.dispatcher.tell(lambda moment: made.balancer.send(
-        ask.lookup, made.balancer.members[id], moment, made.dispatcher))
+        ask.request, made.balancer.members[id], moment, made.dispatcher))
 
 
 @pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the deadline"])
@@ -283,19 +283,19 @@
         limit = instances.limit
         monkeypatch.setattr(instances, "limit", lambda until: limit(now() + 50 * MS))
     ask = stuck(made, server)
-    send, = ask.lookup.sends
+    send, = ask.request.sends
     if by == "an answer":
         made.list("i1", other := InstanceServer().start())
         second(made, ask)
         assert made.answered(ask) == b"$1\r\n0\r\n"
         other.close()
     elif by == "the client leaves":
-        made.dispatcher.tell(made.dispatcher.client_left, [ask.lookup])
+        made.dispatcher.tell(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
-        ask.lookup.over = True  # so that nothing follows
+        ask.request.over = True  # so that nothing follows
         made.dispatcher.tell(lambda moment: made.dispatcher.cancel(send))
     elif by == "a break":
-        ask.lookup.over = True
+        ask.request.over = True
         (trip,) = made.instances.trips.values()
         trip.connection.sock.shutdown(socket.SHUT_RDWR)
     else:
@@ -320,7 +320,7 @@
     halt.opened.set()
     made.ended()
     other.close()
-    assert not server.got and ask.lookup.sends[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
+    assert not server.got and ask.request.sends[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
 
 
 @pytest.mark.parametrize("point", ["connect", "may_begin"])
@@ -353,12 +353,12 @@
     made.list("i1", other := InstanceServer().start())
     again = Halt(monkeypatch, made.instances, "reach", after=True)
     halt.opened.set()
-    assert again.reached.wait(60) and [send.end for send in ask.lookup.sends] == [at.RESET, ""]
-    monkeypatch.setattr(dispatcher, "now", lambda: ask.lookup.sends[0].at + 10000 * MS - 1)
+    assert again.reached.wait(60) and [send.end for send in ask.request.sends] == [at.RESET, ""]
+    monkeypatch.setattr(dispatcher, "now", lambda: ask.request.sends[0].at + 10000 * MS - 1)
     again.opened.set()
     made.ended()
     other.close()
-    assert not other.got and len(first.got) == 1 and ask.lookup.sends[1].end == at.NOT_SENT
+    assert not other.got and len(first.got) == 1 and ask.request.sends[1].end == at.NOT_SENT
     assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
 
 
@@ -375,7 +375,7 @@
     ask = made.ask(request_class=2)  # it may run only once
     assert made.answered(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
-    assert [send.end for send in ask.lookup.sends] == [at.RESET] and made.instances.open == 0
+    assert [send.end for send in ask.request.sends] == [at.RESET] and made.instances.open == 0
 
 
 @pytest.mark.parametrize("error", [OSError, MemoryError])
@@ -389,7 +389,7 @@
     made.keep_time()
     ask = made.ask()
     made.answered(ask)
-    assert made.instances.open == 0 and {send.end for send in ask.lookup.sends} == {at.NOT_SENT}
+    assert made.instances.open == 0 and {send.end for send in ask.request.sends} == {at.NOT_SENT}
 
 
 @pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
@@ -398,7 +398,7 @@
     made.faulty, spoilt, method = True, made.made(), getattr(made.balancer, name)
 
     def fails(*given):
-        if spoilt.lookup in [getattr(one, "lookup", one) for one in given]:
+        if spoilt.request in [getattr(one, "request", one) for one in given]:
             raise ZeroDivisionError
         return method(*given)
 
@@ -406,9 +406,9 @@
     others = [made.made() for _ in range(2)]
 
     def arrive(moment):
-        spoilt.lookup.deadline = moment + 100 * MS
+        spoilt.request.deadline = moment + 100 * MS
         for ask in (spoilt, *others):
-            made.dispatcher.lookup_arrived(moment, ask, ask.lookup)
+            made.dispatcher.request_arrived(moment, ask, ask.request)
 
     made.keep_time()
     made.dispatcher.tell(arrive)  # all three are due at once
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -105,7 +105,7 @@
 
 
 class Held(InstanceServer):
-    """An instance that answers each lookup with its key once `go` is set."""
+    """An instance that answers each request with its key once `go` is set."""
 
     def __init__(self):
         self.go = threading.Event()
@@ -212,7 +212,7 @@
         client, other = ran.client(), ran.client()
         buys(client, b"id1")
         until(lambda: server.got)
-        assert buys(other, b"id1").read().startswith(b"ERR no lookup: its id")
+        assert buys(other, b"id1").read().startswith(b"ERR no request: its id")
         # less their buffers
         one = ran.gateway_server.held - sum(theirs.weight for theirs in ran.gateway_server.clients)
         assert 60_000 < one < 61_000
@@ -282,7 +282,7 @@
     monkeypatch.setattr(clients, "PENALTY", 60)
     monkeypatch.setattr(clients, "MOST_PENALTY", 60)
     client = waiting.client().ask(wait=400_000).write(resp.command([b"NONSENSE"])).ask()
-    until(lambda: waiting.count("bad lookups"))
+    until(lambda: waiting.count("bad requests"))
     end(client)
     assert left_at_once(waiting, 1)
 
@@ -342,7 +342,7 @@
 # ---- a connection that we end as its client writes
 
 
-def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_lookup_came(waiting):
+def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_request_came(waiting):
     client = waiting.client()
     ours = waiting.ours(client)
     paused = Paused(ours)
@@ -527,16 +527,16 @@
 
 
 @pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), goes_on_with_nonsense])
-def test_the_id_of_an_open_lookup_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
+def test_the_id_of_an_open_request_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
     server = Held()
     with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
         usual, bad = ask_by(ran.client(), b"mine"), ran.client()
         until(lambda: server.got)
-        assert ask_by(bad, b"theirs").read().startswith(b"ERR no lookup: its id")
+        assert ask_by(bad, b"theirs").read().startswith(b"ERR no request: its id")
         end(bad)
         until(lambda: len(ran.gateway_server.clients) == 1)
         other = ran.client()
-        assert ask_by(other, b"theirs").read().startswith(b"ERR no lookup: its id")  # it is still open
+        assert ask_by(other, b"theirs").read().startswith(b"ERR no request: its id")  # it is still open
         server.go.set()
         assert usual.read() == b"mine" and ask_by(other, b"next").read() == b"next"
         assert [words[1] for words in server.got] == [b"mine", b"next"]
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -138,7 +138,8 @@
     until(lambda: refused(ran.port))
 
 
-# A connection whose answer is out is looked at, whether it can be closed, only once the next lookup has come.
+# A connection whose answer is out is looked at, whether it can be closed, only once the next request has
+# come.
 NEXT_COMES_FIRST = """
 import select
 from lemonlead.gateway.clients import Client
@@ -155,7 +156,7 @@
 """
 
 
-def test_a_lookup_that_crosses_the_closing_of_its_connection_is_answered_before_sigkill(tmp_path):
+def test_a_request_that_crosses_the_closing_of_its_connection_is_answered_before_sigkill(tmp_path):
     hold = threading.Event()
     answers = {b"first": lambda: hold.wait(60) and gives(b"first"), b"next": lambda: time.sleep(60)}
     server = InstanceServer(lambda words: answers[words[1]]()).start()
@@ -169,8 +170,8 @@
         assert ran.process.wait(60) == 0 and counted(ran.log(), "stopped")["open"] == 0
 
 
-def test_a_client_that_always_has_a_second_lookup_out_gets_an_answer_to_each_that_was_read(tmp_path):
-    """The instance answers each lookup only once the next one has come."""
+def test_a_client_that_always_has_a_second_request_out_gets_an_answer_to_each_that_was_read(tmp_path):
+    """The instance answers each request only once the next one has come."""
     came, over = [threading.Event() for _ in range(50_000)], threading.Event()
 
     def react(words):
@@ -222,7 +223,7 @@
 @pytest.mark.parametrize(
     "asked, before, stays", [(False, 0.0, True), (False, MUTE, False), (True, 0.0, False)]
 )
-def test_a_new_connection_is_given_a_moment_for_its_first_lookup(asked, before, stays):
+def test_a_new_connection_is_given_a_moment_for_its_first_request(asked, before, stays):
     ours, theirs = socket.socketpair()
     gateway_server = SimpleNamespace(clients=set(), room=threading.Condition())
     client = Client(ours, gateway_server, False)
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import MS, lookup
+from helpers import MS, request
 
 from lemonlead import interface as at
 from lemonlead.gateway import upkeep
@@ -53,7 +53,7 @@
     connection = Connection(pool)
     connection.sock.close()
     connection.sock, connection.used = ours, now()
-    asked = lookup(now=now())
+    asked = request(now=now())
     send = at.Send(asked, 0, made.balancer.members["i0"], now())
     asked.sends.append(send)
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
@@ -68,10 +68,10 @@
     made = dispatcher()
     seen = []
     made.instances = SimpleNamespace(trip=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in))
-    asked = lookup(now=0)
+    asked = request(now=0)
     asked.deadline = now() + 5000 * MS
-    made.tell(made.lookup_arrived, SimpleNamespace(words=WORDS), asked)
-    assert seen == [asked.work]  # the module knows a new lookup by its moment, and counts its work once
+    made.tell(made.request_arrived, SimpleNamespace(words=WORDS), asked)
+    assert seen == [asked.work]  # the module knows a new request by its moment, and counts its work once
 
 
 def test_a_fault_of_the_balancer_does_not_end_the_thread_that_met_it():
@@ -134,7 +134,7 @@
 def test_what_may_no_longer_begin_is_not_sent(spoil):
     made = dispatcher()
     under_way, theirs = trip(made)
-    asked = under_way.send.lookup
+    asked = under_way.send.request
     if spoil == "over":
         del made.asks[asked]
     elif spoil == "drained":
@@ -297,10 +297,10 @@
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
 def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    told, dispatcher = [], SimpleNamespace(lookup_turned_away="away", lookup_arrived="arrived", TWICE=b"-")
+    told, dispatcher = [], SimpleNamespace(request_turned_away="away", request_arrived="arrived", TWICE=b"-")
     dispatcher.tell = lambda happened, *_: told.append(happened)
     server = Server(config, dispatcher, None, Quiet(), Counters())
-    server.lookup = lambda *_: lookup()
+    server.request = lambda *_: request()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
     for other in others[: waiting - 1]:
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,5 +1,6 @@
 """Floods of clients: twice as many as there is room for, all at once, with what cannot be used. The others
-are served meanwhile, each of their lookups that was begun is answered, and what the flood took comes back."""
+are served meanwhile, each of their requests that was begun is answered, and what the flood took comes
+back."""
 
 import contextlib
 import pathlib
@@ -71,7 +72,7 @@
 
 
 class Usual:
-    """One of the usual clients: lookups one after the other, each key a new one. One whose connection ended
+    """One of the usual clients: requests one after the other, each key a new one. One whose connection ended
     is asked again on a new one, under a new key."""
 
     def __init__(self, port, name):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -375,7 +375,7 @@
 
 
 class Ran:
-    """A follower among the gateway's own parts, with no lookups; `lists` has what the balancer was told."""
+    """A follower among the gateway's own parts, with no requests; `lists` has what the balancer was told."""
 
     def __init__(self, *addresses, wait=0, lines=("i0", "i1"), **more):
         start, zones = started_by(SETTINGS, 7, configs.now()), {"here": 0, "there": 1}
@@ -737,7 +737,7 @@
         assert "g0" not in ledger.parts["followers"]
 
 
-def test_all_nodes_are_drained_under_lookups_and_none_gets_a_send_once_it_may_go_down(tmp_path):
+def test_all_nodes_are_drained_under_requests_and_none_gets_a_send_once_it_may_go_down(tmp_path):
     """A member, a gateway, nodes that obey permits: programs, but for the nodes."""
     fleet = [Node(f"i{number}") for number in range(3)]
     for node in fleet:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     "request_class, body", [("look", ()), ("hold", (b"BODY",)), ("buy", (b"\0\r\n" * 9000,))]
 )
-def test_a_lookup_of_each_effect_succeeds_and_is_passed_on_unchanged(tmp_path, request_class, body):
+def test_a_request_of_each_effect_succeeds_and_is_passed_on_unchanged(tmp_path, request_class, body):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         assert ran.client().write(resp.command([b"PING"])).read() == b"PONG"
@@ -99,7 +99,7 @@
     assert all(isinstance(client.read(), resp.Fault) for _ in range(4)) and time.monotonic() - began >= 0.9
 
 
-def test_the_id_of_an_open_lookup_gets_an_error_and_the_open_one_its_own_answer(tmp_path):
+def test_the_id_of_an_open_request_gets_an_error_and_the_open_one_its_own_answer(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
     with gateway(tmp_path, server.start()) as ran:
@@ -112,7 +112,7 @@
         assert client.read() == b"mine" and other.ask().read() == b"aa"
 
 
-def test_what_cannot_be_read_is_turned_away_soon_though_a_lookup_before_it_waits(tmp_path):
+def test_what_cannot_be_read_is_turned_away_soon_though_a_request_before_it_waits(tmp_path):
     hold = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: hold.wait(60) and None).start()) as ran:
         client = ran.client().ask(request_class="buy").write(b"noise\r\n")
@@ -152,7 +152,7 @@
         (b"*3\r\n$5\r\nab", "buy", b"ERR aborted"),  # broken amid the answer
     ],
 )
-def test_what_a_lone_instance_does_decides_how_a_lookup_ends(tmp_path, answer, request_class, ending):
+def test_what_a_lone_instance_does_decides_how_a_request_ends(tmp_path, answer, request_class, ending):
     server = InstanceServer()
 
     def react(words):
@@ -288,7 +288,7 @@
         until(lambda: ran.counters().get("sends") == 1)
         ran.process.send_signal(signal.SIGTERM)
         until(lambda: "event=stopping" in ran.log())
-        assert unused.read() is None  # closed between lookups
+        assert unused.read() is None  # closed between requests
         hold.set()
         assert held.read() == b"held" and held.read() is None
         assert ran.process.wait(60) == 0
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -87,7 +87,7 @@
         self.day, self.waits = day, []
 
     def ended(self, send, end):
-        self.waits.append(self.day.now - send.at - send.lookup.work)
+        self.waits.append(self.day.now - send.at - send.request.work)
 
 
 def test_a_machine_in_the_world_waits_as_the_closed_form_says(read):
@@ -103,7 +103,7 @@
     sink, rng, moment = Sink(day), random.Random(6), 0
     for number in range(20_000):
         moment += round(rng.expovariate(32.0) * world.S)
-        asked = at.Lookup(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.S))
+        asked = at.Request(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.S))
         day.at(moment, day.reach, sink, at.Send(asked, 0, None, moment), day.machines[0], 0)
     day.play(moment // world.S + 1)
     waits = [wait / world.S for wait in sink.waits]
@@ -195,7 +195,7 @@
     assert days[0] == days[1] != days[2]
 
 
-def test_every_lookup_of_a_day_has_one_ending(read):
+def test_every_request_of_a_day_has_one_ending(read):
     day = world.World(read().grown(2.5), 5)
     day.lose("two", 4 * world.S, 8 * world.S, silent=True)
     seconds = day.play(15)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -146,7 +146,7 @@
             assert given.rule is None or may_become(was, given.lane, stamped)
 
 
-def test_what_passes_the_look_when_loaded_is_looked_at_again_for_each_lookup():
+def test_what_passes_the_look_when_loaded_is_looked_at_again_for_each_request():
     """As though the first look had a hole."""
     made = rules({"when": "lookup.lane == 'reserve'", "lane": "'buy'"}, {"when": "true", "key": "'later'"})
     made.request_classes = {**REQUEST_CLASSES, "buy": REQUEST_CLASSES["fitment"]}
@@ -405,7 +405,7 @@
 def test_a_set_on_trial_that_is_dearer_than_its_budget_is_skipped():
     made = standing(rules({"when": "true"}), rules({"when": "true"}), share=0.01)
     asked_times = 0
-    for now in range(0, S, S // 1000):  # a lookup each ms, each of which would take 2 ms
+    for now in range(0, S, S // 1000):  # a request each ms, each of which would take 2 ms
         if made.wants_shadow(now):
             asked_times += 1
             made.spent(2_000_000)
@@ -438,7 +438,7 @@
     assert len(told) == 10 and sum(told) + made.unlogged == 1000
 
 
-def test_lookups_are_judged_by_one_whole_set_while_sets_change():
+def test_requests_are_judged_by_one_whole_set_while_sets_change():
     sets = [
         rules(
             {"when": "lookup.repeat", "key": f"'{n}'", "customer": f"'{n}'"},
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -166,13 +166,13 @@
 
     def ask(self, number):
         only, until = self.config.start.request_classes[0], self.now + 4 * SECOND
-        lookup = at.Lookup(number, only, 0, number, self.now, until, 20 * MS)
+        request = at.Request(number, only, 0, number, self.now, until, 20 * MS)
         ask = SimpleNamespace(client=SimpleNamespace(flush=lambda: None), words=[b""] * 4, answer=None)
         self.asked.append(ask)
-        self.dispatcher.tell(self.dispatcher.lookup_arrived, ask, lookup)
+        self.dispatcher.tell(self.dispatcher.request_arrived, ask, request)
 
     def run(self, seconds, rate=100):
-        """Lookups at this rate for so long, and what follows from them."""
+        """Requests at this rate for so long, and what follows from them."""
         return self.clocked(self.ran, seconds, rate)
 
     def ran(self, seconds, rate):
@@ -297,7 +297,7 @@
     assert not any(ran.far(moment + 1))
 
 
-def test_a_cluster_formed_anew_counts_from_one_again_and_lookups_go_on_as_they_did():
+def test_a_cluster_formed_anew_counts_from_one_again_and_requests_go_on_as_they_did():
     ran = Gateway(fleet()).hear(record(share=500, epoch=90))
     whole = ("nodes", "permits", "moves")
     for cluster, moves in (("a", [("moves", "m", record(share=900, epoch=90))]), ("b", [])):
@@ -555,7 +555,7 @@
         return found
 
 
-def test_a_slow_far_side_is_sent_back_and_a_good_one_gets_all_lookups_and_none_is_lost(tmp_path):
+def test_a_slow_far_side_is_sent_back_and_a_good_one_gets_all_requests_and_none_is_lost(tmp_path):
     clusters = {"louis": ("g1",), "ebene": ("h1",)}
     with Installation(tmp_path, clusters, nodes=3, work=0.03, far=3, service="front") as all_:
         louis, ebene = all_.clusters.values()
@@ -565,7 +565,7 @@
         assert louis.done(id="reserve", **told)[0] == 200
         all_.serve(crowd=3)
         until(lambda: len(all_.items("followers")) == 2, "both follow")
-        all_.wait_lookups(50)
+        all_.wait_requests(50)
         assert not any(node.counts["sends"] for node in all_.far)
 
         for node in all_.far:
@@ -574,7 +574,7 @@
         slow = Seen(all_, "one")
         assert slow.end()["end"] == "sent back", slow.stages
         before = sum(node.counts["sends"] for node in all_.far)
-        all_.wait_lookups(100)
+        all_.wait_requests(100)
         assert before and before == sum(node.counts["sends"] for node in all_.far)
 
         for node in all_.far:
@@ -583,7 +583,7 @@
         good = Seen(all_, "two")
         assert good.end()["end"] == "done", good.stages
         before = sum(node.counts["sends"] for node in all_.nodes)
-        all_.wait_lookups(100)
+        all_.wait_requests(100)
         assert before == sum(node.counts["sends"] for node in all_.nodes)
         assert [share for _, share in good.stages] == [0, 50, 250, 500, 900, 1000]
         for one in all_.crowds:
--- a/tests/test_simulated_whole.py
+++ b/tests/test_simulated_whole.py
@@ -75,7 +75,7 @@
 
 
 def frees_early(name):
-    """A destination that lets go what it holds as the lookups come."""
+    """A destination that lets go what it holds as the requests come."""
     made = rules_of.ledger()
 
     def warm(draft, command):
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -57,7 +57,7 @@
         assert said["rules_matched"] == 1 and said["aborted"] == 1 and said["taken"] == 2
 
 
-def test_a_rule_that_errs_and_a_key_past_its_bound_leave_a_lookup_as_it_was_asked(tmp_path):
+def test_a_rule_that_errs_and_a_key_past_its_bound_leave_a_request_as_it_was_asked(tmp_path):
     rules = text(("errs", '''when: "!(1 / (lookup.key.size() - 3) <= 5)", lane: "'buy'"'''))
     with gateway(tmp_path, InstanceServer().start(), rules=rules) as ran:
         for key in (b"abc", b"\xff\xfe", b"k" * 1000):
@@ -154,7 +154,7 @@
         until(lambda: ran.client().ask().read() == b"BUSY 62" and "rules_matched" in ran.counters())
 
 
-def test_a_lookup_begun_under_one_set_keeps_what_it_was_given(tmp_path):
+def test_a_request_begun_under_one_set_keeps_what_it_was_given(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and b"-ERR failed\r\n")
     old = text(("all", '''when: "true", lane: "'buy'"'''))
@@ -166,9 +166,9 @@
         assert client.read() == b"ERR aborted" and ran.client().ask().read() == b"BUSY 62"
 
 
-def test_a_thousand_sets_are_swapped_under_load_and_no_lookup_is_lost_or_judged_by_half_a_set(tmp_path):
-    """Each set has two rules of which exactly one matches any lookup: under half a set some would match none.
-    Each tenth file is cut off in the middle and must change nothing."""
+def test_a_thousand_sets_are_swapped_under_load_and_no_request_is_lost_or_judged_by_half_a_set(tmp_path):
+    """Each set has two rules of which exactly one matches any request: under half a set some would match
+    none. Each tenth file is cut off in the middle and must change nothing."""
     swaps = int(os.environ.get("LEMONLEAD_SWAPS", "1000"))
     machines = [Machine(slots=8).start() for _ in range(2)]
 
