--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -17,7 +17,7 @@
 
 import pytest
 from days import Day, S
-from helpers import MS, NOW, Dispatcher, balancer, request_class, line, lookup, sent
+from helpers import MS, NOW, Dispatcher, balancer, request_class, line, request, sent
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
@@ -61,7 +61,7 @@
         assert "reason=malformed" not in ran.log()
 
 
-def test_where_lists_are_pushed_no_lookup_goes_by_the_list_of_before_the_start(tmp_path):
+def test_where_lists_are_pushed_no_request_goes_by_the_list_of_before_the_start(tmp_path):
     old = InstanceServer().start()
     new = InstanceServer(lambda words: gives(b"new")).start()
     discovery = DiscoveryServer().start()
@@ -219,15 +219,15 @@
         theirs.connect(listener.getsockname())
         ours, _ = listener.accept()
         gateway_server = SimpleNamespace(
-            stopping=True, thread_pool=ThreadPool(), lookup=lambda *_: lookup(), gone=lambda _: None
+            stopping=True, thread_pool=ThreadPool(), request=lambda *_: request(), gone=lambda _: None
         )
         gateway_server.weigh, gateway_server.dispatcher = (
-            lambda _: True, SimpleNamespace(lookup_arrived=None, TWICE=b"-")
+            lambda _: True, SimpleNamespace(request_arrived=None, TWICE=b"-")
         )
         gateway_server.counters = Counters()
         client = Client(ours, gateway_server, False)
 
-        def answer(happened, ask, lookup):
+        def answer(happened, ask, request):
             ask.answer = resp.bulk(ask.words[1] * 400_000)
             client.flush()
 
@@ -263,7 +263,7 @@
     assert client.reason == "stopping"
 
 
-def test_each_lookup_that_clients_go_on_sending_after_sigterm_is_answered_or_was_never_read(tmp_path):
+def test_each_request_that_clients_go_on_sending_after_sigterm_is_answered_or_was_never_read(tmp_path):
     server = InstanceServer().start()
     asked, answered = set(), set()
 
@@ -356,7 +356,7 @@
 
 
 def crowd(starved=None):
-    """A fleet that its usual load fills; one request class has a twentieth of the lookups, a fifth of the
+    """A fleet that its usual load fills; one request class has a twentieth of the requests, a fifth of the
     revenue."""
     shares = {
         request_class: 0.05 if request_class == starved else 0.95 / 3 if starved else 0.25
@@ -407,7 +407,7 @@
     made = balancer([line(1)], request_classes=request_classes, balancers=200)
     made.pace, let_in = pace, []
     for on in request_classes:
-        let_in.append(sum(not made.sheds(lookup(on=on), NOW) for _ in range(5000)))
+        let_in.append(sum(not made.sheds(request(on=on), NOW) for _ in range(5000)))
     assert let_in[0] >= 0.48 * let_in[1] and let_in[0] < let_in[1] < let_in[2]
 
 
@@ -419,7 +419,7 @@
 def test_what_no_instance_was_sent_is_refused_never_failed(effect, ends):
     on, dispatcher = request_class(effect=effect, group="zone"), Dispatcher()
     made = balancer([line(1)], request_classes=[on])
-    asked = lookup(on=on)
+    asked = request(on=on)
     for end in ends:
         sent(asked, made.members[1], end)
     made.give_up(asked, dispatcher)
@@ -431,7 +431,7 @@
     made = DispatcherOfGateway(
         at.Start(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
-    asked = lookup()
+    asked = request()
     asked.sends = [at.Send(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
     made.abort(asked)
@@ -456,7 +456,7 @@
 
 
 def test_of_many_new_connections_at_the_bound_under_one_in_200_ends_in_vain(tmp_path):
-    """Clients that come anew for each lookup, a third more than there are places."""
+    """Clients that come anew for each request, a third more than there are places."""
     answers, each = Counter(), 50
 
     def come(number):
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -1,4 +1,4 @@
-"""Whole programs together on loopback: clusters, gateways, nodes, lookups and commands under way; faults."""
+"""Whole programs together on loopback: clusters, gateways, nodes, requests and commands under way; faults."""
 
 import time
 
@@ -14,12 +14,12 @@
     assert not faults, "\n".join(faults)
 
 
-def test_all_nodes_are_drained_in_turn_while_leaders_die_and_no_lookup_is_lost(tmp_path):
+def test_all_nodes_are_drained_in_turn_while_leaders_die_and_no_request_is_lost(tmp_path):
     with Installation(tmp_path, LOUIS) as all_:
         all_.declare()
         all_.group("store", ["n0", "n1", "n2"], 2)
         all_.serve().operate()
-        all_.wait_lookups(50)
+        all_.wait_requests(50)
         job = Job("sort", [all_["n3"], all_["n4"]])
         gang = {"kind": "gang", "gang": "sort", "nodes": ["n3", "n4"], "units": 2}
         assert all_.home.done(id="gang", **gang)[0] == 200
@@ -37,7 +37,7 @@
         assert all_.home.done(id="end", kind="gang_end", gang="sort")[0] == 200
         all_.wait_drain("kernel", "done")
         assert [node.counts["downs"] for node in all_.nodes] == [1] * 6 and job.broken is None
-        all_.wait_lookups(100)
+        all_.wait_requests(100)
         for one in all_.operators + all_.crowds:
             one.stop()
         whole(all_.faults())
@@ -51,7 +51,7 @@
     with Installation(tmp_path, LOUIS, nodes=3) as all_:
         all_.declare()
         all_.serve().operate(count=1)
-        all_.wait_lookups(30)
+        all_.wait_requests(30)
         all_.wires.cut("gw0", "louis")
         began = time.monotonic()
         assert all_.home.done(id="drain", kind="drain", drain="bad", nodes=["n0"], deadline_ms=0)[0] == 200
@@ -59,7 +59,7 @@
         assert time.monotonic() - began > 3.9  # the lease told is 4 s; the poll before the cut renewed it
         all_.wait_drain("bad", "done")
         before = all_.counts()["right"]
-        all_.wait_lookups(60)
+        all_.wait_requests(60)
         assert all_.counts()["right"] > before
         all_.wires.heal()
         until(lambda: set(all_.items("followers")) == {"gw0", "gw1"}, "the one cut off follows again")
