--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -13,7 +13,8 @@
 
 from .interface import (
     BACK, CANCELLED, COUNTED, DEDUPLICATED, ERRED, HOLD, IDEMPOTENT, NEVER_RAN, NON_IDEMPOTENT, ON, ON_TRIAL,
-    OVER_ALLOWANCE, READY, REJECTED, RELEASED, RESET, SPOILT, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT, Send,
+    OVER_ALLOWANCE, READY, REJECTED, RELEASED, RESET, SPOILT, SUCCEEDED, TIMED_OUT, UNCONNECTED, UNFIT,
+    Attempt,
 )
 from .odds import chance
 from .records import Builds, Group, Member
@@ -31,7 +32,7 @@
 EASY = 0.45  # the share of its objective that a request may take on average before some are rejected
 OVERDUE = 2.5  # times what its work usually takes; one answer in twenty or thirty is later
 LOST = 4  # a zone and kind costs so much more when all that was sent there of late was lost on the way
-RESCUES = 0.1  # second copies (or resends of what is slow) a request taken, so that a jam is not fed
+RESCUES = 0.1  # second copies (or retries of what is slow) a request taken, so that a jam is not fed
 NEAR = 24  # instances that a balancer keeps to, or as many as it sends to eight times before an unused
 # connection closes: its own stretch of a ring of all; past them only if none of them is fit
 GOLDEN = 0.618034  # stretches that start at the multiples of this, modulo 1, cover the ring evenly
@@ -47,7 +48,7 @@
         self.rng, self.zone = random.Random(start.seed), start.zone
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
-        self.sends_cap, self.retry_after_cap = start.sends_cap, start.retry_after_cap
+        self.attempts_cap, self.retry_after_cap = start.attempts_cap, start.retry_after_cap
         self.connect_time, self.spare = start.connect_time, 2 * start.step
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
@@ -56,7 +57,7 @@
         self.blind = max(0.0, 1 - USUAL / balancers)  # the share of a machine's load that others send unseen
         self.builds = Builds(*release.caps[:1] or [0.0], PAIRS, SEEN)
         self.sent_window, self.taken_window = release.window + 2 * start.step, release.window - 2 * start.step
-        self.free_sends, self.per_class = release.free_sends, release.per_class
+        self.free_attempts, self.per_class = release.free_attempts, release.per_class
         self.guarded_stages, self.forward_only = release.guarded_stages, release.forward_only
         self.clocked = release.control == "automatic"
         self.vote_life, self.stage_time = release.vote_life, release.bake + 2 * WARM_UP  # none ends sooner
@@ -87,7 +88,7 @@
         self.next_tick, self.ask_at = start.now, first if start.ask_for_list else None
         self.ask_within = start.ask_within
         self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, class)
-        self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of sends left unconnected
+        self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of attempts left unconnected
         self.news = self.look = False  # an outcome came since the pair was last judged; a vote may be due
         self.share = self.calm_time = 0.0  # of the load, due to the trial; last pair's median with no trial
         self.vote_out, self.vote_at, self.vote_busy = None, start.now, start.now  # that stands, due, awaited
@@ -136,10 +137,10 @@
     def request_left(self, now, request):
         request.over = True  # also once its answer streams: the end is the client's then
 
-    def send_ended(self, now, send, end, took, over, report):
-        send.end = end
-        member, request, class_ = send.instance, send.request, send.request.request_class
-        written_off = member.out.pop(send, send) is not None
+    def attempt_ended(self, now, attempt, end, took, over, report):
+        attempt.end = end
+        member, request, class_ = attempt.instance, attempt.request, attempt.request.request_class
+        written_off = member.out.pop(attempt, attempt) is not None
         member.held -= 0 if written_off else request.work
         request.over = request.over or over
         self.due.extend([] if request.over else [request])
@@ -152,14 +153,14 @@
                     times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
                 times.append(took / objective)
                 self.lows[kind] = sorted(times)[WAITS // 4] if len(times) == WAITS else 0.5
-        silent = member.heard_at <= send.at and end in (TIMED_OUT, CANCELLED)
+        silent = member.heard_at <= attempt.at and end in (TIMED_OUT, CANCELLED)
         self.scarce += 0.1 * ((end == UNCONNECTED) - self.scarce)
         member.open_until = now + self.idle_time if answered else 0  # unsure where no answer came
         if answered or end in (UNCONNECTED, RESET):
             member.group.lost += 0.2 * ((not answered) - member.group.lost)
         if answered or end in (SPOILT, UNFIT):
             # What is spoilt on the way, or fit for none, tells no more. It could hide a build that spoils.
-            member.heard_at, member.newest, member.strikes = now, max(member.newest, send.at), 0
+            member.heard_at, member.newest, member.strikes = now, max(member.newest, attempt.at), 0
             member.answered, member.failed = member.answered + 1, member.failed + (end == ERRED)
             member.shunned_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
@@ -256,39 +257,39 @@
         return False
 
     def settle(self, request, now, door):
-        out = [send for send in request.sends if not send.end]
+        out = [attempt for attempt in request.attempts if not attempt.end]
         if out and now < request.deadline:
             return self.rescue(request, out, now, door)
         # Guards against the jam in which each request is turned away at many full machines.
-        spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in request.sends[-1:])
+        spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in request.attempts[-1:])
         if spent or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
             return self.give_up(request, door)
         self.work_in += request.work if now == request.arrived else 0
         if (member := self.choose(request, now)) is not None:
-            return self.send(request, member, now, door)
+            return self.attempt(request, member, now, door)
         class_ = request.request_class
         wait = int(class_.latency_objective / 8 * min(class_.revenue / self.mean_revenue, 1.0))
-        if now >= request.arrived + wait or len(request.sends) >= self.sends_cap:
+        if now >= request.arrived + wait or len(request.attempts) >= self.attempts_cap:
             return self.give_up(request, door)
         until = min(request.arrived + wait, request.deadline)  # the longer, the seldomer it is looked at
         self.wake(min(until, now + max(TICK // 4, (until - request.arrived) // 32)), request)
         return False
 
-    def send(self, request, member, now, door):
-        self.rescues -= any(send.end == REJECTED for send in request.sends[-1:])
-        send = Send(request, len(request.sends), member, now)
-        request.sends.append(send)
+    def attempt(self, request, member, now, door):
+        self.rescues -= any(attempt.end == REJECTED for attempt in request.attempts[-1:])
+        attempt = Attempt(request, len(request.attempts), member, now)
+        request.attempts.append(attempt)
         member.heard_at = member.heard_at if member.out else now
-        member.out[send] = None
+        member.out[attempt] = None
         member.held += request.work
         if self.on_trial(member.build):
-            send.counted = now
+            attempt.counted = now
             for counted in self.counts_of(request):
                 member.build.sent.setdefault(counted, deque()).append(now)
             member.build.credit = max(member.build.credit - 1.0, -3.0)
         member.cold_from, member.cold_due = self.work_in, request.work * len(self.members)
-        door.send(request, member.id, request.deadline - now)
-        self.wake(self.overdue_at(send), request)
+        door.attempt(request, member.id, request.deadline - now)
+        self.wake(self.overdue_at(attempt), request)
         return True
 
     def rescue(self, request, out, now, door):
@@ -301,7 +302,7 @@
         if (lost or silent) and member.out.pop(last, last) is None:  # written off: it holds no place there
             member.held -= request.work
             self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
-            if silent:  # its answer may still come and clear this; with few sends it tells most
+            if silent:  # its answer may still come and clear this; with few attempts it tells most
                 member.group.lost += 0.2 * (1 - member.group.lost)
                 pause = int((request.deadline - now) * self.blind)
                 member.shunned_until = max(member.shunned_until, now + pause)
@@ -309,7 +310,7 @@
             return False
         if self.may_duplicate and (other := self.choose(request, now)) is not None:
             self.rescues -= not lost
-            return self.send(request, other, now, door)
+            return self.attempt(request, other, now, door)
         barred = self.may_duplicate or not self.may_cancel or request.request_class.effect != IDEMPOTENT
         if barred or not (lost or silent):
             return False
@@ -317,13 +318,13 @@
         door.cancel(last)
         return True
 
-    def overdue_at(self, send):  # by what its work takes, too: a heavy request is not begun twice
-        request, group = send.request, send.instance.group  # half of it is waiting, heavy or light
+    def overdue_at(self, attempt):  # by what its work takes, too: a heavy request is not begun twice
+        request, group = attempt.request, attempt.instance.group  # half of it is waiting, heavy or light
         usual = group.took * (1 + request.work / group.work) / 2 if group.work else request.work
-        return send.at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
+        return attempt.at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
 
     def give_up(self, request, door):
-        request.over, class_, ends = True, request.request_class, {s.end for s in request.sends}
+        request.over, class_, ends = True, request.request_class, {s.end for s in request.attempts}
         alone = class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.group != "all"
         if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(request)
@@ -334,8 +335,8 @@
     # ---- where to
 
     def choose(self, request, now, whole=False):
-        """The instance that costs least, untried before tried, of the build that is due a send first."""
-        tried = [send.instance for send in request.sends]
+        """The instance that costs least, untried before tried, of the build that is due an attempt first."""
+        tried = [attempt.instance for attempt in request.attempts]
         due = self.trial is not None and self.trial.credit >= 1 and not self.trial.bad
         trial = {build for build in self.builds.values() if self.on_trial(build)}
         pool = [m for m in self.ring if whole or (m.build in trial) is due]
@@ -343,13 +344,13 @@
             # Guards against connections that are few or slow. When machines die it keeps to what answers.
             pool = [m for m in pool if now < m.open_until] or pool
         if not whole and len(pool) > (near := max(NEAR, int(self.idle_time / 8 / (self.gap + 1)))):
-            # Guards against a handshake for each send where many share many. It could load some unevenly.
+            # Guards against a handshake for each attempt where many share many. It could load some unevenly.
             pool = [m for m in pool if now >= m.shunned_until][:near]
         best = least = None
         for member in pool:
             rank = (member in tried, (member.build in trial) is not due, self.cost(member, request, now))
             better = (best is None or rank < least) and self.usable(member, request, now)
-            if better and self.may_send(request, member, now):
+            if better and self.may_attempt(request, member, now):
                 best, least = member, rank
         return best or (None if whole else self.choose(request, now, True))
 
@@ -372,7 +373,7 @@
 
     def cost(self, member, request, now):
         """Time to answer by what is out; old figures yield to the group's; the blinder, the more chance. Few
-        sends of one's own tell of a lost zone sooner than of each of its instances."""
+        attempts of one's own tell of a lost zone sooner than of each of its instances."""
         slowness = member.group.slowness or 1.0
         if member.slowness:
             slowness += (member.slowness - slowness) / (1 + (now - member.heard_at) / STALE)
@@ -390,12 +391,12 @@
         quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
         return quiet <= max(4 * (member.group.slowness or 2.0) * self.class_work[class_.number], 300 * MS)
 
-    def may_send(self, request, member, now):
-        """The rules. Every send passes here, whatever asked for it."""
-        if not member.ready or now >= request.deadline or len(request.sends) >= self.sends_cap:
+    def may_attempt(self, request, member, now):
+        """The rules. Every attempt passes here, whatever asked for it."""
+        if not member.ready or now >= request.deadline or len(request.attempts) >= self.attempts_cap:
             return False
         class_ = request.request_class
-        ran = [send for send in request.sends if send.end not in NEVER_RAN]
+        ran = [attempt for attempt in request.attempts if attempt.end not in NEVER_RAN]
         if ran and class_.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran):
             return False
         if ran and class_.effect == DEDUPLICATED:
@@ -409,21 +410,21 @@
             return False
         return not self.on_trial(member.build) or self.exposure_left(member.build, request, now)
 
-    def may_begin(self, now, send):
-        """Asked before the first byte of a send, by a host whose sends may wait for a connection: until when
-        its last byte has to be written, 0 if it may not begin."""
-        request, member, by = send.request, send.instance, send.request.deadline
-        ran = [other for other in request.sends if other is not send and other.end not in NEVER_RAN]
+    def may_begin(self, now, attempt):
+        """Asked before the first byte of an attempt, by a host whose attempts may wait for a connection:
+        until when its last byte has to be written, 0 if it may not begin."""
+        request, member, by = attempt.request, attempt.instance, attempt.request.deadline
+        ran = [other for other in request.attempts if other is not attempt and other.end not in NEVER_RAN]
         if ran and request.request_class.effect == DEDUPLICATED:
             by = min(by, self.repeated_by(ran))
         fit = not request.over and now < by and self.members.get(member.id) is member
         fit = fit and not self.goes_back(request, member)
         if fit and self.on_trial(member.build):  # it counts from now on, as it may have waited past a window
             sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(request)]
-            for times in [times for times in sent if send.counted in times]:
-                times.remove(send.counted)
+            for times in [times for times in sent if attempt.counted in times]:
+                times.remove(attempt.counted)
             if (fit := self.exposure_left(member.build, request, now)):
-                send.counted = now
+                attempt.counted = now
                 for times in sent:
                     times.append(now)
         return by if fit else 0
@@ -437,14 +438,14 @@
         return ran[0].at + ran[0].request.request_class.memory - self.spare
 
     def exposure_left(self, build, request, now):
-        """The window is a little wider for sends than for requests. A lower cap binds at once."""
+        """The window is a little wider for attempts than for requests. A lower cap binds at once."""
         stage = build.stage if build is self.told else 0
         if build.cap <= 0 or (stage < self.guarded_stages and request.request_class.effect != IDEMPOTENT):
             return False
         for counted in self.counts_of(request):
             sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
             taken = recent(self.taken.get(counted, ()), now - self.taken_window)
-            if sent + 1 > self.free_sends + build.cap * taken:
+            if sent + 1 > self.free_attempts + build.cap * taken:
                 return False
         return True
 
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -74,7 +74,7 @@
     shown = [[row[name] for name in names] for row in rows]
     click.echo(tabulate(shown, [name.replace("_", " ") for name in names]))
     click.echo(
-        f"\ntaken {counts['taken']}, succeeded {counts.get('succeeded', 0)}, sends {counts['sends']}; "
+        f"\ntaken {counts['taken']}, succeeded {counts.get('succeeded', 0)}, attempts {counts['attempts']}; "
         f"the gateway ended with code {code}"
     )
 
--- a/lemonlead/following/__init__.py
+++ b/lemonlead/following/__init__.py
@@ -1,4 +1,4 @@
-"""A gateway that follows a ledger: what the ledger has out gets no new send. Imported only where the
+"""A gateway that follows a ledger: what the ledger has out gets no new attempt. Imported only where the
 settings have `follow`.
 
 `words.py` reads what a member answers; `merge.py` makes one list of discovery's and the ledger's word;
--- a/lemonlead/following/course.py
+++ b/lemonlead/following/course.py
@@ -168,7 +168,7 @@
             self.ballot = None
 
     def leave(self, now):
-        """It has ended its sends: asks not to be waited for any more."""
+        """It has ended its attempts: asks not to be waited for any more."""
         self.leaving, self.not_before = True, now
 
     def unfollowed(self):
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -213,7 +213,7 @@
 
     def obey(self, news, leader):
         """Whether the balancer was told. Only then is the next poll an acknowledgement: from then on its
-        `may_begin` lets no send begin that was meant for what is out."""
+        `may_begin` lets no attempt begin that was meant for what is out."""
         self.dispatcher.tell(self.heard, news)
         if self.obeyed[0] != news.cluster or self.obeyed[1] < news.at:
             return False
@@ -284,7 +284,7 @@
     # ---- the end
 
     def leave(self, until):
-        """After the last send has ended: asks not to be waited for any more. Where one is still out at
+        """After the last attempt has ended: asks not to be waited for any more. Where one is still out at
         `until` (of `time.monotonic`), it says nothing: the ledger waits until the lease ran out."""
         while self.dispatcher.instances.trips and time.monotonic() < until:
             time.sleep(0.02)
--- a/lemonlead/following/merge.py
+++ b/lemonlead/following/merge.py
@@ -1,8 +1,9 @@
 """One list of instances from two words: discovery's, and the ledger's on nodes of the same names.
 
 Each word is kept as its source last gave it, and what the balancer is told is a function of the two: so
-neither can undo the other's drain, whatever comes late, twice or goes back in version. An instance gets sends
-only where discovery has it ready, no permit is out for it and the ledger has it serving or catching up."""
+neither can undo the other's drain, whatever comes late, twice or goes back in version. An instance gets
+attempts only where discovery has it ready, no permit is out for it and the ledger has it serving or catching
+up."""
 
 from collections import deque
 from dataclasses import dataclass, replace
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -105,10 +105,10 @@
         if told[0]:
             self.dispatcher.discovery.put(now, *told, False, False)
 
-    def ended(self, now, send, end):
-        self.counters.add(f"shift sends {'far' if send.instance.zone in self.sides.abroad else 'near'}")
+    def ended(self, now, attempt, end):
+        self.counters.add(f"shift attempts {'far' if attempt.instance.zone in self.sides.abroad else 'near'}")
         before = self.sides.lost
-        self.sides.ended(send.instance.zone, end)
+        self.sides.ended(attempt.instance.zone, end)
         if self.sides.lost != before:
             self.counters.add("shift far lost")
             self.put(now, self.shown(now))
--- a/lemonlead/following/sides.py
+++ b/lemonlead/following/sides.py
@@ -74,8 +74,8 @@
         self.news, self.trial = (number, stage, phase, cap), None
 
     def ended(self, zone, end):
-        """A send to an instance of this zone has ended. Builds are not judged by what the path loses; but a
-        far side that can't be reached would hold the move, and what is sent there, for ever."""
+        """An attempt to an instance of this zone has ended. Builds are not judged by what the path loses; but
+        a far side that can't be reached would hold the move, and what is sent there, for ever."""
         far = zone in self.abroad
         self.ends[far].append(end in LOST)
         near, ours = self.ends[False], self.ends[True]
--- a/lemonlead/following/words.py
+++ b/lemonlead/following/words.py
@@ -58,7 +58,7 @@
 
 
 def record(part, key, value):
-    """A record as far as it is heeded. An unknown state of a node is read as it is: no send goes there."""
+    """A record as far as it is heeded. An unknown state of a node is read as it is: no attempt goes there."""
     if type(key) is not str or type(value) not in (dict, type(None)):
         raise Unreadable(f"no record: {part} {key!r}"[:100])
     if part == "nodes" and value is not None:
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -11,7 +11,7 @@
 
 MOST_FAULTS = 8  # of one turn, and one for each open request: then the rest waits for the next
 AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
-UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of sends of which no instance has had all
+UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of attempts of which no instance has had all
 
 
 class Dispatcher:
@@ -115,22 +115,24 @@
                 self.drop(request)
                 self.balancer.request_left(moment, request)
 
-    def send_ended(self, moment, send, end, value):
-        if end == at.SUCCEEDED and send.request in self.asks:
-            self.answer(send.request, "succeeded", resp.bulk(value))
-        self.counters.add(f"sends {end}")
+    def attempt_ended(self, moment, attempt, end, value):
+        if end == at.SUCCEEDED and attempt.request in self.asks:
+            self.answer(attempt.request, "succeeded", resp.bulk(value))
+        self.counters.add(f"attempts {end}")
         if self.service is not None:
-            self.service.ended(moment, send, end)
-        self.balancer.send_ended(moment, send, end, moment - send.at, send.request not in self.asks, {})
+            self.service.ended(moment, attempt, end)
+        self.balancer.attempt_ended(
+            moment, attempt, end, moment - attempt.at, attempt.request not in self.asks, {}
+        )
 
     def stage_told(self, moment, *news):
         """The platform's news of the newest build."""
         (self.service or self.balancer).stage_told(moment, *news)
 
-    def may_begin(self, send):
+    def may_begin(self, attempt):
         """The moment by which its last byte has to be written; 0 if it may not begin."""
         with self.lock:
-            return self.balancer.may_begin(now(), send) if send.request in self.asks else 0
+            return self.balancer.may_begin(now(), attempt) if attempt.request in self.asks else 0
 
     def count(self, what, request):
         self.counters.add(what)
@@ -142,29 +144,30 @@
         ask = self.asks.pop(request)
         self.ids.discard(request.id)
         self.count(ending, request)
-        self.drop(request)  # before the answer can go out, so that no send of it is written whole after that
+        # before the answer can go out, so that no attempt of it is written whole after that
+        self.drop(request)
         ask.answer = data
         self.chores.append((ask.client.flush,))
 
     def drop(self, request):
-        if any(not send.end for send in request.sends):
-            self.instances.drop(request.sends)
+        if any(not attempt.end for attempt in request.attempts):
+            self.instances.drop(request.attempts)
 
-    def send(self, request, instance_id, time_out):
-        self.counters.add("sends")
+    def attempt(self, request, instance_id, time_out):
+        self.counters.add("attempts")
         until = now() + time_out
-        trip = self.instances.trip(request.sends[-1], instance_id, self.asks[request].words, until)
+        trip = self.instances.trip(request.attempts[-1], instance_id, self.asks[request].words, until)
         self.chores.append((self.instances.start, trip))
 
-    def cancel(self, send):
-        self.chores.append((self.instances.cancel, send))
+    def cancel(self, attempt):
+        self.chores.append((self.instances.cancel, attempt))
 
     def reject(self, request, retry_after):
         pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
         self.answer(request, "rejected", b"-BUSY%s\r\n" % pause)
 
     def abort(self, request):
-        if all(send.end in UNWRITTEN for send in request.sends):
+        if all(attempt.end in UNWRITTEN for attempt in request.attempts):
             self.counters.add("aborted unsent")
         self.answer(request, "aborted", resp.error("ERR aborted"))
 
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -1,4 +1,4 @@
-"""Instances: a thread for each send, one request a connection at a time, connections kept for the next."""
+"""Instances: a thread for each attempt, one request a connection at a time, connections kept for the next."""
 
 import contextlib
 import socket
@@ -87,10 +87,10 @@
 
 
 class Trip:
-    """One send under way."""
+    """One attempt under way."""
 
-    def __init__(self, send, pool, words, until):
-        self.send, self.pool, self.words, self.until = send, pool, words, until
+    def __init__(self, attempt, pool, words, until):
+        self.attempt, self.pool, self.words, self.until = attempt, pool, words, until
         self.connection, self.cancelled = None, False
         self.begun = self.written = False  # from its first byte on, from its last
 
@@ -105,7 +105,7 @@
         )
         self.most, self.open = config.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
-        self.pools, self.trips = {}, {}  # by the instance's id; by send
+        self.pools, self.trips = {}, {}  # by the instance's id; by attempt
 
     # ---- under the dispatcher's lock
 
@@ -120,16 +120,16 @@
             if address is not None and id not in self.pools:
                 self.pools[id] = Pool(address, started)
 
-    def trip(self, send, id, words, until):
-        trip = Trip(send, self.pools.get(id), words, until)
+    def trip(self, attempt, id, words, until):
+        trip = Trip(attempt, self.pools.get(id), words, until)
         with self.lock:
-            self.trips[send] = trip
+            self.trips[attempt] = trip
         return trip
 
-    def drop(self, sends):
+    def drop(self, attempts):
         """Their request is over: of those that are not written whole the last byte is written no more."""
         with self.lock:
-            for trip in filter(None, map(self.trips.get, sends)):
+            for trip in filter(None, map(self.trips.get, attempts)):
                 if not trip.written:
                     self.shut(trip)
 
@@ -147,9 +147,9 @@
         except RuntimeError:  # no thread to be had
             self.over(trip, at.NOT_SENT, None)
 
-    def cancel(self, send):
+    def cancel(self, attempt):
         with self.lock:
-            if (trip := self.trips.get(send)) is not None:
+            if (trip := self.trips.get(attempt)) is not None:
                 self.shut(trip)
 
     def shut(self, trip):
@@ -161,7 +161,7 @@
     def carry(self, trip):
         try:
             end, value = self.outcome(trip)
-        except Exception:  # a send always ends, and what may have run is never said not to have
+        except Exception:  # an attempt always ends, and what may have run is never said not to have
             self.dispatcher.fault(traceback.format_exc())
             end, value = (at.RESET if trip.begun else at.UNCONNECTED), None
         self.over(trip, end, value)
@@ -169,7 +169,7 @@
     def over(self, trip, end, value):
         connection, pool, ended = trip.connection, trip.pool, []
         with self.lock:
-            del self.trips[trip.send]
+            del self.trips[trip.attempt]
             clean = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT)
             keep = clean and not (trip.begun and trip.cancelled)
             more = keep and connection is not None and not connection.reader.empty()
@@ -185,23 +185,23 @@
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
                 # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < trip.send.at]
-                pool.unused = deque(old for old in pool.unused if old.used >= trip.send.at)
+                ended += [(old, "instance silent") for old in pool.unused if old.used < trip.attempt.at]
+                pool.unused = deque(old for old in pool.unused if old.used >= trip.attempt.at)
         for connection, reason in ended:
             self.end(connection, reason)
-        self.dispatcher.tell(self.dispatcher.send_ended, trip.send, end, value)
+        self.dispatcher.tell(self.dispatcher.attempt_ended, trip.attempt, end, value)
 
     def outcome(self, trip):
-        """How the send ended, and the value if it succeeded."""
+        """How the attempt ended, and the value if it succeeded."""
         try:
             while True:
                 if (made := self.reach(trip)) is False:
                     trip.connection.settle()
-                by = 0 if made is None or trip.cancelled else self.dispatcher.may_begin(trip.send)
+                by = 0 if made is None or trip.cancelled else self.dispatcher.may_begin(trip.attempt)
                 if not by:
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this request's answer, and on a
-                # connection that has ended nothing of this send has been written.
+                # connection that has ended nothing of this attempt has been written.
                 if made or trip.connection.quiet():
                     break
                 self.end(trip.connection, "instance closed")
@@ -278,8 +278,8 @@
 
 
 def ending(value):
-    """How a send ended by the whole value that came back, and the request's answer if it succeeded. What the
-    protocol does not list is spoilt, but for a load report, which may be anything that can be read."""
+    """How an attempt ended by the whole value that came back, and the request's answer if it succeeded. What
+    the protocol does not list is spoilt, but for a load report, which may be anything that can be read."""
     if type(value) is list and len(value) == 3 and type(value[0]) is bytes and value[1] is None:
         return at.SUCCEEDED, value[0]
     if isinstance(value, resp.Fault):
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -10,11 +10,11 @@
 
 # What a request class's requests do when they run twice.
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
-# How a send ended.
+# How an attempt ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
 UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
 SPOILT, UNFIT = "spoilt", "unfit"  # an answer that cannot be read; the instance cannot use this request
-NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that a send did not run
+NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that an attempt did not run
 # An instance's state as listed.
 GONE, DRAINING, READY = 0, 1, 2
 # A build's phase.
@@ -50,7 +50,7 @@
     answer_time: int = 0
     votes_per_s: float = 0.0
     window: int = 0
-    free_sends: float = 0.0
+    free_attempts: float = 0.0
     per_class: bool = False
     guarded_stages: int = 0
     forward_only: bool = False
@@ -77,7 +77,7 @@
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False
     ask_within: int = 0  # without a watch or call for so long it is held to all that was listed; 0: not told
-    sends_cap: int = 1
+    attempts_cap: int = 1
     may_cancel: bool = False
     may_duplicate: bool = False
     may_probe: bool = False
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Send:
+class Attempt:
     request: "Request"
     number: int
     instance: object
@@ -128,7 +128,7 @@
     deadline: int  # the moment at which the client gives this try up
     work: int = 0  # the work hinted at, 0 without a hint
     repeat: bool = False
-    sends: list = field(default_factory=list)
+    attempts: list = field(default_factory=list)
     over: bool = False  # it has its final answer, or its client has left
     # the request class that the client named, where rules may give another; else None
     asked: RequestClass | None = None
@@ -138,8 +138,8 @@
 class Door(Protocol):
     """What a balancer may ask of its host; each call takes effect at once."""
 
-    def send(self, request: Request, instance_id: int, time_out: int) -> None: ...
-    def cancel(self, send: Send) -> None: ...
+    def attempt(self, request: Request, instance_id: int, time_out: int) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
     def reject(self, request: Request, retry_after: int) -> None: ...
     def abort(self, request: Request) -> None: ...
     def watch_list(self) -> None: ...
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -20,7 +20,7 @@
 class Steady:
     """`service`: the share of revenue answered within the latency objective, `request_classes` the same by
     request class; `used`: the share of each resource that is taken, 1 is all of it; `rejected`: the share of
-    sends for which there is no room."""
+    attempts for which there is no room."""
 
     service: float
     request_classes: dict = field(default_factory=dict)
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -83,11 +83,11 @@
 
     # ---- the door
 
-    def send(self, request, instance_id, time_out):
-        self.world.send(self, request.sends[-1], instance_id, time_out)
+    def attempt(self, request, instance_id, time_out):
+        self.world.attempt(self, request.attempts[-1], instance_id, time_out)
 
-    def cancel(self, send):
-        self.world.at(self.world.now, self.ended, send, at.CANCELLED)
+    def cancel(self, attempt):
+        self.world.at(self.world.now, self.ended, attempt, at.CANCELLED)
 
     def reject(self, request, retry_after):
         self.answer(request, "rejected", retry_after)
@@ -106,14 +106,15 @@
 
     # ---- what comes back
 
-    def ended(self, send, end):
-        if send.end or not self.up:
+    def ended(self, attempt, end):
+        if attempt.end or not self.up:
             return
-        request = send.request
+        request = attempt.request
         if end == at.SUCCEEDED and request in self.wants:
             self.answer(request, "succeeded", 0)
         self.tell(
-            self.balancer.send_ended, send, end, self.world.now - send.at, request not in self.wants, {}
+            self.balancer.attempt_ended, attempt, end, self.world.now - attempt.at, request not in self.wants,
+            {}
         )
 
     def answer(self, request, ending, retry_after):
@@ -174,7 +175,7 @@
             step=5 * NS_MS,
             request_classes=list(self.request_classes.values()),
             by_work=True,
-            sends_cap=5,
+            attempts_cap=5,
             may_duplicate=True,
             retry_after_cap=500 * NS_MS,
             release=self.release(),
@@ -197,7 +198,7 @@
             answer_time=800 * NS_MS,
             votes_per_s=75.0,
             window=fleet.window,
-            free_sends=fleet.free,
+            free_attempts=fleet.free,
             caps=list(fleet.caps),
             steps=list(fleet.steps),
         )
@@ -281,31 +282,31 @@
     def trip(self, gateway, machine):
         return self.fleet.within if gateway.site == machine.site else self.fleet.across
 
-    def send(self, gateway, send, number, time_out):
+    def attempt(self, gateway, attempt, number, time_out):
         machine = self.machines[number]
         way = self.trip(gateway, machine)
-        self.at(self.now + time_out, gateway.ended, send, at.TIMED_OUT)
+        self.at(self.now + time_out, gateway.ended, attempt, at.TIMED_OUT)
         if machine.up:
-            self.at(self.now + way, self.reach, gateway, send, machine, way)
+            self.at(self.now + way, self.reach, gateway, attempt, machine, way)
         else:  # a machine that says nothing is known by the time that a connection takes
-            self.at(self.now + (CONNECT if machine.silent else way), gateway.ended, send, at.UNCONNECTED)
+            self.at(self.now + (CONNECT if machine.silent else way), gateway.ended, attempt, at.UNCONNECTED)
 
-    def reach(self, gateway, send, machine, way):
+    def reach(self, gateway, attempt, machine, way):
         if not machine.up:
             if not machine.silent:
-                self.at(self.now + way, gateway.ended, send, at.RESET)
+                self.at(self.now + way, gateway.ended, attempt, at.RESET)
         elif machine.busy + len(machine.queue) >= machine.kind.slots:
-            self.at(self.now + way, gateway.ended, send, at.REJECTED)
+            self.at(self.now + way, gateway.ended, attempt, at.REJECTED)
         else:
-            machine.queue.append((gateway, send, way))
+            machine.queue.append((gateway, attempt, way))
             self.begin(machine)
 
     def begin(self, machine):
         while machine.queue and machine.busy < machine.kind.cores and not machine.paused:
-            gateway, send, way = machine.queue.popleft()
+            gateway, attempt, way = machine.queue.popleft()
             machine.busy += 1
-            takes = round(send.request.work * machine.factor / machine.kind.speed / self.warmth(machine))
-            self.at(self.now + takes, self.finish, machine, machine.life, gateway, send, way)
+            takes = round(attempt.request.work * machine.factor / machine.kind.speed / self.warmth(machine))
+            self.at(self.now + takes, self.finish, machine, machine.life, gateway, attempt, way)
 
     def warmth(self, machine):
         if not machine.started:
@@ -313,11 +314,11 @@
         age = min((self.now - machine.started) / self.fleet.warm, 1.0)
         return self.fleet.cold_share + (1 - self.fleet.cold_share) * age
 
-    def finish(self, machine, life, gateway, send, way):
+    def finish(self, machine, life, gateway, attempt, way):
         if life != machine.life:
             return  # it died meanwhile
         machine.busy -= 1
-        self.at(self.now + way, gateway.ended, send, at.SUCCEEDED)
+        self.at(self.now + way, gateway.ended, attempt, at.SUCCEEDED)
         self.begin(machine)
 
     # ---- a build on trial
--- a/lemonlead/settings/schemas/gateway.cue
+++ b/lemonlead/settings/schemas/gateway.cue
@@ -4,7 +4,7 @@
 	shadow?:      string         // a set that is tried beside it
 	shadow_share: *0.01 | float & >=0.0 & <=0.5 // of one core, for the set that is tried
 }
-// The ledger that it follows: nodes named as instances are, and out there, get no new send.
+// The ledger that it follows: nodes named as instances are, and out there, get no new attempt.
 follow?: {
 	name?:   string // this gateway's in the ledger, its own only; without it the configuration's
 	members: {[=~"^[A-Za-z0-9][A-Za-z0-9_.:/-]{0,99}$"]: string} // name to host:port; more are learned
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -3,7 +3,7 @@
 order.
 
 What is counted is counted at nodes and clients alone: requests answered and lost, non-idempotent requests
-that ran twice, gangs and groups that were broken, sends to nodes that were said to be clear, acknowledged
+that ran twice, gangs and groups that were broken, attempts to nodes that were said to be clear, acknowledged
 commands that are gone. No code is shared with what is checked."""
 
 import contextlib
@@ -313,7 +313,7 @@
         for node in self.nodes + self.far if not unheard else ():
             after, ended = node.counts["after clear"], node.counts["ended"]
             if after + ended:
-                found.append(f"{node.name}: {after} sends after it was clear, {ended} ended")
+                found.append(f"{node.name}: {after} attempts after it was clear, {ended} ended")
         found += [
             f"group {group.name} was broken {group.broken} times" for group in self.groups if group.broken
         ]
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -1,6 +1,6 @@
 """Nodes: instances that obey a ledger's permits, and that count by themselves what happened to them.
 
-A `Node` takes requests at an address of its own for each gateway, so that it knows whose a send is. An
+A `Node` takes requests at an address of its own for each gateway, so that it knows whose an attempt is. An
 `Agent` tells it the ledger's permits and reports what it does. `Job` (a gang's) and `Replicas` (a group's)
 look at their nodes alone, not at any ledger. No code is shared with what is checked."""
 
@@ -16,7 +16,7 @@
 from .wires import home
 
 SERVING, CLEARING, DRAINED, DOWN, CATCHING_UP = "serving", "clearing", "drained", "down", "catching_up"
-MOST_SENDS = 500_000  # that are kept with their moments; of older ones the counts stay
+MOST_ATTEMPTS = 500_000  # that are kept with their moments; of older ones the counts stay
 PATIENCE = 5.0  # seconds for one call to a member
 
 
@@ -45,14 +45,14 @@
 
 
 class Node:
-    """`sends`: (moment, gateway, state) of each request taken. `counts`: "sends", "after clear" (requests
-    that came although every gateway was said to have stopped), "old permits" (refused), "downs", "ended"
-    (requests cut off by going down). `states`: (moment, state), in order."""
+    """`attempts`: (moment, gateway, state) of each request taken. `counts`: "attempts", "after clear"
+    (requests that came although every gateway was said to have stopped), "old permits" (refused), "downs",
+    "ended" (requests cut off by going down). `states`: (moment, state), in order."""
 
     def __init__(self, name, work=0.0, away=0.0, catch_up=0.0):
         self.name, self.work, self.away, self.catch_up = name, work, away, catch_up
         self.changed = threading.Condition()
-        self.ears, self.sends, self.counts = {}, deque(maxlen=MOST_SENDS), Counter()
+        self.ears, self.attempts, self.counts = {}, deque(maxlen=MOST_ATTEMPTS), Counter()
         self.by_gateway, self.held = Counter(), 0
         self.state, self.states = SERVING, [(time.monotonic(), SERVING)]
         self.fence, self.seen = (0, 0), 0  # the newest permit ever seen; the ledger's entry last obeyed
@@ -76,10 +76,10 @@
             if words[0].upper() == b"PING":
                 return b"+PONG\r\n"
             with self.changed:
-                self.counts["sends"] += 1
+                self.counts["attempts"] += 1
                 self.counts["after clear"] += self.state not in (SERVING, CATCHING_UP)
                 self.by_gateway[gateway] += 1
-                self.sends.append((time.monotonic(), gateway, self.state))
+                self.attempts.append((time.monotonic(), gateway, self.state))
                 self.held += 1
                 self.changed.notify_all()
             time.sleep(self.work)
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -28,7 +28,7 @@
         self.number = number
         self.reply = None
         self.requests = {}
-        self.out = {}  # (request id, send number): Send, also past the request's end
+        self.out = {}  # (request id, attempt number): Attempt, also past the request's end
         self.armed = None
         self.request_classes = {
             request_class.number: request_class for request_class in start.request_classes
@@ -36,12 +36,12 @@
         self.fields = start.report_fields
         self.balancer = Balancer(start)
 
-    def send(self, request, instance_id, time_out):
-        self.out[request.id, request.sends[-1].number] = request.sends[-1]
+    def attempt(self, request, instance_id, time_out):
+        self.out[request.id, request.attempts[-1].number] = request.attempts[-1]
         self.reply.add("pass_on", self.number, request.id, instance_id, time_out / NS)
 
-    def cancel(self, send):
-        self.reply.add("withdraw", self.number, send.request.id, send.number)
+    def cancel(self, attempt):
+        self.reply.add("withdraw", self.number, attempt.request.id, attempt.number)
 
     def reject(self, request, retry_after):
         del self.requests[request.id]
@@ -154,18 +154,18 @@
         seat.balancer.request_arrived(self.now, request)
 
     def first_byte(self, seat, id, instance, lag, number):
-        if (send := seat.out.get((id, number))) is not None:
-            seat.balancer.request_left(self.now, send.request)
+        if (attempt := seat.out.get((id, number))) is not None:
+            seat.balancer.request_left(self.now, attempt.request)
 
     def reply(self, seat, id, number, lag, ended, instance, code, count, *gauge):
-        send = seat.out.pop((id, number), None)
-        if send is None:
+        attempt = seat.out.pop((id, number), None)
+        if attempt is None:
             return
         if ended:
             seat.requests.pop(id, None)
         end = _ENDS.get(code, at_door.ERRED)
         report = dict(zip(seat.fields, gauge[:count], strict=False))
-        seat.balancer.send_ended(self.now, send, end, in_ns(lag), bool(ended), report)
+        seat.balancer.attempt_ended(self.now, attempt, end, in_ns(lag), bool(ended), report)
 
     def left(self, seat, id):
         if (request := seat.requests.pop(id, None)) is not None:
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -16,7 +16,7 @@
 PHASES = (at.ON_TRIAL, at.GOING_BACK, at.RELEASED, at.TAKEN_OFF)
 ENDS = (
     at.SUCCEEDED, at.ERRED, at.REJECTED, at.RESET, at.UNCONNECTED, at.SPOILT, at.UNFIT, "silent",
-)  # of sends; silent ones time out
+)  # of attempts; silent ones time out
 NEVER = {at.REJECTED, at.UNCONNECTED, at.NOT_SENT}
 MOST_DECISIONS, MOST_WAKES = 2000, 30_000  # at one moment; in all
 
@@ -197,23 +197,23 @@
 
     # ---- the door
 
-    def send(self, request, instance_id, time_out):
-        send = request.sends[-1]
-        self.trips[send] = "new"
+    def attempt(self, request, instance_id, time_out):
+        attempt = request.attempts[-1]
+        self.trips[attempt] = "new"
         if self.world["connects"] and self.random.random() < self.world["connects"]:
             most = min(self.start.connect_time, time_out, 2000 * MS)
-            return self.after(self.random.random() * most, self.begin, send, instance_id, time_out)
-        return self.begin(send, instance_id, time_out, False)
+            return self.after(self.random.random() * most, self.begin, attempt, instance_id, time_out)
+        return self.begin(attempt, instance_id, time_out, False)
 
-    def begin(self, send, instance_id, time_out, asked=True):
-        request = send.request
-        cancelled = self.trips.get(send) == "cancelled"
+    def begin(self, attempt, instance_id, time_out, asked=True):
+        request = attempt.request
+        cancelled = self.trips.get(attempt) == "cancelled"
         if asked and (
-            cancelled or request.id not in self.open or not self.balancer.may_begin(self.now, send)
+            cancelled or request.id not in self.open or not self.balancer.may_begin(self.now, attempt)
         ):
-            return self.after(0, self.end, send, at.NOT_SENT)
-        self.trips[send] = "written"
-        self.note("send", request.id, send.number, instance_id)
+            return self.after(0, self.end, attempt, at.NOT_SENT)
+        self.trips[attempt] = "written"
+        self.note("attempt", request.id, attempt.number, instance_id)
         row = self.machines.get(int(instance_id[1:]))
         goal = min(request.request_class.latency_objective or 100 * MS, 1000 * MS)
         takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
@@ -229,31 +229,31 @@
         if end == "silent" or takes >= left:
             takes, end = left, at.TIMED_OUT
         elif request.request_class.streamed and end == at.SUCCEEDED:
-            self.after(takes / 2, self.first_byte, send)
-        self.after(takes, self.end, send, end)
+            self.after(takes / 2, self.first_byte, attempt)
+        self.after(takes, self.end, attempt, end)
 
-    def first_byte(self, send):
-        if send in self.trips and self.open.pop(send.request.id, None) is not None:
-            self.note("final", send.request.id, "streamed")
-            self.balancer.request_left(self.now, send.request)
+    def first_byte(self, attempt):
+        if attempt in self.trips and self.open.pop(attempt.request.id, None) is not None:
+            self.note("final", attempt.request.id, "streamed")
+            self.balancer.request_left(self.now, attempt.request)
 
-    def end(self, send, end):
-        if self.trips.pop(send, None) is None:
+    def end(self, attempt, end):
+        if self.trips.pop(attempt, None) is None:
             return
-        request = send.request
-        self.note("outcome", request.id, send.number, end)
+        request = attempt.request
+        self.note("outcome", request.id, attempt.number, end)
         if end == at.SUCCEEDED and self.open.pop(request.id, None) is not None:
             self.note("final", request.id, "served")
         over = request.id not in self.open
         report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
-        self.balancer.send_ended(self.now, send, end, self.now - send.at, over, report)
+        self.balancer.attempt_ended(self.now, attempt, end, self.now - attempt.at, over, report)
 
-    def cancel(self, send):
-        self.note("cancel", send.request.id, send.number)
-        if self.trips.get(send) == "new":
-            self.trips[send] = "cancelled"
-        elif send in self.trips:
-            self.after(self.random.choice([0, 3 * MS]), self.end, send, at.CANCELLED)
+    def cancel(self, attempt):
+        self.note("cancel", attempt.request.id, attempt.number)
+        if self.trips.get(attempt) == "new":
+            self.trips[attempt] = "cancelled"
+        elif attempt in self.trips:
+            self.after(self.random.choice([0, 3 * MS]), self.end, attempt, at.CANCELLED)
 
     def reject(self, request, retry_after):
         assert self.open.pop(request.id, None) is request
@@ -303,7 +303,7 @@
         self.window = int(self.release.get("ExposureWindow", 0) * MS)
         self.asked, self.machines, self.gone, self.news = {}, {}, {}, None
         self.fewest = 1 << 62  # instances that were ready at one time, but for times without any
-        self.lowered, self.served, self.takes, self.sends = {}, {}, [], []
+        self.lowered, self.served, self.takes, self.attempts = {}, {}, [], []
         self.watching, self.called, self.failed = False, None, False
         for now, what, *values in record:
             getattr(self, what.replace(" ", "_"))(now, *values)
@@ -339,11 +339,11 @@
         self.asked[id] = {
             "lane": self.told["Lanes"][request_class], "n": request_class, "at": now, "until": now + left,
             "key": key,
-            "sends": [], "final": None, "work": work or 1,
+            "attempts": [], "final": None, "work": work or 1,
         }
         self.takes.append((now, request_class))
 
-    def send(self, now, id, number, instance):
+    def attempt(self, now, id, number, instance):
         one = self.asked[id]
         row = self.machines.get(instance)
         if one["final"] is not None:
@@ -359,11 +359,11 @@
             self.wrong(3, f"{id} goes by a list that is not asked for in {(now - self.called) / MS} ms")
         self.effect(now, id, one, row)
         self.exposure(now, id, one, instance, row)
-        one["sends"].append({"at": now, "row": row, "end": None, "number": number})
-        self.sends.append((now, instance, row, one["n"], id))
+        one["attempts"].append({"at": now, "row": row, "end": None, "number": number})
+        self.attempts.append((now, instance, row, one["n"], id))
 
     def effect(self, now, id, one, row):
-        request_class, before = one["lane"], one["sends"]
+        request_class, before = one["lane"], one["attempts"]
         effect = request_class.get("Effect", "at_most_once")
         ran = [s for s in before if s["end"] not in NEVER]
         if len(before) >= self.limits.get("AttemptsCap", 1):
@@ -380,11 +380,11 @@
                 self.wrong(2, f"{id}, deduplicated, goes again past its window")
 
     def outcome(self, now, id, number, end):
-        for send in self.asked[id]["sends"]:
-            if send["number"] == number:
-                send["end"] = end
+        for attempt in self.asked[id]["attempts"]:
+            if attempt["number"] == number:
+                attempt["end"] = end
                 if end == at.SUCCEEDED and self.asked[id]["key"]:
-                    self.served.setdefault(self.asked[id]["key"], []).append((now, send["row"]["build"]))
+                    self.served.setdefault(self.asked[id]["key"], []).append((now, attempt["row"]["build"]))
 
     def final(self, now, id, how, *retry_after):
         one = self.asked[id]
@@ -395,7 +395,7 @@
             self.wrong(1, f"{id} is answered {(now - one['until']) / MS} ms late")
         effect = one["lane"].get("Effect", "at_most_once")
         group = one["lane"].get("Group", "all")
-        ran = any(s["end"] not in NEVER for s in one["sends"])
+        ran = any(s["end"] not in NEVER for s in one["attempts"])
         alone = effect == "at_most_once" or effect == "deduplicated" and group != "all"
         if how == "busy" and ran and alone:
             self.wrong(2, f"{id} is refused though it may have run")
@@ -435,7 +435,7 @@
         request_classes = (one["n"],) if alone else range(len(self.told["Lanes"]))
         since = max(now - self.window, self.lowered.get(build, 0))
         sent = 1 + sum(
-            m > since and r["build"] == build and n in request_classes for m, _, r, n, _ in self.sends
+            m > since and r["build"] == build and n in request_classes for m, _, r, n, _ in self.attempts
         )
         taken = sum(m > now - self.window and n in request_classes for m, n in self.takes)
         if sent > self.release.get("SpareTries", 0.0) + cap * taken + 1e-9 and self.window:
@@ -468,7 +468,7 @@
         mean = sum(one["work"] for one in self.asked.values()) / len(self.asked)
         took = [(one["at"], one["work"] / mean) for one in self.asked.values()]
         rate = max(within(took, first, fall) for first, _ in took) / max(self.fewest, 1)
-        for now, instance, row, _, id in self.sends:
+        for now, instance, row, _, id in self.attempts:
             if row["since"] and 0 <= now - row["since"] < span:
                 starts.setdefault((instance, row["since"]), []).append((now, self.asked[id]["work"] / mean))
         for (instance, since), sent in starts.items():
--- a/tests/days.py
+++ b/tests/days.py
@@ -36,9 +36,9 @@
     def request_left(self, now, request):
         request.over = True
 
-    def send_ended(self, now, send, end, took, over, report):
-        send.end, send.request.over = end, send.request.over or over
-        self.due.append(send.request)
+    def attempt_ended(self, now, attempt, end, took, over, report):
+        attempt.end, attempt.request.over = end, attempt.request.over or over
+        self.due.append(attempt.request)
 
     def decide(self, now, door):
         while self.due:
@@ -48,18 +48,18 @@
         return False
 
     def settle(self, request, now, door):
-        seen, tried = self.day.seen[0], [send.instance for send in request.sends]
+        seen, tried = self.day.seen[0], [attempt.instance for attempt in request.attempts]
         fit = [number for number in seen if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: seen[number], default=None)
         ran = request.request_class.effect == at.NON_IDEMPOTENT and any(
-            s.end not in at.NEVER_RAN for s in request.sends
+            s.end not in at.NEVER_RAN for s in request.attempts
         )
         if best is None or ran or 4 * seen[best] > request.request_class.latency_objective:
             request.over = True
             return door.reject(request, LATE // 2)
-        request.sends.append(at.Send(request, len(request.sends), best, now))
-        return door.send(request, best, request.deadline - now)
+        request.attempts.append(at.Attempt(request, len(request.attempts), best, now))
+        return door.attempt(request, best, request.deadline - now)
 
 
 @dataclass
@@ -71,7 +71,8 @@
     weights: tuple = (1.0,)
     burst: float | None = None
     late: bool = False  # the late-seeing policy in place of the balancers
-    sent: dict = field(default_factory=dict)  # by machine that is cold: when each send went there, its work
+    # by machine that is cold: when each attempt went there, its work
+    sent: dict = field(default_factory=dict)
     asked: Counter = field(default_factory=Counter)  # by (what, which, third)
     served: Counter = field(default_factory=Counter)  # likewise, answered within their latency objective
 
@@ -103,7 +104,9 @@
 
     def waits(self, machine):
         """How long a request that comes now waits there, in nanoseconds."""
-        held = sum(send.request.work for _, send, _ in machine.queue) + machine.busy * self.mean_work() / 2
+        held = (
+            sum(attempt.request.work for _, attempt, _ in machine.queue) + machine.busy * self.mean_work() / 2
+        )
         return held / machine.kind.cores / machine.kind.speed
 
     def mean_work(self):
@@ -133,11 +136,11 @@
 
     # ---- what is counted
 
-    def send(self, gateway, send, number, time_out):
+    def attempt(self, gateway, attempt, number, time_out):
         machine = self.machines[number]
         if machine.started and self.now < machine.started + self.fleet.warm:
-            self.sent.setdefault(number, []).append((self.now, send.request.work))
-        super().send(gateway, send, number, time_out)
+            self.sent.setdefault(number, []).append((self.now, attempt.request.work))
+        super().attempt(gateway, attempt, number, time_out)
 
     def ask(self, want):
         if want not in self.kept:
@@ -162,14 +165,14 @@
         """The most that any cold machine got in a window by what it bears: N + 3 x root of N + 3 requests of
         mean work, N being what is told to be allowed at the window's start."""
         fleet, mean, most = self.fleet, self.mean_work(), 0.0
-        for number, sends in self.sent.items():
-            machine, times = self.machines[number], [moment for moment, _ in sends]
+        for number, attempts in self.sent.items():
+            machine, times = self.machines[number], [moment for moment, _ in attempts]
             for first, moment in enumerate(times):
                 last = bisect.bisect_left(times, moment + fleet.cold_window)
                 age = (moment - machine.started) / fleet.warm
                 warm = fleet.cold_share + (1 - fleet.cold_share) * min(age, 1.0)
                 can = machine.kind.cores * machine.kind.speed * warm * fleet.cold_window / mean
                 bears = fleet.cold_multiple * can
-                got = sum(work for _, work in sends[first:last]) / mean
+                got = sum(work for _, work in attempts[first:last]) / mean
                 most = max(most, got / (bears + 3 * bears**0.5 + 3))
         return most
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,11 +13,11 @@
     def __init__(self):
         self.calls = []
 
-    def send(self, request, instance_id, time_out):
-        self.calls.append(("send", request.id, instance_id))
+    def attempt(self, request, instance_id, time_out):
+        self.calls.append(("attempt", request.id, instance_id))
 
-    def cancel(self, send):
-        self.calls.append(("cancel", send.request.id, send.number))
+    def cancel(self, attempt):
+        self.calls.append(("cancel", attempt.request.id, attempt.number))
 
     def reject(self, request, retry_after):
         self.calls.append(("reject", request.id, retry_after))
@@ -52,11 +52,11 @@
 
 def balancer(lines=(), request_classes=None, told=(1, 0, at.RELEASED, 1.0), release=None, **more):
     release = release or at.Release(
-        window=2000 * MS, free_sends=2, caps=[0.1, 0.5, 1.0], steps=[0.1, 0.5, 1.0], vote_life=4000 * MS,
+        window=2000 * MS, free_attempts=2, caps=[0.1, 0.5, 1.0], steps=[0.1, 0.5, 1.0], vote_life=4000 * MS,
         answer_time=800 * MS, votes_per_s=100.0, bake=1000 * MS,
     )
     rules = dict(
-        step=5 * MS, sends_cap=4, may_cancel=True, may_duplicate=True, connect_time=250 * MS,
+        step=5 * MS, attempts_cap=4, may_cancel=True, may_duplicate=True, connect_time=250 * MS,
         cold_time=5000 * MS, cold_share=0.4, cold_window=2000 * MS, cold_multiple=3.0,
         retry_after_cap=500 * MS,
     )
@@ -76,13 +76,13 @@
 
 
 def sent(asked, member, end="", at_time=NOW):
-    """A send of this request to this member, as ended so."""
-    send = at.Send(asked, len(asked.sends), member, at_time, end)
-    asked.sends.append(send)
+    """An attempt of this request to this member, as ended so."""
+    attempt = at.Attempt(asked, len(asked.attempts), member, at_time, end)
+    asked.attempts.append(attempt)
     if not end:
-        member.out[send] = None
+        member.out[attempt] = None
         member.held += asked.work
-    return send
+    return attempt
 
 
 def judged(made, on, off):
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -135,34 +135,35 @@
 
 
 def waiting(release, at_=BEGIN, key=b"a"):
-    """A balancer that has news of build 2 on trial, and a send to build 1 and 2 each that waits to begin."""
+    """A balancer that has news of build 2 on trial, and an attempt to build 1 and 2 each that waits to
+    begin."""
     made = Balancer(started({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **release}}, 7, BEGIN))
     made.listed(BEGIN, [at.Instance(f"i{n}", 0, 0, n, 0, at.READY, 1.0, 0) for n in (1, 2)], True, True)
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
-    sends, made_lane = {}, started(SETTINGS, 7, BEGIN).request_classes[0]
+    attempts, made_lane = {}, started(SETTINGS, 7, BEGIN).request_classes[0]
     for build in (1, 2):
         request = at.Request(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
         made.request_arrived(at_, request)
-        request.sends.append(at.Send(request, 0, made.members[f"i{build}"], at_))
-        sends[build] = request.sends[0]
-    return made, sends
+        request.attempts.append(at.Attempt(request, 0, made.members[f"i{build}"], at_))
+        attempts[build] = request.attempts[0]
+    return made, attempts
 
 
-def test_a_send_that_waits_while_a_newer_build_answers_its_key_does_not_begin_at_the_older():
-    made, sends = waiting({"ForwardOnly": True, "SpareTries": 1000.0})
-    assert made.may_begin(BEGIN, sends[1])
-    made.send_ended(BEGIN + MS, sends[2], at.SUCCEEDED, MS, True, {})
-    assert not made.may_begin(BEGIN + MS, sends[1])
+def test_an_attempt_that_waits_while_a_newer_build_answers_its_key_does_not_begin_at_the_older():
+    made, attempts = waiting({"ForwardOnly": True, "SpareTries": 1000.0})
+    assert made.may_begin(BEGIN, attempts[1])
+    made.attempt_ended(BEGIN + MS, attempts[2], at.SUCCEEDED, MS, True, {})
+    assert not made.may_begin(BEGIN + MS, attempts[1])
 
 
-def test_a_send_that_waited_past_the_window_counts_in_that_in_which_it_begins():
-    made, sends = waiting({"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]})
+def test_an_attempt_that_waited_past_the_window_counts_in_that_in_which_it_begins():
+    made, attempts = waiting({"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]})
     made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
-    other = at.Request(3, sends[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
+    other = at.Request(3, attempts[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
-    assert made.may_begin(late, sends[2])
-    assert not made.may_send(other, made.members["i2"], late)
-    assert made.may_begin(late + MS, sends[2])  # asked again for the same send, it counts once
+    assert made.may_begin(late, attempts[2])
+    assert not made.may_attempt(other, made.members["i2"], late)
+    assert made.may_begin(late + MS, attempts[2])  # asked again for the same send, it counts once
 
 
 # ---- each check catches a fault that is put in on purpose
@@ -178,7 +179,7 @@
     """Gives up a request without an answer at its deadline."""
 
     def give_up(self, request, door):
-        if not any(send.end in (at.TIMED_OUT, "") for send in request.sends):
+        if not any(attempt.end in (at.TIMED_OUT, "") for attempt in request.attempts):
             return super().give_up(request, door)
         request.over = True
         return True
@@ -200,13 +201,13 @@
 class Repeating(Balancer):
     """Takes what may have run for what has not."""
 
-    def may_send(self, request, member, now):
-        ends = [send.end for send in request.sends]
-        for send in request.sends:
-            send.end = send.end and at.REJECTED
-        found = super().may_send(request, member, now)
-        for send, end in zip(request.sends, ends, strict=True):
-            send.end = end
+    def may_attempt(self, request, member, now):
+        ends = [attempt.end for attempt in request.attempts]
+        for attempt in request.attempts:
+            attempt.end = attempt.end and at.REJECTED
+        found = super().may_attempt(request, member, now)
+        for attempt, end in zip(request.attempts, ends, strict=True):
+            attempt.end = end
         return found
 
 
@@ -221,7 +222,7 @@
     """Heeds neither the bound on attempts nor that on two at once."""
 
     def __init__(self, start):
-        start.sends_cap, start.may_duplicate = 99, True
+        start.attempts_cap, start.may_duplicate = 99, True
         super().__init__(start)
 
 
@@ -262,9 +263,9 @@
 class Backward(Balancer):
     """Keeps no key of the build that answered it."""
 
-    def send_ended(self, now, send, *rest):
-        super().send_ended(now, send, *rest)
-        send.instance.build.keys.clear()
+    def attempt_ended(self, now, attempt, *rest):
+        super().attempt_ended(now, attempt, *rest)
+        attempt.instance.build.keys.clear()
 
 
 GUARDED = {**SETTINGS["FamilyInfo"], "GuardedStages": 2, "StageCap": [1.0, 1.0], "SpareTries": 1000.0}
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -178,7 +178,7 @@
     assert (request_class.effect, request_class.group, request_class.memory, request_class.revenue) == (
         "non-idempotent", "all", 0, 1.0
     )
-    assert (start.sends_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
+    assert (start.attempts_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
     assert (got.platform, got.news, got.connections, got.tenants) == (None, None, 1000, {})
     assert read(tmp_path, {**config, "settings": {}}).request_classes == {}
 
@@ -190,14 +190,14 @@
     asked = request(on=got.start.request_classes[1], now=got.start.now)
     sent(asked, made.members[1], at.RESET, got.start.now)
     assert asked.request_class.effect == at.DEDUPLICATED
-    assert not made.may_send(asked, made.members[2], got.start.now)
-    asked.sends[0].end = at.UNCONNECTED
-    assert made.may_send(asked, made.members[2], got.start.now)
+    assert not made.may_attempt(asked, made.members[2], got.start.now)
+    asked.attempts[0].end = at.UNCONNECTED
+    assert made.may_attempt(asked, made.members[2], got.start.now)
 
 
 def test_whole_numbers_may_be_written_as_fractions(tmp_path):
     got = read(tmp_path, changed(*LIMITS, "AttemptsCap", to=5.0))
-    assert got.start.sends_cap == 5 and type(got.start.sends_cap) is int
+    assert got.start.attempts_cap == 5 and type(got.start.attempts_cap) is int
 
 
 @pytest.mark.parametrize(
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -38,27 +38,29 @@
         (DEDUPLICATED_ALL, at.TIMED_OUT, 1, 3800, True),
     ],
 )
-def test_a_second_send_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
+def test_a_second_attempt_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
     made = balancer([line(1, zone=0), line(2, zone=zone)])
     asked = request(on=on, left=30 * SECOND)
     sent(asked, made.members[1], end)
-    assert made.may_send(asked, made.members[2], NOW + age * MS) is allowed
+    assert made.may_attempt(asked, made.members[2], NOW + age * MS) is allowed
 
 
-def test_no_second_send_while_one_is_out_where_copies_are_barred():
+def test_no_second_attempt_while_one_is_out_where_copies_are_barred():
     made = balancer([line(1), line(2)], may_duplicate=False)
     asked = request()
     sent(asked, made.members[1])
-    assert not made.may_send(asked, made.members[2], NOW)
+    assert not made.may_attempt(asked, made.members[2], NOW)
 
 
-@pytest.mark.parametrize("sends, left, allowed", [(3, 9, True), (4, 9, False), (0, 0, False), (0, -9, False)])
-def test_no_send_past_the_send_cap_or_the_deadline(sends, left, allowed):
+@pytest.mark.parametrize(
+    "attempts, left, allowed", [(3, 9, True), (4, 9, False), (0, 0, False), (0, -9, False)]
+)
+def test_no_attempt_past_the_attempt_cap_or_the_deadline(attempts, left, allowed):
     made = balancer([line(1)])
     asked = request(left=left * MS)
-    for _ in range(sends):
+    for _ in range(attempts):
         sent(asked, made.members[1], at.UNCONNECTED)
-    assert made.may_send(asked, made.members[1], NOW) is allowed
+    assert made.may_attempt(asked, made.members[1], NOW) is allowed
 
 
 @pytest.mark.parametrize(
@@ -90,14 +92,14 @@
     assert calls == []
 
 
-@pytest.mark.parametrize("rescues, answer", [(5.0, "send"), (0.5, "reject")])
+@pytest.mark.parametrize("rescues, answer", [(5.0, "attempt"), (0.5, "reject")])
 def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
     """Guards against the jam in which each request is turned away at many full machines."""
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     made.rescues = rescues
     asked = request()
     sent(asked, made.members[1])
-    made.send_ended(NOW + MS, asked.sends[0], at.REJECTED, MS, False, {})
+    made.attempt_ended(NOW + MS, asked.attempts[0], at.REJECTED, MS, False, {})
     assert [call[0] for call in dispatcher.pull(made, NOW + MS)] == [answer]
 
 
@@ -106,7 +108,7 @@
     made, dispatcher = balancer([line(1)]), Dispatcher()
     made.listed(NOW, [line(1, state=state)], False, True)
     made.request_arrived(NOW, request())
-    assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "send"]
+    assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "attempt"]
 
 
 def test_what_a_whole_list_leaves_out_is_gone_and_a_new_machine_starts_afresh():
@@ -131,16 +133,16 @@
     for step in range(400):
         now = NOW + step * 5 * MS
         made.request_arrived(now, request(step, now=now, work=20 * MS))
-        got += sum(call[0] == "send" and call[2] == 1 for call in dispatcher.pull(made, now))
+        got += sum(call[0] == "attempt" and call[2] == 1 for call in dispatcher.pull(made, now))
         for member in made.members.values():
             member.out.clear()
     assert 1 <= got <= 400 / 4 * 0.7
 
 
 @pytest.mark.parametrize(
-    "told, on, sends, taken, allowed",
+    "told, on, attempts, taken, allowed",
     [
-        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free sends
+        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free attempts
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 0, False),
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 10, True),
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 3, 10, False),
@@ -154,14 +156,14 @@
         ((2, 1, at.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
     ],
 )
-def test_sends_to_a_build_on_trial_stay_within_the_cap(told, on, sends, taken, allowed):
+def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, taken, allowed):
     made = trial()
     made.guarded_stages = 1
     made.stage_told(NOW, *told, 0)
     for number in range(taken):
         made.request_arrived(NOW, request(number, on=on))
-    made.members[3].build.sent[0] = deque([NOW] * sends)
-    assert made.may_send(request(99, on=on), made.members[3], NOW) is allowed
+    made.members[3].build.sent[0] = deque([NOW] * attempts)
+    assert made.may_attempt(request(99, on=on), made.members[3], NOW) is allowed
 
 
 def test_request_classes_are_counted_apart_where_told():
@@ -175,10 +177,10 @@
 def test_a_key_that_the_new_build_answered_stays_with_it():
     made = trial()
     made.members[3].build.keys.add(77)
-    assert not made.may_send(request(key=77), made.members[1], NOW)
-    assert made.may_send(request(key=78), made.members[1], NOW)
+    assert not made.may_attempt(request(key=77), made.members[1], NOW)
+    assert made.may_attempt(request(key=78), made.members[1], NOW)
     made.stage_told(NOW, 2, 0, at.GOING_BACK, 0.0, 0)
-    assert made.may_send(request(key=77), made.members[1], NOW)
+    assert made.may_attempt(request(key=77), made.members[1], NOW)
 
 
 def outcomes(slow=1.0, errs=0, count=20, machines=4, faulty=None):
@@ -278,8 +280,8 @@
 def test_a_silent_machine_is_shunned_and_then_tried_with_one_request():
     made = balancer([line(1)])
     member, asked = made.members[1], request()
-    send = sent(asked, member)
-    made.send_ended(NOW + SECOND, send, at.TIMED_OUT, SECOND, False, {})
+    attempt = sent(asked, member)
+    made.attempt_ended(NOW + SECOND, attempt, at.TIMED_OUT, SECOND, False, {})
     assert not made.usable(member, request(2), NOW + SECOND)
     assert made.usable(member, request(2), NOW + 9 * SECOND)
     assert not made.usable(member, request(2, on=NON_IDEMPOTENT), NOW + 9 * SECOND)
@@ -294,7 +296,7 @@
     member.limit = 1.0
     for number in range(20):
         asked = request(number)
-        made.send_ended(NOW + number * SECOND, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
+        made.attempt_ended(NOW + number * SECOND, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
     assert (member.limit > 1.5) is grows
 
 
@@ -303,9 +305,9 @@
     made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
     made.pair_at, member = NOW, made.members[2]
     member.slowness, asked = 1.0, request()
-    made.send_ended(NOW, sent(asked, member), end, MS, False, {})
+    made.attempt_ended(NOW, sent(asked, member), end, MS, False, {})
     assert (member.strikes, member.failed, member.slowness, member.limit, made.pair) == (0, 0, 1.0, 3.0, {})
-    assert [call[0] for call in Dispatcher().pull(made, NOW + 1)] == ["send" if again else "abort"]
+    assert [call[0] for call in Dispatcher().pull(made, NOW + 1)] == ["attempt" if again else "abort"]
 
 
 @pytest.mark.parametrize(
@@ -316,7 +318,7 @@
     made = balancer([line(1)])
     member = made.members[1]
     for end in ends:
-        made.send_ended(NOW, sent(request(), member), end, MS, True, {})
+        made.attempt_ended(NOW, sent(request(), member), end, MS, True, {})
     assert (member.shunned_until > NOW) is shunned
     sent(request(), member)
     assert made.usable(member, request(), NOW) is not shunned
@@ -326,7 +328,7 @@
     made = balancer([line(1), line(2)])
     member = made.members[1]
     member.slowness = member.group.slowness = 2.0
-    made.send_ended(NOW, sent(request(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
+    made.attempt_ended(NOW, sent(request(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
     assert member.slowness <= 3.0 and member.group.slowness <= 3.0
 
 
@@ -343,12 +345,12 @@
 ):
     made = balancer([line(1), line(2)])
     made.rescues, member, asked = budget, made.members[1], request()
-    send = sent(asked, member)
+    attempt = sent(asked, member)
     member.heard_at, member.newest = NOW + heard, NOW + newest
     made.due.append(asked)
-    assert (Dispatcher().pull(made, made.overdue_at(send)) == [("send", 1, 2)]) is again
+    assert (Dispatcher().pull(made, made.overdue_at(attempt)) == [("attempt", 1, 2)]) is again
     assert (member.held, member.strikes, made.rescues) == (held, strikes, budget - (again and not newest))
-    made.send_ended(NOW + 4000 * MS, send, at.TIMED_OUT, 4000 * MS, True, {})
+    made.attempt_ended(NOW + 4000 * MS, attempt, at.TIMED_OUT, 4000 * MS, True, {})
     assert member.held == 0 and (member.slowness == 0) is (held == 0)
 
 
@@ -367,7 +369,7 @@
     made = balancer([line(1), line(2)])
     for number in range(40):
         for member, end, took in ((made.members[1], at.ERRED, MS), (made.members[2], at.SUCCEEDED, 100 * MS)):
-            made.send_ended(NOW, sent(request(number), member), end, took, True, {})
+            made.attempt_ended(NOW, sent(request(number), member), end, took, True, {})
     costs = [made.cost(member, request(99), NOW) for member in made.members.values()]
     assert costs[0] > 3 * costs[1]
 
@@ -485,12 +487,12 @@
     for number in range(40):
         for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
             member = made.members[1 + number % 2]
-            made.send_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
+            made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
     assert all(member.slowness < 2 < member.limit for member in made.members.values())
     for number in range(10):
         made.request_arrived(NOW, request(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
-    assert (calls.count("send"), calls.count("reject")) == (1, 9)
+    assert (calls.count("attempt"), calls.count("reject")) == (1, 9)
 
 
 @pytest.mark.parametrize("balancers, rejected", [(3, 0), (400, 100)])
@@ -507,7 +509,7 @@
     for seed in range(200):
         made = balancer([line(n, started=NOW) for n in range(50)], balancers=200, seed=seed)
         made.request_arrived(NOW, asked := request())
-        met += made.may_send(asked, made.members[1], NOW)
+        met += made.may_attempt(asked, made.members[1], NOW)
     assert met < 20
 
 
@@ -537,8 +539,8 @@
 def test_a_heavy_request_is_not_begun_twice(work, overdue):
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     asked = request(work=work * MS)
-    made.send(asked, made.members[1], NOW, dispatcher)
-    assert made.rescue(asked, asked.sends, NOW + 600 * MS, dispatcher) is overdue
+    made.attempt(asked, made.members[1], NOW, dispatcher)
+    assert made.rescue(asked, asked.attempts, NOW + 600 * MS, dispatcher) is overdue
 
 
 def test_a_choice_among_many_looks_at_few_but_finds_the_last_one_fit():
@@ -562,12 +564,12 @@
         (3, lambda made, asked: made.builds[2].sent[0].extend([NOW] * 2), False),
     ],
 )
-def test_a_send_that_waited_begins_only_while_it_still_may(member, changed, allowed):
+def test_an_attempt_that_waited_begins_only_while_it_still_may(member, changed, allowed):
     made, asked = trial(), request()
     made.builds[2].sent[0] = deque([NOW])
-    send = sent(asked, made.members[member])
+    attempt = sent(asked, made.members[member])
     changed(made, asked)
-    assert made.may_begin(NOW, send) == (asked.deadline if allowed else 0)
+    assert made.may_begin(NOW, attempt) == (asked.deadline if allowed else 0)
 
 
 def test_requests_that_are_over_are_forgotten_however_long_they_said_they_wait():
@@ -586,11 +588,11 @@
     made, asked = trial(), [request(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
     build.sent[0] = deque([NOW] * 2)  # as many as are free
-    sends = [sent(one, made.members[3]) for one in asked]
-    for send in sends:
-        send.counted = NOW
-    for send in sends * 2:  # asked again, as where the connection had ended, it still counts once
-        assert made.may_begin(begun, send) == send.request.deadline
+    attempts = [sent(one, made.members[3]) for one in asked]
+    for attempt in attempts:
+        attempt.counted = NOW
+    for attempt in attempts * 2:  # asked again, as where the connection had ended, it still counts once
+        assert made.may_begin(begun, attempt) == attempt.request.deadline
     assert list(build.sent[0]) == [begun] * 2
     assert not made.exposure_left(build, request(), begun + 2010 * MS)  # its window, and two steps
     assert made.exposure_left(build, request(), begun + 2011 * MS)
@@ -617,23 +619,23 @@
 
 def test_a_cap_by_request_class_holds_for_the_request_class_asked_and_for_the_request_class_given():
     one, other = request_class(0), request_class(1)
-    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_class=True)
+    release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, at.ON_TRIAL, 0.5), release)
     build = made.builds[2]
     for number in range(8):  # so many were taken, asked for as `one` and treated as `other`
         made.request_arrived(NOW, ruled(number, one, other))
     asked_one, given_other = ruled(20, one, other), ruled(21, other, one)
     assert made.exposure_left(build, asked_one, NOW)
-    for sends in range(6):  # 2 free and half of 8
-        assert made.exposure_left(build, asked_one, NOW), sends
+    for attempts in range(6):  # 2 free and half of 8
+        assert made.exposure_left(build, asked_one, NOW), attempts
         sent_now(made, build, asked_one)
     assert not made.exposure_left(build, asked_one, NOW)
     # What was treated as the other request class lends the request class asked nothing, and the other way
     # round.
     assert not made.exposure_left(build, ruled(22, one, one), NOW)
     assert not made.exposure_left(build, ruled(23, other, other), NOW)
-    for sends in range(2):
-        assert made.exposure_left(build, given_other, NOW), sends
+    for attempts in range(2):
+        assert made.exposure_left(build, given_other, NOW), attempts
         sent_now(made, build, given_other)
     assert not made.exposure_left(build, given_other, NOW)
 
@@ -645,19 +647,19 @@
 
 @pytest.mark.parametrize("key", [b"asked", b"given"])
 def test_where_keys_bind_the_key_asked_binds_as_well_as_the_key_given(key):
-    release = at.Release(window=2000 * MS, free_sends=9, caps=[1.0], steps=[1.0], forward_only=True)
+    release = at.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
     made = balancer([line(1), line(2, build=2)], None, (2, 0, at.ON_TRIAL, 1.0), release)
     first = request(1, key=b"given")
     first.asked_key = b"asked"
     made.request_arrived(NOW, first)
-    made.send_ended(NOW, sent(first, made.members[2]), at.SUCCEEDED, 5 * MS, True, {})
+    made.attempt_ended(NOW, sent(first, made.members[2]), at.SUCCEEDED, 5 * MS, True, {})
     again = request(2, key=key)
-    assert not made.may_send(again, made.members[1], NOW)
-    assert made.may_send(request(3, key=b"x"), made.members[1], NOW)
+    assert not made.may_attempt(again, made.members[1], NOW)
+    assert made.may_attempt(request(3, key=b"x"), made.members[1], NOW)
 
 
 def test_without_rules_requests_are_counted_as_they_were():
-    release = at.Release(window=2000 * MS, free_sends=2, caps=[0.5], steps=[0.5], per_class=True)
+    release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
     made.request_arrived(NOW, request(1, request_class(1)))
     assert list(made.taken) == [1]
@@ -713,31 +715,31 @@
     made.pace, made.paced_at = 1.0, NOW
     for n in range(1, 3):
         asked = request(n, now=NOW + n * gap)
-        made.send_ended(NOW + n * gap, sent(asked, made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(NOW + n * gap, sent(asked, made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
     assert any(made.sheds(request(9), NOW) for _ in range(100)) is shed
 
 
 @pytest.mark.parametrize("balancers, left", [(3, False), (200, True)])
-def test_with_few_sends_of_its_own_a_silent_machine_is_left_until_it_answers(balancers, left):
+def test_with_few_attempts_of_its_own_a_silent_machine_is_left_until_it_answers(balancers, left):
     made = balancer([line(1), line(2)], balancers=balancers)
     member, asked = made.members[1], request()
-    send = sent(asked, member)
+    attempt = sent(asked, member)
     made.due.append(asked)
     member.heard_at = NOW
     Dispatcher().pull(made, NOW + 600 * MS)
     assert made.usable(member, request(2), NOW + 3 * SECOND) is not left
-    made.send_ended(NOW + 800 * MS, send, at.SUCCEEDED, 800 * MS, False, {})
+    made.attempt_ended(NOW + 800 * MS, attempt, at.SUCCEEDED, 800 * MS, False, {})
     assert made.usable(member, request(2), NOW + 800 * MS)
 
 
-def test_a_zone_whose_sends_are_lost_costs_more_and_less_again_once_it_answers():
+def test_a_zone_whose_attempts_are_lost_costs_more_and_less_again_once_it_answers():
     made = balancer([line(1), line(2), line(3, zone=1)], balancers=40)
     lost, other = made.members[2], made.members[3]
     for n in range(6):
-        made.send_ended(NOW, sent(request(n), made.members[1]), at.UNCONNECTED, MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.UNCONNECTED, MS, False, {})
     assert sum(made.cost(lost, request(), NOW) > made.cost(other, request(), NOW) for _ in range(200)) > 150
     for n in range(12):
-        made.send_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
     assert lost.group.lost < 0.1
 
 
@@ -749,9 +751,9 @@
         light = n % 2
         asked = request(n, work=(10 if light else 190) * MS)
         took = (100 if light else 300) * MS
-        made.send_ended(NOW, sent(asked, member), at.SUCCEEDED, took, False, {})
-    send = sent(request(work=work * MS), member)
-    assert made.overdue_at(send) - NOW == pytest.approx(due * MS, rel=0.15)
+        made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took, False, {})
+    attempt = sent(request(work=work * MS), member)
+    assert made.overdue_at(attempt) - NOW == pytest.approx(due * MS, rel=0.15)
 
 
 def test_votes_on_that_are_turned_away_come_ever_less_often_and_spread_and_those_back_do_not():
@@ -786,16 +788,16 @@
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
     made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, request()
     for n in range(8):
-        made.send_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
     assert made.waits(asked)
-    made.send_ended(NOW, sent(asked, made.members[1]), at.SUCCEEDED, took * MS, False, {})
+    made.attempt_ended(NOW, sent(asked, made.members[1]), at.SUCCEEDED, took * MS, False, {})
     assert made.waits(request()) is waits
 
 
 def test_one_late_answer_after_a_silence_makes_no_overload():
     made = balancer([line(1)], balancers=200)
     made.pace, made.paced_at = 0.2, NOW - 3 * SECOND
-    made.send_ended(NOW, sent(request(), made.members[1]), at.SUCCEEDED, 2 * SECOND, False, {})
+    made.attempt_ended(NOW, sent(request(), made.members[1]), at.SUCCEEDED, 2 * SECOND, False, {})
     assert made.pace == pytest.approx(0.38)
 
 
@@ -809,8 +811,8 @@
             made.request_arrived(moment, asked)
             dispatcher.pull(made, moment)
             end = (at.SUCCEEDED, at.TIMED_OUT, at.RESET, at.UNCONNECTED)[n % 4]
-            for send in [send for send in asked.sends if not send.end]:
-                made.send_ended(moment, send, end, 100 * MS, True, {})
+            for attempt in [attempt for attempt in asked.attempts if not attempt.end]:
+                made.attempt_ended(moment, attempt, end, 100 * MS, True, {})
             moment += 300 * MS
     dispatcher.pull(made, moment + 10 * SECOND)
     sizes = {
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -35,7 +35,7 @@
 
     def __setattr__(self, name, value):
         if name == "answer":
-            trips = [self.world.instances.trips.get(send) for send in self.request.sends]
+            trips = [self.world.instances.trips.get(attempt) for attempt in self.request.attempts]
             self.free = [trip for trip in trips if trip and not (trip.written or trip.cancelled)]
         super().__setattr__(name, value)
 
@@ -99,12 +99,12 @@
         return ask.answer
 
     def ended(self):
-        """Once no send is under way."""
+        """Once no attempt is under way."""
 
         def told():
             with self.dispatcher.lock:
-                sends = [send for ask in self.asked for send in ask.request.sends]
-                return not self.instances.trips and all(send.end for send in sends)
+                attempts = [attempt for ask in self.asked for attempt in ask.request.attempts]
+                return not self.instances.trips and all(attempt.end for attempt in attempts)
 
         until(told)
 
@@ -272,7 +272,7 @@
 
 def second(made, ask, id="i1"):
     """Decides on another attempt."""
-    made.dispatcher.tell(lambda moment: made.balancer.send(
+    made.dispatcher.tell(lambda moment: made.balancer.attempt(
         ask.request, made.balancer.members[id], moment, made.dispatcher))
 
 
@@ -283,7 +283,7 @@
         limit = instances.limit
         monkeypatch.setattr(instances, "limit", lambda until: limit(now() + 50 * MS))
     ask = stuck(made, server)
-    send, = ask.request.sends
+    attempt, = ask.request.attempts
     if by == "an answer":
         made.list("i1", other := InstanceServer().start())
         second(made, ask)
@@ -293,7 +293,7 @@
         made.dispatcher.tell(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
         ask.request.over = True  # so that nothing follows
-        made.dispatcher.tell(lambda moment: made.dispatcher.cancel(send))
+        made.dispatcher.tell(lambda moment: made.dispatcher.cancel(attempt))
     elif by == "a break":
         ask.request.over = True
         (trip,) = made.instances.trips.values()
@@ -302,7 +302,7 @@
         made.ended()
     assert not server.whole()
     made.ended()
-    assert send.end == (at.UNCONNECTED if by in ("the deadline", "a break") else at.NOT_SENT)
+    assert attempt.end == (at.UNCONNECTED if by in ("the deadline", "a break") else at.NOT_SENT)
     assert not made.unused() and made.instances.open == (by == "an answer")
 
 
@@ -320,7 +320,9 @@
     halt.opened.set()
     made.ended()
     other.close()
-    assert not server.got and ask.request.sends[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
+    assert (
+        not server.got and ask.request.attempts[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
+    )
 
 
 @pytest.mark.parametrize("point", ["connect", "may_begin"])
@@ -353,12 +355,12 @@
     made.list("i1", other := InstanceServer().start())
     again = Halt(monkeypatch, made.instances, "reach", after=True)
     halt.opened.set()
-    assert again.reached.wait(60) and [send.end for send in ask.request.sends] == [at.RESET, ""]
-    monkeypatch.setattr(dispatcher, "now", lambda: ask.request.sends[0].at + 10000 * MS - 1)
+    assert again.reached.wait(60) and [attempt.end for attempt in ask.request.attempts] == [at.RESET, ""]
+    monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].at + 10000 * MS - 1)
     again.opened.set()
     made.ended()
     other.close()
-    assert not other.got and len(first.got) == 1 and ask.request.sends[1].end == at.NOT_SENT
+    assert not other.got and len(first.got) == 1 and ask.request.attempts[1].end == at.NOT_SENT
     assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
 
 
@@ -375,7 +377,7 @@
     ask = made.ask(request_class=2)  # it may run only once
     assert made.answered(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
-    assert [send.end for send in ask.request.sends] == [at.RESET] and made.instances.open == 0
+    assert [attempt.end for attempt in ask.request.attempts] == [at.RESET] and made.instances.open == 0
 
 
 @pytest.mark.parametrize("error", [OSError, MemoryError])
@@ -389,10 +391,10 @@
     made.keep_time()
     ask = made.ask()
     made.answered(ask)
-    assert made.instances.open == 0 and {send.end for send in ask.request.sends} == {at.NOT_SENT}
+    assert made.instances.open == 0 and {attempt.end for attempt in ask.request.attempts} == {at.NOT_SENT}
 
 
-@pytest.mark.parametrize("name", ["choose", "cost", "may_send", "send", "sheds", "overdue_at"])
+@pytest.mark.parametrize("name", ["choose", "cost", "may_attempt", "attempt", "sheds", "overdue_at"])
 def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
     made = world(InstanceServer().start())
     made.faulty, spoilt, method = True, made.made(), getattr(made.balancer, name)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -320,7 +320,7 @@
         end(client)
         until(lambda: ran.count("left") == 1)
         go.set()
-        until(lambda: ran.count(f"sends {at.NOT_SENT}"))
+        until(lambda: ran.count(f"attempts {at.NOT_SENT}"))
         assert not server.got
 
 
@@ -334,9 +334,9 @@
         end(client)
         until(lambda: ran.count("left") == 1)
         gone.set()
-        until(lambda: ran.count(f"sends {at.REJECTED}"))
+        until(lambda: ran.count(f"attempts {at.REJECTED}"))
         with ran.dispatcher.lock:  # so all that was decided on it is
-            assert sum(len(server.got) for server in servers) == 1 and ran.count("sends") == 1
+            assert sum(len(server.got) for server in servers) == 1 and ran.count("attempts") == 1
 
 
 # ---- a connection that we end as its client writes
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -47,18 +47,18 @@
 
 
 def trip(made, left=5000 * MS):
-    """A send under way on one end of a socket pair; the other end is the instance."""
+    """An attempt under way on one end of a socket pair; the other end is the instance."""
     ours, theirs = socket.socketpair()
     pool = Pool(("127.0.0.1", 1), 0)
     connection = Connection(pool)
     connection.sock.close()
     connection.sock, connection.used = ours, now()
     asked = request(now=now())
-    send = at.Send(asked, 0, made.balancer.members["i0"], now())
-    asked.sends.append(send)
+    attempt = at.Attempt(asked, 0, made.balancer.members["i0"], now())
+    asked.attempts.append(attempt)
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
-    made.balancer.members["i0"].out[send] = None
-    under_way = made.instances.trips[send] = Trip(send, pool, WORDS, now() + left)
+    made.balancer.members["i0"].out[attempt] = None
+    under_way = made.instances.trips[attempt] = Trip(attempt, pool, WORDS, now() + left)
     pool.unused.append(connection)
     made.instances.open += 1
     return under_way, theirs
@@ -98,7 +98,7 @@
         (b"", at.RESET, False),
     ],
 )
-def test_how_a_send_ends_by_what_comes_back_and_whether_its_connection_is_used_again(answer, end, kept):
+def test_how_an_attempt_ends_by_what_comes_back_and_whether_its_connection_is_used_again(answer, end, kept):
     made = dispatcher()
     under_way, theirs = trip(made)
     under_way.pool.unused[0].quiet = lambda: True  # the answer is there before the command
@@ -106,12 +106,12 @@
     if end == at.RESET:
         theirs.shutdown(socket.SHUT_WR)
     told = []
-    made.send_ended = lambda moment, send, how, value: told.append(how)
+    made.attempt_ended = lambda moment, attempt, how, value: told.append(how)
     made.instances.carry(under_way)
     assert told == [end] and under_way.written and bool(under_way.pool.unused) is kept
 
 
-def test_a_send_that_nobody_answers_times_out():
+def test_an_attempt_that_nobody_answers_times_out():
     made = dispatcher()
     under_way, theirs = trip(made, left=30 * MS)
     assert made.instances.outcome(under_way)[0] == at.TIMED_OUT
@@ -134,7 +134,7 @@
 def test_what_may_no_longer_begin_is_not_sent(spoil):
     made = dispatcher()
     under_way, theirs = trip(made)
-    asked = under_way.send.request
+    asked = under_way.attempt.request
     if spoil == "over":
         del made.asks[asked]
     elif spoil == "drained":
@@ -142,7 +142,7 @@
     elif spoil == "late":
         asked.deadline = now()
     else:
-        made.instances.cancel(under_way.send)
+        made.instances.cancel(under_way.attempt)
     assert made.instances.outcome(under_way)[0] == at.NOT_SENT
     theirs.setblocking(False)
     with pytest.raises(BlockingIOError):
@@ -174,7 +174,7 @@
     pool = under_way.pool
     under_way.connection = pool.unused.pop()
     stale, fresh = Connection(pool), Connection(pool)
-    stale.used, fresh.used = under_way.send.at - 1, under_way.send.at + 1
+    stale.used, fresh.used = under_way.attempt.at - 1, under_way.attempt.at + 1
     pool.unused.extend([stale, fresh])
     made.instances.open = 3
     made.instances.over(under_way, at.TIMED_OUT, None)
@@ -195,15 +195,15 @@
     assert not made.instances.make_room() and made.instances.open == made.instances.most
 
 
-def test_cancelling_wakes_the_send_and_its_late_answer_is_never_read():
+def test_cancelling_wakes_the_attempt_and_its_late_answer_is_never_read():
     made = dispatcher()
     under_way, theirs = trip(made)
     ended = []
-    made.send_ended = lambda moment, send, end, value: ended.append(end)
+    made.attempt_ended = lambda moment, attempt, end, value: ended.append(end)
     thread = threading.Thread(target=made.instances.carry, args=(under_way,), daemon=True)
     thread.start()
     until(lambda: under_way.written)
-    made.instances.cancel(under_way.send)
+    made.instances.cancel(under_way.attempt)
     thread.join(60)
     assert theirs.recv(4096) and ended == [at.CANCELLED]
     assert not under_way.pool.unused and under_way.connection.sock.fileno() < 0
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -76,7 +76,7 @@
         (node(), at.READY),
     ],
 )
-def test_an_instance_gets_sends_only_where_the_ledger_lets_it(change, state):
+def test_an_instance_gets_attempts_only_where_the_ledger_lets_it(change, state):
     merge = Merge()
     listed(merge, line(), line("i1"), whole=True)
     news = heard(merge, 5, change)
@@ -582,10 +582,10 @@
     assert len(ledger.ids) == 1 and ledger.counts["repeats"] >= 1
 
 
-def test_it_leaves_after_its_last_send_and_is_waited_for_no_more(ledger):
+def test_it_leaves_after_its_last_attempt_and_is_waited_for_no_more(ledger):
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    ran.dispatcher.instances.trips["a send"] = object()
+    ran.dispatcher.instances.trips["an attempt"] = object()
     assert not ran.follower.leave(0) and "g0" in ledger.parts["followers"]
     ran.dispatcher.instances.trips.clear()
     assert ran.follower.leave(0) and "g0" not in ledger.parts["followers"]
@@ -737,7 +737,7 @@
         assert "g0" not in ledger.parts["followers"]
 
 
-def test_all_nodes_are_drained_under_requests_and_none_gets_a_send_once_it_may_go_down(tmp_path):
+def test_all_nodes_are_drained_under_requests_and_none_gets_an_attempt_once_it_may_go_down(tmp_path):
     """A member, a gateway, nodes that obey permits: programs, but for the nodes."""
     fleet = [Node(f"i{number}") for number in range(3)]
     for node in fleet:
@@ -763,7 +763,7 @@
                 agent.stopped.set()
             assert ran.counters()["ledger_failures"] == 0
     assert code == 200 and set(counts) <= {"right", "rejected"} and counts["right"] > 50
-    assert all(node.counts["sends"] and not node.counts["after clear"] for node in fleet)
+    assert all(node.counts["attempts"] and not node.counts["after clear"] for node in fleet)
     assert (replicas.least, replicas.broken) == (2, 0)
     for node in fleet:
         node.close()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -184,7 +184,7 @@
         began = time.monotonic()
         assert ran.client().ask(request_class=request_class, wait=400).read() == ending
         assert time.monotonic() - began >= 0.39
-        until(lambda: ran.counters().get("sends_timed_out") == 1)
+        until(lambda: ran.counters().get("attempts_timed_out") == 1)
         asked.set()
 
 
@@ -201,7 +201,7 @@
         assert ran.client().ask().read() == b"second"
 
 
-def test_a_drain_told_while_a_send_waits_for_its_connection_is_kept(tmp_path):
+def test_a_drain_told_while_an_attempt_waits_for_its_connection_is_kept(tmp_path):
     drained, other = InstanceServer(backlog=0), InstanceServer(lambda words: gives(b"other")).start()
     host, port = drained.address.split(":")
     plugs = [socket.socket() for _ in range(8)]  # fill the queue of connections: further ones do not come up
@@ -218,7 +218,7 @@
         drained.start()
         assert client.read() == b"other" and not drained.got
         said = ran.counters()
-        assert said.get("sends_not_sent", 0) + said.get("sends_unconnected", 0) == 1
+        assert said.get("attempts_not_sent", 0) + said.get("attempts_unconnected", 0) == 1
 
 
 def test_the_watch_goes_on_from_the_last_version_after_a_cut(tmp_path):
@@ -285,7 +285,7 @@
 
     with gateway(tmp_path, InstanceServer(react).start()) as ran:
         held, unused = ran.client().ask(b"held"), ran.client()
-        until(lambda: ran.counters().get("sends") == 1)
+        until(lambda: ran.counters().get("attempts") == 1)
         ran.process.send_signal(signal.SIGTERM)
         until(lambda: "event=stopping" in ran.log())
         assert unused.read() is None  # closed between requests
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -79,15 +79,15 @@
 
 
 class Sink:
-    """A gateway's place that only notes how long each send took."""
+    """A gateway's place that only notes how long each attempt took."""
 
     site = "here"
 
     def __init__(self, day):
         self.day, self.waits = day, []
 
-    def ended(self, send, end):
-        self.waits.append(self.day.now - send.at - send.request.work)
+    def ended(self, attempt, end):
+        self.waits.append(self.day.now - attempt.at - attempt.request.work)
 
 
 def test_a_machine_in_the_world_waits_as_the_closed_form_says(read):
@@ -104,7 +104,7 @@
     for number in range(20_000):
         moment += round(rng.expovariate(32.0) * world.S)
         asked = at.Request(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.S))
-        day.at(moment, day.reach, sink, at.Send(asked, 0, None, moment), day.machines[0], 0)
+        day.at(moment, day.reach, sink, at.Attempt(asked, 0, None, moment), day.machines[0], 0)
     day.play(moment // world.S + 1)
     waits = [wait / world.S for wait in sink.waits]
     share, mean = queues.waiting(4, 32.0, 0.1, 1.0)
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -39,7 +39,7 @@
 
 
 def release(**more):
-    told = dict(window=2 * SECOND, free_sends=2, caps=[0.1], vote_life=4 * SECOND, answer_time=800 * MS,
+    told = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_life=4 * SECOND, answer_time=800 * MS,
                 votes_per_s=100.0, bake=SECOND)  # fmt: skip
     return at.Release(**{**told, **more})
 
@@ -58,16 +58,16 @@
 
 class Gateway:
     """A dispatcher and its balancer with a service that is followed, in simulated time. The instances are the
-    test's: `works(line id, rng)` gives (how a send ends, nanoseconds); `sends` has (moment, id, far), `votes`
-    what the ledger was told, `real` what the platform was."""
+    test's: `works(line id, rng)` gives (how an attempt ends, nanoseconds); `attempts` has (moment, id, far),
+    `votes` what the ledger was told, `real` what the platform was."""
 
     def __init__(self, lines, seed=5, works=None, news=(1, 0, at.RELEASED, 1.0, 0), start=None, connects=0):
         self.connects = connects
         self.now, self.rng, self.events, self.turns = NOW, random.Random(seed), [], count()
         self.works = works or (lambda id, rng: (at.SUCCEEDED, int(30 * MS * rng.lognormvariate(0, 0.3))))
-        self.sends, self.votes, self.real, self.asked = [], [], [], []
+        self.attempts, self.votes, self.real, self.asked = [], [], [], []
         told = dict(
-            request_classes=[request_class()], release=release(), sends_cap=4, may_duplicate=True,
+            request_classes=[request_class()], release=release(), attempts_cap=4, may_duplicate=True,
             may_cancel=True,
         )
         start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
@@ -110,24 +110,26 @@
     def listed(self, id, where, started):
         self.pools[id] = where
 
-    def trip(self, send, id, words, until):
-        return send, id
+    def trip(self, attempt, id, words, until):
+        return attempt, id
 
     def start(self, trip):
         """It waits for a connection first."""
         self.at(self.now + self.connects, lambda: self.clocked(self.carry, *trip))
 
-    def carry(self, send, id):
-        if not self.dispatcher.may_begin(send):
-            return self.dispatcher.tell(self.dispatcher.send_ended, send, at.NOT_SENT, None)
-        self.sends.append((self.now, id, id.startswith("f")))
+    def carry(self, attempt, id):
+        if not self.dispatcher.may_begin(attempt):
+            return self.dispatcher.tell(self.dispatcher.attempt_ended, attempt, at.NOT_SENT, None)
+        self.attempts.append((self.now, id, id.startswith("f")))
         end, took = self.works(id, self.rng)
-        self.at(self.now + took, lambda: self.dispatcher.tell(self.dispatcher.send_ended, send, end, b"v"))
+        self.at(
+            self.now + took, lambda: self.dispatcher.tell(self.dispatcher.attempt_ended, attempt, end, b"v")
+        )
 
-    def cancel(self, send):
-        """It goes on: a cancelled send may end anyhow."""
+    def cancel(self, attempt):
+        """It goes on: a cancelled attempt may end anyhow."""
 
-    def drop(self, sends):
+    def drop(self, attempts):
         """None is ever half written here."""
 
     def vote(self, *told):
@@ -191,11 +193,11 @@
         return [vote["verdict"] for vote in self.votes]
 
     def far(self, since=0):
-        return [far for moment, _, far in self.sends if moment >= since]
+        return [far for moment, _, far in self.attempts if moment >= since]
 
     def capped(self, cap):
         """In no window was more sent there than the cap lets: what was taken is known to the nanosecond."""
-        sent = [moment for moment, _, far in self.sends if far]
+        sent = [moment for moment, _, far in self.attempts if far]
         taken = sorted(self.taken())
         for first, moment in enumerate(sent):
             since = moment - 2 * SECOND
@@ -375,7 +377,7 @@
     moment = ran.now
     ran.run(2)
     assert not any(ran.far(moment + 1)) and ran.dispatcher.balancer.told.number == 1
-    x = [moment for moment, id, _ in ran.sends if id == "x0"]
+    x = [moment for moment, id, _ in ran.attempts if id == "x0"]
     assert len(x) <= 2 + 0.1 * 400
     ran.clocked(ran.list, [line("x0", zone, build=2, state=at.GONE)])
     assert ran.run(2).service.figures()["shift share"] == 500
@@ -410,10 +412,10 @@
 
 @settings(max_examples=50, deadline=None)
 @given(some.lists(STEP, max_size=14), some.integers(0, 1000))
-def test_never_a_send_beyond_the_cap_nor_one_after_going_back_is_acknowledged(steps, seed):
+def test_never_an_attempt_beyond_the_cap_nor_one_after_going_back_is_acknowledged(steps, seed):
     ran = Gateway(fleet(), seed=seed, connects=25 * MS)
     entry, cap, barred, builds = 20, 0.0, True, dict.fromkeys((one.id for one in fleet()), 1)
-    news, since = (1, at.RELEASED), len(ran.sends)
+    news, since = (1, at.RELEASED), len(ran.attempts)
     for what, value in [*steps, ("run", 2)]:
         if what == "shift":
             entry += 1
@@ -435,9 +437,9 @@
             news = value
             ran.platform(value[0], 0, value[1], 0.1)
         else:
-            since, arrived = len(ran.sends), len(ran.asked)
+            since, arrived = len(ran.attempts), len(ran.asked)
             ran.run(value / 4)
-            new = ran.sends[since:]
+            new = ran.attempts[since:]
             assert not (barred and any(far for _, _, far in new))
             assert cap < 1 or all(far for _, _, far in new)
             if 0 < cap < 1:
@@ -544,12 +546,13 @@
         for (begin, share), end in zip(self.stages, ends, strict=True):
             for name in self.all_.names if share < 1000 else ():
                 far, near = (
-                    sorted(moment for node in nodes for moment, who, _ in list(node.sends) if who == name)
+                    sorted(moment for node in nodes for moment, who, _ in list(node.attempts) if who == name)
                     for nodes in (self.all_.far, self.all_.nodes)
                 )
                 for moment in [moment for moment in far if begin < moment <= end]:
                     there, here = (inside(side, moment - window, moment) for side in (far, near))
-                    most = 2 + share / 1000 * (there + here) + 4  # free sends; what crosses the windows' ends
+                    # free attempts; what crosses the windows' ends
+                    most = 2 + share / 1000 * (there + here) + 4
                     if there > most:
                         found.append(f"{name}: {there} of {there + here} at {share}, {moment - begin:.1f} s")
         return found
@@ -566,25 +569,25 @@
         all_.serve(crowd=3)
         until(lambda: len(all_.items("followers")) == 2, "both follow")
         all_.wait_requests(50)
-        assert not any(node.counts["sends"] for node in all_.far)
+        assert not any(node.counts["attempts"] for node in all_.far)
 
         for node in all_.far:
             node.work = 0.3
         assert louis.done(id="one", kind="move", move="one", service="front", to="ebene")[0] == 200
         slow = Seen(all_, "one")
         assert slow.end()["end"] == "sent back", slow.stages
-        before = sum(node.counts["sends"] for node in all_.far)
+        before = sum(node.counts["attempts"] for node in all_.far)
         all_.wait_requests(100)
-        assert before and before == sum(node.counts["sends"] for node in all_.far)
+        assert before and before == sum(node.counts["attempts"] for node in all_.far)
 
         for node in all_.far:
             node.work = 0.03
         assert louis.done(id="two", kind="move", move="two", service="front", to="ebene")[0] == 200
         good = Seen(all_, "two")
         assert good.end()["end"] == "done", good.stages
-        before = sum(node.counts["sends"] for node in all_.nodes)
+        before = sum(node.counts["attempts"] for node in all_.nodes)
         all_.wait_requests(100)
-        assert before == sum(node.counts["sends"] for node in all_.nodes)
+        assert before == sum(node.counts["attempts"] for node in all_.nodes)
         assert [share for _, share in good.stages] == [0, 50, 250, 500, 900, 1000]
         for one in all_.crowds:
             one.stop()
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -432,7 +432,7 @@
         at.Start(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
     asked = request()
-    asked.sends = [at.Send(asked, number, None, NOW, end) for number, end in enumerate(ends)]
+    asked.attempts = [at.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
     made.abort(asked)
     assert made.counters.read().get("aborted unsent", 0) == counted
