--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -21,12 +21,12 @@
 
 MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged; a fraction of any pair
 PAIRS, SEEN = 4, 200  # pairs in view; a build's last outcomes kept
-PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # a pair stays open for so long, and until each build has as many
-WARM_UP = 1000 * MS  # pairs start once each machine on trial has run for this long
+PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # open for so long, and until each build has as many: the slower, the longer
+WARM_UP = 1000 * MS  # pairs start once each machine on trial has run so long; being cold is told (`warmth`)
 TOLERANCE, SERVICE_TOLERANCE, ERROR_TOLERANCE = 1.0, 0.5, 0.02  # a breach is worse by more than this
 USUAL = 6  # an unhinted request's work goes so often into its objective
 LOOKS, FLAGS = 8, 3  # looks at thin evidence a trial; wrong answers that send back, at twice the usual rate
-PACE_AGE = 2000 * MS  # what is known of how long answers take is no older than this
+PACE_AGE = 2000 * MS  # rarer answers count for more; one after so long a silence counts whole
 STEEP = 2  # shed by so many times what is past the next
 LEAST = 0.5  # of the mean revenue: none is shed by less, so that it is let in half as often as at the mean
 EASY = 0.45  # the share of its objective that a request may take on average before some are rejected
