--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -21,7 +21,7 @@
 
 MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged; a fraction of any pair
 PAIRS, SEEN = 4, 200  # pairs in view; a build's last outcomes kept
-PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # open for so long, and until each build has as many: the slower, the longer
+PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # open so long, and until each build has as many: slower, then longer
 WARM_UP = 1000 * MS  # pairs start once each machine on trial has run so long; being cold is told (`warmth`)
 TOLERANCE, SERVICE_TOLERANCE, ERROR_TOLERANCE = 1.0, 0.5, 0.02  # a breach is worse by more than this
 USUAL = 6  # an unhinted request's work goes so often into its objective
