--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -173,10 +173,7 @@
     process ends LINGER, the longest deadline and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
     log.info("stopping", open=len(dispatcher.asks))
-    longest = (
-        max((request_class.deadline for request_class in server.config.start.request_classes), default=0)
-        / 1e9
-    )
+    longest = max((told.deadline for told in server.config.start.request_classes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -53,14 +53,12 @@
         answer, objects, begun = http.Answer(), http.Objects(), time.monotonic()
         heard = False
         while True:
-            while (line := answer.next()) is http.MORE:
-                if answer.status not in (0, 200):
-                    return "unavailable"  # before the rest of it, which may be long in coming
+            while (line := answer.next()) is http.MORE and answer.status in (0, 200):
                 read_until(sock, begun + SILENCE)
                 if not answer.buffer.fill(sock.recv_into):
                     return "closed"
             if answer.status != 200:
-                return "unavailable"
+                return "unavailable"  # before the rest of it, which may be long in coming
             if line is http.END:
                 return "over"
             if text := objects.add(line):
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -100,9 +100,8 @@
 
     def __init__(self, config, dispatcher, thread_pool, log, counters):
         self.dispatcher, self.thread_pool, self.log, self.counters = dispatcher, thread_pool, log, counters
-        self.idle_time, self.connect_time = (
-            int(config.start.idle_time * IDLE_SHARE), config.start.connect_time
-        )
+        self.idle_time = int(config.start.idle_time * IDLE_SHARE)
+        self.connect_time = config.start.connect_time
         self.most, self.open = config.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
         self.pools, self.trips = {}, {}  # by the instance's id; by attempt
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -455,6 +455,17 @@
         return self.sock.send(data[:take], *flags)
 
 
+def held(ran, *asked):
+    """A client that asked, our side of it, and its socket, while a thread is in the midst of sending it the
+    answer, without the lock."""
+    client = ran.client()
+    ours = ran.ours(client)
+    ours.sock = slow = Trickling(ours.sock, 2, "held")
+    client.ask(*asked)
+    assert slow.met.wait(60)
+    return client, ours, slow
+
+
 @pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)])
 @pytest.mark.parametrize("takes", [(), (1,), (OSError,), (5, 2, 1, 7)])
 def test_answers_go_out_whole_and_in_their_order_whoever_writes_them(tmp_path, order, takes):
@@ -475,11 +486,7 @@
 
 def test_an_answer_that_comes_while_an_earlier_one_is_written_out_goes_behind_it(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
-        client = ran.client()
-        ours = ran.ours(client)
-        ours.sock = slow = Trickling(ours.sock, 2, "held")
-        client.ask(b"first")
-        assert slow.met.wait(60)  # a thread is in the midst of its send, without the lock
+        client, ours, slow = held(ran, b"first")
         client.ask(b"second")
         until(lambda: b"second" in ours.unsent)
         slow.go.set()
@@ -488,11 +495,7 @@
 
 def test_a_connection_is_not_closed_under_the_thread_that_writes_to_it(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
-        client = ran.client()
-        ours = ran.ours(client)
-        ours.sock = slow = Trickling(ours.sock, 2, "held")
-        client.ask()
-        assert slow.met.wait(60)
+        client, ours, slow = held(ran)
         client.sock.close()
         until(lambda: ours.broken)
         assert slow.sock.fileno() >= 0 and ran.gateway_server.clients == {ours}
@@ -503,11 +506,7 @@
 
 def test_a_client_that_took_a_long_answer_slowly_rests_from_its_last_byte_on(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
-        client = ran.client()
-        ours = ran.ours(client)
-        ours.sock = slow = Trickling(ours.sock, 2, "held")
-        client.ask()
-        assert slow.met.wait(60)
+        client, ours, slow = held(ran)
         ours.since, resumed = time.monotonic() - 60, time.monotonic()  # it has taken a minute so far
         slow.go.set()
         assert client.read() == b"aa"
