--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -63,9 +63,9 @@
 
     def run(self, *words):
         """The exit code and all that is printed."""
-        # By their paths, as modules of these names may be loaded already.
+        # In a process of its own: a thread that another test left would count against what it runs.
         with_paths = ("-p", "no:hypothesispytest", "--import-mode=importlib", *words)
-        ran = self.pytester.runpytest_inprocess(*with_paths)
+        ran = self.pytester.runpytest_subprocess(*with_paths)
         return ran.ret, ran.stdout.str() + ran.stderr.str()
 
     def ci(self, workers=1):
