--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 
 from lemonlead.balance import Balancer
-from lemonlead.following import words
-from lemonlead.following.course import EVENTS
+from lemonlead.following import responses
+from lemonlead.following.ledger_polling import EVENTS
 from lemonlead.following.driver import SILENCE, Follower
 from lemonlead.gateway import http
 from lemonlead.gateway.config import EPOCH
@@ -110,7 +110,7 @@
                 return self.answered((status, {}))
             try:
                 check = headers.get(b"x-crc32", b"").decode("ascii", "replace")
-                return self.answered((status, words.checked(b"\n".join(self.body), check)))
+                return self.answered((status, responses.checked(b"\n".join(self.body), check)))
             except ValueError as error:
                 return self.answered(error)
         return None
--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -10,7 +10,7 @@
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.distribution.faults import Unreadable
-from lemonlead.distribution.listing import INSTANCE, Listing
+from lemonlead.distribution.instance_records import INSTANCE, InstanceRecords
 from lemonlead.distribution.subscriber import Acknowledge, Subscribe, Subscriber
 from lemonlead.gateway import http
 from lemonlead.standins.fleet import SETTINGS
@@ -67,7 +67,7 @@
         self.started_at = self.not_before = now()
         self.subscriber = Subscriber(self.name, self.region, list(self.scopes), self.process.relays, seed)
         self.balancer = Balancer(started(SETTINGS, seed, self.started_at))
-        self.listing = Listing(self, self.balancer.cold_time)
+        self.listing = InstanceRecords(self, self.balancer.cold_time)
         self.listing.begin(self, *self.listed())
         self.queue, self.complete, self.early, self.ready_at = deque(), {}, set(), 0
 
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -152,7 +152,7 @@
     """What a gateway that follows a ledger of so many nodes keeps of it, all of them cold, so that there is
     a word for each; a change of one; the whole."""
     from lemonlead.following.merge import Merge
-    from lemonlead.following.words import News
+    from lemonlead.following.responses import LedgerUpdate
 
     lines = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(size)]
     addresses = {line.id: ((line.id, 1), 0) for line in lines}
@@ -167,7 +167,7 @@
 
     def whole(merge):
         words = json.loads(body).items()
-        news = News(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
+        news = LedgerUpdate(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
         assert merge.heard(1, news) is not None
         return merge
 
@@ -178,7 +178,7 @@
         2000,
         lambda n: merge.heard(
             1,
-            News(
+            LedgerUpdate(
                 n + 10,
                 [("nodes", f"s-{n * 7 % size}", {**record, "out": "d" if n % 2 else ""})],
                 (),
--- a/lemonlead/distribution/__init__.py
+++ b/lemonlead/distribution/__init__.py
@@ -1,12 +1,15 @@
-"""State reaches gateways scoped, incremental, paced and acknowledged. Imported only where settings have it.
+"""Distribution of ledger state to gateways: by scope, incrementally, rate limited and acknowledged. The
+package is imported only when the settings configure it.
 
-Between the ledger's members, which hold the log, and the gateways stand relays, which hold no promise and can
-be lost at any time. At a relay `store.py` holds what is true as of one index, `outbox.py` decides what one
-subscriber is told next within its budget, `acknowledged.py` sums what subscribers have in force. At a gateway
-`subscriber.py` decides which relay to ask, what to put in force and what to acknowledge. `records.py` is what
-passes between the two, `faults.py` the errors.
+Relays stand between the ledger's members, which hold the replicated log, and the gateways. A relay holds no
+durable state and can be lost at any time. In a relay, `store.py` holds the state as of one ledger index,
+`outbox.py` decides which line one subscriber receives next within its byte budget, and `acknowledgements.py`
+tracks what subscribers have in force. In a gateway, `subscriber.py` decides which relay to connect to, what
+to put in force and what to acknowledge. `records.py` defines the messages that relays and gateways exchange;
+`faults.py` defines the errors.
 
-The modules that `DECIDES` names do no I/O and read no clock: a moment is handed in, in nanoseconds of a
-monotonic clock, and never kept past the process. They may decide what is told, when, and in which order; they
-may not decide what is true (the ledger does), nor where a request goes (the gateway's balancer does).
-Nothing goes back at a gateway, whatever is late, repeated or told by an older relay."""
+The modules listed in `DECIDES` do no I/O and read no clock: times are passed in as nanoseconds of a monotonic
+clock and are never stored beyond the process. These modules decide what is sent, when and in which order.
+They don't decide what is true (the ledger does) or where a request goes (the gateway's balancer does). A
+gateway never goes back to older state, whether messages are late, repeated or sent by a relay that lags
+behind."""
--- a/lemonlead/distribution/acknowledged.py
+++ b/lemonlead/distribution/acknowledgements.py
@@ -37,7 +37,7 @@
         self.complete, self.refused = dict(scopes), {}  # refused: scope: {key: (index, why)}
 
 
-class Acknowledged:
+class Acknowledgements:
     def __init__(self, lease, grace, began=None):
         """All in nanoseconds. `began`: when this relay began to count, None where there was none before."""
         self.patience = index_number(lease, "lease", 1) + index_number(grace, "grace")
--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -11,7 +11,7 @@
 from ..gateway.config import address, now
 from ..gateway.upkeep import CONNECTS, REASONS, read_until
 from .faults import Unusable
-from .listing import Listing
+from .instance_records import InstanceRecords
 from .records import ALL, shown
 from .subscriber import Acknowledge, Subscriber
 
@@ -223,14 +223,14 @@
         return {**counts, "relay complete": min(made.complete.values())}
 
 
-class Gateway(Driver):
+class GatewayDriver(Driver):
     """The driver of a gateway, which puts records of instances into its balancer's list. `told`: the
     settings' `distribution`, `follow`: theirs of that name."""
 
     def __init__(self, config, told, follow, dispatcher, log, counters):
         if follow is not None:
             raise Unusable("follow and distribution: both tell of one ledger; expected one of them")
-        self.listing, self.dispatcher = Listing(dispatcher, config.start.cold_time), dispatcher
+        self.listing, self.dispatcher = InstanceRecords(dispatcher, config.start.cold_time), dispatcher
         self.wait = told["wait"] / 1e9
         super().__init__(subscriber(told, config.name), self.listing.put, log, counters)
 
--- a/lemonlead/distribution/listing.py
+++ b/lemonlead/distribution/instance_records.py
@@ -3,7 +3,7 @@
 it ready and its record, where there is one, has it up."""
 
 from ..following.merge import Merge
-from ..following.words import News
+from ..following.responses import LedgerUpdate
 from ..told import in_ns
 
 INSTANCE = "instance/"  # before an instance's id, as the record's key
@@ -25,7 +25,7 @@
     return {**WORDS[state], "warm": in_ns(started) + cold if started else 0}
 
 
-class Listing:
+class InstanceRecords:
     """Puts them in force through the one call by which the balancer learns of instances. An id is of one
     scope: another that names it too is refused."""
 
@@ -64,7 +64,7 @@
     def heard(self, now, words):
         """Under the dispatcher's lock. What is late or repeated never comes here: `subscriber.py` sees to
         it, so each word counts as the newest."""
-        lines, addresses = self.merge.heard(now, News(0, words, moment=now))
+        lines, addresses = self.merge.heard(now, LedgerUpdate(0, words, moment=now))
         if lines:
             self.discovery.put(now, lines, addresses, False, False)
         self.lines += 1
--- a/lemonlead/distribution/follower.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -1,5 +1,5 @@
-"""A relay's one call to the ledger's members, for all its subscribers: asks what `course.py` says and hands
-what they answer to the relay."""
+"""A relay's one call to the ledger's members, for all its subscribers: asks what `member_polling.py` says and
+hands what they answer to the relay."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 from ..ledger.faults import Fault
 from ..member.asking import session
 from ..member.memory import uncollected
-from .course import MS, Course
+from .member_polling import MS, MemberPolling
 from .faults import Unreadable
 
 CONNECTS = 1.0  # seconds
@@ -111,12 +111,12 @@
     return told, scopes(folded(told.events)) if after == 0 else None
 
 
-class Follower:
+class LedgerSource:
     """The source of a relay where there is a ledger. `listen`: the address that calls go out from."""
 
     def __init__(self, name, listen, members, seed, log):
         self.name, self.listen, self.log = name, listen, log
-        self.course = Course(time.monotonic_ns(), members, seed)
+        self.course = MemberPolling(time.monotonic_ns(), members, seed)
         self.last = ""
 
     async def run(self, relay):
--- a/lemonlead/distribution/course.py
+++ b/lemonlead/distribution/member_polling.py
@@ -23,7 +23,7 @@
     path: str
 
 
-class Course:
+class MemberPolling:
     def __init__(self, now, members, seed):
         """`members`: name to host:port."""
         self.members, self.order = dict(members), sorted(members)
--- a/lemonlead/distribution/outbox.py
+++ b/lemonlead/distribution/outbox.py
@@ -30,7 +30,7 @@
 
 
 class Position:
-    """How far one scope is told. `base`: the Listing that is being told, `late`: that of what changed after
+    """How far one scope is told. `base`: the KeyList that is being told, `late`: that of what changed after
     it was made, None where all is told; `at` and `late_at`: how far, by urgency."""
 
     __slots__ = ("complete", "base", "at", "late", "late_at", "ahead", "marked")
@@ -166,7 +166,8 @@
                 position.told()
 
     def first(self):
-        """What is to be told first: (level, scope, key, Word, whether it is late); None where nothing is."""
+        """Returns what to send first as (level, scope, key, VersionedRecord, whether it comes from the `late`
+        list), or None when nothing is left."""
         for level in LEVELS:
             todo = self.todo[level]
             while todo:
@@ -183,8 +184,9 @@
         return None
 
     def first_of(self, scope, level):
-        """(key, Word, whether it is late) of a scope; None where it has nothing left of this level, LOST
-        where the word on a key is kept no more."""
+        """Returns (key, VersionedRecord, whether it comes from the `late` list) of a scope, None when the
+        scope has nothing left of this level, or LOST when the store no longer keeps the newest record of a
+        key."""
         position, store, kind = self.positions[scope], self.store, min(level, REST)
         if level != SNAPSHOT:
             keys, at = position.late.levels[kind], position.late_at
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -1,10 +1,12 @@
-"""A relay: one source, many subscribers. `Relay` is one of any number in a process; `main` is the command's.
+"""A relay receives state from one source and sends it to many subscribers. A process may hold any number of
+`Relay` objects; `main` is the command.
 
-What there is comes from the source (`follower.Follower`, or another with `run`, `lost`, `figures`) by
-`replace` and `apply`. Each subscriber has a stream and an `Outbox`, which is asked for the next line once the
-one before has left the process: so a slow reader is told nothing until it has drained, and then the newest.
+The source (`ledger_source.LedgerSource`, or another object with `run`, `lost` and `figures`) delivers the
+state through `replace` and `apply`. Each subscriber has a stream and an `Outbox`. The outbox is asked for the
+next line only after the previous one has left the process, so a slow reader receives nothing until its buffer
+has drained, and then the newest state.
 
-Exit codes: 0 ended by a signal, 1 broken, 2 settings or address that cannot be used."""
+Exit codes: 0 stopped by a signal, 1 internal error, 2 settings or an address that can't be used."""
 
 import asyncio
 import contextlib
@@ -23,10 +25,10 @@
 from ..member.memory import settle_memory
 from ..member.run import Lines, bound, descriptors, log_lines
 from . import records
-from . import told as settings
-from .acknowledged import Acknowledged
+from . import relay_settings as settings
+from .acknowledgements import Acknowledgements
 from .faults import NoState, NotNow, NotSubscribed, Senseless, TooMany, TooYoung
-from .follower import Follower
+from .ledger_source import LedgerSource
 from .outbox import Outbox
 from .store import Store
 
@@ -67,13 +69,13 @@
 
 
 class Relay:
-    """`told`: a RelayTold. `source`: where what there is comes from. `clock`: nanoseconds, monotonic."""
+    """`told`: a RelaySettings. `source`: where what there is comes from. `clock`: nanoseconds, monotonic."""
 
     def __init__(self, told, source, log=None, clock=time.monotonic_ns):
         self.told, self.source, self.clock = told, source, clock
         self.log = log or structlog.get_logger(relay=told.relay)
         self.store = Store("", told.bounds.kept)
-        self.acknowledged = Acknowledged(told.lease, told.grace, clock())
+        self.acknowledged = Acknowledgements(told.lease, told.grace, clock())
         self.streams, self.readers = {}, {}  # by gateway; scope to the streams that have it
         self.counts = dict.fromkeys(
             ("subscribed", "superseded", "turned_away", "forgotten", "senseless", "acknowledged", "lines"), 0
@@ -331,7 +333,7 @@
 
 async def run(told, listener):
     log = structlog.get_logger(relay=told.relay)
-    source = Follower(told.relay, told.listen, told.members, told.relay, log)
+    source = LedgerSource(told.relay, told.listen, told.members, told.relay, log)
     relay, loop, ending = Relay(told, source, log), asyncio.get_running_loop(), asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, ending.set)
--- a/lemonlead/distribution/told.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayTold:
+class RelaySettings:
     relay: str
     region: str
     listen: str
@@ -44,7 +44,7 @@
         raise Unfit(error.faults) from None
     told = dict(file.value)
     budget, bounds = Budget(**told.pop("budget")), Bounds(**told.pop("bounds"))
-    return RelayTold(**told, budget=budget, bounds=bounds)
+    return RelaySettings(**told, budget=budget, bounds=bounds)
 
 
 def faults(file):
--- a/lemonlead/distribution/store.py
+++ b/lemonlead/distribution/store.py
@@ -23,7 +23,7 @@
 MOST_LISTED = 64  # lists of what changed that a scope keeps until it changes again
 
 
-class Word(NamedTuple):
+class VersionedRecord(NamedTuple):
     """The newest of a key. `raw`: its record as JSON, None where it was removed."""
 
     index: int
@@ -31,7 +31,7 @@
     urgency: int
 
 
-class Listing(NamedTuple):
+class KeyList(NamedTuple):
     """Keys to be told, as of index `at`; all that there are where `whole`, else what changed. `levels`: by
     urgency, in the order in which they changed."""
 
@@ -44,7 +44,7 @@
     __slots__ = ("records", "log", "floor", "touched", "listed", "all", "since_all")
 
     def __init__(self, floor=0):
-        self.records, self.log = {}, {}  # key: Word; key: index, in order
+        self.records, self.log = {}, {}  # key: VersionedRecord; key: index, in order
         self.floor = self.touched = floor  # what changed up to `floor` is in the log no more
         self.listed, self.all, self.since_all = {}, None, 0
 
@@ -123,13 +123,13 @@
         return len(self.scopes[scope].records) if scope in self.scopes else 0
 
     def word(self, scope, key):
-        """The newest Word of a key, None where nothing is known of it."""
+        """The newest VersionedRecord of a key, None where nothing is known of it."""
         found = self.scopes.get(scope)
         if found is None:
             return None
         held = found.records.get(key)
         if held is None and key in found.log:
-            return Word(found.log[key], None, DRAIN)
+            return VersionedRecord(found.log[key], None, DRAIN)
         return held
 
     def changed(self, index):
@@ -139,27 +139,27 @@
         return takewhile(lambda scope: self.scopes[scope].touched > index, reversed(self.order))
 
     def news(self, scope, index):
-        """A Listing of what changed after an index, None where it is kept no more."""
+        """A KeyList of what changed after an index, None where it is kept no more."""
         found = self.scopes.get(scope)
         if not self.follows(found, index):
             return None
         if found is None:
-            return Listing(self.index, False, ((), (), ()))
+            return KeyList(self.index, False, ((), (), ()))
         if index not in found.listed:
             if len(found.listed) >= MOST_LISTED:
                 found.listed.clear()
             keys = [(key, found.records.get(key)) for key, _ in after(found.log, index)]
-            found.listed[index] = Listing(self.index, False, by_urgency(keys))
+            found.listed[index] = KeyList(self.index, False, by_urgency(keys))
         return found.listed[index]
 
     def whole(self, scope):
-        """A Listing of all records. One made before is good while what changed since is little."""
+        """A KeyList of all records. One made before is good while what changed since is little."""
         found = self.scopes.get(scope)
         if found is None:
-            return Listing(self.index, True, ((), (), ()))
+            return KeyList(self.index, True, ((), (), ()))
         old = found.all
         if old is None or old.at < found.floor or found.since_all * 8 > len(found.records):
-            found.all, found.since_all = Listing(self.index, True, by_urgency(found.records.items())), 0
+            found.all, found.since_all = KeyList(self.index, True, by_urgency(found.records.items())), 0
         return found.all
 
     # ---- inside
@@ -204,12 +204,12 @@
             gone = [key for key in old if key not in new]
             if gone and index == self.index:
                 return None
-            changes += [(name, key, Word(index, None, DRAIN)) for key in gone]
+            changes += [(name, key, VersionedRecord(index, None, DRAIN)) for key in gone]
         changes.sort(key=lambda change: change[2].index)
         return changes
 
     def take(self, index, changes):
-        """Changes as (scope, key, Word), in order."""
+        """Changes as (scope, key, VersionedRecord), in order."""
         self.index = index
         for name, key, new in changes:
             found = self.scopes.get(name)
@@ -255,13 +255,13 @@
     if index > most:
         raise Senseless(f"scope {scope!r}, key {key}: index {index}; expected at most {most}")
     if record is None:
-        return Word(index, None, DRAIN)
+        return VersionedRecord(index, None, DRAIN)
     if type(record) is not dict:
         raise Senseless(f"scope {scope!r}, key {key}: {shown(record)}; expected an object, or null")
     raw = encode(record)
     if len(raw) > MOST_RECORD:
         raise TooLarge(f"scope {scope!r}, key {key}: a record of {len(raw)} bytes; at most {MOST_RECORD}")
-    return Word(index, raw, urgency(record))
+    return VersionedRecord(index, raw, urgency(record))
 
 
 def decoded(held):
--- a/lemonlead/following/__init__.py
+++ b/lemonlead/following/__init__.py
@@ -1,8 +1,9 @@
-"""A gateway that follows a ledger: what the ledger has out gets no new attempt. Imported only where the
-settings have `follow`.
+"""A gateway that follows a ledger: instances that the ledger takes out of service get no new attempts. The
+package is imported only when the settings have `follow`.
 
-`words.py` reads what a member answers; `merge.py` makes one list of discovery's and the ledger's word;
-`course.py` decides whom to ask what, and when; `driver.py` is the thread that does it. Where a service is
-named, `sides.py` decides which side of its move takes requests, and `service.py` stands between discovery,
-ledger and platform on one hand and the balancer on the other. Nothing here sends a request, and the
-gateway's one balancer is told through the same call as by discovery (`Discovery.put`)."""
+`responses.py` parses the members' responses, `merge.py` combines discovery's list of instances with the
+ledger's state of the nodes, `ledger_polling.py` decides which member to call and when, and `driver.py` is the
+thread that makes the calls. When the settings name a service, `move_routing.py` decides which side of the
+service's move gets its requests, and `service.py` connects discovery, the ledger and the platform with the
+balancer. Nothing here sends a request, and the gateway's only balancer is updated through the same call as by
+discovery (`Discovery.put`)."""
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -1,5 +1,5 @@
-"""The thread that follows a ledger: asks members what `course.py` says, tells the dispatcher what they
-answer."""
+"""The thread that follows a ledger: it calls members as `ledger_polling.py` decides and passes what they
+return to the dispatcher."""
 
 import contextlib
 import os
@@ -12,8 +12,8 @@
 from ..gateway import http
 from ..gateway.config import address, now
 from ..gateway.upkeep import CONNECTS, REASONS
-from . import words
-from .course import FOLLOW, STATE, UNFOLLOW, VOTE, Course
+from . import responses
+from .ledger_polling import FOLLOW, STATE, UNFOLLOW, VOTE, LedgerPolling
 from .faults import Unusable
 from .merge import Merge
 
@@ -49,10 +49,10 @@
         self.dispatcher, self.log, self.counters = dispatcher, log, counters
         self.wait = told.get("wait", 0) / 1e9  # seconds that a start waits for the first state
         moves = "service" in told or "far" in told
-        self.heeds = words.ASKED if moves else words.PARTS
+        self.heeds = responses.ASKED if moves else responses.PARTS
         more = ("moves",) if moves else ()
         service = told.get("service", "")
-        self.course = Course(me, os.urandom(6).hex(), members, config.start.seed, more, service)
+        self.course = LedgerPolling(me, os.urandom(6).hex(), members, config.start.seed, more, service)
         self.merge, self.parts, self.service = Merge(), [], None
         if moves:
             from .service import Service  # not imported while no moves are followed
@@ -129,21 +129,23 @@
         """One call and what its answer means; why it failed, or an empty string."""
         status, told = self.exchange(ask)
         if status == 503 or status in (301, 302, 307, 308):
-            self.course.failed(now(), words.leader(told), told)
+            self.course.failed(now(), responses.leader(told), told)
             return "passed on"
         if ask.what in (FOLLOW, UNFOLLOW, VOTE):
             return self.commanded(ask, status, told)
         if ask.what == STATE and status in (400, 404) and ask.part != "nodes":
-            return self.state(ask, words.unshown(ask.part))
+            return self.state(ask, responses.unshown(ask.part))
         if status != 200:
             return f"status {status}"
         if not self.heeded(told):
             return self.unheeded(told)
-        return self.state(ask, words.state(told, ask.part)) if ask.what == STATE else self.events(ask, told)
+        return (
+            self.state(ask, responses.state(told, ask.part)) if ask.what == STATE else self.events(ask, told)
+        )
 
     def heeded(self, told):
         """Whether this answer is of the cluster that is followed; else what was had of a state is of none."""
-        before, cluster = self.course.cluster, words.cluster(told)
+        before, cluster = self.course.cluster, responses.cluster(told)
         heeded = self.course.answered(now(), cluster)
         if not heeded:
             self.parts = []
@@ -153,7 +155,7 @@
 
     def unheeded(self, told):
         """A call that was answered by one that is followed from now on has worked."""
-        return "" if words.cluster(told) == self.course.cluster else "passed on"
+        return "" if responses.cluster(told) == self.course.cluster else "passed on"
 
     def commanded(self, ask, status, told):
         if ask.what == UNFOLLOW and status in (200, 400, 409):
@@ -165,7 +167,7 @@
             self.dispatcher.tell(self.service.voted, ask.number, outcome)
             self.course.voted(ask.number)
         elif status == 200:
-            since = words.whole_number(told, "at")
+            since = responses.whole_number(told, "at")
             if not self.heeded(told):
                 return self.unheeded(told)
             self.course.followed(now(), since)
@@ -181,13 +183,13 @@
         self.parts.append(news)
         if self.course.had(ask.part):
             parts, self.parts = self.parts, []
-            if not self.obey(words.joined(parts), ""):
+            if not self.obey(responses.joined(parts), ""):
                 self.course.kept_no_more()
                 return "not newer"
         return ""
 
     def events(self, ask, told):
-        if (news := words.events(told, self.course.at, self.heeds)) is None:
+        if (news := responses.events(told, self.course.at, self.heeds)) is None:
             self.course.kept_no_more()
             return ""
         if news.at < self.course.at:
@@ -197,7 +199,7 @@
         for (part, key), record in rows.items():
             if part == "members" and record is not None and type(record.get("address")) is str:
                 self.seated(key, record)
-        if not self.obey(news, words.leader(told)):
+        if not self.obey(news, responses.leader(told)):
             return "not obeyed"
         if rows.get(("followers", self.course.me), True) is None:
             self.counters.add("ledger forgot")
@@ -273,7 +275,7 @@
         if answer.headers.get(b"connection", b"").lower() == b"close" or len(answer.buffer):
             self.end()
         if answer.status in (200, 503):
-            return answer.status, words.checked(b"\n".join(body), check)
+            return answer.status, responses.checked(b"\n".join(body), check)
         return answer.status, {}
 
     def end(self):
--- a/lemonlead/following/course.py
+++ b/lemonlead/following/ledger_polling.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .merge import MOST_LEFT
-from .words import ASKED, pause
+from .responses import ASKED, pause
 
 MS = 1_000_000
 SHORTEST, LONGEST = 50 * MS, 2000 * MS  # waits after failures; half to the whole of it
@@ -34,7 +34,7 @@
     number: int = 0  # of the command
 
 
-class Course:
+class LedgerPolling:
     def __init__(self, me, boot, members, seed, more=(), service=""):
         """`boot`: of this process alone, so that ids are never used twice. `members`: name to address.
         `more`: parts of the state that are asked for beside those that all heed. `service`: whose moves it
--- a/lemonlead/following/merge.py
+++ b/lemonlead/following/merge.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, replace
 
 from ..interface import DRAINING, GONE, READY
-from .words import MOST
+from .responses import MOST
 
 MOST_LEFT = 64  # clusters that were left for one formed anew; past it the oldest is forgotten
 UP = ("serving", "catching_up")
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class LedgerInstance:
     """What the ledger last said of a node. `warm`: ledger moment at which it bears all; it grows each time
     the node comes back. `back`: when it last came back by this gateway's clock, 0 where not seen."""
 
@@ -26,7 +26,7 @@
     back: int = 0
 
 
-PLAIN = Word()
+PLAIN = LedgerInstance()
 
 
 class Merge:
@@ -98,7 +98,7 @@
         first = self.at < 0 and moment is None  # how long ago can't be told then
         if warm > known.warm and not first and (moment is None or warm > moment):
             back = now
-        word = Word(record.get("state", "serving"), bool(record.get("out")), warm, back)
+        word = LedgerInstance(record.get("state", "serving"), bool(record.get("out")), warm, back)
         if word == PLAIN:
             self.words.pop(name, None)
         else:
--- a/lemonlead/following/sides.py
+++ b/lemonlead/following/move_routing.py
@@ -29,7 +29,7 @@
 LOST = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, CANCELLED)  # ends that pairs of builds may not count
 
 
-class Sides:
+class MoveRouting:
     """`service`: whose requests they are; `far`: other clusters' names to the zones of their instances."""
 
     def __init__(self, service, far):
--- a/lemonlead/following/words.py
+++ b/lemonlead/following/responses.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class LedgerUpdate:
     """What an answer tells up to entry `at`. `changes`: (part, key, record as dict, or None where it was
     dropped), in order. `whole`: parts of which `changes` are all records that there are. `moment`: the
     ledger's time as of then, None where it is not told. `cluster`: the id that the cluster drew as it was
@@ -76,8 +76,8 @@
 
 
 def events(told, after, parts=PARTS):
-    """News of these parts of what came after an index; None where that is kept no more and the whole has to
-    be asked for."""
+    """LedgerUpdate of these parts of what came after an index; None where that is kept no more and the whole
+    has to be asked for."""
     if told.get("events") is None:
         if told.get("whole") is None:
             raise Unreadable("neither events nor whole")
@@ -90,7 +90,7 @@
         changes += changed(event.get("changes"), parts)
     if last > max(at, after):
         raise Unreadable(f"an event of entry {last} in an answer up to {at}")
-    return News(at, changes, moment=moment(told), cluster=cluster(told))
+    return LedgerUpdate(at, changes, moment=moment(told), cluster=cluster(told))
 
 
 def changed(told, parts):
@@ -105,23 +105,23 @@
 
 
 def state(told, part):
-    """News of all records of a part."""
+    """LedgerUpdate of all records of a part."""
     items = told.get("items")
     if type(items) is not dict or len(items) > MOST or None in items.values():
         raise Unreadable("items that are none, or too many")
     changes = [record(part, key, value) for key, value in items.items()]
-    return News(whole_number(told, "at"), changes, (part,), moment(told), cluster(told))
+    return LedgerUpdate(whole_number(told, "at"), changes, (part,), moment(told), cluster(told))
 
 
 def unshown(part):
     """A part that the member does not show: nothing is known of it, and nothing is held."""
-    return News(1 << 62, [], (part,))
+    return LedgerUpdate(1 << 62, [], (part,))
 
 
 def joined(some):
     """One of several of one cluster: true as of the earliest of them; what came after it is told again."""
     moments = [news.moment for news in some if news.moment is not None]
-    return News(
+    return LedgerUpdate(
         min(news.at for news in some),
         [change for news in some for change in news.changes],
         tuple(part for news in some for part in news.whole),
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -1,13 +1,13 @@
 """A gateway's part in the moves of its service: what discovery, the ledger and the platform say passes here
 on its way to the one balancer, and its votes on the way back. Imported only where a service is named.
 
-All of it runs under the dispatcher's lock; what is decided is decided in `sides.py`."""
+All of it runs under the dispatcher's lock; what is decided is decided in `move_routing.py`."""
 
 from .. import interface as at
 from ..gateway.config import now as clock
 from .faults import Unusable
 from .merge import Merge
-from .sides import Sides
+from .move_routing import MoveRouting
 
 WORDS = {at.ON: "on", at.BACK: "back"}  # the ledger knows no vote to hold
 
@@ -42,7 +42,7 @@
     platform for votes. `course`: what the ledger is to be told goes there."""
 
     def __init__(self, told, config, dispatcher, course, log, counters):
-        self.sides, self.merge = Sides(*checked(told, config)), Merge()
+        self.sides, self.merge = MoveRouting(*checked(told, config)), Merge()
         self.dispatcher, self.course, self.log, self.counters = dispatcher, course, log, counters
         self.cast = self.logged = None  # the ballot that waits for the ledger's answer; what was last logged
 
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -125,9 +125,9 @@
             from ..following.driver import Follower
 
             return Follower(config, sorting.follow, dispatcher, log, counters)
-        from ..distribution.driver import Gateway
+        from ..distribution.driver import GatewayDriver
 
-        return Gateway(config, sorting.distribution, sorting.follow, dispatcher, log, counters)
+        return GatewayDriver(config, sorting.distribution, sorting.follow, dispatcher, log, counters)
     except Unusable as error:
         raise configs.Unfit(f"{error}; {error.do}") from None
 
--- a/lemonlead/standins/distributed/relays.py
+++ b/lemonlead/standins/distributed/relays.py
@@ -1,8 +1,8 @@
-"""Simulated relays: the very Store, Outbox and Acknowledged, with what the driver round them does."""
+"""Simulated relays: the very Store, Outbox and Acknowledgements, with what the driver round them does."""
 
 import random
 
-from lemonlead.distribution.acknowledged import Acknowledged
+from lemonlead.distribution.acknowledgements import Acknowledgements
 from lemonlead.distribution.outbox import Outbox
 from lemonlead.distribution.records import Acknowledgement, Subscription, read
 from lemonlead.distribution.store import Store
@@ -21,13 +21,13 @@
 
 class Relay:
     """A process that follows `log`. `rate`, `burst`: bytes, for each subscriber. `kinds`: the classes of
-    Store, Outbox and Acknowledged; tests put spoiled ones in."""
+    Store, Outbox and Acknowledgements; tests put spoiled ones in."""
 
     def __init__(self, play, name, region, log, rate, burst, kinds=None):
         self.play, self.world, self.links = play, play.world, play.links
         self.name, self.region, self.log, self.real = name, region, log, log
         self.rate, self.burst = rate, burst
-        self.kinds = {"store": Store, "outbox": Outbox, "acknowledged": Acknowledged, **(kinds or {})}
+        self.kinds = {"store": Store, "outbox": Outbox, "acknowledged": Acknowledgements, **(kinds or {})}
         self.chance = random.Random(f"relay {play.schedule.seed} {name}")
         self.offset = self.chance.randint(1, 10**6) * SECOND
         self.clock = 1 + self.chance.uniform(-RATE_OFF, RATE_OFF)
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -15,7 +15,7 @@
 from ..distribution.driver import Driver
 from ..distribution.relay import Relay
 from ..distribution.subscriber import Subscriber
-from ..distribution.told import Bounds, Budget, RelayTold
+from ..distribution.relay_settings import Bounds, Budget, RelaySettings
 from ..gateway.counters import Counters
 from .members import PATIENCE, Impatient, until
 from .wires import home, spare
@@ -110,7 +110,7 @@
     def __init__(self, rate=100_000_000, burst=1_000_000, lease=60 * SECOND, **bounds):
         bounds = {"subscribers": 10, "scopes": 100, "waiting": 8192, "kept": 1000, **bounds}
         self.address, self.ahead, self.is_lost = spare(home()), 0, False
-        self.told = RelayTold(
+        self.told = RelaySettings(
             "r1", "north", self.address, {}, Budget(rate, burst), lease, 0, Bounds(**bounds)
         )
         self.loop, self.up = asyncio.new_event_loop(), threading.Event()
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -1,4 +1,5 @@
-"""Gateways in a simulated world: the very Course and Merge, a driver that asks over the faulty network.
+"""Gateways in a simulated world: the very LedgerPolling and Merge, and a driver that asks over
+the faulty network.
 
 What counts is to whom a gateway may send: to each node that its Merge has ready, from its first word of the
 ledger on."""
@@ -7,8 +8,8 @@
 import random
 from dataclasses import dataclass
 
-from lemonlead.following import words
-from lemonlead.following.course import EVENTS, FOLLOW, STATE, VOTE, Course
+from lemonlead.following import responses
+from lemonlead.following.ledger_polling import EVENTS, FOLLOW, STATE, VOTE, LedgerPolling
 from lemonlead.following.merge import Merge
 from lemonlead.interface import READY
 
@@ -46,7 +47,7 @@
         self.life += 1
         members = {host.name: f"{host.name}:1" for host in self.cluster.hosts.values() if not host.gone}
         boot = f"boot{self.life}"
-        self.course = Course(self.name, boot, members, self.chance.random(), ("moves",), self.service)
+        self.course = LedgerPolling(self.name, boot, members, self.chance.random(), ("moves",), self.service)
         self.merge, self.parts, self.moves = Merge(), [], {}
         self.merge.listed([Line(node) for node in self.nodes], {}, True)
         self.heard, self.asked = False, {}  # asked: a command's id to when it was first sent
@@ -101,7 +102,7 @@
         if life == self.life:
             for watch in self.watched:
                 watch(self, host, after)
-        host.poll(after, self.name, call, since, words.ASKED)
+        host.poll(after, self.name, call, since, responses.ASKED)
 
     def over(self, ask, sent, code, body):
         """What the answer means, as the driver has it."""
@@ -111,15 +112,15 @@
             return course.failed(now)
         if code == 503:
             self.parts = []
-            return course.failed(now, words.leader(body), body)
-        if code == 200 and not course.answered(now, words.cluster(body)):
+            return course.failed(now, responses.leader(body), body)
+        if code == 200 and not course.answered(now, responses.cluster(body)):
             self.parts = []
             return None
         if ask.what == FOLLOW:
             if code != 200:
                 return course.refused(now)
             self.fresh = self.asked[json.loads(ask.body)["id"]]
-            return course.followed(now, words.whole_number(body, "at"))
+            return course.followed(now, responses.whole_number(body, "at"))
         if ask.what == VOTE:
             return course.voted(ask.number)
         if ask.what == STATE:
@@ -127,15 +128,15 @@
         return self.events(sent, body)
 
     def state(self, ask, body):
-        self.parts.append(words.state(body, ask.part))
+        self.parts.append(responses.state(body, ask.part))
         if self.course.had(ask.part):
             parts, self.parts = self.parts, []
-            if not self.obey(words.joined(parts), ""):
+            if not self.obey(responses.joined(parts), ""):
                 self.course.kept_no_more()
 
     def events(self, sent, body):
         course, now = self.course, self.world.now
-        news = words.events(body, course.at, words.ASKED)
+        news = responses.events(body, course.at, responses.ASKED)
         if news is None:
             return course.kept_no_more()
         if news.at < course.at:
@@ -144,7 +145,7 @@
         for (part, key), record in rows.items():
             if part == "members" and record is not None:
                 course.seated(key, None if record.get("gone") else record["address"])
-        if not self.obey(news, words.leader(body)):
+        if not self.obey(news, responses.leader(body)):
             return course.failed(now)
         self.fresh = max(self.fresh, sent)
         if rows.get(("followers", self.name), True) is None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -10,8 +10,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as some
 
-from lemonlead.distribution import acknowledged, outbox, records, subscriber
-from lemonlead.distribution.acknowledged import Acknowledged
+from lemonlead.distribution import acknowledgements, outbox, records, subscriber
+from lemonlead.distribution.acknowledgements import Acknowledgements
 from lemonlead.distribution.faults import Older, Senseless, TooLarge, Unreadable, Unusable
 from lemonlead.distribution.outbox import Outbox
 from lemonlead.distribution.records import COLD, DRAIN, LINE, REST, Acknowledgement, Subscription, urgency
@@ -104,8 +104,10 @@
 def test_a_scope_that_is_no_name_is_refused_with_what_and_where(scope):
     for call in (
         lambda: Outbox(0, made(), {scope: 0} if type(scope) is not list else scope, 8000, BURST),
-        lambda: Acknowledged(SECOND, 0).subscribed(0, "g", "r", {scope: 0} if type(scope) is not list else 1),
-        lambda: Acknowledged(SECOND, 0).force(0, scope, 1),
+        lambda: Acknowledgements(SECOND, 0).subscribed(
+            0, "g", "r", {scope: 0} if type(scope) is not list else 1
+        ),
+        lambda: Acknowledgements(SECOND, 0).force(0, scope, 1),
         lambda: Store("c").apply(1, [(scope, "k", UP)]),
     ):
         with pytest.raises(Senseless) as error:
@@ -117,7 +119,7 @@
 
 @pytest.mark.parametrize("index", [-1, 1.0, True, "1", None, 1 << 63])
 def test_an_index_that_is_no_whole_number_is_refused(index):
-    held, box, acks = made(a={}), Outbox(0, made(), {}, 8000, BURST), Acknowledged(SECOND, 0)
+    held, box, acks = made(a={}), Outbox(0, made(), {}, 8000, BURST), Acknowledgements(SECOND, 0)
     acks.subscribed(0, "g", "r", {"a": 0})
     for call in (
         lambda: held.apply(index, []),
@@ -145,7 +147,7 @@
             call()
     if value not in (0, 1 << 50):
         with pytest.raises(Senseless, match="grace: .*expected"):
-            Acknowledged(SECOND, value)
+            Acknowledgements(SECOND, value)
         with pytest.raises(Senseless, match="kept: .*expected"):
             Store("c", value)
     with pytest.raises(Unusable, match=f"burst: {BURST - 1}; expected a whole number from {BURST}"):
@@ -158,7 +160,7 @@
     for call in (
         lambda: Outbox(0, made(), {**most, "more": 0}, 8000, BURST),
         lambda: box.widen(0, {"more": 0}),
-        lambda: Acknowledged(SECOND, 0).subscribed(0, "g", "r", {**most, "more": 0}),
+        lambda: Acknowledgements(SECOND, 0).subscribed(0, "g", "r", {**most, "more": 0}),
     ):
         with pytest.raises(Senseless, match="at most 2000"):
             call()
@@ -732,7 +734,7 @@
 
 
 def acks(**scopes):
-    one = Acknowledged(10 * SECOND, SECOND)
+    one = Acknowledgements(10 * SECOND, SECOND)
     for gateway, at in scopes.items():
         one.subscribed(0, gateway, "r" + gateway[-1], {"a": at})
         one.heard(0, gateway, {})
@@ -816,7 +818,7 @@
 
 
 def test_a_relay_just_started_does_not_say_everywhere():
-    one = Acknowledged(10 * SECOND, SECOND, began=HOUR)
+    one = Acknowledgements(10 * SECOND, SECOND, began=HOUR)
     one.subscribed(HOUR, "g1", "r1", {"a": 9})
     one.heard(HOUR, "g1", {})
     tick(one, HOUR, HOUR + 11 * SECOND)
@@ -833,7 +835,7 @@
     tick(one, HOUR, HOUR + 8 * SECOND)
     assert one.force(HOUR + 8 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
     assert one.force(HOUR + 8 * SECOND, "a", 6) == (True, [], [], 1, {})
-    one = Acknowledged(10 * SECOND, SECOND, began=0)
+    one = Acknowledgements(10 * SECOND, SECOND, began=0)
     assert not one.settled(HOUR) and not one.settled(HOUR + 4 * SECOND)
     tick(one, HOUR, HOUR + 11 * SECOND)
     assert one.settled(HOUR + 11 * SECOND)
@@ -847,7 +849,7 @@
 
 
 def test_there_are_no_more_subscribers_than_a_relay_bears(monkeypatch):
-    monkeypatch.setattr(acknowledged, "MOST", 2)
+    monkeypatch.setattr(acknowledgements, "MOST", 2)
     one = acks(g1=1, g2=1)
     with pytest.raises(Senseless, match="2 subscribed already"):
         one.subscribed(0, "g3", "r", {})
@@ -868,7 +870,7 @@
 @given(some.lists(STEP, max_size=40))
 def test_everywhere_is_never_told_while_one_that_counts_has_less(steps):
     """Beside a model of each gateway: what the process that now has the name has in force."""
-    one, now, stays = Acknowledged(5 * SECOND, 2 * SECOND), 0, itertools.count()
+    one, now, stays = Acknowledgements(5 * SECOND, 2 * SECOND), 0, itertools.count()
     has = {}  # gateway: [index in force, stay, last heard, whether its stream stands]
     for kind, gateway, index, wait, known in steps:
         now += wait * SECOND
--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as some
 
 from lemonlead import interface as at
-from lemonlead.distribution import course as courses
-from lemonlead.distribution import driver, follower, listing
-from lemonlead.distribution.course import Course
+from lemonlead.distribution import member_polling as polling
+from lemonlead.distribution import driver, instance_records, ledger_source
+from lemonlead.distribution.member_polling import MemberPolling
 from lemonlead.distribution.faults import Unreadable, Unusable
 from lemonlead.ledger.entries import EntryRow
 
@@ -22,7 +22,7 @@
 
 
 def course():
-    return Course(NOW, MEMBERS, 7)
+    return MemberPolling(NOW, MEMBERS, 7)
 
 
 # ---- whom a relay asks
@@ -47,10 +47,10 @@
         waits.append(made.wake_at() - now)
         now = made.wake_at()
     assert asked[:3] * 4 == asked and set(asked) == set(MEMBERS)
-    assert waits[0] <= courses.SHORTEST and courses.LONGEST // 2 <= waits[-1] <= courses.LONGEST
+    assert waits[0] <= polling.SHORTEST and polling.LONGEST // 2 <= waits[-1] <= polling.LONGEST
     assert made.answered(now, "c1", 9, "m1")
     made.failed(now)
-    assert made.wake_at() - now <= courses.SHORTEST
+    assert made.wake_at() - now <= polling.SHORTEST
 
 
 def test_a_member_that_asks_for_a_pause_gets_one_of_bounded_length():
@@ -58,7 +58,7 @@
     made.failed(NOW, 500 * MS)
     first = made.wake_at()
     made.failed(NOW, 100 * SECOND)
-    assert (first, made.wake_at()) == (NOW + 500 * MS, NOW + courses.LONGEST)
+    assert (first, made.wake_at()) == (NOW + 500 * MS, NOW + polling.LONGEST)
 
 
 @pytest.mark.parametrize("at, leader, taken", [(8, "m1", False), (9, "", True), (9, "m1", True)])
@@ -86,9 +86,9 @@
 
 def test_a_relay_is_lost_once_no_member_that_knows_a_leader_was_heard_for_too_long():
     made = course()
-    assert not made.lost(NOW + courses.LOST - 1) and made.lost(NOW + courses.LOST)
-    assert made.answered(NOW + courses.LOST, "c1", 9, "m1") and not made.lost(NOW + courses.LOST)
-    assert made.answered(NOW + 2 * courses.LOST, "c1", 9, "") and made.lost(NOW + 2 * courses.LOST)
+    assert not made.lost(NOW + polling.LOST - 1) and made.lost(NOW + polling.LOST)
+    assert made.answered(NOW + polling.LOST, "c1", 9, "m1") and not made.lost(NOW + polling.LOST)
+    assert made.answered(NOW + 2 * polling.LOST, "c1", 9, "") and made.lost(NOW + 2 * polling.LOST)
 
 
 # ---- what a relay reads
@@ -111,20 +111,23 @@
     (4, {"events": [changed(5, ("s k", ROW))]}, None),
 ])  # fmt: skip
 def test_what_is_the_whole_state_is_known_as_such(after, fields, state):
-    assert follower.understood(body(**fields), None, after)[1] == state
+    assert ledger_source.understood(body(**fields), None, after)[1] == state
 
 
 def test_changes_and_whole_states_are_read_by_scope_and_key():
-    told = follower.read(body(events=[changed(5, ("s k", ROW), (" all", None))]), None, 4)
-    assert follower.entries(told.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
-    told = follower.read(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
-    assert follower.scopes(told.whole["entries"]) == {"s": {"k": (5, {"a": 1})}, "": {"all": (5, {"a": 1})}}
+    told = ledger_source.read(body(events=[changed(5, ("s k", ROW), (" all", None))]), None, 4)
+    assert ledger_source.entries(told.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
+    told = ledger_source.read(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
+    assert ledger_source.scopes(told.whole["entries"]) == {
+        "s": {"k": (5, {"a": 1})},
+        "": {"all": (5, {"a": 1})},
+    }
 
 
 def test_all_changes_that_there_ever_were_make_the_whole_state():
     events = [changed(3, ("s k", {**ROW, "since": 3})), changed(4, ("s j", ROW)), changed(5, ("s k", ROW))]
-    told = follower.read(body(events=[*events, changed(9, ("s j", None))]), None, 0)
-    assert follower.folded(told.events) == {"s k": EntryRow({"a": 1}, 5)}
+    told = ledger_source.read(body(events=[*events, changed(9, ("s j", None))]), None, 0)
+    assert ledger_source.folded(told.events) == {"s k": EntryRow({"a": 1}, 5)}
 
 
 @pytest.mark.parametrize("data, check", [
@@ -136,7 +139,7 @@
 ])  # fmt: skip
 def test_answers_that_cannot_be_read_are_one_error(data, check):
     with pytest.raises(Unreadable):
-        follower.read(data, check, 4)
+        ledger_source.read(data, check, 4)
 
 
 @settings(max_examples=200, deadline=None)
@@ -147,9 +150,9 @@
         made[where] = data.draw(some.integers(0, 255))
     made = bytes(made[: data.draw(some.integers(0, len(made)))])
     try:
-        told = follower.read(made, data.draw(some.sampled_from([None, f"{zlib.crc32(made):08x}"])), 4)
+        told = ledger_source.read(made, data.draw(some.sampled_from([None, f"{zlib.crc32(made):08x}"])), 4)
         for event in told.events or ():
-            follower.entries(event)
+            ledger_source.entries(event)
     except Unreadable:
         return
     assert told.at >= 0
@@ -165,7 +168,7 @@
     ({"state": "up", "started_ms": 1}, at.READY, 0),
 ])  # fmt: skip
 def test_a_record_of_an_instance_is_heeded_beside_discoverys_line(record, state, started):
-    made, told = listing.Listing(Door(), 1000 * MS), []
+    made, told = instance_records.InstanceRecords(Door(), 1000 * MS), []
     made.begin(Discovery(told), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
     assert made.put([("s", "instance/i1", {"state": "draining"}), ("s", "instance/i0", record)]) == []
     found = {one.id: (one.state, one.started) for one in told}
@@ -183,7 +186,7 @@
     ("instance/i1", {"state": "up"}, "scope 'other' has it"),
 ])  # fmt: skip
 def test_a_record_that_cannot_be_used_is_refused_and_the_others_of_its_line_are_not(key, record, says):
-    made, told = listing.Listing(Door(), 0), []
+    made, told = instance_records.InstanceRecords(Door(), 0), []
     made.begin(Discovery(told), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
     made.put([("other", "instance/i1", {"state": "up"})])
     refused = made.put([("s", key, record), ("s", "instance/i2", {"state": "draining"})])
@@ -192,7 +195,7 @@
 
 
 def test_a_balancer_that_cannot_be_told_is_an_error_and_no_record_in_force():
-    made = listing.Listing(Door(deaf=True), 0)
+    made = instance_records.InstanceRecords(Door(deaf=True), 0)
     with pytest.raises(RuntimeError):
         made.put([("s", "instance/i0", {"state": "draining"})])
 
@@ -245,7 +248,7 @@
 
 def test_one_that_follows_and_names_relays_is_told_to_choose():
     with pytest.raises(Unusable, match="expected one of them"):
-        driver.Gateway(None, GOOD, {"members": {}}, None, None, None)
+        driver.GatewayDriver(None, GOOD, {"members": {}}, None, None, None)
 
 
 def test_the_driver_imports_no_library_but_the_one_that_reads_lines():
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -275,9 +275,9 @@
 
 
 def test_the_example_can_be_used():
-    from lemonlead.distribution import told
+    from lemonlead.distribution import relay_settings
 
-    found = told.read("deploy/cluster/r1.cue")
+    found = relay_settings.read("deploy/cluster/r1.cue")
     assert found.relay == "r1" and len(found.members) == 3
 
 
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -8,7 +8,7 @@
 
 from benchmarks import distribution
 from lemonlead.distribution import outbox
-from lemonlead.distribution.acknowledged import Acknowledged
+from lemonlead.distribution.acknowledgements import Acknowledgements
 from lemonlead.distribution.outbox import Outbox
 from lemonlead.distribution.store import Store
 from lemonlead.distribution.subscriber import Subscriber, Unreadable
@@ -339,7 +339,7 @@
         super().take(index, changes)
 
 
-class CountsOnlyPresent(Acknowledged):
+class CountsOnlyPresent(Acknowledgements):
     """Who left counts no more, though it goes on with what it has."""
 
     def left(self, now, gateway, stay=None):
@@ -347,7 +347,7 @@
         self.drop(gateway)
 
 
-class HearsFormerLives(Acknowledged):
+class HearsFormerLives(Acknowledgements):
     """A word of the life before counts for the one that is."""
 
     def heard(self, now, gateway, complete, refused=(), stay=""):
@@ -355,19 +355,19 @@
         return super().heard(now, gateway, complete, refused, known.stay if known else stay)
 
 
-class HeedsNoRefusal(Acknowledged):
+class HeedsNoRefusal(Acknowledgements):
     def heard(self, now, gateway, complete, refused=(), stay=""):
         return super().heard(now, gateway, complete, (), stay)
 
 
-class CountsReceived(Acknowledged):
+class CountsReceived(Acknowledgements):
     """Who subscribed is taken to be complete."""
 
     def subscribed(self, now, gateway, region, scopes, stay=""):
         super().subscribed(now, gateway, region, dict.fromkeys(scopes, 1 << 40), stay)
 
 
-class NeverTells(Acknowledged):
+class NeverTells(Acknowledgements):
     """Nothing is in force everywhere, ever."""
 
     def force(self, now, scope, index):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -13,12 +13,12 @@
 from hypothesis import strategies as some
 
 from lemonlead import interface as at
-from lemonlead.following import course as courses
-from lemonlead.following import driver, words
-from lemonlead.following.course import EVENTS, FOLLOW, STATE, UNFOLLOW, Course
+from lemonlead.following import ledger_polling as polling
+from lemonlead.following import driver, responses
+from lemonlead.following.ledger_polling import EVENTS, FOLLOW, STATE, UNFOLLOW, LedgerPolling
 from lemonlead.following.faults import Unreadable, Unusable
 from lemonlead.following.merge import Merge
-from lemonlead.following.words import News
+from lemonlead.following.responses import LedgerUpdate
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.gateway.dispatcher import Dispatcher
@@ -58,7 +58,7 @@
 
 
 def heard(merge, index, *changes, moment=0, seen=NOW, whole=()):
-    return told(merge.heard(seen, News(index, list(changes), whole, moment)))
+    return told(merge.heard(seen, LedgerUpdate(index, list(changes), whole, moment)))
 
 
 # ---- the merge of two words
@@ -131,7 +131,7 @@
     merge = Merge()
     listed(merge, line(), whole=True)
     heard(merge, 5, node(out="d1"))
-    assert merge.heard(NOW, News(4, [node()], ("nodes", "permits"), 0)) is None
+    assert merge.heard(NOW, LedgerUpdate(4, [node()], ("nodes", "permits"), 0)) is None
     assert listed(merge, line()) == {"i0": (at.DRAINING, 0)}
 
 
@@ -179,7 +179,7 @@
             for name, row in ((name, states[to][name]) for name in names):
                 changes.append(node(name, row["state"], "d" if row["out"] else "", row["warm"]))
                 changes.append(("permits", name, {} if row["permit"] else None))
-            news = News(to, changes, ("nodes", "permits") if what == "whole" else (), None)
+            news = LedgerUpdate(to, changes, ("nodes", "permits") if what == "whole" else (), None)
             answer = merge.heard(moment, news)
             assert (answer is None) == (to < known)
             if answer is not None:
@@ -228,22 +228,22 @@
 def test_answers_that_cannot_be_read_are_one_error(body):
     body = body.replace(b'{"at"', b'{"cluster_id": "c1", "at"')
     with pytest.raises(Unreadable):
-        words.events(words.checked(body, ""), 3)
+        responses.events(responses.checked(body, ""), 3)
 
 
 def test_events_are_read_and_what_is_not_heeded_is_passed_over():
     rows = [("nodes", "i0", {"out": "d"}), ("wants", "i0", ["d"]), ("permits", "i0", None)]
     changes = [{"part": part, "key": key, "record": record} for part, key, record in rows]
     told = {"cluster_id": "c1", "at": 9, "events": [{"index": 5, "changes": changes}]}
-    news = words.events(words.checked(json.dumps(told).encode(), ""), 3)
+    news = responses.events(responses.checked(json.dumps(told).encode(), ""), 3)
     assert (news.at, news.changes) == (9, [rows[0], rows[2]])
 
 
 def test_a_body_that_is_not_what_its_check_says_is_no_answer():
     body = b'{"at": 5, "events": []}'
-    words.checked(body, f"{zlib.crc32(body):08x}")
+    responses.checked(body, f"{zlib.crc32(body):08x}")
     with pytest.raises(Unreadable):
-        words.checked(body.replace(b"5", b"7"), f"{zlib.crc32(body):08x}")
+        responses.checked(body.replace(b"5", b"7"), f"{zlib.crc32(body):08x}")
 
 
 @settings(max_examples=100, deadline=None)
@@ -255,7 +255,7 @@
         body[where] = data.draw(some.integers(0, 255))
     body = bytes(body[: data.draw(some.integers(0, len(body)))])
     try:
-        news = words.events(words.checked(body, ""), 4)
+        news = responses.events(responses.checked(body, ""), 4)
     except Unreadable:
         return
     assert news is None or news.at >= 0
@@ -265,7 +265,7 @@
 
 
 def course(**members):
-    return Course("g0", "b00t", members or {"m1": "h:1", "m2": "h:2", "m3": "h:3"}, 7)
+    return LedgerPolling("g0", "b00t", members or {"m1": "h:1", "m2": "h:2", "m3": "h:3"}, 7)
 
 
 def test_it_asks_to_be_waited_for_before_it_takes_the_state_and_then_polls_from_there():
@@ -302,8 +302,8 @@
         waits.append(made.not_before - moment)
         moment = made.not_before
     assert set(tried[:3]) == {"m1", "m2", "m3"} and tried[:3] == tried[3:6]
-    assert all(courses.LONGEST / 2 <= wait <= courses.LONGEST for wait in waits[7:])
-    assert all(wait <= courses.SHORTEST << n for n, wait in enumerate(waits))
+    assert all(polling.LONGEST / 2 <= wait <= polling.LONGEST for wait in waits[7:])
+    assert all(wait <= polling.SHORTEST << n for n, wait in enumerate(waits))
     assert len(set(waits)) == len(waits)
 
 
@@ -313,7 +313,7 @@
     while made.next(NOW) is not None:
         made.failed(NOW, "m1" if made.member != "m1" else "m2")
         at_once += 1
-    assert at_once == courses.PASSES + 1 and made.counts["passes"] == courses.PASSES
+    assert at_once == polling.PASSES + 1 and made.counts["passes"] == polling.PASSES
 
 
 def test_a_leader_that_is_told_of_is_asked_itself_but_not_one_that_does_not_answer():
@@ -323,7 +323,7 @@
     assert made.member != first
     made.obeyed(NOW, 5, first)
     assert made.member != first
-    made.obeyed(NOW + courses.SHUNNED, 6, first)
+    made.obeyed(NOW + polling.SHUNNED, 6, first)
     assert made.member == first
 
 
@@ -339,7 +339,7 @@
     made = course()
     made.refused(NOW)
     assert made.next(NOW).what == STATE
-    assert made.next(NOW + courses.REFUSED).what == FOLLOW
+    assert made.next(NOW + polling.REFUSED).what == FOLLOW
 
 
 def test_at_the_end_it_asks_not_to_be_waited_for_and_then_nothing_more():
@@ -370,7 +370,7 @@
     for number in range(100):
         made.seated(f"n{number}", f"h:{number}")
     made.seated("m1", None)
-    assert len(made.members) == courses.MOST_MEMBERS and made.members["m1"] == "h:1"
+    assert len(made.members) == polling.MOST_MEMBERS and made.members["m1"] == "h:1"
     made.failed(NOW)
     assert made.next(made.not_before).member == "n0"
 
@@ -629,9 +629,9 @@
 def test_the_first_word_of_a_cluster_formed_anew_counts_where_it_is_whole(whole, cluster, heeded):
     merge = Merge()
     listed(merge, line(), whole=True)
-    merge.heard(NOW, News(9, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
-    merge.heard(NOW, News(2, [node(warm=40)], whole, 30, cluster))
-    late = merge.heard(NOW, News(10, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
+    merge.heard(NOW, LedgerUpdate(9, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
+    merge.heard(NOW, LedgerUpdate(2, [node(warm=40)], whole, 30, cluster))
+    late = merge.heard(NOW, LedgerUpdate(10, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
     said = merge.line("i0")
     assert (said.state, said.started) == ((at.READY, NOW) if heeded else (at.DRAINING, 0))
     assert (late is None, merge.cluster, merge.at) == ((True, "c2", 2) if heeded else (False, "c1", 10))
@@ -813,5 +813,5 @@
 
 
 def test_a_gateway_asks_to_follow_for_the_service_that_it_votes_on():
-    made = Course("g0", "b00t", {"m1": "h:1"}, 7, (), "parts")
+    made = LedgerPolling("g0", "b00t", {"m1": "h:1"}, 7, (), "parts")
     assert json.loads(made.next(NOW).body)["services"] == ["parts"]
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -23,8 +23,8 @@
 from lemonlead.following import service as services
 from lemonlead.following.faults import Unusable
 from lemonlead.following.service import Service
-from lemonlead.following.sides import FIRST, LOOKED, Sides, width
-from lemonlead.following.words import News
+from lemonlead.following.move_routing import FIRST, LOOKED, MoveRouting, width
+from lemonlead.following.responses import LedgerUpdate
 from lemonlead.gateway import dispatcher as dispatchers
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
@@ -157,7 +157,7 @@
         """Each record as an entry; once this is back it is obeyed, and acknowledged."""
         for move in moves:
             self.index += 1
-            news = News(self.index, [("moves", name, move)], (), 0)
+            news = LedgerUpdate(self.index, [("moves", name, move)], (), 0)
             self.clocked(self.dispatcher.tell, lambda now, news=news: self.obey(now, news))
         return self
 
@@ -303,10 +303,10 @@
     ran = Gateway(fleet()).hear(record(share=500, epoch=90))
     whole = ("nodes", "permits", "moves")
     for cluster, moves in (("a", [("moves", "m", record(share=900, epoch=90))]), ("b", [])):
-        news = News(1, moves, whole, 0, cluster)
+        news = LedgerUpdate(1, moves, whole, 0, cluster)
         ran.clocked(ran.dispatcher.tell, lambda now, news=news: ran.obey(now, news))
     assert ran.sides.share() == 900
-    news = News(2, [("moves", "n", record("asked", -1, 0, epoch=2))], (), 0, "b")
+    news = LedgerUpdate(2, [("moves", "n", record("asked", -1, 0, epoch=2))], (), 0, "b")
     ran.clocked(ran.dispatcher.tell, lambda now: ran.obey(now, news))
     assert ran.sides.share() == 0 and not any(ran.run(0.5).far())
 
@@ -334,7 +334,7 @@
 
 
 def test_a_gateway_that_loses_as_much_at_both_sides_blames_neither():
-    sides = Sides("search", {"ebene": {THERE}})
+    sides = MoveRouting("search", {"ebene": {THERE}})
     sides.heard([("moves", "m", record())])
     for n in range(4 * LOOKED):
         sides.ended((HERE, THERE)[n % 2], at.RESET)
@@ -627,4 +627,4 @@
     ran = subprocess.run([sys.executable, "-c", "import json; " + code], capture_output=True, check=True)
     loaded = json.loads(ran.stdout)
     assert "lemonlead.following.driver" in loaded
-    assert not {"lemonlead.following.service", "lemonlead.following.sides"} & set(loaded)
+    assert not {"lemonlead.following.service", "lemonlead.following.move_routing"} & set(loaded)
