--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -63,9 +63,9 @@
     def turn(self):
         if self.asked:
             return
-        ask = self.follower.course.next(now() + EPOCH)
+        ask = self.follower.polling.next(now() + EPOCH)
         if ask is None:
-            self.process.wake(self, self.follower.course.not_before - EPOCH)  # its clock is the driver's
+            self.process.wake(self, self.follower.polling.not_before - EPOCH)  # its clock is the driver's
             return
         self.asked, self.body, self.calls = ask, [], self.calls + 1
         if self.process.is_cut(self.region, ask.address):
@@ -110,20 +110,20 @@
                 return self.answered((status, {}))
             try:
                 check = headers.get(b"x-crc32", b"").decode("ascii", "replace")
-                return self.answered((status, responses.checked(b"\n".join(self.body), check)))
+                return self.answered((status, responses.parse_body(b"\n".join(self.body), check)))
             except ValueError as error:
                 return self.answered(error)
         return None
 
     def answered(self, answer):
         ask, self.asked, self.follower.answer = self.asked, 0, answer
-        self.tally.counts[f"calls: {ask.what}"] += 1
-        self.follower.turn(ask)
-        course, moment = self.follower.course, now()
-        if ask.what == EVENTS and course.at > self.at > 0:
-            self.note(moment, ALL, self.at, course.at, False)
-            self.tally.counts["changes"] += course.at - self.at
-        self.at = course.at if not course.parts else 0
+        self.tally.counts[f"calls: {ask.kind}"] += 1
+        self.follower.make_call(ask)
+        polling, moment = self.follower.polling, now()
+        if ask.kind == EVENTS and polling.applied_index > self.at > 0:
+            self.note(moment, ALL, self.at, polling.applied_index, False)
+            self.tally.counts["changes"] += polling.applied_index - self.at
+        self.at = polling.applied_index if not polling.missing_parts else 0
         if not self.ready_at and self.at:
             self.ready_at = moment
             self.tally.counts["started"] += 1
@@ -135,5 +135,5 @@
         return len(self.scopes) if self.ready_at else 0
 
     def wrong(self, truth):
-        if self.follower.course.at < truth["at"]:
-            yield f"at {self.follower.course.at} of {truth['at']}"
+        if self.follower.polling.applied_index < truth["at"]:
+            yield f"at {self.follower.polling.applied_index} of {truth['at']}"
--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -88,7 +88,7 @@
         self.tally.counts[f"ended: {reason}"] += 1
         self.hang_up()
         self.queue.clear()
-        self.subscriber.ended(now(), reason)
+        self.subscriber.stream_ended(now(), reason)
         self.turn()
 
     # ---- what to do next
@@ -148,7 +148,7 @@
         if wire.answer.status == 404:
             return self.ended("acknowledge: not subscribed there")
         if lines[-1] is http.END:
-            self.subscriber.acknowledged(now(), wire.answer.status == 200)
+            self.subscriber.acknowledgement_ended(now(), wire.answer.status == 200)
             self.acknowledge()
         return None
 
@@ -157,7 +157,7 @@
             if wire.answer.status != 200 or line is http.END:
                 return self.ended(f"stream: status {wire.answer.status}")
             moment = now()
-            changes = self.subscriber.told(moment, line)
+            changes = self.subscriber.receive_line(moment, line)
             if changes:
                 self.use(changes)
             if line:
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -168,7 +168,7 @@
     def whole(merge):
         words = json.loads(body).items()
         news = LedgerUpdate(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
-        assert merge.heard(1, news) is not None
+        assert merge.apply_update(1, news) is not None
         return merge
 
     merge = listed()
@@ -176,7 +176,7 @@
     _, memory = kept(lambda: whole(listed()))
     change = spent(
         2000,
-        lambda n: merge.heard(
+        lambda n: merge.apply_update(
             1,
             LedgerUpdate(
                 n + 10,
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -104,7 +104,7 @@
     def takes(_=None):
         gateway, now = subscriber({"svc-0": 0})
         for line in told:
-            gateway.told(now, line)
+            gateway.receive_line(now, line)
         return gateway
 
     taking = min(spent(1, takes) for _ in range(5))
@@ -133,8 +133,8 @@
     def takes():
         gateway, now = subscriber(dict(names))
         for line in first:
-            gateway.told(now, line)
-        return spent(1, lambda n: [gateway.told(now, line) for line in told])
+            gateway.receive_line(now, line)
+        return spent(1, lambda n: [gateway.receive_line(now, line) for line in told])
 
     took = min(takes() for _ in range(5))
     return {"subscriber changes": took * 1e3, "subscriber changes bytes": sum(map(len, told))}
--- a/lemonlead/distribution/acknowledgements.py
+++ b/lemonlead/distribution/acknowledgements.py
@@ -15,7 +15,7 @@
 MOST = 10_000  # subscribers; past it a further one is refused
 
 
-class Force(NamedTuple):
+class InForceReport(NamedTuple):
     """`everywhere`: each that is counted has the index in force and refuses nothing of the scope, and no
     other can act on older state. A refusal at any index counts: what is in force instead is not known.
     `behind`: (gateway, milliseconds since it was last heard), `refused`: (gateway, key, why), both by name.
@@ -47,7 +47,7 @@
 
     # ---- inputs
 
-    def subscribed(self, now, gateway, region, scopes, stay=""):
+    def subscribe(self, now, gateway, region, scopes, stay=""):
         """One subscribed, and has these scopes in force up to these indexes (of this ledger; 0 for those of
         another)."""
         now = self.passed(now)
@@ -60,14 +60,14 @@
         for scope in scopes:
             self.of.setdefault(scope, set()).add(gateway)
 
-    def widened(self, now, gateway, scopes):
+    def add_scopes(self, now, gateway, scopes):
         """One that is subscribed asked for more scopes."""
         found = self.subscribers[gateway]
         for scope, index in positions(scopes).items():
             found.complete.setdefault(scope, index)
             self.of.setdefault(scope, set()).add(gateway)
 
-    def heard(self, now, gateway, complete, refused=(), stay=""):
+    def acknowledge(self, now, gateway, complete, refused=(), stay=""):
         """What one has in force. `refused`: all that it refuses now, as (scope, key, index, why). False where
         it has no stream here, was silent for too long, or another is under its name since."""
         now = self.passed(now)
@@ -85,14 +85,14 @@
                 found.refused.setdefault(scope, {})[key] = index, says
         return True
 
-    def left(self, now, gateway, stay=None):
+    def stream_ended(self, now, gateway, stay=None):
         """Its stream ended. It goes on with what it has, so it counts until it was silent for too long.
         `stay`: of the stream, None for the one that is known."""
         found = self.subscribers.get(gateway)
         if found is not None and stay in (None, found.stay):
             found.here = False
 
-    def forget(self, now):
+    def drop_silent(self, now):
         """Drops those that were silent for too long. Their names."""
         now = self.passed(now)
         gone = [name for name, one in self.subscribers.items() if now - one.heard >= self.patience]
@@ -100,23 +100,23 @@
             self.drop(name)
         return gone
 
-    def anew(self):
+    def reset_complete(self):
         """The ledger is another, formed anew: nobody has anything of it in force."""
         for one in self.subscribers.values():
             one.complete, one.refused = dict.fromkeys(one.complete, 0), {}
 
     # ---- what others ask
 
-    def settled(self, now):
+    def knows_all_subscribers(self, now):
         """Whether all that may act on older state are counted or have run out. Against a relay that was just
         started, which would tell of nobody that nobody is behind."""
         return self.began is None or self.passed(now) - self.began >= self.patience
 
-    def force(self, now, scope, index):
+    def in_force(self, now, scope, index):
         """Who has in force what the scope was as of an index."""
         scope_name(scope, "scope")
         index_number(index, "index")
-        settled, now = self.settled(now), self.passed(now)
+        settled, now = self.knows_all_subscribers(now), self.passed(now)
         behind, refused, counted, regions = [], [], 0, {}
         for name in sorted(self.of.get(scope, ())):
             one = self.subscribers[name]
@@ -134,7 +134,7 @@
             if refuses or lacks:
                 regions[one.region] = regions.get(one.region, 0) + 1
         everywhere = not behind and not refused and settled
-        return Force(everywhere, behind, refused, counted, regions)
+        return InForceReport(everywhere, behind, refused, counted, regions)
 
     # ---- inside
 
--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -84,7 +84,7 @@
             reason = self.guarded(self.stream, ask)
             self.close()
             if self.onward is None:
-                self.subscriber.ended(now(), reason)
+                self.subscriber.stream_ended(now(), reason)
                 self.say(reason)
         self.over.set()
 
@@ -137,7 +137,7 @@
                 raise
 
     def told(self, line):
-        changes = self.subscriber.told(now(), line)
+        changes = self.subscriber.receive_line(now(), line)
         if changes:
             self.use(changes)
         if self.last:
@@ -171,7 +171,7 @@
         if reason:
             self.counters.add("relay acknowledgements failed")
             self.close_beside()
-        self.subscriber.acknowledged(now(), not reason)
+        self.subscriber.acknowledgement_ended(now(), not reason)
         return reason
 
     def tell(self, ask):
@@ -219,7 +219,7 @@
     def figures(self):
         made = self.subscriber
         counts = {f"relay {name}": count for name, count in made.counts.items()}
-        counts["relay unheard ms"] = made.unheard(now()) // 1_000_000
+        counts["relay unheard ms"] = made.silent_ns(now()) // 1_000_000
         return {**counts, "relay complete": min(made.complete.values())}
 
 
--- a/lemonlead/distribution/instance_records.py
+++ b/lemonlead/distribution/instance_records.py
@@ -64,7 +64,7 @@
     def heard(self, now, words):
         """Under the dispatcher's lock. What is late or repeated never comes here: `subscriber.py` sees to
         it, so each word counts as the newest."""
-        lines, addresses = self.merge.heard(now, LedgerUpdate(0, words, moment=now))
+        lines, addresses = self.merge.apply_update(now, LedgerUpdate(0, words, ledger_time=now))
         if lines:
             self.discovery.put(now, lines, addresses, False, False)
         self.lines += 1
--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -165,8 +165,8 @@
                 relay.apply(event.index, entries(event))
         self.course.had(told.at)
 
-    def lost(self, now):
-        return self.course.lost(now)
+    def is_cut_off(self, now):
+        return self.course.is_cut_off(now)
 
     def say(self, ask, reason):
         """One line when it begins to fail and one when it works again, not one a call."""
--- a/lemonlead/distribution/member_polling.py
+++ b/lemonlead/distribution/member_polling.py
@@ -83,7 +83,7 @@
     def wake_at(self):
         return self.not_before
 
-    def lost(self, now):
+    def is_cut_off(self, now):
         """Whether gateways are better served elsewhere. Against a relay that is cut off from the members and
         not from its gateways: they would take its silence for one in which nothing changed."""
         return now - self.heard >= LOST
--- a/lemonlead/distribution/records.py
+++ b/lemonlead/distribution/records.py
@@ -145,7 +145,7 @@
     return value
 
 
-def read(body, kind):
+def parse_body(body, kind):
     """The body of a call as a Subscription or an Acknowledgement; Senseless where it is none."""
     try:
         told = msgspec.json.decode(body, type=kind)
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -1,10 +1,10 @@
 """A relay receives state from one source and sends it to many subscribers. A process may hold any number of
 `Relay` objects; `main` is the command.
 
-The source (`ledger_source.LedgerSource`, or another object with `run`, `lost` and `figures`) delivers the
-state through `replace` and `apply`. Each subscriber has a stream and an `Outbox`. The outbox is asked for the
-next line only after the previous one has left the process, so a slow reader receives nothing until its buffer
-has drained, and then the newest state.
+The source (`ledger_source.LedgerSource`, or another object with `run`, `is_cut_off` and `figures`) delivers
+the state through `replace` and `apply`. Each subscriber has a stream and an `Outbox`. The outbox is asked for
+the next line only after the previous one has left the process, so a slow reader receives nothing until its
+buffer has drained, and then the newest state.
 
 Exit codes: 0 stopped by a signal, 1 internal error, 2 settings or an address that can't be used."""
 
@@ -75,13 +75,13 @@
         self.told, self.source, self.clock = told, source, clock
         self.log = log or structlog.get_logger(relay=told.relay)
         self.store = Store("", told.bounds.kept)
-        self.acknowledged = Acknowledgements(told.lease, told.grace, clock())
+        self.acknowledgements = Acknowledgements(told.lease, told.grace, clock())
         self.streams, self.readers = {}, {}  # by gateway; scope to the streams that have it
         self.counts = dict.fromkeys(
             ("subscribed", "superseded", "turned_away", "forgotten", "senseless", "acknowledged", "lines"), 0
         )
         self.counts.update(bytes=0, stirred=0, connections_closed=0)
-        self.tasks, self.runner, self.server, self.was_lost = [], None, None, False
+        self.tasks, self.runner, self.server, self.was_cut_off = [], None, None, False
         self.failed = asyncio.get_running_loop().create_future()  # what no part of the program foresees
         self.app = web.Application(client_max_size=LONGEST, middlewares=[self.around])
         self.app.add_routes(
@@ -135,16 +135,16 @@
     async def look(self):
         while True:
             await asyncio.sleep(LOOK)
-            for gateway in self.acknowledged.forget(self.clock()):
+            for gateway in self.acknowledgements.drop_silent(self.clock()):
                 self.counts["forgotten"] += 1
                 if gateway in self.streams:
                     self.streams[gateway].end()
-            lost = self.source.lost(self.clock())
-            if lost and not self.was_lost:
+            lost = self.source.is_cut_off(self.clock())
+            if lost and not self.was_cut_off:
                 self.end_streams()
-            if lost != self.was_lost:
+            if lost != self.was_cut_off:
                 self.log.warning("cut off" if lost else "back", at=self.store.index)
-            self.was_lost = lost
+            self.was_cut_off = lost
 
     def end_streams(self):
         for stream in list(self.streams.values()):
@@ -158,7 +158,7 @@
         self.store.replace(cluster, index, scopes)
         settle_memory()
         if before and cluster != before:
-            self.acknowledged.anew()
+            self.acknowledgements.reset_complete()
             self.end_streams()
         for stream in self.streams.values():
             stream.stirred.set()
@@ -190,7 +190,7 @@
     async def body(self, request, kind):
         try:
             async with asyncio.timeout(BODY_TIME):
-                return records.read(await request.read(), kind)
+                return records.parse_body(await request.read(), kind)
         except TimeoutError:
             raise Senseless(f"the body did not come within {BODY_TIME} s") from None
 
@@ -198,7 +198,7 @@
         """Raises where no stream can begin now. One in place of its own is always let in."""
         if not self.store.index:
             raise NoState("this relay has heard nothing of the ledger yet")
-        if self.was_lost:
+        if self.was_cut_off:
             raise NoState("this relay hears the ledger no more")
         if len(self.streams) >= self.told.bounds.subscribers and gateway not in self.streams:
             raise TooMany(f"{self.told.bounds.subscribers} gateways are subscribed")
@@ -226,7 +226,7 @@
         now, store = self.clock(), self.store
         scopes = told.scopes if told.cluster == store.cluster else dict.fromkeys(told.scopes, 0)
         outbox = Outbox(now, store, scopes, self.told.budget.rate, self.told.budget.burst)
-        self.acknowledged.subscribed(now, told.gateway, told.region, scopes, told.stay)
+        self.acknowledgements.subscribe(now, told.gateway, told.region, scopes, told.stay)
         stream = Stream(told.gateway, told.stay, outbox, scopes, transport)
         if told.gateway in self.streams:
             self.counts["superseded"] += 1
@@ -247,7 +247,7 @@
             self.readers[scope].discard(stream)
             if not self.readers[scope]:
                 del self.readers[scope]
-        self.acknowledged.left(self.clock(), stream.gateway, stream.stay)
+        self.acknowledgements.stream_ended(self.clock(), stream.gateway, stream.stay)
 
     async def tell(self, stream, writer):
         loop, outbox = asyncio.get_running_loop(), stream.outbox
@@ -277,7 +277,7 @@
         if stream is None or told.cluster != self.store.cluster:
             raise NotSubscribed(f"{told.gateway} has no stream here of that cluster")
         now, complete, refuses = self.clock(), told.complete, told.refused
-        if not self.acknowledged.heard(now, told.gateway, complete, refuses, told.stay):
+        if not self.acknowledgements.acknowledge(now, told.gateway, complete, refuses, told.stay):
             raise NotSubscribed(f"{told.gateway} has another stay here, or was silent for too long")
         self.counts["acknowledged"] += 1
         return answer(200, {})
@@ -287,10 +287,10 @@
         text = request.query.get("index", "")
         if not text.isdecimal() or not text.isascii() or len(text) > 18:
             raise Senseless(f"index: {text[:50]!r}; expected a whole number")
-        if not self.acknowledged.settled(self.clock()):
+        if not self.acknowledgements.knows_all_subscribers(self.clock()):
             raise TooYoung("this relay has just been started")
         index = self.store.as_of(scope, int(text))
-        return answer(200, self.acknowledged.force(self.clock(), scope, index)._asdict())
+        return answer(200, self.acknowledgements.in_force(self.clock(), scope, index)._asdict())
 
     async def status(self, request):
         return answer(200, {"relay": self.told.relay, "region": self.told.region, **self.figures()})
--- a/lemonlead/distribution/subscriber.py
+++ b/lemonlead/distribution/subscriber.py
@@ -98,7 +98,7 @@
 
     # ---- inputs
 
-    def told(self, now, data):
+    def receive_line(self, now, data):
         """A line of the stream, or an empty one: what to put in force now, [(scope, key, record or None)], to
         be put in force before `next` is called. Unreadable: nothing was changed."""
         if self.relay is None:
@@ -124,7 +124,7 @@
         self.heard(now)
         return found
 
-    def ended(self, now, reason):
+    def stream_ended(self, now, reason):
         """The stream ended, or could not be had. What is in force stays."""
         if self.relay is None:
             return
@@ -160,13 +160,13 @@
         self.refused[scope, key] = index, str(says)[:LONGEST_SAYS]
         self.unsaid.add(scope)
 
-    def acknowledged(self, now, good):
+    def acknowledgement_ended(self, now, good):
         """The relay took what was acknowledged last; or not: it is told again."""
         if not good:
             self.unsaid |= self.saying
         self.saying = set()
 
-    def rescope(self, now, scopes):
+    def change_scopes(self, now, scopes):
         """The scopes that it needs from now on. Those that it has already go on from where they are, so that
         a change costs what it adds. What is out of force by it: [(scope, key, None)]."""
         scopes = asked(scopes)
@@ -212,7 +212,7 @@
             return self.not_before
         return min(self.acknowledge_at() if self.teller is not None else NEVER, self.home_at)
 
-    def unheard(self, now):
+    def silent_ns(self, now):
         """Nanoseconds since the last whole line; since it began where none came."""
         return max(now - self.heard_at, 0) if self.heard_at is not None else 0
 
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -49,15 +49,15 @@
         self.dispatcher, self.log, self.counters = dispatcher, log, counters
         self.wait = told.get("wait", 0) / 1e9  # seconds that a start waits for the first state
         moves = "service" in told or "far" in told
-        self.heeds = responses.ASKED if moves else responses.PARTS
+        self.heeds = responses.POLLED_PARTS if moves else responses.FOLLOWED_PARTS
         more = ("moves",) if moves else ()
         service = told.get("service", "")
-        self.course = LedgerPolling(me, os.urandom(6).hex(), members, config.start.seed, more, service)
+        self.polling = LedgerPolling(me, os.urandom(6).hex(), members, config.start.seed, more, service)
         self.merge, self.parts, self.service = Merge(), [], None
         if moves:
             from .service import Service  # not imported while no moves are followed
 
-            self.merge = self.service = Service(told, config, dispatcher, self.course, log, counters)
+            self.merge = self.service = Service(told, config, dispatcher, self.polling, log, counters)
             self.news = config.news
         self.sock = self.at = None  # the connection that stands, and to where
         self.first, self.woken, self.over = threading.Event(), threading.Event(), threading.Event()
@@ -82,19 +82,19 @@
     # ---- the thread
 
     def run(self):
-        course = self.course
-        while not course.left:
-            if self.leaves and not course.leaving:
-                course.leave(now())
-            if (ask := course.next(now())) is None:
-                self.woken.wait(max(course.not_before - now(), 0) / 1e9)
+        polling = self.polling
+        while not polling.left:
+            if self.leaves and not polling.leaving:
+                polling.leave(now())
+            if (ask := polling.next(now())) is None:
+                self.woken.wait(max(polling.not_before - now(), 0) / 1e9)
                 self.woken.clear()
                 continue
-            self.turn(ask)
+            self.make_call(ask)
         self.end()
         self.over.set()
 
-    def turn(self, ask):
+    def make_call(self, ask):
         """One call, whatever comes of it."""
         try:
             reason = self.call(ask)
@@ -111,7 +111,7 @@
             self.end()
             self.parts = []
             if reason != "passed on":
-                self.course.failed(now(), unread=reason.startswith("malformed"))
+                self.polling.failed(now(), unread=reason.startswith("malformed"))
         self.say(ask, reason)
 
     def say(self, ask, reason):
@@ -129,81 +129,83 @@
         """One call and what its answer means; why it failed, or an empty string."""
         status, told = self.exchange(ask)
         if status == 503 or status in (301, 302, 307, 308):
-            self.course.failed(now(), responses.leader(told), told)
+            self.polling.failed(now(), responses.leader_hint(told), told)
             return "passed on"
-        if ask.what in (FOLLOW, UNFOLLOW, VOTE):
+        if ask.kind in (FOLLOW, UNFOLLOW, VOTE):
             return self.commanded(ask, status, told)
-        if ask.what == STATE and status in (400, 404) and ask.part != "nodes":
-            return self.state(ask, responses.unshown(ask.part))
+        if ask.kind == STATE and status in (400, 404) and ask.part != "nodes":
+            return self.state(ask, responses.missing_part(ask.part))
         if status != 200:
             return f"status {status}"
         if not self.heeded(told):
             return self.unheeded(told)
         return (
-            self.state(ask, responses.state(told, ask.part)) if ask.what == STATE else self.events(ask, told)
+            self.state(ask, responses.parse_state(told, ask.part))
+            if ask.kind == STATE
+            else self.events(ask, told)
         )
 
     def heeded(self, told):
         """Whether this answer is of the cluster that is followed; else what was had of a state is of none."""
-        before, cluster = self.course.cluster, responses.cluster(told)
-        heeded = self.course.answered(now(), cluster)
+        before, cluster = self.polling.cluster, responses.cluster_id(told)
+        heeded = self.polling.check_cluster(now(), cluster)
         if not heeded:
             self.parts = []
-        if self.course.cluster != before and before:
+        if self.polling.cluster != before and before:
             self.log.warning("ledger anew", cluster_id=cluster, before=before)
         return heeded
 
     def unheeded(self, told):
         """A call that was answered by one that is followed from now on has worked."""
-        return "" if responses.cluster(told) == self.course.cluster else "passed on"
+        return "" if responses.cluster_id(told) == self.polling.cluster else "passed on"
 
     def commanded(self, ask, status, told):
-        if ask.what == UNFOLLOW and status in (200, 400, 409):
-            self.course.unfollowed()
-        elif ask.what == VOTE and status in (200, 400, 409):
+        if ask.kind == UNFOLLOW and status in (200, 400, 409):
+            self.polling.unfollowed()
+        elif ask.kind == VOTE and status in (200, 400, 409):
             if status == 200 and not self.heeded(told):
                 return self.unheeded(told)
             outcome = interface.COUNTED if status == 200 else interface.MOOT
-            self.dispatcher.tell(self.service.voted, ask.number, outcome)
-            self.course.voted(ask.number)
+            self.dispatcher.tell(self.service.vote_answered, ask.command_number, outcome)
+            self.polling.vote_answered(ask.command_number)
         elif status == 200:
-            since = responses.whole_number(told, "at")
+            since = responses.parse_whole_number(told, "at")
             if not self.heeded(told):
                 return self.unheeded(told)
-            self.course.followed(now(), since)
+            self.polling.follow_accepted(now(), since)
         elif status in (400, 409):
-            self.log.warning("ledger refused", what=ask.what, status=status)
+            self.log.warning("ledger refused", what=ask.kind, status=status)
             self.counters.add("ledger follows refused")
-            self.course.refused(now())
+            self.polling.follow_refused(now())
         else:
             return f"status {status}"
         return ""
 
     def state(self, ask, news):
         self.parts.append(news)
-        if self.course.had(ask.part):
+        if self.polling.part_received(ask.part):
             parts, self.parts = self.parts, []
-            if not self.obey(responses.joined(parts), ""):
-                self.course.kept_no_more()
+            if not self.obey(responses.join_updates(parts), ""):
+                self.polling.restart_from_state()
                 return "not newer"
         return ""
 
     def events(self, ask, told):
-        if (news := responses.events(told, self.course.at, self.heeds)) is None:
-            self.course.kept_no_more()
+        if (news := responses.parse_events(told, self.polling.applied_index, self.heeds)) is None:
+            self.polling.restart_from_state()
             return ""
-        if news.at < self.course.at:
-            self.course.older(now())
+        if news.index < self.polling.applied_index:
+            self.polling.stale_response(now())
             return "passed on"
         rows = dict(((part, key), record) for part, key, record in news.changes)
         for (part, key), record in rows.items():
             if part == "members" and record is not None and type(record.get("address")) is str:
                 self.seated(key, record)
-        if not self.obey(news, responses.leader(told)):
+        if not self.obey(news, responses.leader_hint(told)):
             return "not obeyed"
-        if rows.get(("followers", self.course.me), True) is None:
+        if rows.get(("followers", self.polling.me), True) is None:
             self.counters.add("ledger forgot")
-            self.course.forgotten()
+            self.polling.lease_lost()
         return ""
 
     def seated(self, name, record):
@@ -211,27 +213,27 @@
             address(record["address"])
         except ValueError:
             return
-        self.course.seated(name, None if record.get("gone") else record["address"])
+        self.polling.member_changed(name, None if record.get("gone") else record["address"])
 
     def obey(self, news, leader):
         """Whether the balancer was told. Only then is the next poll an acknowledgement: from then on its
         `may_begin` lets no attempt begin that was meant for what is out."""
         self.dispatcher.tell(self.heard, news)
-        if self.obeyed[0] != news.cluster or self.obeyed[1] < news.at:
+        if self.obeyed[0] != news.cluster or self.obeyed[1] < news.index:
             return False
-        self.course.obeyed(now(), news.at, leader)
+        self.polling.update_applied(now(), news.index, leader)
         self.first.set()
         return True
 
     def heard(self, moment, news):
         """Under the dispatcher's lock."""
-        told = self.merge.heard(moment, news)
+        told = self.merge.apply_update(moment, news)
         if told is None:
             return
         if told[0]:
             self.counters.add("ledger told")
             self.discovery.put(moment, *told, False, False)
-        self.obeyed = news.cluster, news.at
+        self.obeyed = news.cluster, news.index
 
     # ---- one call
 
@@ -243,7 +245,7 @@
             try:
                 return self.on_connection(ask)
             except (ConnectionError, EOFError):
-                if self.leaves and ask.what != UNFOLLOW:
+                if self.leaves and ask.kind != UNFOLLOW:
                     return 503, {}
         self.end()
         self.sock, self.at = socket.socket(), where
@@ -275,7 +277,7 @@
         if answer.headers.get(b"connection", b"").lower() == b"close" or len(answer.buffer):
             self.end()
         if answer.status in (200, 503):
-            return answer.status, responses.checked(b"\n".join(body), check)
+            return answer.status, responses.parse_body(b"\n".join(body), check)
         return answer.status, {}
 
     def end(self):
@@ -301,7 +303,10 @@
         return self.over.wait(LEAVING)
 
     def figures(self):
-        counts = {f"ledger {name}": count for name, count in self.course.counts.items()}
-        counts |= {"ledger index": self.course.at, "ledger unheard ms": self.course.unheard(now())}
+        counts = {f"ledger {name}": count for name, count in self.polling.counts.items()}
+        counts |= {
+            "ledger index": self.polling.applied_index,
+            "ledger unheard ms": self.polling.silent_ms(now()),
+        }
         counts |= self.service.figures() if self.service is not None else {}
         return {**counts, "ledger held back": self.merge.held_back()}
--- a/lemonlead/following/ledger_polling.py
+++ b/lemonlead/following/ledger_polling.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from .merge import MOST_LEFT
-from .responses import ASKED, pause
+from .responses import POLLED_PARTS, retry_pause
 
 MS = 1_000_000
 SHORTEST, LONGEST = 50 * MS, 2000 * MS  # waits after failures; half to the whole of it
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    what: str
+    kind: str
     member: str
     address: str  # host:port
     method: str
     path: str
     body: bytes = b""
     part: str = ""
-    number: int = 0  # of the command
+    command_number: int = 0  # of the command
 
 
 class LedgerPolling:
@@ -46,76 +46,76 @@
         self.random.shuffle(self.order)
         self.member, self.retired = self.order[0], []  # those that the ledger has no more: tried seldom
         self.length, self.passes, self.not_before, self.follow_at = SHORTEST, 0, 0, 0
-        self.follows, self.leaving, self.left = False, False, False
+        self.is_following, self.leaving, self.left = False, False, False
         self.all_parts = (*STATE_PARTS, *more)
-        self.parts = list(self.all_parts)  # still to be had before events can be
+        self.missing_parts = list(self.all_parts)  # still to be had before events can be
         self.ballot = None  # the vote that the ledger is to be told: (number, fields)
         self.ballots = 0
         self.shunned = {}  # member: until when
         self.obeyed_at = None  # the moment at which it last had word of all up to `at`
-        self.number, self.at = 1, 0  # of the next command; up to where all was obeyed
-        self.since = 0  # the entry that took it in: each poll names it
+        self.number, self.applied_index = 1, 0  # of the next command; up to where all was obeyed
+        self.followed_since = 0  # the entry that took it in: each poll names it
         self.cluster, self.gone = "", deque(maxlen=MOST_LEFT)  # the one that it follows; those that it left
         self.counts = dict.fromkeys(("polls", "failures", "passes", "moves", "wholes", "older", "anew"), 0)
 
     # ---- inputs
 
-    def answered(self, now, cluster):
+    def check_cluster(self, now, cluster):
         """Whether an answer of this cluster is to be heeded as it is. One formed anew is followed from the
         start: asked to be waited for, then the whole of it; what it left is heeded no more, however late it
         answers."""
         if cluster in self.gone:
-            self.older(now)
+            self.stale_response(now)
             return False
         if self.cluster in ("", cluster):
             self.cluster = cluster
             return True
         self.counts["anew"] += 1
         self.gone.append(self.cluster)
-        self.cluster, self.at = cluster, 0
-        self.kept_no_more()
+        self.cluster, self.applied_index = cluster, 0
+        self.restart_from_state()
         self.number += 1
         return False
 
-    def followed(self, now, since):
+    def follow_accepted(self, now, since):
         """Entry `since` took it in. What it holds of the state is taken anew: it may lack what came
         between."""
         self.worked()
-        self.since = since
+        self.followed_since = since
         self.number += 1
-        self.follows, self.parts = True, list(self.all_parts)
+        self.is_following, self.missing_parts = True, list(self.all_parts)
 
-    def refused(self, now):
+    def follow_refused(self, now):
         """The ledger has no room for it: it obeys all the same, and is not waited for."""
         self.worked()
         self.number += 1
         self.follow_at = now + REFUSED
 
-    def had(self, part):
+    def part_received(self, part):
         """A part of the whole state has come. True once it was the last."""
         self.worked()
-        self.parts.remove(part)
-        self.counts["wholes"] += not self.parts
-        return not self.parts
+        self.missing_parts.remove(part)
+        self.counts["wholes"] += not self.missing_parts
+        return not self.missing_parts
 
-    def obeyed(self, now, at, leader=""):
+    def update_applied(self, now, at, leader=""):
         """The balancer knows all up to this entry. `leader`: who led as the member answered: to be asked
         itself, where it can be reached, as it is the one that counts who has acknowledged."""
         self.worked()
         self.obeyed_at = now
         self.counts["polls"] += 1
-        self.at = max(self.at, at)
+        self.applied_index = max(self.applied_index, at)
         if leader in self.members and self.shunned.get(leader, now) <= now:
             self.move(leader)
 
-    def kept_no_more(self):
+    def restart_from_state(self):
         """What it asked for is kept no more: the whole state again; perhaps it was forgotten meanwhile."""
         self.worked()
-        self.follows, self.parts = False, list(self.all_parts)
+        self.is_following, self.missing_parts = False, list(self.all_parts)
 
-    def forgotten(self):
+    def lease_lost(self):
         """Its lease ran out while it was not heard."""
-        self.follows = False
+        self.is_following = False
 
     def failed(self, now, member="", told=None, unread=False):
         """The call came to nothing. `member`: whom the answer says to ask; `told`: the answer, None where
@@ -126,16 +126,16 @@
             self.passes += 1
             self.counts["passes"] += 1
             return self.move(member)
-        if self.parts or unread:
-            self.parts = list(self.all_parts)  # all of them from one member
+        if self.missing_parts or unread:
+            self.missing_parts = list(self.all_parts)  # all of them from one member
         if told is None:
             self.shunned[self.member] = now + SHUNNED
-        self.move(self.following())
+        self.move(self.next_member())
         self.passes = 0
-        self.not_before = now + max(int(self.length * self.random.uniform(0.5, 1.0)), pause(told or {}))
+        self.not_before = now + max(int(self.length * self.random.uniform(0.5, 1.0)), retry_pause(told or {}))
         self.length = min(2 * self.length, LONGEST)
 
-    def following(self):
+    def next_member(self):
         """The member after this one. Those of the settings that the ledger has no more may be all that there
         is, of a cluster formed anew: one of them has its turn after all the others."""
         at = self.order.index(self.member) + 1 if self.member in self.order else 0
@@ -146,12 +146,12 @@
             return self.retired[-1]
         return self.order[0]
 
-    def older(self, now):
+    def stale_response(self, now):
         """A member that lags told what was known already."""
         self.counts["older"] += 1
         self.failed(now, told={})
 
-    def unheard(self, now):
+    def silent_ms(self, now):
         """Milliseconds since it last had word, -1 where it never had."""
         return -1 if self.obeyed_at is None else (now - self.obeyed_at) // MS
 
@@ -161,7 +161,7 @@
         self.ballot = self.ballots, fields
         return self.ballots
 
-    def voted(self, number):
+    def vote_answered(self, number):
         """The ledger answered this one."""
         self.worked()
         if self.ballot is not None and self.ballot[0] == number:
@@ -174,7 +174,7 @@
     def unfollowed(self):
         self.left = True
 
-    def seated(self, name, address):
+    def member_changed(self, name, address):
         """A member as the ledger has it, None where it is gone. Those of the settings stay known."""
         if address is None and name in self.order and len(self.order) > 1:
             self.order.remove(name)
@@ -192,13 +192,16 @@
             return None
         if self.leaving:
             return self.command(UNFOLLOW)
-        if not self.follows and now >= self.follow_at:
+        if not self.is_following and now >= self.follow_at:
             return self.command(FOLLOW, fields=self.asks)
-        if self.follows and not self.parts and (ballot := self.ballot) is not None:
+        if self.is_following and not self.missing_parts and (ballot := self.ballot) is not None:
             return self.command(VOTE, *ballot)
-        if self.parts:
-            return self.ask(STATE, "GET", f"/v1/state/{self.parts[0]}", part=self.parts[0])
-        path = f"/v1/events?after={self.at}&gateway={self.me}&since={self.since}&parts={','.join(ASKED)}"
+        if self.missing_parts:
+            return self.ask(STATE, "GET", f"/v1/state/{self.missing_parts[0]}", part=self.missing_parts[0])
+        path = (
+            f"/v1/events?after={self.applied_index}&gateway={self.me}&since={self.followed_since}"
+            f"&parts={','.join(POLLED_PARTS)}"
+        )
         return self.ask(EVENTS, "GET", path)
 
     def command(self, kind, number=0, fields=None):
--- a/lemonlead/following/merge.py
+++ b/lemonlead/following/merge.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from ..interface import DRAINING, GONE, READY
-from .responses import MOST
+from .responses import MAX_RECORDS
 
 MOST_LEFT = 64  # clusters that were left for one formed anew; past it the oldest is forgotten
 UP = ("serving", "catching_up")
@@ -50,12 +50,12 @@
                 self.addresses.pop(line.id, None)
         return told
 
-    def heard(self, now, news):
+    def apply_update(self, now, news):
         """The ledger's news: lines and addresses of what it changes, or None where it is too old to be
         heeded. `now`: of the clock that instances' starts are told by."""
-        if news.cluster != self.cluster and not self.anew(news) or news.at < self.at:
+        if news.cluster != self.cluster and not self.anew(news) or news.index < self.at:
             return None
-        before = {id: self.line(id) for id in self.touched(news) if id in self.lines}
+        before = {id: self.merged_line(id) for id in self.touched(news) if id in self.lines}
         known = dict(self.words)
         for part in news.whole:
             if part == "nodes":
@@ -66,11 +66,11 @@
             if part == "permits":
                 (self.permits.discard if record is None else self.permits.add)(key)
             elif part == "nodes":
-                self.say(now, key, record, known.get(key, PLAIN), news.moment)
-        if len(self.permits) > MOST or len(self.words) > MOST:
+                self.say(now, key, record, known.get(key, PLAIN), news.ledger_time)
+        if len(self.permits) > MAX_RECORDS or len(self.words) > MAX_RECORDS:
             raise ValueError("more nodes than a ledger may have")
-        self.at = news.at
-        return self.told([id for id, line in before.items() if self.line(id) != line])
+        self.at = news.index
+        return self.told([id for id, line in before.items() if self.merged_line(id) != line])
 
     def anew(self, news):
         """The first word of a cluster formed anew counts where it is the whole, whatever its index, and none
@@ -104,7 +104,7 @@
         else:
             self.words[name] = word
 
-    def line(self, id):
+    def merged_line(self, id):
         """Discovery's line as the ledger has it, too."""
         line, word = self.lines[id], self.words.get(id, PLAIN)
         state = line.state
@@ -118,7 +118,7 @@
         return replace(line, state=state, started=started)
 
     def told(self, ids):
-        lines = [self.line(id) for id in ids]
+        lines = [self.merged_line(id) for id in ids]
         addresses = {
             line.id: (self.addresses[line.id][0] if line.state == READY else None, line.started)
             for line in lines
@@ -127,4 +127,4 @@
 
     def held_back(self):
         """How many instances discovery has ready and the ledger has not."""
-        return sum(line.state == READY != self.line(id).state for id, line in self.lines.items())
+        return sum(line.state == READY != self.merged_line(id).state for id, line in self.lines.items())
--- a/lemonlead/following/move_routing.py
+++ b/lemonlead/following/move_routing.py
@@ -24,9 +24,9 @@
 )
 
 SHIFTING, ALL = "shifting", 1000  # a record's step; thousandths
-FIRST = 1 << 40  # a far side's build is this plus the move's epoch
-LOOKED = 8  # last ends in view of each side
-LOST = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, CANCELLED)  # ends that pairs of builds may not count
+FIRST_FAR_BUILD = 1 << 40  # a far side's build is this plus the move's epoch
+ENDS_IN_VIEW = 8  # last ends in view of each side
+LOST_ENDS = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, CANCELLED)  # ends that pairs of builds may not count
 
 
 class MoveRouting:
@@ -38,11 +38,13 @@
         self.lines, self.addresses = {}, {}  # by id, as discovery and the ledger's word on nodes have them
         self.shown = {}  # by id: (line, address) as the balancer was last told
         self.name, self.move = "", None  # the newest record of the service
-        self.first, self.past = FIRST, False  # of the cluster that is followed; if `move` is of one before it
+        self.first = FIRST_FAR_BUILD  # lowest number of a far side's build, for the cluster that is followed
+        self.past = False  # whether `move` comes from a cluster that was followed before
         self.news, self.began = None, 0  # the platform's, but for its age; when its stage began
         self.told = None  # what the balancer was last told, likewise
-        self.ends = {False: deque(maxlen=LOOKED), True: deque(maxlen=LOOKED)}  # by far: whether it was lost
-        self.lost = None  # the epoch and stage at which the far side lost most of what it was sent
+        # Whether each of the last attempts was lost, by whether it went to the far side.
+        self.ends = {False: deque(maxlen=ENDS_IN_VIEW), True: deque(maxlen=ENDS_IN_VIEW)}
+        self.far_lost_at = None  # the epoch and stage at which the far side lost most of what it was sent
         self.known = None  # the last vote that the ledger took: (epoch, stage, verdict)
         self.trial = None  # whether a real build is on trial, None until it is looked at again
 
@@ -59,7 +61,7 @@
             else:
                 self.lines[line.id], self.addresses[line.id] = line, addresses[line.id]
 
-    def heard(self, changes):
+    def apply_changes(self, changes):
         """(part, key, record) of the ledger. The newest move of the service counts, and of its record the
         newest word; one that is gone changes nothing."""
         for part, key, move in changes:
@@ -70,28 +72,28 @@
                 before, self.trial = self.told_of(), None
                 self.name, self.move, self.past = key, move, False
                 if self.told_of() != before:
-                    self.lost = None
+                    self.far_lost_at = None
                     self.ends[True].clear()
 
     def anew(self):
         """Another cluster is followed from now on, whose entries count from 1 again. Requests go on as they
         did until it has a move of the service."""
-        self.past, self.known, self.first = True, None, self.first + FIRST
+        self.past, self.known, self.first = True, None, self.first + FIRST_FAR_BUILD
 
     def platform_told(self, now, number, stage, phase, cap, age):
         if self.news is None or (stage, phase, number) != (self.news[1], self.news[2], self.news[0]):
             self.began = now - age
         self.news, self.trial = (number, stage, phase, cap), None
 
-    def ended(self, zone, end):
+    def attempt_ended(self, zone, end):
         """An attempt to an instance of this zone has ended. Builds are not judged by what the path loses; but
         a far side that can't be reached would hold the move, and what is sent there, for ever."""
         far = zone in self.abroad
-        self.ends[far].append(end in LOST)
+        self.ends[far].append(end in LOST_ENDS)
         near, ours = self.ends[False], self.ends[True]
-        most = len(ours) == LOOKED and 2 * sum(ours) > LOOKED and 0 < self.share() < ALL
-        if far and most and 2 * sum(near) * LOOKED <= sum(ours) * len(near):
-            self.lost = self.told_of()
+        most = len(ours) == ENDS_IN_VIEW and 2 * sum(ours) > ENDS_IN_VIEW and 0 < self.share() < ALL
+        if far and most and 2 * sum(near) * ENDS_IN_VIEW <= sum(ours) * len(near):
+            self.far_lost_at = self.told_of()
 
     def doubtful(self):
         """Whether most of what was sent there was lost: a stage on which nothing was heard is not passed."""
@@ -119,7 +121,7 @@
             return "no zone is told"
         if move["share"] == ALL:
             return ""
-        if self.lost is not None:
+        if self.far_lost_at is not None:
             return "lost there"
         if self.trial is None:
             self.trial = self.on_trial()
@@ -127,7 +129,7 @@
 
     def shifts(self):
         """Whether the balancer judges a far side now."""
-        return self.told is not None and self.told[0] >= FIRST
+        return self.told is not None and self.told[0] >= FIRST_FAR_BUILD
 
     def on_trial(self):
         """Whether a real build is, here or there."""
@@ -157,8 +159,8 @@
         )
         near = [line.id for line in ready if line.zone not in self.abroad]
         far = [line.id for line in ready if line.zone in zones]
-        there = far[: width(len(far), share)]
-        here = max(width(len(near), ALL - share), len(near) - len(there)) if share < ALL else 0
+        there = far[: instances_for_share(len(far), share)]
+        here = max(instances_for_share(len(near), ALL - share), len(near) - len(there)) if share < ALL else 0
         return frozenset(near[:here]), frozenset(there)
 
     def changes(self, whole):
@@ -202,7 +204,7 @@
 
     def vote(self, build, stage):
         """The epoch and stage that a vote on this build is of, or None where it is on a real one."""
-        return (build - self.first, stage) if build >= FIRST else None
+        return (build - self.first, stage) if build >= FIRST_FAR_BUILD else None
 
     def stands(self, epoch, stage):
         """Whether a vote on this still counts."""
@@ -210,6 +212,6 @@
         return shifting and self.told_of() == (epoch, stage)
 
 
-def width(count, share):
+def instances_for_share(count, share):
     """Of so many instances, how many take requests at this share: at least one."""
     return max(-(-count * share // ALL), 1) if count and share else 0
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -39,52 +39,52 @@
 
 class Service:
     """As `merge.Merge` for discovery and the follower, as the balancer for the platform's news, as the
-    platform for votes. `course`: what the ledger is to be told goes there."""
+    platform for votes. `polling`: what the ledger is to be told goes there."""
 
-    def __init__(self, told, config, dispatcher, course, log, counters):
-        self.sides, self.merge = MoveRouting(*checked(told, config)), Merge()
-        self.dispatcher, self.course, self.log, self.counters = dispatcher, course, log, counters
+    def __init__(self, told, config, dispatcher, polling, log, counters):
+        self.routing, self.merge = MoveRouting(*checked(told, config)), Merge()
+        self.dispatcher, self.polling, self.log, self.counters = dispatcher, polling, log, counters
         self.cast = self.logged = None  # the ballot that waits for the ledger's answer; what was last logged
 
     def begin(self, now, news):
         """`news`: the platform's, as the balancer was told at the start, or None."""
         if news is not None:
-            self.sides.platform_told(now, *news)
-            self.sides.stage(now)
+            self.routing.platform_told(now, *news)
+            self.routing.stage(now)
         self.dispatcher.service = self
 
     # ---- lists
 
     def listed(self, lines, addresses, whole):
-        self.sides.listed(*self.merge.listed(lines, addresses, whole), whole)
+        self.routing.listed(*self.merge.listed(lines, addresses, whole), whole)
         return self.shown(clock(), whole)
 
-    def heard(self, now, news):
-        before, told = self.merge.cluster, self.merge.heard(now, news)
+    def apply_update(self, now, news):
+        before, told = self.merge.cluster, self.merge.apply_update(now, news)
         if told is None:
             return None
         if before and self.merge.cluster != before:
-            self.sides.anew()
-        self.sides.listed(*told, False)
-        self.sides.heard(news.changes)
+            self.routing.anew()
+        self.routing.listed(*told, False)
+        self.routing.apply_changes(news.changes)
         return self.shown(now, False)
 
     def shown(self, now, whole=False, again=False):
         """What of the list the balancer is to be told; of builds it is told here."""
-        if (stage := self.sides.stage(now, again)) is not None:
+        if (stage := self.routing.stage(now, again)) is not None:
             self.dispatcher.balancer.stage_told(now, *stage)
         self.say()
-        if self.sides.lost is not None:
-            self.tell_ledger((*self.sides.lost, "back"), False)
-        return self.sides.changes(whole)
+        if self.routing.far_lost_at is not None:
+            self.tell_ledger((*self.routing.far_lost_at, "back"), False)
+        return self.routing.changes(whole)
 
     def say(self):
         """One log line each time that the share changes, or why it is what it is."""
-        sides, move = self.sides, self.sides.move
+        routing, move = self.routing, self.routing.move
         if move is None:
             return
-        more = {"move": sides.name, "to": move["to"], "step": move["step"], "stage": move["stage"]}
-        more |= {"share": sides.share(), "waits": sides.waits()}
+        more = {"move": routing.name, "to": move["to"], "step": move["step"], "stage": move["stage"]}
+        more |= {"share": routing.share(), "waits": routing.waits()}
         if more != self.logged:
             self.logged = more
             self.dispatcher.chores.append((self.tell, more))
@@ -98,7 +98,7 @@
     # ---- the platform's side
 
     def stage_told(self, now, *news):
-        self.sides.platform_told(now, *news)
+        self.routing.platform_told(now, *news)
         self.put(now, self.shown(now, again=True))
 
     def put(self, now, told):
@@ -106,20 +106,22 @@
             self.dispatcher.discovery.put(now, *told, False, False)
 
     def ended(self, now, attempt, end):
-        self.counters.add(f"shift attempts {'far' if attempt.instance.zone in self.sides.abroad else 'near'}")
-        before = self.sides.lost
-        self.sides.ended(attempt.instance.zone, end)
-        if self.sides.lost != before:
+        self.counters.add(
+            f"shift attempts {'far' if attempt.instance.zone in self.routing.abroad else 'near'}"
+        )
+        before = self.routing.far_lost_at
+        self.routing.attempt_ended(attempt.instance.zone, end)
+        if self.routing.far_lost_at != before:
             self.counters.add("shift far lost")
             self.put(now, self.shown(now))
 
     # ---- votes
 
     def vote(self, build, stage, verdict):
-        cast = self.sides.vote(build, stage)
+        cast = self.routing.vote(build, stage)
         if cast is None:
             return self.dispatcher.releases.vote(build, stage, verdict)
-        held = verdict not in WORDS or verdict == at.ON and self.sides.doubtful()
+        held = verdict not in WORDS or verdict == at.ON and self.routing.doubtful()
         outcome = at.COUNTED if held else self.tell_ledger((*cast, WORDS[verdict]), True)
         if outcome is not None:
             self.dispatcher.chores.append(
@@ -129,26 +131,26 @@
     def tell_ledger(self, vote, asked):
         """What became of a vote, (epoch, stage, word), where that is known at once; else None. `asked`: the
         balancer waits for the answer."""
-        if not self.sides.stands(*vote[:2]):
+        if not self.routing.stands(*vote[:2]):
             return at.MOOT
-        if vote == self.sides.known:
+        if vote == self.routing.known:
             return at.COUNTED
         if self.cast is None or vote != self.cast[1]:
             self.counters.add(f"shift votes {vote[2]}")
-            names = {"move": self.sides.name, "epoch": vote[0], "stage": vote[1], "verdict": vote[2]}
-            self.cast = self.course.vote(names), vote, asked
+            names = {"move": self.routing.name, "epoch": vote[0], "stage": vote[1], "verdict": vote[2]}
+            self.cast = self.polling.vote(names), vote, asked
         return None
 
-    def voted(self, now, number, outcome):
+    def vote_answered(self, now, number, outcome):
         """The ledger's answer to a ballot."""
         self.counters.add(f"shift votes {outcome}")
         if self.cast is None or self.cast[0] != number:
             return
         (_, vote, asked), self.cast = self.cast, None
         if outcome == at.COUNTED:
-            self.sides.voted(vote)
-        if asked and self.sides.shifts():
+            self.routing.voted(vote)
+        if asked and self.routing.shifts():
             self.dispatcher.balancer.vote_answered(now, outcome)
 
     def figures(self):
-        return {"shift share": self.sides.share(), "shift waits": int(bool(self.sides.waits()))}
+        return {"shift share": self.routing.share(), "shift waits": int(bool(self.routing.waits()))}
--- a/lemonlead/standins/distributed/checks.py
+++ b/lemonlead/standins/distributed/checks.py
@@ -317,7 +317,7 @@
         """None from one that stands still or is of another cluster."""
         if relay.frozen or relay.log is not self.play.log:
             return None
-        return relay.acknowledged.force(relay.now(), scope, index)
+        return relay.acknowledged.in_force(relay.now(), scope, index)
 
     def judge(self, spoke, scope, index, who):
         play, now = self.play, self.play.world.now
--- a/lemonlead/standins/distributed/gateways.py
+++ b/lemonlead/standins/distributed/gateways.py
@@ -75,7 +75,7 @@
         if self.frozen:
             return
         if self.up:
-            changes = self.subscriber.rescope(self.now(), list(scopes))
+            changes = self.subscriber.change_scopes(self.now(), list(scopes))
             self.play.tell("rescoped", self, scopes, changes)
             for scope, key, _ in changes:
                 self.force.pop((scope, key), None)
@@ -88,7 +88,7 @@
     def turn(self):
         for _ in range(20):
             now = self.now()
-            if self.stream is not None and self.subscriber.unheard(now) > SILENCE:
+            if self.stream is not None and self.subscriber.silent_ns(now) > SILENCE:
                 self.end("silent")
                 continue
             ask = self.subscriber.next(now)
@@ -152,13 +152,13 @@
         """Answered, or not in time."""
         if self.telling is telling:
             self.telling = None
-            self.subscriber.acknowledged(self.now(), good)
+            self.subscriber.acknowledgement_ended(self.now(), good)
             self.turn()
 
     def failed(self, call, reason):
         if self.calling is call:
             self.calling = None
-            self.subscriber.ended(self.now(), reason)
+            self.subscriber.stream_ended(self.now(), reason)
             self.turn()
 
     def answered(self, call, stream):
@@ -194,7 +194,7 @@
         if len(line) > MOST_LINE:
             return self.end("a line without end")
         try:
-            changes = self.subscriber.told(now, line)
+            changes = self.subscriber.receive_line(now, line)
         except Unreadable:
             self.world.count("unreadable")
             if not mark:
@@ -228,10 +228,10 @@
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
-            self.subscriber.ended(self.now(), reason)
+            self.subscriber.stream_ended(self.now(), reason)
 
     def over(self, stream, reason):
         if stream is self.stream:
             self.stream = None
-            self.subscriber.ended(self.now(), reason)
+            self.subscriber.stream_ended(self.now(), reason)
             self.turn()
--- a/lemonlead/standins/distributed/relays.py
+++ b/lemonlead/standins/distributed/relays.py
@@ -4,7 +4,7 @@
 
 from lemonlead.distribution.acknowledgements import Acknowledgements
 from lemonlead.distribution.outbox import Outbox
-from lemonlead.distribution.records import Acknowledgement, Subscription, read
+from lemonlead.distribution.records import Acknowledgement, Subscription, parse_body
 from lemonlead.distribution.store import Store
 
 from . import links
@@ -131,7 +131,7 @@
 
     def subscribe(self, gateway, life, body, answer, taken, ended):
         """`answer`: function(stream or None) at the gateway."""
-        about = read(body, Subscription)
+        about = parse_body(body, Subscription)
         now, name = self.now(), about.gateway
         if self.stale():
             return self.links.carry(self.name, gateway, answer, None)
@@ -144,7 +144,7 @@
         stream.stay = about.stay
         ours = about.cluster == self.store.cluster
         scopes = dict(about.scopes) if ours else dict.fromkeys(about.scopes, 0)
-        self.acknowledged.subscribed(now, name, about.region, scopes, about.stay)
+        self.acknowledged.subscribe(now, name, about.region, scopes, about.stay)
         self.outboxes[name] = self.kinds["outbox"](
             now, self.store, dict(about.scopes), self.rate, self.burst, about.cluster or None
         )
@@ -158,14 +158,14 @@
     def gone(self, stream):
         if self.streams.get(stream.gateway) is stream:
             del self.streams[stream.gateway], self.outboxes[stream.gateway]
-            self.acknowledged.left(self.now(), stream.gateway, stream.stay)
+            self.acknowledged.stream_ended(self.now(), stream.gateway, stream.stay)
 
     def acknowledge(self, gateway, life, body, answer):
         """`spoke` is for the judges: whose words of which life have come when, and for which scopes."""
-        about, good = read(body, Acknowledgement), False
+        about, good = parse_body(body, Acknowledgement), False
         if about.cluster == self.store.cluster:
             told = about.complete, about.refused, about.stay
-            good = self.acknowledged.heard(self.now(), gateway, *told)
+            good = self.acknowledged.acknowledge(self.now(), gateway, *told)
         if good:
             _, of, scopes = self.spoke[gateway]
             self.spoke[gateway] = self.world.now, max(life, of), scopes
@@ -229,11 +229,11 @@
     def beat(self, life):
         self.later(BEAT // 4, self.beat, life)
         now = self.now()
-        forgotten = self.acknowledged.forget(now)
+        forgotten = self.acknowledged.drop_silent(now)
         for name, stream in list(self.streams.items()):
             if self.stale() or name in forgotten:
                 del self.streams[name], self.outboxes[name]
-                self.acknowledged.left(now, name, stream.stay)
+                self.acknowledged.stream_ended(now, name, stream.stay)
                 stream.end("forgotten" if name in forgotten else "stale")
             elif now - stream.said >= BEAT - BEAT // 4 and not stream.full:
                 self.send(stream, b"\n")
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -136,7 +136,7 @@
         """So much time goes by, look by look: by a leap of the clock nobody is silent."""
         for _ in range(0, nanoseconds, SECOND):
             self.ahead += SECOND
-            self.do(lambda: self.relay.acknowledged.settled(self.relay.clock()))
+            self.do(lambda: self.relay.acknowledgements.knows_all_subscribers(self.relay.clock()))
 
     def do(self, work, *values):
         """Calls it on the relay's loop; what it gives."""
@@ -160,7 +160,7 @@
     async def run(self, relay):
         await asyncio.Event().wait()
 
-    def lost(self, now):
+    def is_cut_off(self, now):
         return self.is_lost
 
     def figures(self):
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -47,7 +47,7 @@
         self.life += 1
         members = {host.name: f"{host.name}:1" for host in self.cluster.hosts.values() if not host.gone}
         boot = f"boot{self.life}"
-        self.course = LedgerPolling(self.name, boot, members, self.chance.random(), ("moves",), self.service)
+        self.polling = LedgerPolling(self.name, boot, members, self.chance.random(), ("moves",), self.service)
         self.merge, self.parts, self.moves = Merge(), [], {}
         self.merge.listed([Line(node) for node in self.nodes], {}, True)
         self.heard, self.asked = False, {}  # asked: a command's id to when it was first sent
@@ -57,11 +57,11 @@
     # ---- what judges ask
 
     def may_send(self, node):
-        return self.heard and self.merge.line(node).state == READY
+        return self.heard and self.merge.merged_line(node).state == READY
 
     def leased(self, lease):
         """Whether it follows and its lease has not run out, by its own count."""
-        return self.course.follows and self.world.now - self.fresh < lease
+        return self.polling.is_following and self.world.now - self.fresh < lease
 
     def share(self, move, epoch):
         """Thousandths that it sends to the far side of this move; None where it has not heard of it."""
@@ -71,16 +71,16 @@
     # ---- its calls
 
     def turn(self, life):
-        if life != self.life or self.course.left:
+        if life != self.life or self.polling.left:
             return
         now = self.world.now
-        ask = self.course.next(now)
+        ask = self.polling.next(now)
         if ask is None:
-            wake = max(self.course.not_before - now, 10 * MS)
+            wake = max(self.polling.not_before - now, 10 * MS)
             return self.world.after(wake, self.turn, life)
         host = self.cluster.hosts.get(ask.address.split(":")[0])
         if host is None:
-            self.course.failed(now)
+            self.polling.failed(now)
             return self.turn(life)
 
         def over(code, body):
@@ -89,10 +89,10 @@
                 self.world.after(MS, self.turn, life)
 
         call = Call(self.cluster, self.line, host, over, SILENCE, part=ask.part)
-        if ask.what == STATE:
+        if ask.kind == STATE:
             call.go(host.read, call)
-        elif ask.what == EVENTS:
-            call.go(self.poll, host, self.course.at, self.course.since, call, life)
+        elif ask.kind == EVENTS:
+            call.go(self.poll, host, self.polling.applied_index, self.polling.followed_since, call, life)
         else:
             call.id = json.loads(ask.body)["id"]
             self.asked.setdefault(call.id, now)
@@ -102,65 +102,65 @@
         if life == self.life:
             for watch in self.watched:
                 watch(self, host, after)
-        host.poll(after, self.name, call, since, responses.ASKED)
+        host.poll(after, self.name, call, since, responses.POLLED_PARTS)
 
     def over(self, ask, sent, code, body):
         """What the answer means, as the driver has it."""
-        course, now = self.course, self.world.now
+        polling, now = self.polling, self.world.now
         if code == 0:
             self.parts = []
-            return course.failed(now)
+            return polling.failed(now)
         if code == 503:
             self.parts = []
-            return course.failed(now, responses.leader(body), body)
-        if code == 200 and not course.answered(now, responses.cluster(body)):
+            return polling.failed(now, responses.leader_hint(body), body)
+        if code == 200 and not polling.check_cluster(now, responses.cluster_id(body)):
             self.parts = []
             return None
-        if ask.what == FOLLOW:
+        if ask.kind == FOLLOW:
             if code != 200:
-                return course.refused(now)
+                return polling.follow_refused(now)
             self.fresh = self.asked[json.loads(ask.body)["id"]]
-            return course.followed(now, responses.whole_number(body, "at"))
-        if ask.what == VOTE:
-            return course.voted(ask.number)
-        if ask.what == STATE:
+            return polling.follow_accepted(now, responses.parse_whole_number(body, "at"))
+        if ask.kind == VOTE:
+            return polling.vote_answered(ask.command_number)
+        if ask.kind == STATE:
             return self.state(ask, body)
         return self.events(sent, body)
 
     def state(self, ask, body):
-        self.parts.append(responses.state(body, ask.part))
-        if self.course.had(ask.part):
+        self.parts.append(responses.parse_state(body, ask.part))
+        if self.polling.part_received(ask.part):
             parts, self.parts = self.parts, []
-            if not self.obey(responses.joined(parts), ""):
-                self.course.kept_no_more()
+            if not self.obey(responses.join_updates(parts), ""):
+                self.polling.restart_from_state()
 
     def events(self, sent, body):
-        course, now = self.course, self.world.now
-        news = responses.events(body, course.at, responses.ASKED)
+        polling, now = self.polling, self.world.now
+        news = responses.parse_events(body, polling.applied_index, responses.POLLED_PARTS)
         if news is None:
-            return course.kept_no_more()
-        if news.at < course.at:
-            return course.older(now)
+            return polling.restart_from_state()
+        if news.index < polling.applied_index:
+            return polling.stale_response(now)
         rows = {(part, key): record for part, key, record in news.changes}
         for (part, key), record in rows.items():
             if part == "members" and record is not None:
-                course.seated(key, None if record.get("gone") else record["address"])
-        if not self.obey(news, responses.leader(body)):
-            return course.failed(now)
+                polling.member_changed(key, None if record.get("gone") else record["address"])
+        if not self.obey(news, responses.leader_hint(body)):
+            return polling.failed(now)
         self.fresh = max(self.fresh, sent)
         if rows.get(("followers", self.name), True) is None:
-            course.forgotten()
+            polling.lease_lost()
         return None
 
     def obey(self, news, leader):
         if self.hear(news) is None:
             return False
-        self.course.obeyed(self.world.now, news.at, leader)
+        self.polling.update_applied(self.world.now, news.index, leader)
         self.heard = True
         return True
 
     def hear(self, news):
-        told = self.merge.heard(self.world.now, news)
+        told = self.merge.apply_update(self.world.now, news)
         if told is not None:
             self.shifts([change for change in news.changes if change[0] == "moves" and change[2] is not None])
         return told
@@ -181,4 +181,4 @@
         move = self.moves.get(cast["move"])
         stands = move and (move["epoch"], move["stage"]) == (cast["epoch"], cast["stage"])
         if life == self.life and stands and self.name not in (*move["on"], *move["back"]):
-            self.course.vote(cast)
+            self.polling.vote(cast)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -65,7 +65,7 @@
 
 
 def follows(one, now, cluster="c", at=10):
-    one.told(now, line(cluster=cluster, at=at))
+    one.receive_line(now, line(cluster=cluster, at=at))
 
 
 def body(action):
@@ -104,10 +104,10 @@
 def test_a_scope_that_is_no_name_is_refused_with_what_and_where(scope):
     for call in (
         lambda: Outbox(0, made(), {scope: 0} if type(scope) is not list else scope, 8000, BURST),
-        lambda: Acknowledgements(SECOND, 0).subscribed(
+        lambda: Acknowledgements(SECOND, 0).subscribe(
             0, "g", "r", {scope: 0} if type(scope) is not list else 1
         ),
-        lambda: Acknowledgements(SECOND, 0).force(0, scope, 1),
+        lambda: Acknowledgements(SECOND, 0).in_force(0, scope, 1),
         lambda: Store("c").apply(1, [(scope, "k", UP)]),
     ):
         with pytest.raises(Senseless) as error:
@@ -120,21 +120,21 @@
 @pytest.mark.parametrize("index", [-1, 1.0, True, "1", None, 1 << 63])
 def test_an_index_that_is_no_whole_number_is_refused(index):
     held, box, acks = made(a={}), Outbox(0, made(), {}, 8000, BURST), Acknowledgements(SECOND, 0)
-    acks.subscribed(0, "g", "r", {"a": 0})
+    acks.subscribe(0, "g", "r", {"a": 0})
     for call in (
         lambda: held.apply(index, []),
         lambda: held.replace("c", index, {}),
         lambda: held.replace("c", 20, {"a": {"k": (index, UP)}}),
         lambda: Outbox(0, held, {"a": index}, 8000, BURST),
         lambda: box.widen(0, {"a": index}),
-        lambda: acks.subscribed(0, "g", "r", {"a": index}),
-        lambda: acks.heard(0, "g", {"a": index}),
-        lambda: acks.force(0, "a", index),
+        lambda: acks.subscribe(0, "g", "r", {"a": index}),
+        lambda: acks.acknowledge(0, "g", {"a": index}),
+        lambda: acks.in_force(0, "a", index),
     ):
         with pytest.raises(Senseless, match="expected a whole number"):
             call()
     assert held.index == 10 and held.snapshot("a") == [] and not box.positions
-    assert acks.force(0, "a", 1).behind == [("g", 0)]
+    assert acks.in_force(0, "a", 1).behind == [("g", 0)]
 
 
 @pytest.mark.parametrize("value", [0, -1, 1.5, None, "8000", True, 1 << 50])
@@ -160,7 +160,7 @@
     for call in (
         lambda: Outbox(0, made(), {**most, "more": 0}, 8000, BURST),
         lambda: box.widen(0, {"more": 0}),
-        lambda: Acknowledgements(SECOND, 0).subscribed(0, "g", "r", {**most, "more": 0}),
+        lambda: Acknowledgements(SECOND, 0).subscribe(0, "g", "r", {**most, "more": 0}),
     ):
         with pytest.raises(Senseless, match="at most 2000"):
             call()
@@ -207,19 +207,19 @@
 )
 def test_a_body_that_makes_no_sense_is_refused(data, says):
     with pytest.raises(Senseless, match=says):
-        records.read(data, Subscription)
+        records.parse_body(data, Subscription)
     with pytest.raises(Senseless):
-        records.read(data, Acknowledgement)
+        records.parse_body(data, Acknowledgement)
 
 
 def test_what_a_subscriber_asks_is_what_a_relay_reads():
     one, now = stream("a", "")
-    asked = records.read(msgspec.json.encode(body(Subscribe("", one_body(one)))), Subscription)
+    asked = records.parse_body(msgspec.json.encode(body(Subscribe("", one_body(one)))), Subscription)
     assert asked.gateway == "g1" and asked.region == "r1" and asked.scopes == {"a": 0, "": 0}
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
     one.refuse("a", "k", 5, "k.state: what, expected")
-    told = records.read(one.next(now + SECOND).body, Acknowledgement)
+    told = records.parse_body(one.next(now + SECOND).body, Acknowledgement)
     assert (told.gateway, told.cluster, told.complete) == ("g1", "c", {"a": 5})
     assert told.refused == [("a", "k", 5, "k.state: what, expected")] and told.stay == asked.stay
 
@@ -588,7 +588,7 @@
     one.lines = 0
     one.teller = None
     for data in lines(box):
-        one.told(now, data)
+        one.receive_line(now, data)
     assert set(one.records["a"]) == {"k0", "k3"} and one.complete["a"] == 12
 
 
@@ -736,125 +736,125 @@
 def acks(**scopes):
     one = Acknowledgements(10 * SECOND, SECOND)
     for gateway, at in scopes.items():
-        one.subscribed(0, gateway, "r" + gateway[-1], {"a": at})
-        one.heard(0, gateway, {})
+        one.subscribe(0, gateway, "r" + gateway[-1], {"a": at})
+        one.acknowledge(0, gateway, {})
     return one
 
 
 def tick(one, since, until):
     """Time passes in which the relay lives."""
     for now in range(since, until, SECOND):
-        one.forget(now)
+        one.drop_silent(now)
 
 
 def test_everywhere_is_told_once_each_has_it_in_force():
     one = acks(g1=5, g2=5)
-    assert one.force(2 * SECOND, "a", 6) == (
+    assert one.in_force(2 * SECOND, "a", 6) == (
         False, [("g1", 2000), ("g2", 2000)], [], 2, {"r1": 1, "r2": 1},
     )  # fmt: skip
-    assert one.heard(2 * SECOND, "g1", {"a": 6})
-    assert one.force(2 * SECOND, "a", 6) == (False, [("g2", 2000)], [], 2, {"r2": 1})
-    assert one.heard(3 * SECOND, "g2", {"a": 7})
-    assert one.force(3 * SECOND, "a", 6) == (True, [], [], 2, {})
-    assert one.force(3 * SECOND, "other", 6) == (True, [], [], 0, {})
+    assert one.acknowledge(2 * SECOND, "g1", {"a": 6})
+    assert one.in_force(2 * SECOND, "a", 6) == (False, [("g2", 2000)], [], 2, {"r2": 1})
+    assert one.acknowledge(3 * SECOND, "g2", {"a": 7})
+    assert one.in_force(3 * SECOND, "a", 6) == (True, [], [], 2, {})
+    assert one.in_force(3 * SECOND, "other", 6) == (True, [], [], 0, {})
 
 
 def test_a_silent_one_counts_until_lease_and_grace_ran_out():
     one = acks(g1=5, g2=5)
-    one.heard(SECOND, "g1", {"a": 6})
-    one.left(2 * SECOND, "g2")
+    one.acknowledge(SECOND, "g1", {"a": 6})
+    one.stream_ended(2 * SECOND, "g2")
     tick(one, 2 * SECOND, 11 * SECOND)
-    assert one.forget(11 * SECOND - 1) == []
-    assert one.force(11 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
-    assert one.force(11 * SECOND, "a", 6) == (True, [], [], 1, {})
-    assert one.forget(11 * SECOND) == ["g2"]
-    assert not one.heard(11 * SECOND, "g2", {"a": 6})
-    assert one.forget(12 * SECOND) == ["g1"] and not one.subscribers and not one.of
+    assert one.drop_silent(11 * SECOND - 1) == []
+    assert one.in_force(11 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
+    assert one.in_force(11 * SECOND, "a", 6) == (True, [], [], 1, {})
+    assert one.drop_silent(11 * SECOND) == ["g2"]
+    assert not one.acknowledge(11 * SECOND, "g2", {"a": 6})
+    assert one.drop_silent(12 * SECOND) == ["g1"] and not one.subscribers and not one.of
 
 
 def test_one_that_came_back_under_its_name_counts_with_what_it_says():
     one = acks(g1=5)
-    one.subscribed(0, "g1", "r1", {"a": 5}, "first")
-    one.heard(SECOND, "g1", {"a": 9}, stay="first")
-    assert one.force(SECOND, "a", 9).everywhere
-    one.subscribed(2 * SECOND, "g1", "r1", {"a": 0, "b": 1}, "second")
-    assert one.force(2 * SECOND, "b", 1).behind == [("g1", 0)]  # what it refuses is not known yet
-    one.heard(2 * SECOND, "g1", {}, stay="second")
-    assert not one.force(2 * SECOND, "a", 9).everywhere and one.force(2 * SECOND, "b", 1).everywhere
-    assert not one.heard(2 * SECOND, "g1", {"a": 9}, stay="first")  # late, of the one before
-    one.left(2 * SECOND, "g1", "first")
-    assert one.heard(2 * SECOND, "g1", {"a": 8}, stay="second")
-    assert one.force(2 * SECOND, "a", 9).behind == [("g1", 0)]
+    one.subscribe(0, "g1", "r1", {"a": 5}, "first")
+    one.acknowledge(SECOND, "g1", {"a": 9}, stay="first")
+    assert one.in_force(SECOND, "a", 9).everywhere
+    one.subscribe(2 * SECOND, "g1", "r1", {"a": 0, "b": 1}, "second")
+    assert one.in_force(2 * SECOND, "b", 1).behind == [("g1", 0)]  # what it refuses is not known yet
+    one.acknowledge(2 * SECOND, "g1", {}, stay="second")
+    assert not one.in_force(2 * SECOND, "a", 9).everywhere and one.in_force(2 * SECOND, "b", 1).everywhere
+    assert not one.acknowledge(2 * SECOND, "g1", {"a": 9}, stay="first")  # late, of the one before
+    one.stream_ended(2 * SECOND, "g1", "first")
+    assert one.acknowledge(2 * SECOND, "g1", {"a": 8}, stay="second")
+    assert one.in_force(2 * SECOND, "a", 9).behind == [("g1", 0)]
 
 
 def test_scopes_left_by_a_name_are_not_counted_for_it():
     one = acks(g1=5)
-    one.subscribed(SECOND, "g1", "r1", {"b": 5})
-    one.heard(SECOND, "g1", {})
-    assert one.force(SECOND, "a", 9).counted == 0 and one.force(SECOND, "b", 5).counted == 1
-    one.widened(SECOND, "g1", {"b": 0, "c": 3})
-    assert one.force(SECOND, "b", 5).everywhere and one.force(SECOND, "c", 4).behind == [("g1", 0)]
-    assert one.heard(SECOND, "g1", {"c": 4, "other": 4}) and one.force(SECOND, "c", 4).everywhere
-    assert one.force(SECOND, "other", 1).counted == 0
+    one.subscribe(SECOND, "g1", "r1", {"b": 5})
+    one.acknowledge(SECOND, "g1", {})
+    assert one.in_force(SECOND, "a", 9).counted == 0 and one.in_force(SECOND, "b", 5).counted == 1
+    one.add_scopes(SECOND, "g1", {"b": 0, "c": 3})
+    assert one.in_force(SECOND, "b", 5).everywhere and one.in_force(SECOND, "c", 4).behind == [("g1", 0)]
+    assert one.acknowledge(SECOND, "g1", {"c": 4, "other": 4}) and one.in_force(SECOND, "c", 4).everywhere
+    assert one.in_force(SECOND, "other", 1).counted == 0
 
 
 def test_what_is_refused_is_told_by_name_and_is_not_everywhere():
     one = acks(g1=5, g2=5)
-    one.heard(SECOND, "g1", {"a": 8}, [("a", "k", 7, "k.x: 5; expected a text")])
-    one.heard(SECOND, "g2", {"a": 8})
-    assert not one.force(SECOND, "a", 6).everywhere  # what is in force instead is not known
-    assert one.force(SECOND, "a", 7) == (
+    one.acknowledge(SECOND, "g1", {"a": 8}, [("a", "k", 7, "k.x: 5; expected a text")])
+    one.acknowledge(SECOND, "g2", {"a": 8})
+    assert not one.in_force(SECOND, "a", 6).everywhere  # what is in force instead is not known
+    assert one.in_force(SECOND, "a", 7) == (
         False, [], [("g1", "k", "k.x: 5; expected a text")], 2, {"r1": 1},
     )  # fmt: skip
-    one.heard(SECOND, "g1", {"a": 9})
-    assert one.force(SECOND, "a", 9).behind == [("g2", 0)] and one.force(SECOND, "a", 8).everywhere
+    one.acknowledge(SECOND, "g1", {"a": 9})
+    assert one.in_force(SECOND, "a", 9).behind == [("g2", 0)] and one.in_force(SECOND, "a", 8).everywhere
 
 
 def test_an_acknowledgement_never_takes_one_back():
     one = acks(g1=5)
-    one.heard(SECOND, "g1", {"a": 8})
-    one.heard(SECOND, "g1", {"a": 6})
-    assert one.force(SECOND, "a", 8).everywhere
+    one.acknowledge(SECOND, "g1", {"a": 8})
+    one.acknowledge(SECOND, "g1", {"a": 6})
+    assert one.in_force(SECOND, "a", 8).everywhere
 
 
 def test_a_relay_just_started_does_not_say_everywhere():
     one = Acknowledgements(10 * SECOND, SECOND, began=HOUR)
-    one.subscribed(HOUR, "g1", "r1", {"a": 9})
-    one.heard(HOUR, "g1", {})
+    one.subscribe(HOUR, "g1", "r1", {"a": 9})
+    one.acknowledge(HOUR, "g1", {})
     tick(one, HOUR, HOUR + 11 * SECOND)
-    assert not one.force(HOUR + 11 * SECOND - 1, "a", 9).everywhere
-    one.heard(HOUR + 10 * SECOND, "g1", {})
-    assert one.force(HOUR + 11 * SECOND, "a", 9).everywhere
+    assert not one.in_force(HOUR + 11 * SECOND - 1, "a", 9).everywhere
+    one.acknowledge(HOUR + 10 * SECOND, "g1", {})
+    assert one.in_force(HOUR + 11 * SECOND, "a", 9).everywhere
 
 
 def test_time_in_which_the_relay_stood_still_is_nobodys_silence():
     one = acks(g1=5, g2=5)
     tick(one, 0, 4 * SECOND)
-    assert one.force(HOUR, "a", 6).behind == [("g1", 3000), ("g2", 3000)]
-    assert one.forget(HOUR) == [] and one.heard(HOUR, "g1", {"a": 6})
+    assert one.in_force(HOUR, "a", 6).behind == [("g1", 3000), ("g2", 3000)]
+    assert one.drop_silent(HOUR) == [] and one.acknowledge(HOUR, "g1", {"a": 6})
     tick(one, HOUR, HOUR + 8 * SECOND)
-    assert one.force(HOUR + 8 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
-    assert one.force(HOUR + 8 * SECOND, "a", 6) == (True, [], [], 1, {})
+    assert one.in_force(HOUR + 8 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
+    assert one.in_force(HOUR + 8 * SECOND, "a", 6) == (True, [], [], 1, {})
     one = Acknowledgements(10 * SECOND, SECOND, began=0)
-    assert not one.settled(HOUR) and not one.settled(HOUR + 4 * SECOND)
+    assert not one.knows_all_subscribers(HOUR) and not one.knows_all_subscribers(HOUR + 4 * SECOND)
     tick(one, HOUR, HOUR + 11 * SECOND)
-    assert one.settled(HOUR + 11 * SECOND)
+    assert one.knows_all_subscribers(HOUR + 11 * SECOND)
 
 
 def test_of_another_cluster_nobody_has_anything():
     one = acks(g1=5)
-    one.heard(0, "g1", {"a": 500}, [("a", "k", 3, "no")])
-    one.anew()
-    assert one.force(0, "a", 1) == (False, [("g1", 0)], [], 1, {"r1": 1})
+    one.acknowledge(0, "g1", {"a": 500}, [("a", "k", 3, "no")])
+    one.reset_complete()
+    assert one.in_force(0, "a", 1) == (False, [("g1", 0)], [], 1, {"r1": 1})
 
 
 def test_there_are_no_more_subscribers_than_a_relay_bears(monkeypatch):
     monkeypatch.setattr(acknowledgements, "MOST", 2)
     one = acks(g1=1, g2=1)
     with pytest.raises(Senseless, match="2 subscribed already"):
-        one.subscribed(0, "g3", "r", {})
-    one.subscribed(0, "g2", "r", {"b": 1})
-    assert one.force(0, "b", 1).counted == 1 and one.force(0, "b", 1).behind == [("g2", 0)]
+        one.subscribe(0, "g3", "r", {})
+    one.subscribe(0, "g2", "r", {"b": 1})
+    assert one.in_force(0, "b", 1).counted == 1 and one.in_force(0, "b", 1).behind == [("g2", 0)]
 
 
 STEP = some.tuples(
@@ -877,25 +877,25 @@
         if kind == "subscribed":
             stay = str(next(stays))
             has[gateway] = [index, stay, now, True, False]
-            one.subscribed(now, gateway, "r", {"a": index}, stay)
+            one.subscribe(now, gateway, "r", {"a": index}, stay)
         elif kind == "heard":
             entry = has.get(gateway)
             stay = entry[1] if entry and known else "another"
             counts = entry is not None and known and entry[3] and now - entry[2] < 7 * SECOND
             if counts:
                 entry[0], entry[2], entry[4] = max(entry[0], index), now, True
-            assert one.heard(now, gateway, {"a": index}, stay=stay) == counts
+            assert one.acknowledge(now, gateway, {"a": index}, stay=stay) == counts
         elif kind == "left" and gateway in has:
-            one.left(now, gateway, has[gateway][1])
+            one.stream_ended(now, gateway, has[gateway][1])
             has[gateway][3] = False
         elif kind == "forget":
             gone = {name for name, entry in has.items() if now - entry[2] >= 7 * SECOND}
-            assert set(one.forget(now)) == gone
+            assert set(one.drop_silent(now)) == gone
             has = {name: entry for name, entry in has.items() if name not in gone}
         counted = {name: entry for name, entry in has.items() if now - entry[2] < 7 * SECOND}
         for index in range(5):
             behind = [name for name, entry in sorted(counted.items()) if entry[0] < index or not entry[4]]
-            told = one.force(now, "a", index)
+            told = one.in_force(now, "a", index)
             assert [name for name, _ in told.behind] == behind and told.counted == len(counted)
             assert told.everywhere == (not behind)
 
@@ -906,67 +906,73 @@
 def test_a_change_counts_only_if_it_is_newer_than_what_there_is():
     one, now = stream("a")
     follows(one, now)
-    assert one.told(now, line(changes=[["a", "k", 5, UP]])) == [("a", "k", UP)]
+    assert one.receive_line(now, line(changes=[["a", "k", 5, UP]])) == [("a", "k", UP)]
     for index, record in ((5, OUT), (4, OUT), (4, None)):
-        assert one.told(now, line(changes=[["a", "k", index, record]])) == []
-    assert one.told(now, line(changes=[["a", "k", 6, OUT]])) == [("a", "k", OUT)]
-    assert one.told(now, line(changes=[["a", "k", 8, None]])) == [("a", "k", None)]
-    one.told(now, line(complete={"a": 6}))  # not past it yet
-    assert one.told(now, line(changes=[["a", "k", 7, UP]])) == [] and one.records["a"] == {}
-    assert one.told(now, line(complete={"a": 9})) == [] and one.past["a"] == {}
-    assert one.told(now, line(changes=[["a", "k", 7, UP], ["a", "j", 9, UP]])) == []
-    assert one.told(now, line(changes=[["a", "k", 10, UP]])) == [("a", "k", UP)]
-    assert one.told(now, line(complete={"a": 8})) == [] and one.complete["a"] == 9
+        assert one.receive_line(now, line(changes=[["a", "k", index, record]])) == []
+    assert one.receive_line(now, line(changes=[["a", "k", 6, OUT]])) == [("a", "k", OUT)]
+    assert one.receive_line(now, line(changes=[["a", "k", 8, None]])) == [("a", "k", None)]
+    one.receive_line(now, line(complete={"a": 6}))  # not past it yet
+    assert one.receive_line(now, line(changes=[["a", "k", 7, UP]])) == [] and one.records["a"] == {}
+    assert one.receive_line(now, line(complete={"a": 9})) == [] and one.past["a"] == {}
+    assert one.receive_line(now, line(changes=[["a", "k", 7, UP], ["a", "j", 9, UP]])) == []
+    assert one.receive_line(now, line(changes=[["a", "k", 10, UP]])) == [("a", "k", UP)]
+    assert one.receive_line(now, line(complete={"a": 8})) == [] and one.complete["a"] == 9
 
 
 def test_what_is_not_among_a_snapshot_is_dropped_once_it_is_whole():
     one, now = stream("a", "b")
     follows(one, now)
-    one.told(now, line(changes=[["a", key, 5, UP] for key in "xyz"] + [["b", "x", 5, UP]], complete={"a": 5}))
-    assert one.told(now, line(snapshot="a")) == []
-    assert one.told(now, line(changes=[["a", "x", 5, UP], ["a", "new", 7, UP]])) == [("a", "new", UP)]
-    one.told(now, line(changes=[["a", "z", 12, OUT]]))  # newer than the snapshot
-    assert one.told(now, line(complete={"a": 10})) == [("a", "y", None)]
+    one.receive_line(
+        now, line(changes=[["a", key, 5, UP] for key in "xyz"] + [["b", "x", 5, UP]], complete={"a": 5})
+    )
+    assert one.receive_line(now, line(snapshot="a")) == []
+    assert one.receive_line(now, line(changes=[["a", "x", 5, UP], ["a", "new", 7, UP]])) == [("a", "new", UP)]
+    one.receive_line(now, line(changes=[["a", "z", 12, OUT]]))  # newer than the snapshot
+    assert one.receive_line(now, line(complete={"a": 10})) == [("a", "y", None)]
     assert set(one.records["a"]) == {"x", "new", "z"} and set(one.records["b"]) == {"x"}
-    assert one.told(now, line(complete={"a": 11})) == []
+    assert one.receive_line(now, line(complete={"a": 11})) == []
 
 
 def test_a_snapshot_cut_short_drops_nothing():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", key, 5, UP] for key in "xyz"], complete={"a": 5}))
-    one.told(now, line(snapshot="a"))
-    one.told(now, line(changes=[["a", "new", 7, UP]]))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=[["a", key, 5, UP] for key in "xyz"], complete={"a": 5}))
+    one.receive_line(now, line(snapshot="a"))
+    one.receive_line(now, line(changes=[["a", "new", 7, UP]]))
+    one.stream_ended(now, "cut")
     assert set(one.records["a"]) == {"x", "y", "z", "new"} and one.complete == {"a": 5}
     asked = one.next(one.wake_at())
     assert body(asked)["scopes"] == {"a": 5} and body(asked)["cluster"] == "c"
     follows(one, now)
-    assert one.told(now, line(complete={"a": 8})) == [("a", "new", None)]  # put, and dropped in a gap
+    assert one.receive_line(now, line(complete={"a": 8})) == [("a", "new", None)]  # put, and dropped in a gap
 
 
 def test_what_was_told_ahead_and_again_stays():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "x", 7, OUT], ["a", "y", 8, OUT]]))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=[["a", "x", 7, OUT], ["a", "y", 8, OUT]]))
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now)
-    assert one.told(now, line(changes=[["a", "x", 7, OUT]], complete={"a": 7})) == []
+    assert one.receive_line(now, line(changes=[["a", "x", 7, OUT]], complete={"a": 7})) == []
     assert set(one.records["a"]) == {"x", "y"}
-    assert one.told(now, line(complete={"a": 9})) == [("a", "y", None)] and set(one.records["a"]) == {"x"}
+    assert one.receive_line(now, line(complete={"a": 9})) == [("a", "y", None)] and set(one.records["a"]) == {
+        "x"
+    }
 
 
 def test_an_older_relays_snapshot_takes_nothing_back():
     one, now = stream("a")
     follows(one, now)
     told = [["a", "x", 5, UP], ["a", "w", 6, UP], ["a", "y", 20, UP]]
-    one.told(now, line(changes=told, complete={"a": 20}))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=told, complete={"a": 20}))
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now)
-    one.told(now, line(snapshot="a"))
-    assert one.told(now, line(changes=[["a", "x", 3, OUT], ["a", "z", 4, UP]], complete={"a": 10})) == []
+    one.receive_line(now, line(snapshot="a"))
+    assert (
+        one.receive_line(now, line(changes=[["a", "x", 3, OUT], ["a", "z", 4, UP]], complete={"a": 10})) == []
+    )
     assert one.records["a"] == {"x": (5, UP), "w": (6, UP), "y": (20, UP)} and one.complete == {"a": 20}
 
 
@@ -974,43 +980,45 @@
     one, now = stream("a", "b", relays=RELAYS[:1])
     follows(one, now)
     both = [["a", "x", 50, UP], ["a", "y", 51, UP], ["b", "x", 52, UP]]
-    one.told(now, line(changes=both, complete={"a": 60, "b": 60}))
-    one.told(now, line(changes=[["b", "x", 61, {"state": 7}]], complete={"b": 61}))
+    one.receive_line(now, line(changes=both, complete={"a": 60, "b": 60}))
+    one.receive_line(now, line(changes=[["b", "x", 61, {"state": 7}]], complete={"b": 61}))
     one.refuse("b", "x", 61, "no")
-    one.ended(now, "cut")
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now, "d", 3)
-    one.told(now, line(snapshot="a"))
-    one.told(now, line(snapshot="b"))
-    assert one.told(now, line(changes=[["a", "x", 1, OUT], ["a", "z", 2, UP], ["b", "x", 1, OUT]])) == []
+    one.receive_line(now, line(snapshot="a"))
+    one.receive_line(now, line(snapshot="b"))
+    assert (
+        one.receive_line(now, line(changes=[["a", "x", 1, OUT], ["a", "z", 2, UP], ["b", "x", 1, OUT]])) == []
+    )
     assert body(one.next(now + 5 * SECOND)) | {"stay": ""} == {
         "gateway": "g1", "cluster": "d", "complete": {}, "refused": [], "stay": "",
     }  # fmt: skip
-    assert sorted(one.told(now, line(complete={"a": 3})), key=str) == [
+    assert sorted(one.receive_line(now, line(complete={"a": 3})), key=str) == [
         ("a", "x", OUT), ("a", "y", None), ("a", "z", UP),
     ]  # fmt: skip
     assert one.records["b"] == {"x": (52, UP)} and one.complete == {"a": 3, "b": 0}
     assert body(one.next(now + 9 * SECOND))["complete"] == {"a": 3}
-    one.ended(now, "cut")
+    one.stream_ended(now, "cut")
     asked = body(one.next(one.wake_at()))
     assert asked["cluster"] == "d" and asked["scopes"] == {"a": 3, "b": 0}
     with pytest.raises(Unreadable, match="cluster c was left for d"):
         follows(one, now)
     follows(one, now, "d", 4)
     with pytest.raises(Unreadable, match="was not told"):
-        one.told(now, line(complete={"b": 4}))
-    assert one.told(now, line(changes=[["b", "x", 4, OUT]])) == []
-    one.told(now, line(snapshot="b"))
-    assert one.told(now, line(changes=[["b", "x", 4, OUT]], complete={"b": 4})) == [("b", "x", OUT)]
-    assert one.told(now, line(changes=[["b", "x", 5, UP]])) == [("b", "x", UP)]
+        one.receive_line(now, line(complete={"b": 4}))
+    assert one.receive_line(now, line(changes=[["b", "x", 4, OUT]])) == []
+    one.receive_line(now, line(snapshot="b"))
+    assert one.receive_line(now, line(changes=[["b", "x", 4, OUT]], complete={"b": 4})) == [("b", "x", OUT)]
+    assert one.receive_line(now, line(changes=[["b", "x", 5, UP]])) == [("b", "x", UP)]
 
 
 def test_a_stray_relay_of_another_cluster_takes_no_gateway_with_it():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "x", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "x", 5, UP]], complete={"a": 5}))
     for _ in range(3):
-        one.ended(now, "lost")
+        one.stream_ended(now, "lost")
         now = one.wake_at()
         one.next(now)
         assert one.relay[0] == "far"
@@ -1018,45 +1026,45 @@
         with pytest.raises(Unreadable, match="cluster d, not c; others are asked first"):
             follows(one, now, "d", 3)
         assert state_of(one) == before
-        one.ended(now, "unreadable")
+        one.stream_ended(now, "unreadable")
         now = one.wake_at()
         one.next(now)
         assert one.relay[0] == "near"
         follows(one, now)
     for _ in range(2):  # its own is to be had nowhere any more
-        one.ended(now, "no connection")
+        one.stream_ended(now, "no connection")
         now = one.wake_at()
         one.next(now)
     follows(one, now, "d", 3)
-    one.told(now, line(snapshot="a"))
-    assert one.told(now, line(changes=[["a", "x", 2, OUT]], complete={"a": 3})) == [("a", "x", OUT)]
+    one.receive_line(now, line(snapshot="a"))
+    assert one.receive_line(now, line(changes=[["a", "x", 2, OUT]], complete={"a": 3})) == [("a", "x", OUT)]
 
 
 def test_another_cluster_that_is_cut_off_before_it_is_whole_counts_for_nothing():
     one, now = stream("a", relays=RELAYS[:1])
     follows(one, now)
-    one.told(now, line(changes=[["a", "x", 5, UP]], complete={"a": 5}))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=[["a", "x", 5, UP]], complete={"a": 5}))
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now, "d", 3)
-    one.told(now, line(snapshot="a"))
-    one.told(now, line(changes=[["a", "x", 2, OUT]]))
-    one.ended(now, "cut")
+    one.receive_line(now, line(snapshot="a"))
+    one.receive_line(now, line(changes=[["a", "x", 2, OUT]]))
+    one.stream_ended(now, "cut")
     assert body(one.next(one.wake_at()))["scopes"] == {"a": 5}
     follows(one, now)
-    assert one.told(now, line(changes=[["a", "x", 6, OUT]])) == [("a", "x", OUT)]
+    assert one.receive_line(now, line(changes=[["a", "x", 6, OUT]])) == [("a", "x", OUT)]
 
 
 def test_the_same_record_of_a_cluster_formed_anew_is_not_put_in_force_again():
     one, now = stream("a", relays=RELAYS[:1])
     follows(one, now)
-    one.told(now, line(changes=[["a", "x", 5, UP], ["a", "y", 5, UP]], complete={"a": 5}))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=[["a", "x", 5, UP], ["a", "y", 5, UP]], complete={"a": 5}))
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now, "d", 3)
-    one.told(now, line(snapshot="a"))
+    one.receive_line(now, line(snapshot="a"))
     told = line(changes=[["a", "x", 2, UP], ["a", "y", 1, OUT]], complete={"a": 3})
-    assert one.told(now, told) == [("a", "y", OUT)]
+    assert one.receive_line(now, told) == [("a", "y", OUT)]
     assert one.records["a"] == {"x": (2, UP), "y": (1, OUT)}
 
 
@@ -1104,13 +1112,13 @@
 def test_a_line_that_is_none_is_unreadable_and_changes_nothing(data):
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 4, UP]], complete={"a": 4}))
+    one.receive_line(now, line(changes=[["a", "k", 4, UP]], complete={"a": 4}))
     before, heard = state_of(one), one.heard_at
     with pytest.raises(Unreadable) as error:
-        one.told(now + SECOND, data)
+        one.receive_line(now + SECOND, data)
     assert error.value.do and 0 < len(str(error.value)) < 400
-    assert state_of(one) == before and one.heard_at == heard and one.unheard(now + SECOND) == SECOND
-    assert one.told(now, line(changes=[["a", "k", 5, OUT]], n=3)) == [("a", "k", OUT)]
+    assert state_of(one) == before and one.heard_at == heard and one.silent_ns(now + SECOND) == SECOND
+    assert one.receive_line(now, line(changes=[["a", "k", 5, OUT]], n=3)) == [("a", "k", OUT)]
 
 
 def state_of(one):
@@ -1124,16 +1132,16 @@
     one, now = stream("a")
     for data in (line(changes=[["a", "k", 4, UP]]), line(complete={"a": 1}), line(snapshot="a")):
         with pytest.raises(Unreadable, match="before the one that names"):
-            one.told(now, data)
-    one.ended(now, "unreadable")
+            one.receive_line(now, data)
+    one.stream_ended(now, "unreadable")
     with pytest.raises(Unreadable, match="no stream stands"):
         follows(one, now)
 
 
 def test_an_empty_line_is_a_sign_of_life():
     one, now = stream("a")
-    assert one.told(now + SECOND, b"\n") == one.told(now + SECOND, b"") == []
-    assert one.unheard(now + 3 * SECOND) == 2 * SECOND
+    assert one.receive_line(now + SECOND, b"\n") == one.receive_line(now + SECOND, b"") == []
+    assert one.silent_ns(now + 3 * SECOND) == 2 * SECOND
 
 
 def told_lines():
@@ -1154,7 +1162,7 @@
     """Cut short, with bytes flipped, with bytes put in, told twice or out of order."""
     one, now = stream("a", "b")
     for good in LINES[:place]:
-        one.told(now, good)
+        one.receive_line(now, good)
     before, whole = state_of(one), LINES[place]
     how = data.draw(some.sampled_from(["cut", "flip", "flips", "more", "twice", "skip"]))
     if how == "cut":
@@ -1177,10 +1185,10 @@
         bad = LINES[place + 1] if place + 1 < len(LINES) else LINES[0]
     if bad.strip() != whole.strip() and bad.strip():
         with pytest.raises(Unreadable):
-            one.told(now, bad)
+            one.receive_line(now, bad)
     assert state_of(one) == before
     for good in LINES[place:]:
-        one.told(now, good)
+        one.receive_line(now, good)
     assert len(one.records["a"]) == 30 and one.records["a"]["k3"] == (11, OUT) and one.complete["a"] == 11
 
 
@@ -1200,7 +1208,7 @@
     follows(one, now)
     before = state_of(one)
     try:
-        one.told(now, data)
+        one.receive_line(now, data)
     except Unreadable:
         assert state_of(one) == before
 
@@ -1208,9 +1216,9 @@
 def test_a_record_refused_stays_on_the_one_before_and_is_told_by_name():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
     bad = {"state": 7}
-    assert one.told(now, line(changes=[["a", "k", 8, bad], ["a", "new", 8, bad]], complete={"a": 8}))
+    assert one.receive_line(now, line(changes=[["a", "k", 8, bad], ["a", "new", 8, bad]], complete={"a": 8}))
     one.refuse("a", "k", 7, "of another index")
     assert one.records["a"]["k"] == (8, bad)
     one.refuse("a", "k", 8, "state: 7; expected a text")
@@ -1219,32 +1227,32 @@
     told = body(one.next(now + SECOND))
     assert told["complete"] == {"a": 8}
     assert told["refused"] == [["a", "k", 8, "state: 7; expected a text"], ["a", "new", 8, "x" * 300]]
-    one.told(now, line(complete={"a": 8}))
-    assert one.told(now, line(changes=[["a", "k", 8, bad], ["a", "new", 8, bad]])) == []  # told again
-    assert one.told(now, line(changes=[["a", "k", 7, OUT]])) == []
-    one.ended(now, "cut")
+    one.receive_line(now, line(complete={"a": 8}))
+    assert one.receive_line(now, line(changes=[["a", "k", 8, bad], ["a", "new", 8, bad]])) == []  # told again
+    assert one.receive_line(now, line(changes=[["a", "k", 7, OUT]])) == []
+    one.stream_ended(now, "cut")
     now = one.wake_at()
     one.next(now)
     follows(one, now)
     assert len(body(one.next(now))["refused"]) == 2  # the next relay is told, too, at once
-    assert one.told(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 9})) == [("a", "k", OUT)]
-    one.told(now, line(snapshot="a"))
-    one.told(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 10}))
+    assert one.receive_line(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 9})) == [("a", "k", OUT)]
+    one.receive_line(now, line(snapshot="a"))
+    one.receive_line(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 10}))
     assert body(one.next(one.wake_at()))["refused"] == [] and one.past["a"] == {}
 
 
 def test_a_record_that_cant_be_dropped_is_in_force_still_and_told_by_name():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 5, UP], ["a", "j", 5, UP]], complete={"a": 5}))
-    one.told(now, line(changes=[["a", "k", 8, None]], complete={"a": 8}))
+    one.receive_line(now, line(changes=[["a", "k", 5, UP], ["a", "j", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "k", 8, None]], complete={"a": 8}))
     one.refuse("a", "k", 8, "fault")
     one.refuse("a", "j", 5, "not of this line")
     one.refuse("a", "other", 8, "never told")
     assert one.records["a"] == {"k": (5, UP), "j": (5, UP)}
     assert body(one.next(now + SECOND))["refused"] == [["a", "k", 8, "fault"]]
-    assert one.told(now, line(changes=[["a", "k", 7, OUT], ["a", "k2", 7, UP]])) == []
-    assert one.told(now, line(changes=[["a", "k", 9, None]])) == [("a", "k", None)]
+    assert one.receive_line(now, line(changes=[["a", "k", 7, OUT], ["a", "k2", 7, UP]])) == []
+    assert one.receive_line(now, line(changes=[["a", "k", 9, None]])) == [("a", "k", None)]
     assert body(one.next(now + 2 * SECOND))["refused"] == []
 
 
@@ -1253,7 +1261,7 @@
     one, now = stream("a", "b")
     follows(one, now)
     told = [[scope, f"k{n}", 5 + n, {}] for n in range(3) for scope in "ab"]
-    one.told(now, line(changes=told, complete={"a": 9, "b": 9}))
+    one.receive_line(now, line(changes=told, complete={"a": 9, "b": 9}))
     for key in ("k0", "k1", "k2"):
         one.refuse("a", key, 5 + int(key[1]), "no")
     told = body(one.next(now + SECOND))
@@ -1263,35 +1271,35 @@
 def test_what_was_refused_before_another_cluster_goes_by_that_ones_indexes():
     one, now = stream("a", relays=RELAYS[:1])
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 500, UP]], complete={"a": 500}))
-    one.ended(now, "cut")
+    one.receive_line(now, line(changes=[["a", "k", 500, UP]], complete={"a": 500}))
+    one.stream_ended(now, "cut")
     one.next(one.wake_at())
     follows(one, now, "d", 3)
-    one.told(now, line(snapshot="a"))
-    one.told(now, line(changes=[["a", "k", 2, {"state": 7}]], complete={"a": 3}))
+    one.receive_line(now, line(snapshot="a"))
+    one.receive_line(now, line(changes=[["a", "k", 2, {"state": 7}]], complete={"a": 3}))
     one.refuse("a", "k", 2, "no")
     assert one.records["a"]["k"][1] == UP
-    assert one.told(now, line(changes=[["a", "k", 4, OUT]])) == [("a", "k", OUT)]
+    assert one.receive_line(now, line(changes=[["a", "k", 4, OUT]])) == [("a", "k", OUT)]
 
 
 def test_it_acknowledges_at_most_once_a_second_what_is_in_force_by_then():
     one, now = stream("a", "b")
     assert one.next(now + HOUR) is None  # nothing was told yet
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
     first = one.next(now)
     assert type(first) is Acknowledge and body(first)["complete"] == {"a": 5}
-    one.acknowledged(now, True)
+    one.acknowledgement_ended(now, True)
     for index in range(6, 20):
-        one.told(now, line(complete={"a": index, "b": index}))
+        one.receive_line(now, line(complete={"a": index, "b": index}))
         assert one.next(now + SECOND - 1) is None
     assert one.wake_at() == now + SECOND
     assert body(one.next(now + SECOND))["complete"] == {"a": 19, "b": 19}
     assert one.next(now + SECOND) is None
-    one.acknowledged(now + SECOND, False)  # it did not get there
+    one.acknowledgement_ended(now + SECOND, False)  # it did not get there
     assert body(one.next(now + 2 * SECOND))["complete"] == {"a": 19, "b": 19}
-    one.acknowledged(now + 2 * SECOND, True)
-    one.told(now, line(complete={"a": 19}))  # nothing new
+    one.acknowledgement_ended(now + 2 * SECOND, True)
+    one.receive_line(now, line(complete={"a": 19}))  # nothing new
     assert one.wake_at() == now + 5 * SECOND and one.next(now + 5 * SECOND - 1) is None
     assert body(one.next(now + 5 * SECOND))["complete"] == {}  # a sign of life
 
@@ -1299,14 +1307,14 @@
 def test_a_gateway_that_is_cut_off_goes_on_with_what_it_has():
     one, now = stream("a")
     follows(one, now)
-    one.told(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
+    one.receive_line(now, line(changes=[["a", "k", 5, UP]], complete={"a": 5}))
     heard = now
     for _ in range(50):
-        one.ended(now, "no connection")
+        one.stream_ended(now, "no connection")
         now = one.wake_at()
         assert type(one.next(now)) is Subscribe
     assert one.records["a"] == {"k": (5, UP)} and one.complete == {"a": 5}
-    assert one.unheard(now) == now - heard > 50 * SECOND
+    assert one.silent_ns(now) == now - heard > 50 * SECOND
 
 
 SEVERAL = [(f"n{n}", "r1", f"127.0.0.1:{n}") for n in (1, 2)] + [
@@ -1320,7 +1328,7 @@
         one, now = stream("a", seed=seed, relays=SEVERAL)
         tried = [one.relay[0]]
         for _ in range(11):
-            one.ended(now, "no")
+            one.stream_ended(now, "no")
             now = one.wake_at()
             assert type(one.next(now)) is Subscribe
             tried.append(one.relay[0])
@@ -1338,13 +1346,13 @@
     for one in ones:
         one.next(one.wake_at())
         follows(one, SECOND)
-        one.ended(HOUR, "lost")
+        one.stream_ended(HOUR, "lost")
     assert busiest(ones) < 200
     for _ in range(2 * len(SEVERAL)):  # two rounds
         most = max(one.wake_at() for one in ones)
         for one in ones:
             one.next(most)
-            one.ended(most, "lost")
+            one.stream_ended(most, "lost")
         assert busiest(ones) < 200
     assert busiest(ones) < 60
 
@@ -1361,7 +1369,7 @@
     one, now = stream("a")
     waits = []
     for _ in range(200):
-        one.ended(now, "no")
+        one.stream_ended(now, "no")
         waits.append(one.wake_at() - now)
         assert one.next(one.wake_at() - 1) is None
         now = one.wake_at()
@@ -1370,14 +1378,14 @@
     assert waits[1] <= subscriber.SHORTEST and min(waits) >= subscriber.SHORTEST // 10
     assert subscriber.LONGEST // 2 < max(waits) <= subscriber.LONGEST
     follows(one, now)
-    one.ended(now + subscriber.STEADY - 1, "short")
+    one.stream_ended(now + subscriber.STEADY - 1, "short")
     assert one.length == subscriber.LONGEST
     now = one.wake_at()
     one.next(now)
     follows(one, now)
-    one.ended(now + subscriber.STEADY, "lost")
+    one.stream_ended(now + subscriber.STEADY, "lost")
     assert one.wake_at() - now - subscriber.STEADY <= subscriber.SHORTEST
-    one.ended(now + HOUR, "once more")  # of a stream that is none
+    one.stream_ended(now + HOUR, "once more")  # of a stream that is none
     assert one.wake_at() < now + HOUR
     one.next(one.wake_at())
     assert one.relay[1] == "r1"
@@ -1387,15 +1395,15 @@
     one, now = stream("a")
     assert one.relay[0] == "near"
     follows(one, now)
-    one.told(now, line(complete={"a": 5}))
-    one.ended(now + SECOND, "dropped")
+    one.receive_line(now, line(complete={"a": 5}))
+    one.stream_ended(now + SECOND, "dropped")
     one.next(one.wake_at())
     assert one.relay[0] == "far"
 
 
 def test_it_looks_whether_its_regions_relay_is_back_more_and_more_seldom():
     one, now = stream("a")
-    one.ended(now, "no")
+    one.stream_ended(now, "no")
     now = one.wake_at()
     one.next(now)
     waits = []
@@ -1407,7 +1415,7 @@
         waits.append(at - now)
         now = at
         assert one.relay[0] == "near"
-        one.ended(now, "still gone")
+        one.stream_ended(now, "still gone")
         now = one.wake_at()
         one.next(now)
     for place, wait in enumerate(waits):
@@ -1415,10 +1423,10 @@
         assert most // 2 <= wait <= most
     one.next(one.home_at)
     follows(one, now)
-    one.ended(now + subscriber.STEADY, "lost")
+    one.stream_ended(now + subscriber.STEADY, "lost")
     assert one.home == subscriber.HOME
     one.next(one.wake_at())
-    one.told(now, line(cluster="c", at=10))
+    one.receive_line(now, line(cluster="c", at=10))
     assert one.relay[0] == "near" and one.home_at == subscriber.NEVER
 
 
@@ -1426,18 +1434,18 @@
     one, now = stream("a", "b")
     follows(one, now)
     told = [["a", "k", 5, UP], ["b", "k", 5, UP], ["b", "j", 5, UP]]
-    one.told(now, line(changes=told, complete={"a": 5, "b": 5}))
+    one.receive_line(now, line(changes=told, complete={"a": 5, "b": 5}))
     one.refuse("b", "j", 5, "no")
     with pytest.raises(Unusable):
-        one.rescope(now, ["a b"])
+        one.change_scopes(now, ["a b"])
     relay = one.relay
-    assert one.rescope(now, ["c", "a"]) == [("b", "k", None)]
+    assert one.change_scopes(now, ["c", "a"]) == [("b", "k", None)]
     asked = one.next(now)
     assert one.relay == relay and body(asked)["scopes"] == {"a": 5, "c": 0}
     follows(one, now)
     with pytest.raises(Unreadable, match="scope 'b' was not asked for"):
-        one.told(now, line(changes=[["b", "k", 6, UP]]))
-    assert one.told(now, line(changes=[["c", "k", 6, UP]], complete={"c": 6}))
+        one.receive_line(now, line(changes=[["b", "k", 6, UP]]))
+    assert one.receive_line(now, line(changes=[["c", "k", 6, UP]], complete={"c": 6}))
     assert body(one.next(now + SECOND))["refused"] == []
     assert one.records.keys() == one.past.keys() == one.early.keys() == one.complete.keys() == {"a", "c"}
 
@@ -1502,12 +1510,12 @@
         self.whole(address, back)
 
     def cut(self):
-        self.one.ended(self.now, "cut")
+        self.one.stream_ended(self.now, "cut")
         self.box = self.address = None
 
     def rescope(self, scopes):
         gone = {at for at, record in self.force.items() if record and at[0] not in scopes}
-        found = self.one.rescope(self.now, scopes)
+        found = self.one.change_scopes(self.now, scopes)
         assert len(found) == len(gone) and {(scope, key) for scope, key, _ in found} == gone
         self.force = {at: record for at, record in self.force.items() if at[0] in scopes}
         self.low = {at: index for at, index in self.low.items() if at[1] in scopes}
@@ -1519,7 +1527,7 @@
             return
         while (asked := self.one.next(self.now)) is None:
             self.now = max(self.now, self.one.wake_at())
-        asked = records.read(asked.body, Subscription)
+        asked = records.parse_body(asked.body, Subscription)
         self.address = self.one.relay[2]
         self.elsewhere.add(self.address)
         held = self.relays[self.address]
@@ -1537,7 +1545,7 @@
             bad = data[:place] + bytes([data[place] ^ bits]) + data[place + 1 :]
             before = state_of(self.one)
             with pytest.raises(Unreadable):
-                self.one.told(self.now, bad)
+                self.one.receive_line(self.now, bad)
             assert state_of(self.one) == before
             self.cut()
 
@@ -1559,7 +1567,7 @@
                 self.base = dict.fromkeys(self.base, 0)
             if self.refuses(line["cluster"]):
                 with pytest.raises(Unreadable, match="was left for|others are asked first"):
-                    self.one.told(self.now, data)
+                    self.one.receive_line(self.now, data)
                 return False
             if self.one.cluster in ("", line["cluster"]):
                 self.elsewhere = set()
@@ -1568,7 +1576,7 @@
         if any(urgency(record) != DRAIN for _, _, _, record in line.get("changes", ())):
             self.no_drain_waits()
         self.base |= line.get("complete", {})
-        for scope, key, record in self.one.told(self.now, data):
+        for scope, key, record in self.one.receive_line(self.now, data):
             self.force[scope, key] = record
         self.judge()
         return True
--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -86,9 +86,9 @@
 
 def test_a_relay_is_lost_once_no_member_that_knows_a_leader_was_heard_for_too_long():
     made = course()
-    assert not made.lost(NOW + polling.LOST - 1) and made.lost(NOW + polling.LOST)
-    assert made.answered(NOW + polling.LOST, "c1", 9, "m1") and not made.lost(NOW + polling.LOST)
-    assert made.answered(NOW + 2 * polling.LOST, "c1", 9, "") and made.lost(NOW + 2 * polling.LOST)
+    assert not made.is_cut_off(NOW + polling.LOST - 1) and made.is_cut_off(NOW + polling.LOST)
+    assert made.answered(NOW + polling.LOST, "c1", 9, "m1") and not made.is_cut_off(NOW + polling.LOST)
+    assert made.answered(NOW + 2 * polling.LOST, "c1", 9, "") and made.is_cut_off(NOW + 2 * polling.LOST)
 
 
 # ---- what a relay reads
@@ -175,7 +175,7 @@
     assert found["i1"] == (at.DRAINING, 0)
     assert found.get("i0", (at.READY, 0)) == (state, started)
     made.put([("s", "instance/i0", {"state": "up"})])
-    assert made.merge.line("i0").state == at.READY
+    assert made.merge.merged_line("i0").state == at.READY
 
 
 @pytest.mark.parametrize("key, record, says", [
@@ -191,7 +191,7 @@
     made.put([("other", "instance/i1", {"state": "up"})])
     refused = made.put([("s", key, record), ("s", "instance/i2", {"state": "draining"})])
     assert [row[:2] for row in refused] == [("s", key)] and says in refused[0][2]
-    assert made.merge.words["i2"].out and made.merge.line("i0").state == at.READY
+    assert made.merge.words["i2"].out and made.merge.merged_line("i0").state == at.READY
 
 
 def test_a_balancer_that_cannot_be_told_is_an_error_and_no_record_in_force():
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -324,7 +324,7 @@
         relay.later(60 * 10**9)
         with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as one:
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts")
-            relay.do(relay.relay.acknowledged.drop, "g0")
+            relay.do(relay.relay.acknowledgements.drop, "g0")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts again")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["everywhere"], "in force")
             assert one.subscriber.counts["streams"] == 2
@@ -415,7 +415,7 @@
             code, told = relay.ask(method, path, body)
             assert code == wanted, (path, body, told)
             assert told["error"]["type"] and told["error"]["says"] and told["error"]["do"]
-        assert not relay.relay.streams and not relay.relay.acknowledged.subscribers
+        assert not relay.relay.streams and not relay.relay.acknowledgements.subscribers
         assert not relay.relay.readers
 
 
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -226,8 +226,8 @@
 class AcknowledgesReceived(Subscriber):
     """Says to be complete up to the relay's index as soon as the stream begins."""
 
-    def told(self, now, data):
-        found = super().told(now, data)
+    def receive_line(self, now, data):
+        found = super().receive_line(now, data)
         if b'"at":' in data:
             at = json.loads(data)["at"]
             self.complete = {scope: max(index, at) for scope, index in self.complete.items()}
@@ -246,9 +246,9 @@
 class ReadsNonsense(Subscriber):
     """Lets pass what it can't read."""
 
-    def told(self, now, data):
+    def receive_line(self, now, data):
         try:
-            return super().told(now, data)
+            return super().receive_line(now, data)
         except Unreadable:
             return []
 
@@ -263,8 +263,8 @@
 class WaitsLong(Subscriber):
     """Minutes, once a stream ended."""
 
-    def ended(self, now, reason):
-        super().ended(now, reason)
+    def stream_ended(self, now, reason):
+        super().stream_ended(now, reason)
         self.not_before = now + 100 * links.SECOND
 
 
@@ -342,36 +342,36 @@
 class CountsOnlyPresent(Acknowledgements):
     """Who left counts no more, though it goes on with what it has."""
 
-    def left(self, now, gateway, stay=None):
-        super().left(now, gateway, stay)
+    def stream_ended(self, now, gateway, stay=None):
+        super().stream_ended(now, gateway, stay)
         self.drop(gateway)
 
 
 class HearsFormerLives(Acknowledgements):
     """A word of the life before counts for the one that is."""
 
-    def heard(self, now, gateway, complete, refused=(), stay=""):
+    def acknowledge(self, now, gateway, complete, refused=(), stay=""):
         known = self.subscribers.get(gateway)
-        return super().heard(now, gateway, complete, refused, known.stay if known else stay)
+        return super().acknowledge(now, gateway, complete, refused, known.stay if known else stay)
 
 
 class HeedsNoRefusal(Acknowledgements):
-    def heard(self, now, gateway, complete, refused=(), stay=""):
-        return super().heard(now, gateway, complete, (), stay)
+    def acknowledge(self, now, gateway, complete, refused=(), stay=""):
+        return super().acknowledge(now, gateway, complete, (), stay)
 
 
 class CountsReceived(Acknowledgements):
     """Who subscribed is taken to be complete."""
 
-    def subscribed(self, now, gateway, region, scopes, stay=""):
-        super().subscribed(now, gateway, region, dict.fromkeys(scopes, 1 << 40), stay)
+    def subscribe(self, now, gateway, region, scopes, stay=""):
+        super().subscribe(now, gateway, region, dict.fromkeys(scopes, 1 << 40), stay)
 
 
 class NeverTells(Acknowledgements):
     """Nothing is in force everywhere, ever."""
 
-    def force(self, now, scope, index):
-        return super().force(now, scope, index)._replace(everywhere=False)
+    def in_force(self, now, scope, index):
+        return super().in_force(now, scope, index)._replace(everywhere=False)
 
 
 def of(**kinds):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Gateways that follow a ledger: the merge of two words, the course through members, the thread."""
+"""Gateways that follow a ledger: the merge of two words, the polling through members, the thread."""
 
 import json
 import subprocess
@@ -58,7 +58,7 @@
 
 
 def heard(merge, index, *changes, moment=0, seen=NOW, whole=()):
-    return told(merge.heard(seen, LedgerUpdate(index, list(changes), whole, moment)))
+    return told(merge.apply_update(seen, LedgerUpdate(index, list(changes), whole, moment)))
 
 
 # ---- the merge of two words
@@ -131,7 +131,7 @@
     merge = Merge()
     listed(merge, line(), whole=True)
     heard(merge, 5, node(out="d1"))
-    assert merge.heard(NOW, LedgerUpdate(4, [node()], ("nodes", "permits"), 0)) is None
+    assert merge.apply_update(NOW, LedgerUpdate(4, [node()], ("nodes", "permits"), 0)) is None
     assert listed(merge, line()) == {"i0": (at.DRAINING, 0)}
 
 
@@ -180,7 +180,7 @@
                 changes.append(node(name, row["state"], "d" if row["out"] else "", row["warm"]))
                 changes.append(("permits", name, {} if row["permit"] else None))
             news = LedgerUpdate(to, changes, ("nodes", "permits") if what == "whole" else (), None)
-            answer = merge.heard(moment, news)
+            answer = merge.apply_update(moment, news)
             assert (answer is None) == (to < known)
             if answer is not None:
                 known = to
@@ -191,7 +191,7 @@
             row = states[known].get(name, {"state": "serving", "out": False, "permit": False})
             lets = row["state"] in ("serving", "catching_up") and not row["out"] and not row["permit"]
             if state != at.GONE:
-                said = merge.line(name)
+                said = merge.merged_line(name)
                 assert (said.state == at.READY) == (state == at.READY and lets)
                 assert said.started == seen.get(name, (0, 0))[1]
 
@@ -228,22 +228,22 @@
 def test_answers_that_cannot_be_read_are_one_error(body):
     body = body.replace(b'{"at"', b'{"cluster_id": "c1", "at"')
     with pytest.raises(Unreadable):
-        responses.events(responses.checked(body, ""), 3)
+        responses.parse_events(responses.parse_body(body, ""), 3)
 
 
 def test_events_are_read_and_what_is_not_heeded_is_passed_over():
     rows = [("nodes", "i0", {"out": "d"}), ("wants", "i0", ["d"]), ("permits", "i0", None)]
     changes = [{"part": part, "key": key, "record": record} for part, key, record in rows]
     told = {"cluster_id": "c1", "at": 9, "events": [{"index": 5, "changes": changes}]}
-    news = responses.events(responses.checked(json.dumps(told).encode(), ""), 3)
-    assert (news.at, news.changes) == (9, [rows[0], rows[2]])
+    news = responses.parse_events(responses.parse_body(json.dumps(told).encode(), ""), 3)
+    assert (news.index, news.changes) == (9, [rows[0], rows[2]])
 
 
 def test_a_body_that_is_not_what_its_check_says_is_no_answer():
     body = b'{"at": 5, "events": []}'
-    responses.checked(body, f"{zlib.crc32(body):08x}")
+    responses.parse_body(body, f"{zlib.crc32(body):08x}")
     with pytest.raises(Unreadable):
-        responses.checked(body.replace(b"5", b"7"), f"{zlib.crc32(body):08x}")
+        responses.parse_body(body.replace(b"5", b"7"), f"{zlib.crc32(body):08x}")
 
 
 @settings(max_examples=100, deadline=None)
@@ -255,47 +255,47 @@
         body[where] = data.draw(some.integers(0, 255))
     body = bytes(body[: data.draw(some.integers(0, len(body)))])
     try:
-        news = responses.events(responses.checked(body, ""), 4)
+        news = responses.parse_events(responses.parse_body(body, ""), 4)
     except Unreadable:
         return
-    assert news is None or news.at >= 0
+    assert news is None or news.index >= 0
 
 
-# ---- the course
+# ---- the polling
 
 
-def course(**members):
+def new_polling(**members):
     return LedgerPolling("g0", "b00t", members or {"m1": "h:1", "m2": "h:2", "m3": "h:3"}, 7)
 
 
 def test_it_asks_to_be_waited_for_before_it_takes_the_state_and_then_polls_from_there():
-    made = course()
-    assert made.next(NOW).what == FOLLOW
-    made.followed(NOW, 40)
+    made = new_polling()
+    assert made.next(NOW).kind == FOLLOW
+    made.follow_accepted(NOW, 40)
     asked = []
-    while (ask := made.next(NOW)).what == STATE:
+    while (ask := made.next(NOW)).kind == STATE:
         asked.append(ask.part)
-        made.had(ask.part)
-    made.obeyed(NOW, 41)
+        made.part_received(ask.part)
+    made.update_applied(NOW, 41)
     parts = "nodes,permits,followers,members,moves"
     polls = f"/v1/events?after=41&gateway=g0&since=40&parts={parts}"
     assert asked == ["permits", "nodes"] and made.next(NOW).path == polls
 
 
 def test_the_same_id_is_repeated_until_it_is_answered_and_never_used_again():
-    made = course()
+    made = new_polling()
     first = json.loads(made.next(NOW).body)
     made.failed(NOW)
     assert made.next(NOW) is None
     again = made.next(made.not_before)
     assert json.loads(again.body) == first and again.member != "m0"
-    made.followed(NOW, 40)
-    made.forgotten()
+    made.follow_accepted(NOW, 40)
+    made.lease_lost()
     assert json.loads(made.next(made.not_before).body)["id"] != first["id"]
 
 
 def test_waits_grow_and_are_spread_and_every_member_has_its_turn():
-    made, moment, waits, tried = course(), NOW, [], []
+    made, moment, waits, tried = new_polling(), NOW, [], []
     for _ in range(12):
         tried.append(made.next(moment).member)
         made.failed(moment)
@@ -308,7 +308,7 @@
 
 
 def test_it_goes_to_the_leader_at_once_but_not_in_circles_for_ever():
-    made = course()
+    made = new_polling()
     at_once = 0
     while made.next(NOW) is not None:
         made.failed(NOW, "m1" if made.member != "m1" else "m2")
@@ -317,59 +317,59 @@
 
 
 def test_a_leader_that_is_told_of_is_asked_itself_but_not_one_that_does_not_answer():
-    made = course()
+    made = new_polling()
     first = made.member
     made.failed(NOW)
     assert made.member != first
-    made.obeyed(NOW, 5, first)
+    made.update_applied(NOW, 5, first)
     assert made.member != first
-    made.obeyed(NOW + polling.SHUNNED, 6, first)
+    made.update_applied(NOW + polling.SHUNNED, 6, first)
     assert made.member == first
 
 
 def test_an_answer_that_cannot_be_read_has_the_state_asked_for_in_parts():
-    made = course()
-    made.followed(NOW, 40)
-    made.parts.clear()
+    made = new_polling()
+    made.follow_accepted(NOW, 40)
+    made.missing_parts.clear()
     made.failed(NOW, unread=True)
-    assert made.next(made.not_before).what == STATE
+    assert made.next(made.not_before).kind == STATE
 
 
 def test_a_refusal_leaves_it_obeying_and_it_asks_again_later():
-    made = course()
-    made.refused(NOW)
-    assert made.next(NOW).what == STATE
-    assert made.next(NOW + polling.REFUSED).what == FOLLOW
+    made = new_polling()
+    made.follow_refused(NOW)
+    assert made.next(NOW).kind == STATE
+    assert made.next(NOW + polling.REFUSED).kind == FOLLOW
 
 
 def test_at_the_end_it_asks_not_to_be_waited_for_and_then_nothing_more():
-    made = course()
-    made.followed(NOW, 40)
+    made = new_polling()
+    made.follow_accepted(NOW, 40)
     made.failed(NOW)
     made.leave(NOW)
-    assert made.next(NOW).what == UNFOLLOW
+    assert made.next(NOW).kind == UNFOLLOW
     made.unfollowed()
     assert made.next(NOW) is None
 
 
 def test_a_cluster_that_was_left_for_one_formed_anew_is_heeded_no_more():
-    made = course()
-    assert made.answered(NOW, "c1")
-    made.followed(NOW, 40)
-    made.parts.clear()
-    made.obeyed(NOW, 50)
-    assert not made.answered(NOW, "c2") and made.next(NOW).what == FOLLOW
-    made.followed(NOW, 3)
-    assert not made.answered(NOW, "c1") and made.next(NOW) is None  # as after a failure
+    made = new_polling()
+    assert made.check_cluster(NOW, "c1")
+    made.follow_accepted(NOW, 40)
+    made.missing_parts.clear()
+    made.update_applied(NOW, 50)
+    assert not made.check_cluster(NOW, "c2") and made.next(NOW).kind == FOLLOW
+    made.follow_accepted(NOW, 3)
+    assert not made.check_cluster(NOW, "c1") and made.next(NOW) is None  # as after a failure
     ask = made.next(made.not_before)
-    assert (made.cluster, made.at, ask.what, made.counts["anew"]) == ("c2", 0, STATE, 1)
+    assert (made.cluster, made.applied_index, ask.kind, made.counts["anew"]) == ("c2", 0, STATE, 1)
 
 
 def test_members_that_are_learned_are_asked_too_and_bounded():
-    made = course(m1="h:1")
+    made = new_polling(m1="h:1")
     for number in range(100):
-        made.seated(f"n{number}", f"h:{number}")
-    made.seated("m1", None)
+        made.member_changed(f"n{number}", f"h:{number}")
+    made.member_changed("m1", None)
     assert len(made.members) == polling.MOST_MEMBERS and made.members["m1"] == "h:1"
     made.failed(NOW)
     assert made.next(made.not_before).member == "n0"
@@ -460,7 +460,7 @@
     ledger.acknowledged("g0", 3)
     with ran.dispatcher.lock:
         index = ledger.permit("i0")
-        until(lambda: ledger.wires.passed(ran.follower.course.member, "g0")["pieces"] > 3)
+        until(lambda: ledger.wires.passed(ran.follower.polling.member, "g0")["pieces"] > 3)
         polls = dict(ledger.polls)
     assert polls["g0"] < index
     ledger.acknowledged("g0", index)
@@ -501,14 +501,14 @@
     ledger.acknowledged("g0", ledger.node("i1", out="d"))
     assert ran.ready() == []
     unseen = spoilt in ("cut", "half")  # asked anew at once: a kept connection may end at any moment
-    assert bool(ran.follower.course.counts["failures"]) != unseen
+    assert bool(ran.follower.polling.counts["failures"]) != unseen
 
 
 @pytest.mark.parametrize("fault", ["cut", "refuse", "reset", "short", "garble"])
 def test_through_a_bad_network_it_hears_in_the_end_and_serves_on_meanwhile(ledger, fault):
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    first = ran.follower.course.member
+    first = ran.follower.polling.member
     orders = {
         "short": lambda: ledger.wires.short(first, "g0", 3),
         "garble": lambda: ledger.wires.garble(first, "g0", times=3),
@@ -526,7 +526,7 @@
     for server in ledger.servers:
         ledger.wires.refuse("g0", server.name)
         ledger.wires.reset("g0", server.name)
-    until(lambda: ran.follower.course.counts["failures"] >= 4)
+    until(lambda: ran.follower.polling.counts["failures"] >= 4)
     assert ran.ready() == ["i1"]
     ledger.put("followers", "g0", None)  # its lease ran out
     ledger.put("permits", "i0", None)
@@ -545,7 +545,7 @@
     for server in ledger.servers:
         ledger.wires.refuse("g0", server.name)
         ledger.wires.reset("g0", server.name)
-    until(lambda: ran.follower.course.counts["failures"] >= 2)
+    until(lambda: ran.follower.polling.counts["failures"] >= 2)
     ledger.put("followers", "g0", None)  # its lease and grace ran out: the node goes down
     ledger.node("i0", state="drained")
     with ran.dispatcher.lock:
@@ -560,21 +560,21 @@
 
 
 def test_how_long_nothing_was_heard_is_told():
-    made = course()
-    before = made.unheard(NOW)
-    made.obeyed(NOW, 5)
+    made = new_polling()
+    before = made.silent_ms(NOW)
+    made.update_applied(NOW, 5)
     made.failed(NOW + MS)
-    assert (before, made.unheard(NOW + 12_000 * MS)) == (-1, 12_000)
+    assert (before, made.silent_ms(NOW + 12_000 * MS)) == (-1, 12_000)
 
 
 def test_it_goes_to_the_leader_that_a_member_names_and_on_when_that_changes(ledger):
     ledger.leader = "m2"
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    assert ran.follower.course.member == "m2"
+    assert ran.follower.polling.member == "m2"
     ledger.leader = "m1"
     ledger.acknowledged("g0", ledger.permit("i0"))
-    assert ran.follower.course.member == "m1" and ran.ready() == ["i1"]
+    assert ran.follower.polling.member == "m1" and ran.ready() == ["i1"]
 
 
 def test_one_that_the_ledger_forgot_asks_again_under_another_id(ledger):
@@ -621,7 +621,7 @@
     ledger.form_anew()
     ledger.acknowledged("g0", ledger.permit("i1"))
     assert before == ["i1"] and ran.ready() == ["i0"] and ledger.at < 5
-    assert "g0" in ledger.parts["followers"] and ran.follower.course.counts["anew"] == 1
+    assert "g0" in ledger.parts["followers"] and ran.follower.polling.counts["anew"] == 1
     assert ran.follower.figures()["ledger index"] == ledger.at
 
 
@@ -629,10 +629,12 @@
 def test_the_first_word_of_a_cluster_formed_anew_counts_where_it_is_whole(whole, cluster, heeded):
     merge = Merge()
     listed(merge, line(), whole=True)
-    merge.heard(NOW, LedgerUpdate(9, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
-    merge.heard(NOW, LedgerUpdate(2, [node(warm=40)], whole, 30, cluster))
-    late = merge.heard(NOW, LedgerUpdate(10, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
-    said = merge.line("i0")
+    merge.apply_update(NOW, LedgerUpdate(9, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1"))
+    merge.apply_update(NOW, LedgerUpdate(2, [node(warm=40)], whole, 30, cluster))
+    late = merge.apply_update(
+        NOW, LedgerUpdate(10, [node(out="d1", warm=50)], ("nodes", "permits"), 60, "c1")
+    )
+    said = merge.merged_line("i0")
     assert (said.state, said.started) == ((at.READY, NOW) if heeded else (at.DRAINING, 0))
     assert (late is None, merge.cluster, merge.at) == ((True, "c2", 2) if heeded else (False, "c1", 10))
 
@@ -658,21 +660,21 @@
     def step(self, late=None):
         """One call, answered now, or by what another cluster than the followed one once answered to such a
         call."""
-        course, merge = self.follower.course, self.follower.merge
-        self.moment = max(self.moment, course.not_before)
-        ask = course.next(self.moment)
-        if ask.what == EVENTS:
-            assert (course.cluster, course.at) == (merge.cluster, merge.at)
-        some = [told for what, told in self.given if what == (ask.what, ask.part)]
-        some = [told for told in some if told[1]["cluster_id"] != course.cluster]
+        polling, merge = self.follower.polling, self.follower.merge
+        self.moment = max(self.moment, polling.not_before)
+        ask = polling.next(self.moment)
+        if ask.kind == EVENTS:
+            assert (polling.cluster, polling.applied_index) == (merge.cluster, merge.at)
+        some = [told for what, told in self.given if what == (ask.kind, ask.part)]
+        some = [told for told in some if told[1]["cluster_id"] != polling.cluster]
         if late is not None and some:
             self.answer = some[late % len(some)]
         else:
             self.answer = json.loads(json.dumps(self.ledger.answer(ask.path, ask.body, wait=0)))
-            self.given.append(((ask.what, ask.part), self.answer))
+            self.given.append(((ask.kind, ask.part), self.answer))
             self.seen()
         before = merge.cluster, merge.at
-        self.follower.turn(ask)
+        self.follower.make_call(ask)
         assert (len(merge.cluster), merge.at) >= (len(before[0]), before[1])
         assert merge.at < 0 or merge.permits == self.truth[merge.cluster, merge.at]
         assert not self.follower.counters.read().get("ledger faults")
@@ -680,7 +682,7 @@
     def settles(self):
         def settled():
             known = self.follower.merge.cluster, self.follower.merge.at
-            return known == (self.ledger.id, self.ledger.at) == (self.follower.course.cluster, self.polled())
+            return known == (self.ledger.id, self.ledger.at) == (self.follower.polling.cluster, self.polled())
 
         for _ in range(12):
             if settled():
@@ -801,9 +803,9 @@
 
 def test_members_that_the_ledger_has_no_more_are_asked_seldom_and_not_never():
     """Guards against a gateway that spends its waits on machines that were replaced long ago."""
-    made = course(**{name: f"h:{name}" for name in ("m1", "m2", "m3", "m4", "m5")})
+    made = new_polling(**{name: f"h:{name}" for name in ("m1", "m2", "m3", "m4", "m5")})
     for gone in ("m1", "m2", "m3"):
-        made.seated(gone, None)
+        made.member_changed(gone, None)
     asked = []
     for _ in range(30):
         made.failed(made.not_before)
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -23,7 +23,7 @@
 from lemonlead.following import service as services
 from lemonlead.following.faults import Unusable
 from lemonlead.following.service import Service
-from lemonlead.following.move_routing import FIRST, LOOKED, MoveRouting, width
+from lemonlead.following.move_routing import ENDS_IN_VIEW, FIRST_FAR_BUILD, MoveRouting, instances_for_share
 from lemonlead.following.responses import LedgerUpdate
 from lemonlead.gateway import dispatcher as dispatchers
 from lemonlead.gateway.counters import Counters
@@ -82,7 +82,7 @@
         dispatcher.instances, dispatcher.releases, self.pools = self, self, {}
         dispatcher.discovery = Discovery(self.config, dispatcher, None, self.counters)
         self.service = Service(FOLLOW, self.config, dispatcher, self, dispatcher.log_line, self.counters)
-        self.sides, self.version, self.index, self.logged = self.service.sides, 0, 0, []
+        self.sides, self.version, self.index, self.logged = self.service.routing, 0, 0, []
         dispatcher.discovery.merge = self.service
         self.clocked(self.begin, lines, news)
 
@@ -140,7 +140,9 @@
             return self.real.append(told)
         self.votes.append(told[0])
         number = len(self.votes)
-        self.at(self.now + 5 * MS, lambda: self.dispatcher.tell(self.service.voted, number, at.COUNTED))
+        self.at(
+            self.now + 5 * MS, lambda: self.dispatcher.tell(self.service.vote_answered, number, at.COUNTED)
+        )
         return number
 
     # ---- what happens
@@ -162,7 +164,7 @@
         return self
 
     def obey(self, now, news):
-        told = self.service.heard(now, news)
+        told = self.service.apply_update(now, news)
         if told is not None and told[0]:
             self.dispatcher.discovery.put(now, *told, False, False)
 
@@ -257,7 +259,11 @@
     "share, near, far", ((0, 0, 0), (50, 1, 1), (250, 3, 5), (900, 9, 18), (1000, 10, 20))
 )
 def test_each_side_has_as_many_as_its_share_is_due(share, near, far):
-    assert (width(10, share), width(20, share), width(0, share)) == (near, far, 0)
+    assert (
+        instances_for_share(10, share),
+        instances_for_share(20, share),
+        instances_for_share(0, share),
+    ) == (near, far, 0)
 
 
 def test_where_the_far_side_is_smaller_no_near_one_is_busier_than_without_the_move():
@@ -335,10 +341,10 @@
 
 def test_a_gateway_that_loses_as_much_at_both_sides_blames_neither():
     sides = MoveRouting("search", {"ebene": {THERE}})
-    sides.heard([("moves", "m", record())])
-    for n in range(4 * LOOKED):
-        sides.ended((HERE, THERE)[n % 2], at.RESET)
-    assert sides.lost is None
+    sides.apply_changes([("moves", "m", record())])
+    for n in range(4 * ENDS_IN_VIEW):
+        sides.attempt_ended((HERE, THERE)[n % 2], at.RESET)
+    assert sides.far_lost_at is None
 
 
 def test_gateways_that_judge_send_a_worse_side_back():
@@ -391,7 +397,7 @@
 
 def test_without_a_platform_a_move_is_shifted_and_goes_back():
     ran = Gateway(fleet(), news=None).hear(record(share=500)).run(1)
-    assert any(ran.far()) and ran.dispatcher.balancer.told.number == FIRST + 7
+    assert any(ran.far()) and ran.dispatcher.balancer.told.number == FIRST_FAR_BUILD + 7
     ran.hear(record("going back", share=0, at=30)).run(0.1)
     moment = ran.now
     assert not any(ran.run(1).far(moment)) and ran.dispatcher.balancer.told.number == 1
@@ -467,7 +473,7 @@
 
 
 def cast(ran, verdict, stage=1, epoch=7):
-    ran.dispatcher.tell(lambda now: ran.dispatcher.vote(FIRST + epoch, stage, verdict))
+    ran.dispatcher.tell(lambda now: ran.dispatcher.vote(FIRST_FAR_BUILD + epoch, stage, verdict))
 
 
 def test_once_a_move_back_is_acknowledged_no_far_instance_may_be_sent_to(ledger, ran):
@@ -508,7 +514,7 @@
 @pytest.mark.parametrize("field, value", [("share", 1001), ("share", "x"), ("epoch", None), ("to", 3)])
 def test_a_record_that_cannot_be_read_ends_the_call_and_nothing_else(ledger, ran, field, value):
     ledger.put("moves", "m", {**record(share=500), field: value})
-    until(lambda: ran.follower.course.counts["failures"], "it was read")
+    until(lambda: ran.follower.polling.counts["failures"], "it was read")
     assert ran.ready() == ["i0", "i1"]
     ledger.put("moves", "m", record(share=1000))
     ledger.forget()
