--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -1,5 +1,5 @@
-"""The gateway's thread: asks relays what `subscriber.py` says, hands what they tell to whoever puts it in
-force, and acknowledges that after it was."""
+"""The gateway's thread for the distribution: makes the requests that `subscriber.py` decides on, passes
+received changes to the function that puts them in force, and acknowledges them afterwards."""
 
 import contextlib
 import os
@@ -12,84 +12,92 @@
 from ..gateway.upkeep import CONNECTS, REASONS, read_until
 from .faults import Unusable
 from .instance_records import InstanceRecords
-from .records import ALL, shown
+from .records import ALL_GATEWAYS, describe_value
 from .subscriber import Acknowledge, Subscriber
 
-SILENCE = 4.5  # seconds without a whole line after which a stream is dead; a sign of life comes every 2 s
-ANSWERS = 2.0  # seconds for what a relay says to an acknowledgement
-LEAVING = 1.0  # seconds for the thread to end
-UNKNOWN = "status 404"  # the answer of a relay that does not know who acknowledges
+SILENCE_SECONDS = 4.5  # a stream without a whole line for this long is dead; a relay sends one every 2 s
+ANSWER_SECONDS = 2.0  # for the response to an acknowledgement
+LEAVE_SECONDS = 1.0  # for the thread to end
+NOT_SUBSCRIBED = "status 404"  # the response of a relay that doesn't know the acknowledging gateway
 
 
-def subscriber(told, name):
-    """What the settings' `distribution` says, as a Subscriber; Unusable where it can't be."""
+def subscriber_from_settings(settings, name):
+    """Returns a Subscriber for the settings' `distribution`. Raises Unusable when they are invalid."""
     relays = []
-    for relay, where in told["relays"].items():
+    for relay, where in settings["relays"].items():
         try:
             host, port = address(where["address"])
             if not port:
                 raise ValueError
         except ValueError:
             raise Unusable(
-                f"distribution.relays.{relay}: {shown(where['address'])}; expected an IPv4 address and a port"
+                f"distribution.relays.{relay}: {describe_value(where['address'])}; "
+                "expected an IPv4 address and a port"
             ) from None
         relays.append((relay, where["region"], where["address"]))
-    scopes = dict.fromkeys((ALL, *told["scopes"]))
-    if len(scopes) <= len(told["scopes"]):
+    scopes = dict.fromkeys((ALL_GATEWAYS, *settings["scopes"]))
+    if len(scopes) <= len(settings["scopes"]):
         raise Unusable("distribution.scopes: one twice, or '', which each gateway has; expected each once")
     try:
-        seed = int.from_bytes(os.urandom(8), "big")  # of this process alone: no stay is used twice
-        return Subscriber(told.get("name", name), told["region"], scopes, relays, seed)
+        seed = int.from_bytes(os.urandom(8), "big")  # random, so that no subscription id is used twice
+        return Subscriber(settings.get("name", name), settings["region"], scopes, relays, seed)
     except Unusable as error:
         raise Unusable(f"distribution.{error}") from None
 
 
 class Driver:
+    """Runs a Subscriber on a thread."""
+
     def __init__(self, subscriber, put, log, counters):
-        """`put([(scope, key, record or None)])`: puts these in force before it returns, and returns those
-        that it can't use as [(scope, key, why)]: the records before stay in force there. Called by this
-        thread alone."""
+        """`put([(scope, key, record or None)])` puts changes in force before it returns. It returns those
+        that it can't use as [(scope, key, reason)]; for these the previous records stay in force. Only this
+        thread calls it."""
         self.subscriber, self.put, self.log, self.counters = subscriber, put, log, counters
-        self.sock = self.beside = self.at = None  # the stream; a connection for acknowledgements, to where
-        self.onward = None  # the stream to take in place of the one that stands
-        self.first, self.woken, self.over = threading.Event(), threading.Event(), threading.Event()
-        self.ending, self.last = False, ""
+        # The stream's socket, and the socket and address for acknowledgements.
+        self.stream_socket = self.ack_socket = self.ack_address = None
+        self.next_request = None  # the Subscribe request that replaces the current stream
+        self.all_complete, self.wakeup, self.stopped = threading.Event(), threading.Event(), threading.Event()
+        self.stopping = False
+        self.last_reason = ""  # why the last stream ended; empty while one works
 
     def start(self, wait=0.0):
-        """Back once all was told, or `wait` seconds are over: one that hears nothing should serve."""
+        """Starts the thread. Returns once all scopes are complete, or after `wait` seconds, because a gateway
+        that receives nothing should still serve."""
         threading.Thread(target=self.run, daemon=True).start()
-        if wait and not self.first.wait(wait):
+        if wait and not self.all_complete.wait(wait):
             self.counters.add("relays unheard at start")
             self.log.warning("relay", heard="no", reason="not all at the start: serves as discovery lists")
 
     def leave(self, until=0.0):
-        """The process ends: what it has in force is counted until its lease and grace ran out."""
-        self.ending = True
-        self.woken.set()
-        sock = self.sock
+        """Stops the thread. Relays count what the gateway has in force until its lease and grace have run
+        out."""
+        self.stopping = True
+        self.wakeup.set()
+        sock = self.stream_socket
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-        return self.over.wait(LEAVING)
+        return self.stopped.wait(LEAVE_SECONDS)
 
     # ---- the thread
 
     def run(self):
-        while not self.ending:
-            ask, self.onward = self.onward or self.subscriber.next(now()), None
-            if ask is None:
-                self.woken.wait(max(self.subscriber.wake_at() - now(), 0) / 1e9)
-                self.woken.clear()
+        """Opens one stream after another until the driver is stopped."""
+        while not self.stopping:
+            request, self.next_request = self.next_request or self.subscriber.next(now()), None
+            if request is None:
+                self.wakeup.wait(max(self.subscriber.wake_at() - now(), 0) / 1e9)
+                self.wakeup.clear()
                 continue
-            reason = self.guarded(self.stream, ask)
+            reason = self.call_safely(self.run_stream, request)
             self.close()
-            if self.onward is None:
+            if self.next_request is None:
                 self.subscriber.stream_ended(now(), reason)
-                self.say(reason)
-        self.over.set()
+                self.log_change(reason)
+        self.stopped.set()
 
-    def guarded(self, work, *values):
-        """What it gives, or why it came to nothing."""
+    def call_safely(self, work, *values):
+        """Returns what `work` returns, or why it failed."""
         try:
             return work(*values)
         except ValueError as error:  # Malformed and Unreadable among them
@@ -102,147 +110,151 @@
             self.counters.add("relay faults")
             return f"fault {type(error).__name__}: {error}"
 
-    def stream(self, ask):
-        """One stream from its beginning to its end; why it ended."""
-        self.sock = connected(address(ask.address))
-        post(self.sock, ask, "/v1/subscribe")
+    def run_stream(self, request):
+        """Runs one stream to its end and returns why it ended."""
+        self.stream_socket = connect(address(request.address))
+        post(self.stream_socket, request, "/v1/subscribe")
         answer, heard = http.Answer(), time.monotonic()
-        while not self.ending:
+        while not self.stopping:
             if (line := answer.next()) is http.MORE:
                 if answer.status not in (0, 200):
                     return f"status {answer.status}"
-                self.read(answer, heard + SILENCE)
+                self.wait_for_data(answer, heard + SILENCE_SECONDS)
             elif answer.status != 200:
                 return f"status {answer.status}"
             elif line is http.END:
                 return "over"
             else:
                 heard = time.monotonic()
-                self.told(line)
-            if self.acknowledge() == UNKNOWN:
+                self.line_received(line)
+            if self.acknowledge() == NOT_SUBSCRIBED:
                 return "forgotten by the relay"
-            if self.onward is not None:
+            if self.next_request is not None:
                 return "left for another"
         return "stopped"
 
-    def read(self, answer, until):
-        """What comes next, or nothing where it is time to acknowledge."""
+    def wait_for_data(self, answer, until):
+        """Waits for data, at most until it is time to acknowledge. Raises TimeoutError at `until`."""
         wake = time.monotonic() + max(self.subscriber.wake_at() - now(), 0) / 1e9
         try:
-            read_until(self.sock, min(wake, until))
-            if not answer.buffer.fill(self.sock.recv_into):
+            read_until(self.stream_socket, min(wake, until))
+            if not answer.buffer.fill(self.stream_socket.recv_into):
                 raise ConnectionResetError("closed")
         except TimeoutError:
             if time.monotonic() >= until:
                 raise
 
-    def told(self, line):
+    def line_received(self, line):
+        """Passes a line to the subscriber and puts its changes in force."""
         changes = self.subscriber.receive_line(now(), line)
         if changes:
-            self.use(changes)
-        if self.last:
-            self.say("")
-        if not self.first.is_set() and all(self.subscriber.complete.values()):
-            self.first.set()
-
-    def use(self, changes):
-        """Puts what a line tells in force. What can't be is refused, and so is all that a fault left open."""
+            self.put_in_force(changes)
+        if self.last_reason:
+            self.log_change("")
+        if not self.all_complete.is_set() and all(self.subscriber.complete.values()):
+            self.all_complete.set()
+
+    def put_in_force(self, changes):
+        """Puts changes in force. Those that can't be used are refused; when `put` fails, all of them are."""
         self.counters.add("relay lines used")
         try:
             refused = self.put(changes)
         except Exception as error:
             self.counters.add("relay faults")
-            says = f"fault {type(error).__name__}: {error}"
-            self.log.error("relay", fault=says[:300])
-            refused = [(scope, key, says) for scope, key, _ in changes]
-        for scope, key, says in refused:
-            index = self.subscriber.records[scope].get(key, (0,))[0]  # 0: it was to be dropped
+            reason = f"fault {type(error).__name__}: {error}"
+            self.log.error("relay", fault=reason[:300])
+            refused = [(scope, key, reason) for scope, key, _ in changes]
+        for scope, key, reason in refused:
+            index = self.subscriber.records[scope].get(key, (0,))[0]  # 0 for a removal
             self.counters.add("relay records refused")
-            self.log.warning("record refused", scope=scope, key=key, index=index, reason=says[:200])
-            self.subscriber.refuse(scope, key, index, says)
+            self.log.warning("record refused", scope=scope, key=key, index=index, reason=reason[:200])
+            self.subscriber.refuse(scope, key, index, reason)
 
     def acknowledge(self):
-        """Acknowledges what it is time to; why that was not taken, or an empty string."""
-        ask = self.subscriber.next(now())
-        if not isinstance(ask, Acknowledge):
-            self.onward = ask
+        """Sends an acknowledgement if one is due. Returns why it failed, or an empty string."""
+        request = self.subscriber.next(now())
+        if not isinstance(request, Acknowledge):
+            self.next_request = request
             return ""
-        reason = self.guarded(self.tell, ask)
+        reason = self.call_safely(self.send_acknowledgement, request)
         if reason:
             self.counters.add("relay acknowledgements failed")
-            self.close_beside()
+            self.close_ack_socket()
         self.subscriber.acknowledgement_ended(now(), not reason)
         return reason
 
-    def tell(self, ask):
-        """One acknowledgement; why it was not taken, or an empty string. A connection kept from before may
-        have ended unseen: it is told again then, which harms none."""
-        if self.beside is not None and self.at == ask.address:
+    def send_acknowledgement(self, request):
+        """Sends one acknowledgement. Returns why it was not accepted, or an empty string. A kept connection
+        may have been closed by the relay; then the acknowledgement is sent again, which does no harm."""
+        if self.ack_socket is not None and self.ack_address == request.address:
             with contextlib.suppress(ConnectionError):
-                return self.exchange(ask)
-        self.close_beside()
-        self.beside, self.at = connected(address(ask.address)), ask.address
-        return self.exchange(ask)
-
-    def exchange(self, ask):
-        post(self.beside, ask, "/v1/acknowledge")
-        answer, until = http.Answer(), time.monotonic() + ANSWERS
+                return self.post_acknowledgement(request)
+        self.close_ack_socket()
+        self.ack_socket, self.ack_address = connect(address(request.address)), request.address
+        return self.post_acknowledgement(request)
+
+    def post_acknowledgement(self, request):
+        """Sends an acknowledgement on the open connection and reads the response."""
+        post(self.ack_socket, request, "/v1/acknowledge")
+        answer, until = http.Answer(), time.monotonic() + ANSWER_SECONDS
         while (line := answer.next()) is not http.END:
             if line is http.MORE:
-                read_until(self.beside, until)
-                if not answer.buffer.fill(self.beside.recv_into):
+                read_until(self.ack_socket, until)
+                if not answer.buffer.fill(self.ack_socket.recv_into):
                     raise ConnectionResetError("closed")
         if answer.headers.get(b"connection", b"").lower() == b"close":
-            self.close_beside()
+            self.close_ack_socket()
         return "" if answer.status == 200 else f"status {answer.status}"
 
-    def say(self, reason):
-        """One line when it begins to fail and one when it works again, not one a try."""
+    def log_change(self, reason):
+        """Logs one line when streams begin to fail and one when they work again, not one a try."""
         if reason:
             self.counters.add(f"relay streams ended: {reason.split(':')[0][:40]}")
-        if bool(reason) != bool(self.last) and not self.ending:
-            told = self.log.warning if reason else self.log.info
-            told("relay", heard="no" if reason else "yes", reason=reason[:200])
-        self.last = reason
+        if bool(reason) != bool(self.last_reason) and not self.stopping:
+            log = self.log.warning if reason else self.log.info
+            log("relay", heard="no" if reason else "yes", reason=reason[:200])
+        self.last_reason = reason
 
     def close(self):
-        if self.sock is not None:
-            self.sock.close()
-            self.sock = None
-        self.close_beside()
+        if self.stream_socket is not None:
+            self.stream_socket.close()
+            self.stream_socket = None
+        self.close_ack_socket()
 
-    def close_beside(self):
-        if self.beside is not None:
-            self.beside.close()
-            self.beside = None
+    def close_ack_socket(self):
+        if self.ack_socket is not None:
+            self.ack_socket.close()
+            self.ack_socket = None
 
     def figures(self):
-        made = self.subscriber
-        counts = {f"relay {name}": count for name, count in made.counts.items()}
-        counts["relay unheard ms"] = made.silent_ns(now()) // 1_000_000
-        return {**counts, "relay complete": min(made.complete.values())}
+        """Returns the counters."""
+        subscriber = self.subscriber
+        counts = {f"relay {name}": count for name, count in subscriber.counts.items()}
+        counts["relay unheard ms"] = subscriber.silent_ns(now()) // 1_000_000
+        return {**counts, "relay complete": min(subscriber.complete.values())}
 
 
 class GatewayDriver(Driver):
-    """The driver of a gateway, which puts records of instances into its balancer's list. `told`: the
-    settings' `distribution`, `follow`: theirs of that name."""
+    """The driver in a gateway: puts records of instances into the balancer's list. `settings` is the
+    settings' section `distribution`, `follow` their section of that name."""
 
-    def __init__(self, config, told, follow, dispatcher, log, counters):
+    def __init__(self, config, settings, follow, dispatcher, log, counters):
         if follow is not None:
             raise Unusable("follow and distribution: both tell of one ledger; expected one of them")
         self.listing, self.dispatcher = InstanceRecords(dispatcher, config.start.cold_time), dispatcher
-        self.wait = told["wait"] / 1e9
-        super().__init__(subscriber(told, config.name), self.listing.put, log, counters)
+        self.wait = settings["wait"] / 1e9
+        super().__init__(subscriber_from_settings(settings, config.name), self.listing.put, log, counters)
 
     def start(self, discovery, lines, addresses):
-        """From now on the balancer is told what discovery and the relays say. `lines`, `addresses`: the list
-        as told before."""
+        """Starts to update the balancer from discovery and from relays. `lines` and `addresses` are the list
+        that the balancer has."""
         with self.dispatcher.lock:
             self.listing.begin(discovery, lines, addresses)
         super().start(self.wait)
 
 
-def connected(where):
+def connect(where):
+    """Returns a socket connected to this address."""
     sock = socket.socket()
     try:
         sock.settimeout(CONNECTS)
@@ -254,7 +266,8 @@
     return sock
 
 
-def post(sock, ask, path):
-    sock.settimeout(ANSWERS)
-    head = f"POST {path} HTTP/1.1\r\nHost: {ask.address}\r\nContent-Type: application/json\r\n"
-    sock.sendall(f"{head}Content-Length: {len(ask.body)}\r\n\r\n".encode() + ask.body)
+def post(sock, request, path):
+    """Sends a request."""
+    sock.settimeout(ANSWER_SECONDS)
+    head = f"POST {path} HTTP/1.1\r\nHost: {request.address}\r\nContent-Type: application/json\r\n"
+    sock.sendall(f"{head}Content-Length: {len(request.body)}\r\n\r\n".encode() + request.body)
--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -1,5 +1,5 @@
-"""A relay's one call to the ledger's members, for all its subscribers: asks what `member_polling.py` says and
-hands what they answer to the relay."""
+"""A relay's connection to the ledger's members, shared by all its subscribers: polls members as
+`member_polling.py` decides and passes what they return to the relay."""
 
 import asyncio
 import time
@@ -16,26 +16,32 @@
 from .member_polling import MS, MemberPolling
 from .faults import Unreadable
 
-CONNECTS = 1.0  # seconds
-SILENCE = 3.5  # seconds without a byte after which a call has failed; a member answers a poll within 2
-WHOLE = 60.0  # seconds for a whole answer, however it drips
-LARGE = 256 * 1024  # bytes of an answer that is read beside the loop: streams go on meanwhile
-MOST_ANSWER = 256 * 1024 * 1024  # bytes, as a member passes on
-TROUBLE = (aiohttp.ClientError, TimeoutError, OSError, ValueError, Fault)
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 3.5  # longest time without a byte; a member answers a poll within 2 s
+TOTAL_TIMEOUT_SECONDS = 60.0  # for a whole response, however slowly it arrives
+LARGE_BODY_BYTES = 256 * 1024  # larger responses are parsed on a thread, so that streams go on meanwhile
+MAX_BODY_BYTES = 256 * 1024 * 1024  # the same limit as between members
+CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError, Fault)
 
 
 class Change(Struct, frozen=True):
+    """A changed record of one part of the ledger's state."""
+
     part: str
     key: str
     record: EntryRow | None
 
 
 class Event(Struct, frozen=True):
+    """What one ledger entry changed."""
+
     index: int
     changes: list[Change]
 
 
 class Events(Struct, frozen=True):
+    """A member's response: either `events` after the requested index, or the `whole` state by part."""
+
     at: int
     cluster_id: str
     leader: str = ""
@@ -43,56 +49,61 @@
     whole: dict[str, dict[str, EntryRow]] | None = None
 
 
-EVENTS = msgspec.json.Decoder(Events)
+EVENTS_DECODER = msgspec.json.Decoder(Events)
 
 
-def read(body, check, after):
-    """An answer of a member, checked; Unreadable where it is none."""
+def parse_response(body, check, after):
+    """Returns a member's response, checked. Raises Unreadable when it isn't one. `check` is the CRC-32 of the
+    body in hexadecimal, if the member sent one; `after` is the index after which changes were requested."""
     if check is not None and check != f"{zlib.crc32(body):08x}":
         raise Unreadable("the answer is not what its check says")
     try:
         with uncollected():
-            told = EVENTS.decode(body)
+            response = EVENTS_DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
         raise Unreadable(str(error)[:200]) from None
-    if (told.events is None) == (told.whole is None) or not 0 < len(told.cluster_id) <= 100 or told.at < 0:
+    if (
+        (response.events is None) == (response.whole is None)
+        or not 0 < len(response.cluster_id) <= 100
+        or response.at < 0
+    ):
         raise Unreadable("neither events nor whole, both, or of no cluster")
     last = after
-    for event in told.events or ():
-        if not last < event.index <= told.at:
-            raise Unreadable(f"an event of entry {event.index} after {last} in an answer up to {told.at}")
+    for event in response.events or ():
+        if not last < event.index <= response.at:
+            raise Unreadable(f"an event of entry {event.index} after {last} in an answer up to {response.at}")
         last = event.index
-    return told
+    return response
 
 
-def named(key):
-    """Scope and key of an entry's name."""
+def split_name(key):
+    """Returns scope and key of an entry's name."""
     scope, space, rest = key.partition(" ")
     if not space:
         raise Unreadable(f"an entry named {key[:100]!r}")
     return scope, rest
 
 
-def entries(event):
-    """What an event changes: (scope, key, record or None)."""
+def entry_changes(event):
+    """Returns what an event changes as [(scope, key, record or None)]."""
     return [
-        (*named(change.key), None if change.record is None else change.record.value)
+        (*split_name(change.key), None if change.record is None else change.record.value)
         for change in event.changes
         if change.part == "entries"
     ]
 
 
-def scopes(rows):
-    """{scope: {key: (index, record)}} of all entries."""
+def group_by_scope(rows):
+    """Returns all entries as {scope: {key: (index, record)}}."""
     found = {}
     for name, row in rows.items():
-        scope, key = named(name)
+        scope, key = split_name(name)
         found.setdefault(scope, {})[key] = row.since, row.value
     return found
 
 
-def folded(events):
-    """All entries, from all changes that there ever were."""
+def fold_events(events):
+    """Returns all entries as they result from all changes since the first."""
     rows = {}
     for event in events:
         for change in event.changes:
@@ -103,84 +114,98 @@
     return rows
 
 
-def understood(body, check, after):
-    """An answer, and the whole state as {scope: {key: (index, record)}} where it tells that, else None."""
-    told = read(body, check, after)
-    if told.whole is not None:
-        return told, scopes(told.whole.get("entries", {}))
-    return told, scopes(folded(told.events)) if after == 0 else None
+def parse_state(body, check, after):
+    """Returns a response, and the whole state as {scope: {key: (index, record)}} if the response contains it,
+    else None."""
+    response = parse_response(body, check, after)
+    if response.whole is not None:
+        return response, group_by_scope(response.whole.get("entries", {}))
+    return response, group_by_scope(fold_events(response.events)) if after == 0 else None
 
 
 class LedgerSource:
-    """The source of a relay where there is a ledger. `listen`: the address that calls go out from."""
+    """The source of a relay's state: the ledger. `listen` is the relay's own address, from which its calls go
+    out."""
 
     def __init__(self, name, listen, members, seed, log):
         self.name, self.listen, self.log = name, listen, log
-        self.course = MemberPolling(time.monotonic_ns(), members, seed)
-        self.last = ""
+        self.polling = MemberPolling(time.monotonic_ns(), members, seed)
+        self.last_reason = ""
 
     async def run(self, relay):
-        """For ever: tells the relay what there is (`replace`) and what changes (`apply`)."""
+        """Polls members forever and passes the state to the relay, as a whole (`replace`) or change by change
+        (`apply`)."""
         async with session(self.name, self.listen, limit=4) as calls:
             while True:
-                if (ask := self.course.next(now := time.monotonic_ns())) is None:
-                    await asyncio.sleep(max(self.course.wake_at() - now, 0) / 1e9)
+                if (request := self.polling.next(now := time.monotonic_ns())) is None:
+                    await asyncio.sleep(max(self.polling.wake_at() - now, 0) / 1e9)
                     continue
                 try:
-                    reason = await self.call(calls, ask, relay)
-                except TROUBLE as error:
+                    reason = await self.call(calls, request, relay)
+                except CALL_ERRORS as error:
                     reason = f"{type(error).__name__}: {error}"
-                    self.course.failed(time.monotonic_ns())
-                self.say(ask, reason)
-
-    async def call(self, calls, ask, relay):
-        """One call and what comes of it; why it came to nothing, or an empty string."""
-        time_out = aiohttp.ClientTimeout(total=WHOLE, sock_connect=CONNECTS, sock_read=SILENCE)
-        async with calls.get(f"http://{ask.address}{ask.path}", timeout=time_out) as answer:
+                    self.polling.failed(time.monotonic_ns())
+                self.log_change(request, reason)
+
+    async def call(self, calls, request, relay):
+        """Makes one call and applies its result. Returns why the call failed, or an empty string."""
+        time_out = aiohttp.ClientTimeout(
+            total=TOTAL_TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS, sock_read=READ_TIMEOUT_SECONDS
+        )
+        async with calls.get(f"http://{request.address}{request.path}", timeout=time_out) as answer:
             body = bytearray()
             async for some in answer.content.iter_any():
                 body += some
-                if len(body) > MOST_ANSWER:
-                    raise Unreadable(f"an answer of more than {MOST_ANSWER} bytes")
+                if len(body) > MAX_BODY_BYTES:
+                    raise Unreadable(f"an answer of more than {MAX_BODY_BYTES} bytes")
             status, check = answer.status, answer.headers.get("X-CRC32")
         if status != 200:
-            self.course.failed(time.monotonic_ns(), retry(body))
+            self.polling.failed(time.monotonic_ns(), retry_pause(body))
             return f"status {status}"
-        if len(body) > LARGE:
-            told, state = await asyncio.to_thread(understood, bytes(body), check, self.course.at)
+        if len(body) > LARGE_BODY_BYTES:
+            response, state = await asyncio.to_thread(
+                parse_state, bytes(body), check, self.polling.applied_index
+            )
         else:
-            told, state = understood(bytes(body), check, self.course.at)
-        if not self.course.answered(time.monotonic_ns(), told.cluster_id, told.at, told.leader):
-            return "" if told.cluster_id == self.course.cluster else "of another cluster, or older"
-        self.take(told, state, relay)
-        return "" if told.leader else "it knows no leader"
-
-    def take(self, told, state, relay):
-        """The whole state after a gap, and at first; else change by change."""
+            response, state = parse_state(bytes(body), check, self.polling.applied_index)
+        if not self.polling.accept_response(
+            time.monotonic_ns(), response.cluster_id, response.at, response.leader
+        ):
+            return "" if response.cluster_id == self.polling.cluster else "of another cluster, or older"
+        self.apply(response, state, relay)
+        return "" if response.leader else "it knows no leader"
+
+    def apply(self, response, state, relay):
+        """Applies the whole state if there is one (at the start and after a gap), else change by change."""
         if state is not None:
-            relay.replace(told.cluster_id, told.at, state)
-            return self.course.had(told.at)
-        for event in told.events:
-            if event.index > relay.store.index:  # else taken before a later one of the same answer failed
-                relay.apply(event.index, entries(event))
-        self.course.had(told.at)
+            relay.replace(response.cluster_id, response.at, state)
+            return self.polling.state_applied(response.at)
+        for event in response.events:
+            if (
+                event.index > relay.store.index
+            ):  # else it was applied before a later event of the same response failed
+                relay.apply(event.index, entry_changes(event))
+        self.polling.state_applied(response.at)
 
     def is_cut_off(self, now):
-        return self.course.is_cut_off(now)
+        """Returns whether gateways are better served by another relay."""
+        return self.polling.is_cut_off(now)
 
-    def say(self, ask, reason):
-        """One line when it begins to fail and one when it works again, not one a call."""
-        if bool(reason) != bool(self.last):
-            told = self.log.warning if reason else self.log.info
-            told("ledger", heard="no" if reason else "yes", member=ask.member, reason=reason[:200])
-        self.last = reason
+    def log_change(self, request, reason):
+        """Logs one line when calls begin to fail and one when they work again, not one a call."""
+        if bool(reason) != bool(self.last_reason):
+            log = self.log.warning if reason else self.log.info
+            log("ledger", heard="no" if reason else "yes", member=request.member, reason=reason[:200])
+        self.last_reason = reason
 
     def figures(self):
-        return {**self.course.counts, "index": self.course.at}
+        """Returns the counters."""
+        return {**self.polling.counts, "index": self.polling.applied_index}
 
 
-def retry(body):
-    """Nanoseconds after which a member that refuses asks to be asked again; 0 where it does not say."""
+def retry_pause(body):
+    """Returns the nanoseconds after which a member that refused wants to be called again, 0 if it doesn't
+    say."""
     try:
         wait = msgspec.json.decode(bytes(body)).get("retry_ms")
     except (msgspec.MsgspecError, AttributeError, UnicodeError, RecursionError):
--- a/lemonlead/distribution/outbox.py
+++ b/lemonlead/distribution/outbox.py
@@ -1,151 +1,169 @@
-"""What one subscriber is told next, within its budget.
+"""Decides which line one subscriber receives next, within its byte budget.
 
-It pulls from the store whenever there is room, so nothing queues: later news of a key takes the place of
-earlier. Over all its scopes drains and removals go first, then what is complete, then cold or new records,
-then other changes, then the rest of snapshots. Of each scope it holds how far it has got in a list that the
-store keeps for all alike, and the keys told ahead of `complete` that changed after that list was made."""
+The outbox reads from the store whenever there is budget, so nothing queues: a later change of a key replaces
+an earlier one. Over all scopes of the subscriber, drains and removals are sent first, then `complete` for
+finished scopes, then cold or new records, then other changes, then the rest of snapshots. For each scope the
+outbox holds how far it has got in a key list that the store shares between all subscribers, and the keys that
+changed after that list was made and were sent ahead of `complete`."""
 
 from .faults import Senseless
 from .records import (
     COLD,
     DRAIN,
-    LEAST_BURST,
-    LINE,
-    MOST_SCOPES,
+    MIN_BURST_BYTES,
+    MAX_LINE_BYTES,
+    MAX_SCOPES,
     REST,
-    SEAL,
-    amount,
+    SEAL_BYTES,
+    check_amount,
     encode,
-    positions,
-    sealed,
+    check_scope_indexes,
+    seal_line,
 )
 
 SECOND = 1_000_000_000
-ENOUGH = 1024  # bytes of budget before anything but drains goes out: else each record had its own line
-ADVANCE = 30 * SECOND  # between two words on how far scopes are complete in which nothing changed
-SNAPSHOT = 3  # the level after REST: what a snapshot has of REST
+# Budget before anything but drains is sent; with less, each record would get a line of its own.
+MIN_BUDGET_BYTES = 1024
+ADVANCE_INTERVAL_NS = 30 * SECOND  # between two updates of `complete` for scopes in which nothing changed
+SNAPSHOT = 3  # the level after REST: what a snapshot holds of urgency REST
 LEVELS = (DRAIN, COLD, REST, SNAPSHOT)
-NONE = ((), (), ())
-LOST = ()
+NO_KEYS = ((), (), ())
+NOT_KEPT = ()  # compared by identity
 
 
-class Position:
-    """How far one scope is told. `base`: the KeyList that is being told, `late`: that of what changed after
-    it was made, None where all is told; `at` and `late_at`: how far, by urgency."""
+class ScopePosition:
+    """How far one scope has been sent.
 
-    __slots__ = ("complete", "base", "at", "late", "late_at", "ahead", "marked")
+    `complete` is the index up to which the subscriber has the scope. `base` is the KeyList being sent and
+    `late` the KeyList of what changed after `base` was made; both are None when everything has been sent.
+    `base_done` and `late_done` count, by urgency, the keys already sent of each list."""
+
+    __slots__ = ("complete", "base", "base_done", "late", "late_done", "ahead", "announced")
 
     def __init__(self, complete):
         self.complete = complete
-        self.told()
+        self.finish()
 
-    def told(self):
-        self.base = self.late = self.at = self.late_at = self.ahead = None
-        self.marked = False
+    def finish(self):
+        """Marks everything as sent."""
+        self.base = self.late = self.base_done = self.late_done = self.ahead = None
+        self.announced = False
 
     def begin(self, base):
-        self.base, self.at, self.late, self.late_at = base, [0, 0, 0], None, [0, 0, 0]
-        self.ahead, self.marked = {}, False  # ahead: key to index, of `late`
+        """Starts to send a KeyList."""
+        self.base, self.base_done, self.late, self.late_done = base, [0, 0, 0], None, [0, 0, 0]
+        self.ahead, self.announced = {}, False  # ahead: index sent by key, of the `late` list
 
 
 class Outbox:
+    """The lines for one subscriber's stream."""
+
     def __init__(self, now, store, scopes, rate, burst, cluster=None):
-        """`scopes`: index up to which the subscriber is complete in each, as of `cluster` (None: the
-        store's). `rate`: bytes a second, `burst`: bytes. Senseless, Unusable: where one can't be."""
-        self.rate, self.burst = amount(rate, "rate"), amount(burst, "burst", LEAST_BURST)
-        self.store, self.at = store, now
-        self.credit = 0  # in bytes times nanoseconds; none at first, as the stream before spent its own
-        self.positions = {}
-        self.todo = tuple({} for _ in LEVELS)  # by level, the scopes that have something of it left
-        self.done = {}  # scopes whose `complete` is to be told
-        self.cluster, self.headed, self.lines = store.cluster, False, 0
-        self.seen, self.advanced, self.advance_at = store.index, 0, now
+        """`scopes` maps each scope to the index up to which the subscriber is complete, in `cluster` (None:
+        the store's cluster). `rate` is in bytes a second, `burst` in bytes. Raises Senseless or Unusable when
+        a value is invalid."""
+        self.rate, self.burst = check_amount(rate, "rate"), check_amount(burst, "burst", MIN_BURST_BYTES)
+        self.store = store
+        self.updated_at = now
+        self.credit = 0  # bytes times nanoseconds; 0 at first, because the previous stream spent its budget
+        self.positions = {}  # ScopePosition by scope
+        self.pending = tuple({} for _ in LEVELS)  # by level: the scopes that have keys of it left
+        self.completed_scopes = {}  # scopes whose `complete` has to be sent
+        self.cluster = store.cluster
+        self.cluster_sent = False  # whether the line that names the cluster was sent
+        self.line_count = 0
+        self.seen_index = store.index  # changes up to this index were taken up
+        self.advanced_index = 0  # index of the last update for scopes in which nothing changed
+        self.next_advance_at = now
         self.counts = dict.fromkeys(("told", "coalesced", "snapshots", "bytes", "lines"), 0)
         if cluster is not None and cluster != store.cluster:
-            scopes = dict.fromkeys(positions(scopes), 0)
-        self.add(scopes)
+            scopes = dict.fromkeys(check_scope_indexes(scopes), 0)
+        self.start_scopes(scopes)
 
     # ---- inputs
 
-    def widen(self, now, scopes):
-        """More scopes. Those that it has already go on as they are."""
-        more = {scope: at for scope, at in positions(scopes).items() if scope not in self.positions}
-        if len(self.positions) + len(more) > MOST_SCOPES:
-            raise Senseless(f"scopes: {len(self.positions)} and {len(more)} more; at most {MOST_SCOPES}")
-        self.look()
-        self.add(more)
+    def add_scopes(self, now, scopes):
+        """Adds scopes to the subscription. Scopes that it already has go on as they are."""
+        more = {scope: at for scope, at in check_scope_indexes(scopes).items() if scope not in self.positions}
+        if len(self.positions) + len(more) > MAX_SCOPES:
+            raise Senseless(f"scopes: {len(self.positions)} and {len(more)} more; at most {MAX_SCOPES}")
+        self.sync_with_store()
+        self.start_scopes(more)
 
-    def add(self, scopes):
-        """Small scopes first: a large one holds up none."""
-        for scope in sorted(positions(scopes), key=self.store.size):
-            self.positions[scope] = Position(scopes[scope])
-            self.begin(scope)
+    def start_scopes(self, scopes):
+        """Starts scopes, small ones first, so that a large one delays none."""
+        for scope in sorted(check_scope_indexes(scopes), key=self.store.record_count):
+            self.positions[scope] = ScopePosition(scopes[scope])
+            self.start_scope(scope)
 
     # ---- decisions
 
     def next(self, now):
-        """The next line, or None where nothing is to tell or the budget is spent."""
-        if now > self.at:
-            self.credit = min(self.burst * SECOND, self.credit + (now - self.at) * self.rate)
-            self.at = now
-        self.look()
-        if self.credit < self.needed() * SECOND:
+        """Returns the next line, or None when there is nothing to send or the budget is spent."""
+        if now > self.updated_at:
+            self.credit = min(self.burst * SECOND, self.credit + (now - self.updated_at) * self.rate)
+            self.updated_at = now
+        self.sync_with_store()
+        if self.credit < self.needed_bytes() * SECOND:
             return None
-        limit = min(LINE, self.credit // SECOND)
-        line = self.line(now, limit - SEAL)
+        limit = min(MAX_LINE_BYTES, self.credit // SECOND)
+        line = self.build_line(now, limit - SEAL_BYTES)
         if line is None:
             return None
-        self.lines += 1
-        data = sealed(line, self.lines)
+        self.line_count += 1
+        data = seal_line(line, self.line_count)
         self.credit -= len(data) * SECOND
         self.counts["lines"] += 1
         self.counts["bytes"] += len(data)
         return data
 
     def wake_at(self):
-        """The moment from which `next` has a line; None where nothing is to tell until the store changes."""
-        self.look()
-        needed = self.needed()
+        """Returns the time from which `next` has a line, or None when there is nothing to send until the
+        store changes."""
+        self.sync_with_store()
+        needed = self.needed_bytes()
         if not needed:
-            return max(self.advance_at, self.at) if self.store.index > self.advanced else None
+            return (
+                max(self.next_advance_at, self.updated_at) if self.store.index > self.advanced_index else None
+            )
         missing = needed * SECOND - self.credit
-        return self.at + max(-(-missing // self.rate), 0)
+        return self.updated_at + max(-(-missing // self.rate), 0)
 
-    # ---- what is left to tell
+    # ---- what is left to send
 
-    def look(self):
-        """Takes up what changed in the store since it last looked."""
+    def sync_with_store(self):
+        """Takes up what changed in the store since the last call."""
         store = self.store
         if store.cluster != self.cluster:
-            self.cluster, self.headed, self.seen = store.cluster, False, store.index
-            self.advanced = 0
-            self.done.clear()
-            for todo in self.todo:
-                todo.clear()
-            for scope in sorted(self.positions, key=store.size):
-                self.positions[scope] = Position(0)
-                self.begin(scope)
-        if store.index == self.seen:
+            self.cluster, self.cluster_sent, self.seen_index = store.cluster, False, store.index
+            self.advanced_index = 0
+            self.completed_scopes.clear()
+            for scopes in self.pending:
+                scopes.clear()
+            for scope in sorted(self.positions, key=store.record_count):
+                self.positions[scope] = ScopePosition(0)
+                self.start_scope(scope)
+        if store.index == self.seen_index:
             return
-        changed = store.changed(self.seen)
+        changed = store.changed_scopes(self.seen_index)
         for scope in list(self.positions) if changed is None else changed:
             if scope in self.positions:
-                self.begin(scope)
-        self.seen = store.index
+                self.start_scope(scope)
+        self.seen_index = store.index
 
-    def begin(self, scope, anew=False):
-        """Takes up a scope that may have something to tell. `anew`: from a snapshot. Where the subscriber is
-        ahead of the store, that is nothing until the store has caught up."""
+    def start_scope(self, scope, from_snapshot=False):
+        """Takes up a scope that may have something to send, with `from_snapshot` from a snapshot. A scope in
+        which the subscriber is ahead of the store has nothing to send until the store has caught up."""
         store, position = self.store, self.positions[scope]
-        if position.base is None or anew:
-            base = None if anew else store.news(scope, position.complete)
-            position.begin(base or store.whole(scope))
-        late = store.news(scope, position.base.at)
-        if late is None:  # kept no more
-            position.begin(store.whole(scope))
-            late = store.news(scope, position.base.at)
-        position.late, position.late_at = late, [0, 0, 0]
-        whole, at, base = position.base.whole, position.at, position.base.levels
+        if position.base is None or from_snapshot:
+            base = None if from_snapshot else store.list_changes(scope, position.complete)
+            position.begin(base or store.list_all(scope))
+        late = store.list_changes(scope, position.base.at)
+        if late is None:  # no longer in the store's log
+            position.begin(store.list_all(scope))
+            late = store.list_changes(scope, position.base.at)
+        position.late, position.late_done = late, [0, 0, 0]
+        whole, at, base = position.base.whole, position.base_done, position.base.levels
         rest = at[REST] < len(base[REST])
         left = (
             at[DRAIN] < len(base[DRAIN]) or late.levels[DRAIN],
@@ -153,107 +171,109 @@
             rest and not whole or late.levels[REST],
             rest and whole,
         )
-        self.done.pop(scope, None)
-        for todo, some in zip(self.todo, left, strict=True):
+        self.completed_scopes.pop(scope, None)
+        for scopes, some in zip(self.pending, left, strict=True):
             if some:
-                todo[scope] = None
+                scopes[scope] = None
             else:
-                todo.pop(scope, None)
+                scopes.pop(scope, None)
         if not any(left):
-            if whole or base != NONE or store.touched(scope) > position.complete:
-                self.done[scope] = None
+            if whole or base != NO_KEYS or store.last_change(scope) > position.complete:
+                self.completed_scopes[scope] = None
             else:
-                position.told()
+                position.finish()
 
-    def first(self):
+    def first_pending(self):
         """Returns what to send first as (level, scope, key, VersionedRecord, whether it comes from the `late`
         list), or None when nothing is left."""
         for level in LEVELS:
-            todo = self.todo[level]
-            while todo:
-                scope = next(iter(todo))
-                found = self.first_of(scope, level)
-                if found is LOST:
-                    self.restart(scope)
+            scopes = self.pending[level]
+            while scopes:
+                scope = next(iter(scopes))
+                found = self.first_pending_of(scope, level)
+                if found is NOT_KEPT:
+                    self.restart_scope(scope)
                 elif found is not None:
                     return level, scope, *found
                 else:
-                    del todo[scope]
-                    if not any(scope in other for other in self.todo):
-                        self.done[scope] = None
+                    del scopes[scope]
+                    if not any(scope in other for other in self.pending):
+                        self.completed_scopes[scope] = None
         return None
 
-    def first_of(self, scope, level):
+    def first_pending_of(self, scope, level):
         """Returns (key, VersionedRecord, whether it comes from the `late` list) of a scope, None when the
-        scope has nothing left of this level, or LOST when the store no longer keeps the newest record of a
-        key."""
+        scope has nothing left of this level, or NOT_KEPT when the store no longer keeps the newest record of
+        a key."""
         position, store, kind = self.positions[scope], self.store, min(level, REST)
         if level != SNAPSHOT:
-            keys, at = position.late.levels[kind], position.late_at
+            keys, at = position.late.levels[kind], position.late_done
             while at[kind] < len(keys):
                 key = keys[at[kind]]
-                word = store.word(scope, key)
-                if word is None:
-                    return LOST
-                if position.ahead.get(key) != word.index:
-                    return key, word, True
+                record = store.newest(scope, key)
+                if record is None:
+                    return NOT_KEPT
+                if position.ahead.get(key) != record.index:
+                    return key, record, True
                 at[kind] += 1
         if level < REST or position.base.whole == (level == SNAPSHOT):
-            keys, at = position.base.levels[kind], position.at
+            keys, at = position.base.levels[kind], position.base_done
             while at[kind] < len(keys):
                 key = keys[at[kind]]
-                word = store.word(scope, key)
-                if word is None:
-                    return LOST
-                if word.index <= position.base.at:
-                    return key, word, False
+                record = store.newest(scope, key)
+                if record is None:
+                    return NOT_KEPT
+                if record.index <= position.base.at:
+                    return key, record, False
                 at[kind] += 1
                 self.counts["coalesced"] += 1
         return None
 
-    def restart(self, scope):
-        """From a snapshot: the word on a key in its lists is kept no more."""
-        for todo in self.todo:
-            todo.pop(scope, None)
-        self.begin(scope, anew=True)
+    def restart_scope(self, scope):
+        """Restarts a scope from a snapshot, because the store no longer keeps the newest record of a key in
+        its lists."""
+        for scopes in self.pending:
+            scopes.pop(scope, None)
+        self.start_scope(scope, from_snapshot=True)
 
-    def needed(self):
-        """Bytes of budget for the next line; 0 where nothing is to tell."""
+    def needed_bytes(self):
+        """Returns the bytes of budget that the next line needs, 0 when there is nothing to send."""
         if not self.store.index:
             return 0
-        if not self.headed:
-            return ENOUGH
-        found = self.first()
+        if not self.cluster_sent:
+            return MIN_BUDGET_BYTES
+        found = self.first_pending()
         if found is None:
-            return min(ENOUGH, self.burst) if self.done else 0
-        level, scope, key, word, _ = found
-        size = len(told(scope, key, word)) + len(scope) + 32 + SEAL
-        return size if level == DRAIN else max(size, ENOUGH)
+            return min(MIN_BUDGET_BYTES, self.burst) if self.completed_scopes else 0
+        level, scope, key, record, _ = found
+        size = len(encode_change(scope, key, record)) + len(scope) + 32 + SEAL_BYTES
+        return size if level == DRAIN else max(size, MIN_BUDGET_BYTES)
 
     # ---- lines
 
-    def line(self, now, room):
-        """The inside of the next line's object, None where nothing is to tell. `room`: bytes."""
+    def build_line(self, now, room):
+        """Returns the content of the next line's JSON object without its braces, or None when there is
+        nothing to send. `room` is the most bytes that it may have."""
         if not self.store.index:
             return None
-        if not self.headed:
-            self.headed = True
+        if not self.cluster_sent:
+            self.cluster_sent = True
             return b'"cluster":%b,"at":%d' % (encode(self.cluster), self.store.index)
-        found = self.first()
-        if found is None and not self.done:
+        found = self.first_pending()
+        if found is None and not self.completed_scopes:
             self.advance(now)
         if found is None or found[0] == SNAPSHOT:
-            for scope in self.done:
-                if self.unmarked(scope):
-                    return self.mark(scope)
-        if found is not None and self.unmarked(found[1]):
-            return self.mark(found[1])
+            for scope in self.completed_scopes:
+                if self.needs_announcement(scope):
+                    return self.announce_snapshot(scope)
+        if found is not None and self.needs_announcement(found[1]):
+            return self.announce_snapshot(found[1])
         changes, complete = [], []
         room -= len(b'"changes":[],"complete":{}')
-        room = self.tell(changes, room, (DRAIN,))
-        room = self.tell_complete(complete, room)
-        room = self.tell(changes, room, LEVELS)
-        self.tell_complete(complete, room)
+        room = self.add_changes(changes, room, (DRAIN,))
+        room = self.add_complete(complete, room)
+        room = self.add_changes(changes, room, LEVELS)
+        self.add_complete(complete, room)
         parts = []
         if changes:
             parts.append(b'"changes":[%b]' % b",".join(changes))
@@ -261,62 +281,65 @@
             parts.append(b'"complete":{%b}' % b",".join(complete))
         return b",".join(parts) or None
 
-    def unmarked(self, scope):
-        """Whether a snapshot of it is to be announced before anything else of it."""
+    def needs_announcement(self, scope):
+        """Returns whether a snapshot of the scope has to be announced before anything else of the scope is
+        sent."""
         position = self.positions[scope]
-        return position.base is not None and position.base.whole and not position.marked
+        return position.base is not None and position.base.whole and not position.announced
 
-    def mark(self, scope):
-        self.positions[scope].marked = True
+    def announce_snapshot(self, scope):
+        """Returns the content of a line that announces a snapshot."""
+        self.positions[scope].announced = True
         self.counts["snapshots"] += 1
         return b'"snapshot":%b' % encode(scope)
 
-    def tell(self, changes, room, levels):
-        """Adds changes of these levels, as many as there is room for. The room that is left."""
-        while (found := self.first()) is not None and found[0] in levels:
-            level, scope, key, word, late = found
-            change = told(scope, key, word)
-            if len(change) + 1 > room or self.unmarked(scope):
+    def add_changes(self, changes, room, levels):
+        """Appends changes of these levels to `changes`, as many as there is room for. Returns the bytes that
+        are left."""
+        while (found := self.first_pending()) is not None and found[0] in levels:
+            level, scope, key, record, late = found
+            change = encode_change(scope, key, record)
+            if len(change) + 1 > room or self.needs_announcement(scope):
                 break
             changes.append(change)
             room -= len(change) + 1
             self.counts["told"] += 1
             position, kind = self.positions[scope], min(level, REST)
             if late:
-                position.ahead[key] = word.index
-                position.late_at[kind] += 1
+                position.ahead[key] = record.index
+                position.late_done[kind] += 1
             else:
-                position.at[kind] += 1
+                position.base_done[kind] += 1
         return room
 
-    def tell_complete(self, complete, room):
-        """Adds how far scopes are complete. The room that is left."""
-        self.first()  # what is told to its end is known from then on
+    def add_complete(self, complete, room):
+        """Appends to `complete` how far scopes are complete. Returns the bytes that are left."""
+        self.first_pending()  # updates `completed_scopes`
         index = self.store.index
-        for scope in list(self.done):
-            word = b"%b:%d" % (encode(scope), index)
-            if len(word) + 1 > room:
+        for scope in list(self.completed_scopes):
+            entry = b"%b:%d" % (encode(scope), index)
+            if len(entry) + 1 > room:
                 break
-            if self.unmarked(scope):
+            if self.needs_announcement(scope):
                 continue
-            complete.append(word)
-            room -= len(word) + 1
-            del self.done[scope]
+            complete.append(entry)
+            room -= len(entry) + 1
+            del self.completed_scopes[scope]
             self.positions[scope].complete = index
-            self.positions[scope].told()
+            self.positions[scope].finish()
         return room
 
     def advance(self, now):
-        """Scopes in which nothing changed are complete up to the store's index too; now and then that is
-        told, so that another relay need not tell them anew."""
-        if now < self.advance_at or self.store.index <= self.advanced:
+        """Marks scopes in which nothing changed as complete up to the store's index. This is sent once in a
+        while, so that another relay need not send them again."""
+        if now < self.next_advance_at or self.store.index <= self.advanced_index:
             return
-        self.advance_at, self.advanced = now + ADVANCE, self.store.index
+        self.next_advance_at, self.advanced_index = now + ADVANCE_INTERVAL_NS, self.store.index
         for scope, position in self.positions.items():
             if position.complete < self.store.index:
-                self.done[scope] = None
+                self.completed_scopes[scope] = None
 
 
-def told(scope, key, word):
-    """A change as it stands in a line."""
-    return b"[%b,%b,%d,%b]" % (encode(scope), encode(key), word.index, word.raw or b"null")
+def encode_change(scope, key, record):
+    """Returns a change as it stands in a line."""
+    return b"[%b,%b,%d,%b]" % (encode(scope), encode(key), record.index, record.raw or b"null")
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -24,96 +24,108 @@
 from ..ledger.faults import Unusable
 from ..member.memory import settle_memory
 from ..member.run import Lines, bound, descriptors, log_lines
-from . import records
-from . import relay_settings as settings
+from . import records, relay_settings
 from .acknowledgements import Acknowledgements
 from .faults import NoState, NotNow, NotSubscribed, Senseless, TooMany, TooYoung
 from .ledger_source import LedgerSource
 from .outbox import Outbox
 from .store import Store
 
-SILENCE = 2.0  # seconds after which a stream that has nothing to tell gives a sign of life
-SIGN = b"\n"
-LONGEST = 1024 * 1024  # bytes of a body
-BODY_TIME = 5  # seconds for it to come
-IDLE = 75  # seconds that a connection is kept without a call
-LINGER = 0.2  # seconds at the end for calls that are being answered
-LOOK = 0.5  # seconds between two looks at whose lease ran out and whether the ledger is heard
-RETRY = 1000  # ms
-SPARE = 200  # descriptors for all that is no gateway's
-APIECE = 2  # connections of a gateway: its stream, and one for what it acknowledges
+SIGN_OF_LIFE_SECONDS = 2.0  # a stream with nothing to send gets an empty line after this time
+SIGN_OF_LIFE = b"\n"
+MAX_BODY_BYTES = 1024 * 1024
+BODY_TIMEOUT_SECONDS = 5
+KEEPALIVE_SECONDS = 75  # an idle connection is kept this long
+SHUTDOWN_SECONDS = 0.2  # for calls that are being answered when the relay stops
+WATCH_INTERVAL_SECONDS = 0.5  # between two checks for silent subscribers and for a cut-off source
+RETRY_MS = 1000  # time after which a rejected gateway may try again
+SPARE_DESCRIPTORS = 200  # file descriptors for everything but gateways
+CONNECTIONS_PER_GATEWAY = 2  # the stream and one for acknowledgements
 
 ENCODE = msgspec.json.Encoder().encode
 
 
-def answer(status, body):
+def json_response(status, body):
     return web.Response(status=status, body=ENCODE(body), content_type="application/json")
 
 
-def refused(status, error, **more):
-    return answer(status, {"error": error.read(), **more})
+def error_response(status, error, **more):
+    return json_response(status, {"error": error.read(), **more})
 
 
 class Stream:
-    """What one subscriber is told, until it ends or another of its name takes its place."""
+    """What one subscriber receives, until it ends or another subscription of its name replaces it."""
 
-    def __init__(self, gateway, stay, outbox, scopes, transport):
-        self.gateway, self.stay, self.outbox, self.scopes = gateway, stay, outbox, scopes
-        self.transport, self.stirred, self.over = transport, asyncio.Event(), False
+    def __init__(self, gateway, subscription_id, outbox, scopes, transport):
+        self.gateway = gateway
+        self.subscription_id = subscription_id
+        self.outbox = outbox
+        self.scopes = scopes
+        self.transport, self.changed, self.ended = transport, asyncio.Event(), False
 
     def end(self):
-        self.over = True
-        self.stirred.set()
+        self.ended = True
+        self.changed.set()
         if not self.transport.is_closing():
             self.transport.abort()
 
 
 class Relay:
-    """`told`: a RelaySettings. `source`: where what there is comes from. `clock`: nanoseconds, monotonic."""
-
-    def __init__(self, told, source, log=None, clock=time.monotonic_ns):
-        self.told, self.source, self.clock = told, source, clock
-        self.log = log or structlog.get_logger(relay=told.relay)
-        self.store = Store("", told.bounds.kept)
-        self.acknowledgements = Acknowledgements(told.lease, told.grace, clock())
-        self.streams, self.readers = {}, {}  # by gateway; scope to the streams that have it
+    """Serves gateways. `settings` is a RelaySettings, `source` delivers the state, `clock` returns
+    nanoseconds of a monotonic clock."""
+
+    def __init__(self, settings, source, log=None, clock=time.monotonic_ns):
+        self.settings, self.source, self.clock = settings, source, clock
+        self.log = log or structlog.get_logger(relay=settings.relay)
+        self.store = Store("", settings.bounds.kept)
+        self.acknowledgements = Acknowledgements(settings.lease, settings.grace, clock())
+        self.streams = {}  # by gateway
+        self.streams_by_scope = {}
         self.counts = dict.fromkeys(
             ("subscribed", "superseded", "turned_away", "forgotten", "senseless", "acknowledged", "lines"), 0
         )
         self.counts.update(bytes=0, stirred=0, connections_closed=0)
         self.tasks, self.runner, self.server, self.was_cut_off = [], None, None, False
-        self.failed = asyncio.get_running_loop().create_future()  # what no part of the program foresees
-        self.app = web.Application(client_max_size=LONGEST, middlewares=[self.around])
+        self.failed = (
+            asyncio.get_running_loop().create_future()
+        )  # gets the exception of a task that ended unexpectedly
+        self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self.error_middleware])
         self.app.add_routes(
             [
                 web.post("/v1/subscribe", self.subscribe),
                 web.post("/v1/acknowledge", self.acknowledge),
-                web.get("/v1/force", self.force),
+                web.get("/v1/force", self.in_force),
                 web.get("/v1/status", self.status),
                 web.get("/readyz", self.ready),
             ]
         )
 
-    # ---- from start to end
+    # ---- start and stop
 
     async def start(self, listener=None):
-        """Answers calls and follows its source from here on. Unusable where it can't listen."""
-        listener = listener or bound(self.told.listen)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.told.bounds.waiting // 2)
-        self.most = max(min(APIECE * self.told.bounds.subscribers + SPARE, descriptors() - SPARE), SPARE)
+        """Starts to answer calls and to follow the source. Raises Unusable when the relay can't listen."""
+        listener = listener or bound(self.settings.listen)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.settings.bounds.waiting // 2)
+        self.max_connections = max(
+            min(
+                CONNECTIONS_PER_GATEWAY * self.settings.bounds.subscribers + SPARE_DESCRIPTORS,
+                descriptors() - SPARE_DESCRIPTORS,
+            ),
+            SPARE_DESCRIPTORS,
+        )
         self.runner = web.AppRunner(
-            self.app, keepalive_timeout=IDLE, shutdown_timeout=LINGER, access_log=None
+            self.app, keepalive_timeout=KEEPALIVE_SECONDS, shutdown_timeout=SHUTDOWN_SECONDS, access_log=None
         )
         await self.runner.setup()
-        self.server = await asyncio.get_running_loop().create_server(self.connection, sock=listener)
-        for work in (self.source.run(self), self.look()):
+        self.server = await asyncio.get_running_loop().create_server(self.new_connection, sock=listener)
+        for work in (self.source.run(self), self.watch()):
             task = asyncio.create_task(work)
-            task.add_done_callback(self.ended)
+            task.add_done_callback(self.task_ended)
             self.tasks.append(task)
-        self.log.info("ready", listen=self.told.listen, region=self.told.region)
+        self.log.info("ready", listen=self.settings.listen, region=self.settings.region)
 
     async def stop(self):
-        """The listener first, so that whoever comes now goes elsewhere at once."""
+        """Stops the relay. The listener is closed first, so that new gateways go to another relay at once."""
         if self.server is not None:
             self.server.close()
         for task in self.tasks:
@@ -123,37 +135,39 @@
         if self.runner is not None:
             await self.runner.cleanup()
 
-    def ended(self, task):
+    def task_ended(self, task):
         if not task.cancelled() and not self.failed.done():
             self.failed.set_exception(task.exception() or RuntimeError("the source has ended"))
 
-    def connection(self):
-        if len(self.runner.server.connections) < self.most:
+    def new_connection(self):
+        if len(self.runner.server.connections) < self.max_connections:
             return self.runner.server()
-        return Closed(self)
+        return RejectedConnection(self)
 
-    async def look(self):
+    async def watch(self):
+        """Drops silent subscribers, and ends all streams when the source is cut off."""
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(WATCH_INTERVAL_SECONDS)
             for gateway in self.acknowledgements.drop_silent(self.clock()):
                 self.counts["forgotten"] += 1
                 if gateway in self.streams:
                     self.streams[gateway].end()
-            lost = self.source.is_cut_off(self.clock())
-            if lost and not self.was_cut_off:
+            cut_off = self.source.is_cut_off(self.clock())
+            if cut_off and not self.was_cut_off:
                 self.end_streams()
-            if lost != self.was_cut_off:
-                self.log.warning("cut off" if lost else "back", at=self.store.index)
-            self.was_cut_off = lost
+            if cut_off != self.was_cut_off:
+                self.log.warning("cut off" if cut_off else "back", at=self.store.index)
+            self.was_cut_off = cut_off
 
     def end_streams(self):
         for stream in list(self.streams.values()):
             stream.end()
 
-    # ---- what the source tells
+    # ---- called by the source
 
     def replace(self, cluster, index, scopes):
-        """The whole state. Of another cluster than before, whoever is subscribed begins anew."""
+        """Takes the whole state. If it comes from another cluster than before, all subscribers start
+        again."""
         before = self.store.cluster
         self.store.replace(cluster, index, scopes)
         settle_memory()
@@ -161,99 +175,119 @@
             self.acknowledgements.reset_complete()
             self.end_streams()
         for stream in self.streams.values():
-            stream.stirred.set()
+            stream.changed.set()
 
     def apply(self, index, changes):
+        """Takes what one ledger entry changed and wakes the streams that have its scopes."""
         self.store.apply(index, changes)
         for scope in {scope for scope, _, _ in changes}:
-            for stream in self.readers.get(scope, ()):
+            for stream in self.streams_by_scope.get(scope, ()):
                 self.counts["stirred"] += 1
-                stream.stirred.set()
+                stream.changed.set()
 
     # ---- calls
 
     @web.middleware
-    async def around(self, request, handler):
+    async def error_middleware(self, request, handler):
+        """Turns errors into responses."""
         try:
             return await handler(request)
         except Senseless as error:
             self.counts["senseless"] += 1
-            return refused(400, error)
+            return error_response(400, error)
         except NotSubscribed as error:
-            return refused(404, error)
+            return error_response(404, error)
         except NotNow as error:
             self.counts["turned_away"] += 1
-            return refused(503, error, retry_ms=RETRY)
+            return error_response(503, error, retry_ms=RETRY_MS)
         except web.HTTPException as error:
-            return refused(error.status, Senseless(f"{request.method} {request.path[:100]}: {error.reason}"))
+            return error_response(
+                error.status, Senseless(f"{request.method} {request.path[:100]}: {error.reason}")
+            )
 
-    async def body(self, request, kind):
+    async def read_body(self, request, kind):
+        """Returns the body of a call. Raises Senseless when it is invalid or late."""
         try:
-            async with asyncio.timeout(BODY_TIME):
+            async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
                 return records.parse_body(await request.read(), kind)
         except TimeoutError:
-            raise Senseless(f"the body did not come within {BODY_TIME} s") from None
+            raise Senseless(f"the body did not come within {BODY_TIMEOUT_SECONDS} s") from None
 
-    def room(self, gateway):
-        """Raises where no stream can begin now. One in place of its own is always let in."""
+    def check_accepting(self, gateway):
+        """Raises NotNow when no stream can begin now. A gateway that already has a stream may always replace
+        it."""
         if not self.store.index:
             raise NoState("this relay has heard nothing of the ledger yet")
         if self.was_cut_off:
             raise NoState("this relay hears the ledger no more")
-        if len(self.streams) >= self.told.bounds.subscribers and gateway not in self.streams:
-            raise TooMany(f"{self.told.bounds.subscribers} gateways are subscribed")
+        if len(self.streams) >= self.settings.bounds.subscribers and gateway not in self.streams:
+            raise TooMany(f"{self.settings.bounds.subscribers} gateways are subscribed")
 
     async def subscribe(self, request):
-        told = await self.body(request, records.Subscription)
-        if len(told.scopes) > self.told.bounds.scopes:
-            raise Senseless(f"scopes: {len(told.scopes)}; expected {self.told.bounds.scopes} at most")
-        self.room(told.gateway)
+        """POST /v1/subscribe: opens a stream."""
+        subscription = await self.read_body(request, records.Subscription)
+        if len(subscription.scopes) > self.settings.bounds.scopes:
+            raise Senseless(
+                f"scopes: {len(subscription.scopes)}; expected {self.settings.bounds.scopes} at most"
+            )
+        self.check_accepting(subscription.gateway)
         response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
         response.enable_chunked_encoding()
-        stream = self.enter(told, request.transport)
+        stream = self.open_stream(subscription, request.transport)
         try:
             writer = await response.prepare(request)
-            await self.tell(stream, writer)
+            await self.write_lines(stream, writer)
         except (ConnectionError, aiohttp.ClientError):
             stream.end()
         finally:
-            self.leave(stream)
+            self.close_stream(stream)
         return response
 
-    def enter(self, told, transport):
+    def open_stream(self, subscription, transport):
+        """Registers a stream and ends an earlier one of the same gateway."""
         if transport is None:
-            raise NotNow(f"{told.gateway} has gone")
+            raise NotNow(f"{subscription.gateway} has gone")
         now, store = self.clock(), self.store
-        scopes = told.scopes if told.cluster == store.cluster else dict.fromkeys(told.scopes, 0)
-        outbox = Outbox(now, store, scopes, self.told.budget.rate, self.told.budget.burst)
-        self.acknowledgements.subscribe(now, told.gateway, told.region, scopes, told.stay)
-        stream = Stream(told.gateway, told.stay, outbox, scopes, transport)
-        if told.gateway in self.streams:
+        scopes = (
+            subscription.scopes
+            if subscription.cluster == store.cluster
+            else dict.fromkeys(subscription.scopes, 0)
+        )
+        outbox = Outbox(now, store, scopes, self.settings.budget.rate, self.settings.budget.burst)
+        self.acknowledgements.subscribe(
+            now, subscription.gateway, subscription.region, scopes, subscription.stay
+        )
+        stream = Stream(subscription.gateway, subscription.stay, outbox, scopes, transport)
+        if subscription.gateway in self.streams:
             self.counts["superseded"] += 1
-            self.leave(before := self.streams[told.gateway])
+            self.close_stream(before := self.streams[subscription.gateway])
             before.end()
-        self.streams[told.gateway] = stream
+        self.streams[subscription.gateway] = stream
         for scope in scopes:
-            self.readers.setdefault(scope, set()).add(stream)
+            self.streams_by_scope.setdefault(scope, set()).add(stream)
         self.counts["subscribed"] += 1
-        transport.set_write_buffer_limits(0)  # written to no more until all has left the process
+        transport.set_write_buffer_limits(
+            0
+        )  # wait until all bytes have left the process before the next line
         return stream
 
-    def leave(self, stream):
+    def close_stream(self, stream):
+        """Removes a stream, unless another has replaced it."""
         if self.streams.get(stream.gateway) is not stream:
             return
         del self.streams[stream.gateway]
         for scope in stream.scopes:
-            self.readers[scope].discard(stream)
-            if not self.readers[scope]:
-                del self.readers[scope]
-        self.acknowledgements.stream_ended(self.clock(), stream.gateway, stream.stay)
+            self.streams_by_scope[scope].discard(stream)
+            if not self.streams_by_scope[scope]:
+                del self.streams_by_scope[scope]
+        self.acknowledgements.stream_ended(self.clock(), stream.gateway, stream.subscription_id)
 
-    async def tell(self, stream, writer):
+    async def write_lines(self, stream, writer):
+        """Writes lines to a stream until it ends."""
         loop, outbox = asyncio.get_running_loop(), stream.outbox
-        silent = loop.time() + SILENCE
-        while not stream.over:
-            stream.stirred.clear()
+        silent = loop.time() + SIGN_OF_LIFE_SECONDS
+        while not stream.ended:
+            stream.changed.clear()
             line = outbox.next(self.clock())
             if line is None and loop.time() < silent:
                 until = silent
@@ -261,53 +295,63 @@
                     until = min(until, loop.time() + max(wake - self.clock(), 0) / 1e9)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout_at(until):
-                        await stream.stirred.wait()
+                        await stream.changed.wait()
                 continue
-            line = line or SIGN
+            line = line or SIGN_OF_LIFE
             self.counts["lines"] += 1
             self.counts["bytes"] += len(line)
             await writer.write(line)
             await writer.drain()
-            silent = loop.time() + SILENCE
-            await asyncio.sleep(0)  # others have their turn
+            silent = loop.time() + SIGN_OF_LIFE_SECONDS
+            await asyncio.sleep(0)  # let other streams run
 
     async def acknowledge(self, request):
-        told = await self.body(request, records.Acknowledgement)
-        stream = self.streams.get(told.gateway)
-        if stream is None or told.cluster != self.store.cluster:
-            raise NotSubscribed(f"{told.gateway} has no stream here of that cluster")
-        now, complete, refuses = self.clock(), told.complete, told.refused
-        if not self.acknowledgements.acknowledge(now, told.gateway, complete, refuses, told.stay):
-            raise NotSubscribed(f"{told.gateway} has another stay here, or was silent for too long")
+        """POST /v1/acknowledge."""
+        acknowledgement = await self.read_body(request, records.Acknowledgement)
+        stream = self.streams.get(acknowledgement.gateway)
+        if stream is None or acknowledgement.cluster != self.store.cluster:
+            raise NotSubscribed(f"{acknowledgement.gateway} has no stream here of that cluster")
+        now, complete, refuses = self.clock(), acknowledgement.complete, acknowledgement.refused
+        if not self.acknowledgements.acknowledge(
+            now, acknowledgement.gateway, complete, refuses, acknowledgement.stay
+        ):
+            raise NotSubscribed(
+                f"{acknowledgement.gateway} has another stay here, or was silent for too long"
+            )
         self.counts["acknowledged"] += 1
-        return answer(200, {})
+        return json_response(200, {})
 
-    async def force(self, request):
-        scope = records.scope_name(request.query.get("scope", ""), "scope")
+    async def in_force(self, request):
+        """GET /v1/force: whether a scope is in force everywhere as of an index."""
+        scope = records.check_scope_name(request.query.get("scope", ""), "scope")
         text = request.query.get("index", "")
         if not text.isdecimal() or not text.isascii() or len(text) > 18:
             raise Senseless(f"index: {text[:50]!r}; expected a whole number")
         if not self.acknowledgements.knows_all_subscribers(self.clock()):
             raise TooYoung("this relay has just been started")
         index = self.store.as_of(scope, int(text))
-        return answer(200, self.acknowledgements.in_force(self.clock(), scope, index)._asdict())
+        return json_response(200, self.acknowledgements.in_force(self.clock(), scope, index)._asdict())
 
     async def status(self, request):
-        return answer(200, {"relay": self.told.relay, "region": self.told.region, **self.figures()})
+        """GET /v1/status."""
+        return json_response(
+            200, {"relay": self.settings.relay, "region": self.settings.region, **self.figures()}
+        )
 
     async def ready(self, request):
-        self.room("")
-        return answer(200, {"ready": True})
+        """GET /readyz."""
+        self.check_accepting("")
+        return json_response(200, {"ready": True})
 
     def figures(self):
-        """All counters and the length of each table now."""
+        """Returns all counters and the current length of each table."""
         now = {"cluster": self.store.cluster, "at": self.store.index, "subscribers": len(self.streams)}
         now.update(connections=len(self.runner.server.connections), lines_lost=Lines.lost)
         return {**now, **self.counts, **{f"ledger_{n}": c for n, c in self.source.figures().items()}}
 
 
-class Closed(asyncio.Protocol):
-    """A connection past the bound: closed at once."""
+class RejectedConnection(asyncio.Protocol):
+    """A connection beyond the limit, which is closed at once."""
 
     def __init__(self, relay):
         self.relay = relay
@@ -321,20 +365,22 @@
 
 
 def main(path):
+    """Runs the relay that a settings file describes. Returns the exit code."""
     try:
-        told = settings.read(path)
-        listener = bound(told.listen)
+        settings = relay_settings.read(path)
+        listener = bound(settings.listen)
     except Unusable as error:
         print(f"lemonlead relay: {path}: {error.says}; {error.do}", file=sys.stderr)
         return 2
     log_lines()
-    return asyncio.run(run(told, listener))
+    return asyncio.run(run(settings, listener))
 
 
-async def run(told, listener):
-    log = structlog.get_logger(relay=told.relay)
-    source = LedgerSource(told.relay, told.listen, told.members, told.relay, log)
-    relay, loop, ending = Relay(told, source, log), asyncio.get_running_loop(), asyncio.Event()
+async def run(settings, listener):
+    """Runs a relay until a signal ends it or a task fails. Returns the exit code."""
+    log = structlog.get_logger(relay=settings.relay)
+    source = LedgerSource(settings.relay, settings.listen, settings.members, settings.relay, log)
+    relay, loop, ending = Relay(settings, source, log), asyncio.get_running_loop(), asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, ending.set)
     loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", **relay.figures()))
@@ -344,8 +390,8 @@
     code = 0
     if relay.failed.done():
         error, code = relay.failed.exception(), 1
-        told = "".join(traceback.format_exception(error))[-2000:]
-        log.error("broken", reason=type(error).__name__, detail=str(error)[:300], trace=told)
+        trace = "".join(traceback.format_exception(error))[-2000:]
+        log.error("broken", reason=type(error).__name__, detail=str(error)[:300], trace=trace)
     ended.cancel()
     log.info("counters", **relay.figures())
     await relay.stop()
--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -1,4 +1,4 @@
-"""What a relay is told: its settings file, checked as a whole. Times in whole nanoseconds."""
+"""The settings file of a relay, read and checked as a whole. Times are whole nanoseconds."""
 
 from dataclasses import dataclass
 
@@ -10,20 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    rate: int  # bytes a second to one gateway
+    """Limits what the relay sends to one gateway."""
+
+    rate: int  # bytes a second
     burst: int  # bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """Limits of what the relay holds."""
+
     subscribers: int
     scopes: int
-    waiting: int  # bytes
-    kept: int  # changes
+    waiting: int  # bytes in a stream's send buffer
+    kept: int  # changed keys in all logs together
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
+    """The settings of one relay. `lease` and `grace` are nanoseconds."""
+
     relay: str
     region: str
     listen: str
@@ -35,37 +41,38 @@
 
 
 def read(path):
-    """What the file tells; Unfit, with all that is wrong, where it cannot be used."""
+    """Returns the settings in a file. Raises Unfit with everything that is wrong when the file can't be
+    used."""
     try:
         file = settings.read(path, settings.schema_text("relay"), "schema:relay")
         if found := faults(file):
             raise settings.Unfit(found)
     except settings.Unfit as error:
         raise Unfit(error.faults) from None
-    told = dict(file.value)
-    budget, bounds = Budget(**told.pop("budget")), Bounds(**told.pop("bounds"))
-    return RelaySettings(**told, budget=budget, bounds=bounds)
+    fields = dict(file.value)
+    budget, bounds = Budget(**fields.pop("budget")), Bounds(**fields.pop("bounds"))
+    return RelaySettings(**fields, budget=budget, bounds=bounds)
 
 
 def faults(file):
-    """What a schema cannot say."""
-    told, found, seen = file.value, [], {}
+    """Returns the faults that the schema can't express."""
+    fields, found, seen = file.value, [], {}
 
     def fault(path, what, allowed, other=None):
         place = file.place(other) if other else None
         found.append(settings.Fault(file.place(path), path, what, allowed, place))
 
-    mine = told["listen"]
-    addresses = {"listen": mine}
-    addresses |= {f"members.{name}": address for name, address in told["members"].items()}
+    own_address = fields["listen"]
+    addresses = {"listen": own_address}
+    addresses |= {f"members.{name}": address for name, address in fields["members"].items()}
     for path, address in addresses.items():
         if wrong := address_fault(address):
             fault(path, wrong, ALLOWED)
         elif address in seen:
             fault(path, address, "an address once", seen[address])
-        elif path != "listen" and not address_fault(mine) and inside(address) != inside(mine):
+        elif path != "listen" and not address_fault(own_address) and inside(address) != inside(own_address):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
-    if not 0 < len(told["members"]) <= MOST_SEATED:
-        fault("members", f"{len(told['members'])} members", f"1 to {MOST_SEATED}")
+    if not 0 < len(fields["members"]) <= MOST_SEATED:
+        fault("members", f"{len(fields['members'])} members", f"1 to {MOST_SEATED}")
     return found
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -14,14 +14,22 @@
 from lemonlead.distribution.acknowledgements import Acknowledgements
 from lemonlead.distribution.faults import Older, Senseless, TooLarge, Unreadable, Unusable
 from lemonlead.distribution.outbox import Outbox
-from lemonlead.distribution.records import COLD, DRAIN, LINE, REST, Acknowledgement, Subscription, urgency
+from lemonlead.distribution.records import (
+    COLD,
+    DRAIN,
+    MAX_LINE_BYTES,
+    REST,
+    Acknowledgement,
+    Subscription,
+    urgency,
+)
 from lemonlead.distribution.store import Store
 from lemonlead.distribution.subscriber import Acknowledge, Subscribe, Subscriber
 from lemonlead.ledger import capacity
 
 SECOND = 1000 * MS
 HOUR = 3600 * SECOND
-BURST = records.LEAST_BURST
+BURST = records.MIN_BURST_BYTES
 RELAYS = [("near", "r1", "127.0.0.1:1"), ("far", "r2", "127.0.0.1:2")]
 UP, OUT = {"state": "serving"}, {"state": "draining"}
 PLAY = settings(max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
@@ -96,8 +104,8 @@
     about = capacity.Name.__metadata__[0]
     assert about.pattern == f"^{records.NAME.pattern.removesuffix('{0,99}')}*$" and about.max_length == 100
     for name in ("a", "a" * 100, "A1_.:/-"):
-        assert records.scope_name(name, "here") == name
-    assert records.scope_name("", "here") == ""
+        assert records.check_scope_name(name, "here") == name
+    assert records.check_scope_name("", "here") == ""
 
 
 @pytest.mark.parametrize("scope", [" ", "a b", "-a", "a" * 101, "ä", "a\n", None, 5, ["a"]])
@@ -126,7 +134,7 @@
         lambda: held.replace("c", index, {}),
         lambda: held.replace("c", 20, {"a": {"k": (index, UP)}}),
         lambda: Outbox(0, held, {"a": index}, 8000, BURST),
-        lambda: box.widen(0, {"a": index}),
+        lambda: box.add_scopes(0, {"a": index}),
         lambda: acks.subscribe(0, "g", "r", {"a": index}),
         lambda: acks.acknowledge(0, "g", {"a": index}),
         lambda: acks.in_force(0, "a", index),
@@ -155,11 +163,11 @@
 
 
 def test_more_scopes_than_a_gateway_may_have_are_refused():
-    most = {f"s{n}": 0 for n in range(records.MOST_SCOPES)}
+    most = {f"s{n}": 0 for n in range(records.MAX_SCOPES)}
     box = Outbox(0, made(), most, 8000, BURST)
     for call in (
         lambda: Outbox(0, made(), {**most, "more": 0}, 8000, BURST),
-        lambda: box.widen(0, {"more": 0}),
+        lambda: box.add_scopes(0, {"more": 0}),
         lambda: Acknowledgements(SECOND, 0).subscribe(0, "g", "r", {**most, "more": 0}),
     ):
         with pytest.raises(Senseless, match="at most 2000"):
@@ -226,7 +234,9 @@
 
 def one_body(one):
     """The body of the subscription that stands."""
-    return msgspec.json.encode(Subscription(one.me, one.region, one.cluster, one.complete, one.stay()))
+    return msgspec.json.encode(
+        Subscription(one.name, one.region, one.cluster, one.complete, one.subscription_id())
+    )
 
 
 # ---- the store
@@ -236,19 +246,19 @@
     held = made(a={"x": (1, UP), "y": (2, UP)})
     for index, (key, record) in enumerate([("x", OUT), ("z", UP), ("x", None), ("y", OUT)], 11):
         held.apply(index, [("a", key, record), ("b", key, record)])
-    assert held.since("a", 10) == [("z", 12, UP), ("x", 13, None), ("y", 14, OUT)]
-    assert held.since("a", 12) == [("x", 13, None), ("y", 14, OUT)]
-    assert held.since("a", 14) == held.since("a", 99) == []
+    assert held.changes_since("a", 10) == [("z", 12, UP), ("x", 13, None), ("y", 14, OUT)]
+    assert held.changes_since("a", 12) == [("x", 13, None), ("y", 14, OUT)]
+    assert held.changes_since("a", 14) == held.changes_since("a", 99) == []
     assert sorted(held.snapshot("a")) == [("y", 14, OUT), ("z", 12, UP)]
-    assert held.touched("a") == 14 and held.index == 14
+    assert held.last_change("a") == 14 and held.index == 14
     held.apply(20, [])
-    assert held.index == 20 and held.touched("a") == 14
+    assert held.index == 20 and held.last_change("a") == 14
 
 
 def test_the_last_of_one_entrys_changes_to_a_key_counts():
     held = Store("c")
     held.apply(1, [("a", "k", UP), ("a", "k", OUT), ("a", "j", UP), ("a", "j", None)])
-    assert held.since("a", 0) == [("k", 1, OUT), ("j", 1, None)]
+    assert held.changes_since("a", 0) == [("k", 1, OUT), ("j", 1, None)]
     assert held.snapshot("a") == [("k", 1, OUT)]
 
 
@@ -275,9 +285,9 @@
     for scope in "ab":
         held.scopes[scope].records = Counted(held.scopes[scope].records)
     log = held.scopes["a"].log
-    assert len(held.since("a", 2007)) == 3 and held.scopes["a"].records.looks == 3
-    assert len(held.news("a", 2007).levels[DRAIN]) == 3 and held.scopes["a"].records.looks == 6
-    assert list(held.changed(2010)) == ["b"] and len(log) == 2000
+    assert len(held.changes_since("a", 2007)) == 3 and held.scopes["a"].records.looks == 3
+    assert len(held.list_changes("a", 2007).levels[DRAIN]) == 3 and held.scopes["a"].records.looks == 6
+    assert list(held.changed_scopes(2010)) == ["b"] and len(log) == 2000
 
 
 class Looked(dict):
@@ -299,7 +309,7 @@
     for index in range(11, 5011):
         held.apply(index, [("a", f"k{index}", UP)])
     held.scopes["a"].log = log = Looked(held.scopes["a"].log)
-    assert [key for key, _, _ in held.since("a", 5008)] == ["k5009", "k5010"] and log.looked == 3
+    assert [key for key, _, _ in held.changes_since("a", 5008)] == ["k5009", "k5010"] and log.looked == 3
 
 
 def test_all_logs_together_are_bounded_and_quiet_scopes_stay():
@@ -307,10 +317,10 @@
     held.apply(11, [("quiet", "k", UP)])
     for index in range(12, 500):
         held.apply(index, [("busy", f"k{index % 300}", UP)])
-        assert held.held == sum(len(one.log) for one in held.scopes.values()) <= 80
-    assert held.since("busy", 100) is None and len(held.since("busy", 495)) == 4
+        assert held.log_keys == sum(len(one.log) for one in held.scopes.values()) <= 80
+    assert held.changes_since("busy", 100) is None and len(held.changes_since("busy", 495)) == 4
     assert len(held.snapshot("busy")) == 300
-    assert held.since("quiet", 11) == [] and held.touched("quiet") == 11
+    assert held.changes_since("quiet", 11) == [] and held.last_change("quiet") == 11
 
 
 def test_a_scope_of_which_nothing_is_left_leaves_nothing():
@@ -320,9 +330,9 @@
     gone = [(f"s{index}", "k", None) for index in range(11, 500)]
     held.apply(600, gone)
     held.apply(601, [("a", f"k{n}", UP) for n in range(20)])
-    assert len(held.scopes) <= 9 and len(held.order) == len(held.scopes)
-    assert held.since("s11", 599) is None and held.since("s11", 601) == []
-    assert held.touched("s11") >= 600
+    assert len(held.scopes) <= 9 and len(held.change_order) == len(held.scopes)
+    assert held.changes_since("s11", 599) is None and held.changes_since("s11", 601) == []
+    assert held.last_change("s11") >= 600
 
 
 def test_a_scope_dropped_with_its_last_record_is_not_passed_over():
@@ -330,7 +340,7 @@
     box = Outbox(0, held, {"a": 0, "b": 0}, 8000, BURST)
     lines(box)
     held.apply(11, [("a", "x", None)])
-    assert "a" not in held.scopes and held.changed(10) is None and list(held.changed(11)) == []
+    assert "a" not in held.scopes and held.changed_scopes(10) is None and list(held.changed_scopes(11)) == []
     told = [parsed(one) for one in lines(box, 2 * HOUR)]
     assert [one["snapshot"] for one in told if "snapshot" in one] == ["a"]
     assert {"a": 11} in [one.get("complete") for one in told]
@@ -339,40 +349,40 @@
 def test_nothing_kept_means_snapshots_and_nothing_else():
     held = made(kept=0, a={})
     held.apply(11, [("a", "k", UP)])
-    assert held.since("a", 10) is None and held.since("a", 11) == [] and held.held == 0
+    assert held.changes_since("a", 10) is None and held.changes_since("a", 11) == [] and held.log_keys == 0
 
 
 def test_after_a_start_what_was_removed_before_is_not_known():
     held = made(index=100, a={"k": (50, UP)})
-    assert held.since("a", 99) is None and held.since("other", 99) is None
-    assert held.since("a", 100) == held.since("other", 100) == []
-    assert held.touched("a") == held.touched("other") == 100
+    assert held.changes_since("a", 99) is None and held.changes_since("other", 99) is None
+    assert held.changes_since("a", 100) == held.changes_since("other", 100) == []
+    assert held.last_change("a") == held.last_change("other") == 100
 
 
 def test_a_whole_state_of_the_same_cluster_is_told_by_what_differs():
     held = made(a={"x": (1, UP), "y": (2, UP), "z": (3, UP)}, b={"k": (4, UP)})
     held.replace("c", 20, {"a": {"x": (1, UP), "y": (15, OUT), "new": (12, UP)}})
-    assert held.since("a", 10) == [("new", 12, UP), ("y", 15, OUT), ("z", 20, None)]
-    assert held.since("b", 10) == [("k", 20, None)] and held.snapshot("b") == []
-    assert held.index == 20 and held.since("a", 20) == []
+    assert held.changes_since("a", 10) == [("new", 12, UP), ("y", 15, OUT), ("z", 20, None)]
+    assert held.changes_since("b", 10) == [("k", 20, None)] and held.snapshot("b") == []
+    assert held.index == 20 and held.changes_since("a", 20) == []
     for scope, index in itertools.product(("a", "b", "other"), range(11, 20)):
-        assert held.since(scope, index) is None  # what was put and dropped meanwhile is not known
+        assert held.changes_since(scope, index) is None  # what was put and dropped meanwhile is not known
     for index in range(30, 300, 2):
         held.apply(index, [("a", "x", UP)])
         held.replace("c", index + 1, {"a": {"x": (index, UP), "y": (15, OUT), "new": (12, UP)}})
-    assert len(held.gaps) == 64 and held.since("a", 12) is None is held.since("other", 35)
-    assert [key for key, _, _ in held.since("a", 10)] == ["new", "y", "z", "x"]
+    assert len(held.gaps) == 64 and held.changes_since("a", 12) is None is held.changes_since("other", 35)
+    assert [key for key, _, _ in held.changes_since("a", 10)] == ["new", "y", "z", "x"]
 
 
 def test_a_whole_state_that_cant_follow_from_what_is_held_begins_anew():
     held = made(a={"x": (1, UP)}, b={"k": (4, UP)})
     held.replace("c", 20, {"a": {"x": (2, OUT)}})
     for index in (0, 9, 10, 19):
-        assert held.since("a", index) is None and held.since("b", index) is None
+        assert held.changes_since("a", index) is None and held.changes_since("b", index) is None
     assert held.snapshot("a") == [("x", 2, OUT)] and held.snapshot("b") == []
-    assert held.changed(19) is None and list(held.changed(20)) == []
+    assert held.changed_scopes(19) is None and list(held.changed_scopes(20)) == []
     held.apply(21, [("b", "k", UP)])
-    assert list(held.changed(20)) == ["b"]
+    assert list(held.changed_scopes(20)) == ["b"]
 
 
 def test_an_older_state_changes_nothing_and_another_clusters_takes_its_place():
@@ -388,7 +398,7 @@
     assert held.snapshot("a") == [("x", 11, OUT)] and held.index == 11
     held.replace("d", 3, {"b": {"y": (2, UP)}})
     assert (held.cluster, held.index, held.snapshot("a")) == ("d", 3, [])
-    assert held.snapshot("b") == [("y", 2, UP)] and held.since("b", 2) is None and held.held == 0
+    assert held.snapshot("b") == [("y", 2, UP)] and held.changes_since("b", 2) is None and held.log_keys == 0
 
 
 @pytest.mark.parametrize(
@@ -399,7 +409,7 @@
         (("a", "k" * 201, UP), Senseless),
         (("a", None, UP), Senseless),
         (("a", "k", "text"), Senseless),
-        (("a", "k", {"x": "y" * records.MOST_RECORD}), TooLarge),
+        (("a", "k", {"x": "y" * records.MAX_RECORD_BYTES}), TooLarge),
     ],
 )
 def test_a_change_that_cant_be_told_changes_nothing(change, fault):
@@ -410,7 +420,7 @@
         held.replace("c", 11, {"a": {change[1]: (11, change[2])}})
     with pytest.raises(Senseless, match="index 12; expected at most 11"):
         held.replace("c", 11, {"a": {"k": (12, UP)}})
-    assert (held.index, held.snapshot("a"), held.since("a", 10)) == (10, [("x", 1, UP)], [])
+    assert (held.index, held.snapshot("a"), held.changes_since("a", 10)) == (10, [("x", 1, UP)], [])
 
 
 NAMES, KEYS = ("", "a", "b"), ("k0", "k1", "k2", "k3")
@@ -441,9 +451,9 @@
                 held.apply(index, entry)
             else:
                 held.replace("c", index, scopes)
-            assert held.held == sum(len(one.log) for one in held.scopes.values()) <= kept
+            assert held.log_keys == sum(len(one.log) for one in held.scopes.values()) <= kept
     for scope, index in itertools.product(NAMES, range(held.index + 1)):
-        told = held.since(scope, index)
+        told = held.changes_since(scope, index)
         now = {key: value for (of, key), value in states[held.index].items() if of == scope}
         assert {key: (at, record) for key, at, record in held.snapshot(scope)} == now
         if told is not None:
@@ -454,9 +464,9 @@
             assert {key: value for key, value in built.items() if value[1] is not None} == now
             assert sorted(at for _, at, _ in told) == [at for _, at, _ in told]
         else:
-            assert index < held.touched(scope)
+            assert index < held.last_change(scope)
     if not wholes and kept >= len(NAMES) * len(KEYS):
-        assert all(held.since(scope, 0) is not None for scope in NAMES)
+        assert all(held.changes_since(scope, 0) is not None for scope in NAMES)
 
 
 # ---- the outbox
@@ -547,20 +557,24 @@
 
 def test_a_list_of_all_is_made_anew_once_much_has_changed():
     held = made(index=10, a={f"k{n}": (1, UP) for n in range(80)})
-    first = held.whole("a")
+    first = held.list_all("a")
     for index in range(11, 21):
         held.apply(index, [("a", f"k{index}", UP)])
-        assert held.whole("a") is first
+        assert held.list_all("a") is first
     held.apply(21, [("a", "k21", UP)])
-    assert held.whole("a").at == 21 and len(held.whole("a").levels[REST]) == 80
+    assert held.list_all("a").at == 21 and len(held.list_all("a").levels[REST]) == 80
 
 
 def test_a_list_of_all_from_which_the_log_does_not_go_on_is_of_no_use():
     held = made(index=10, kept=20, a={f"k{n}": (1, UP) for n in range(200)})
-    first = held.whole("a")
+    first = held.list_all("a")
     held.apply(11, [("a", "k0", None)])
     held.apply(12, [("b", f"k{n}", UP) for n in range(40)])
-    assert held.since("a", 10) is None and held.whole("a") is not first and held.whole("a").at == 12
+    assert (
+        held.changes_since("a", 10) is None
+        and held.list_all("a") is not first
+        and held.list_all("a").at == 12
+    )
 
 
 def test_what_is_kept_no_more_is_told_by_a_new_snapshot():
@@ -569,7 +583,7 @@
     told = [box.next(now) for _ in range(3)]
     held.apply(11, [("a", "k0", None), ("a", "k1999", None)])
     held.apply(12, [("b", f"k{n}", UP) for n in range(40)])
-    assert held.since("a", 10) is None
+    assert held.changes_since("a", 10) is None
     told += lines(box, now + SECOND)
     marks = [place for place, one in enumerate(told) if "snapshot" in parsed(one)]
     last = {key for _, key, _ in changes(told[marks[-1] :])}
@@ -585,8 +599,8 @@
     one.records["a"] = {f"k{n}": (1, UP) for n in range(4)}
     follows(one, now)
     held.apply(12, [("b", f"k{n}", UP) for n in range(9)])
-    one.lines = 0
-    one.teller = None
+    one.line_count = 0
+    one.stream_cluster = None
     for data in lines(box):
         one.receive_line(now, data)
     assert set(one.records["a"]) == {"k0", "k3"} and one.complete["a"] == 12
@@ -628,7 +642,7 @@
     held = made(index=10, a={"x": (1, UP)}, b={f"k{n}": (1, UP) for n in range(2000)})
     box = Outbox(0, held, {"a": 0, "b": 0, "c": 0}, 8000, BURST)
     told = [box.next(HOUR + n * SECOND) for n in range(8)]
-    assert box.todo[outbox.SNAPSHOT]
+    assert box.pending[outbox.SNAPSHOT]
     held.replace("d", 4, {"a": {"y": (2, UP)}})
     told = [parsed(one) for one in lines(box, 2 * HOUR)]
     assert told[0]["cluster"] == "d" and told[0]["at"] == 4
@@ -640,7 +654,7 @@
     held = made(index=10, a={"x": (1, UP)}, b={"y": (1, UP)})
     box = Outbox(0, held, {"a": 0}, 8000, BURST)
     lines(box)
-    box.widen(HOUR, {"a": 0, "b": 0})
+    box.add_scopes(HOUR, {"a": 0, "b": 0})
     assert changes(lines(box, 2 * HOUR)) == [("b", "y", 1)]
     held.apply(11, [("b", "y", OUT), ("a", "x", OUT)])
     assert len(changes(lines(box, 3 * HOUR))) == 2
@@ -653,10 +667,10 @@
     held.apply(11, [("b", "y", UP)])
     assert changes([box.next(2 * HOUR)]) == [("b", "y", 11)]
     held.apply(12, [("other", "y", UP)])
-    assert box.next(2 * HOUR + outbox.ADVANCE - 1) is not None  # the first one was due long ago
+    assert box.next(2 * HOUR + outbox.ADVANCE_INTERVAL_NS - 1) is not None  # the first one was due long ago
     held.apply(13, [("other", "y", OUT)])
     due = box.wake_at()
-    assert box.next(due - 1) is None and due == box.advance_at
+    assert box.next(due - 1) is None and due == box.next_advance_at
     assert parsed(box.next(due))["complete"] == {"a": 13, "b": 13}
     assert box.wake_at() is None
 
@@ -667,7 +681,7 @@
     box = Outbox(0, held, {"a": 10, "b": 10, "other": 10}, 8000, BURST)
     lines(box)
     held.replace("c", 20, {"a": {"x": (1, UP)}})
-    assert box.wake_at() < box.advance_at
+    assert box.wake_at() < box.next_advance_at
     assert parsed(box.next(box.wake_at()))["complete"] == {"a": 20, "b": 20, "other": 20}
 
 
@@ -697,10 +711,10 @@
             index += 1
             held.apply(index, [("a", f"k{index % 7}", {**OUT, "x": "z" * size})])
         while (data := box.next(now)) is not None:
-            assert len(data) <= min(burst, LINE) and data.endswith(b"\n") and b"\n" not in data[:-1]
+            assert len(data) <= min(burst, MAX_LINE_BYTES) and data.endswith(b"\n") and b"\n" not in data[:-1]
             told.append((now, len(data)))
         due = box.wake_at()
-        if due is not None and box.needed():
+        if due is not None and box.needed_bytes():
             assert due > now
             assert box.next(due - 1) is None and box.next(due - 1) is None
             now = due
@@ -769,21 +783,21 @@
     assert one.in_force(11 * SECOND, "a", 6) == (True, [], [], 1, {})
     assert one.drop_silent(11 * SECOND) == ["g2"]
     assert not one.acknowledge(11 * SECOND, "g2", {"a": 6})
-    assert one.drop_silent(12 * SECOND) == ["g1"] and not one.subscribers and not one.of
+    assert one.drop_silent(12 * SECOND) == ["g1"] and not one.subscribers and not one.names_by_scope
 
 
 def test_one_that_came_back_under_its_name_counts_with_what_it_says():
     one = acks(g1=5)
     one.subscribe(0, "g1", "r1", {"a": 5}, "first")
-    one.acknowledge(SECOND, "g1", {"a": 9}, stay="first")
+    one.acknowledge(SECOND, "g1", {"a": 9}, subscription_id="first")
     assert one.in_force(SECOND, "a", 9).everywhere
     one.subscribe(2 * SECOND, "g1", "r1", {"a": 0, "b": 1}, "second")
     assert one.in_force(2 * SECOND, "b", 1).behind == [("g1", 0)]  # what it refuses is not known yet
-    one.acknowledge(2 * SECOND, "g1", {}, stay="second")
+    one.acknowledge(2 * SECOND, "g1", {}, subscription_id="second")
     assert not one.in_force(2 * SECOND, "a", 9).everywhere and one.in_force(2 * SECOND, "b", 1).everywhere
-    assert not one.acknowledge(2 * SECOND, "g1", {"a": 9}, stay="first")  # late, of the one before
+    assert not one.acknowledge(2 * SECOND, "g1", {"a": 9}, subscription_id="first")  # late, of the one before
     one.stream_ended(2 * SECOND, "g1", "first")
-    assert one.acknowledge(2 * SECOND, "g1", {"a": 8}, stay="second")
+    assert one.acknowledge(2 * SECOND, "g1", {"a": 8}, subscription_id="second")
     assert one.in_force(2 * SECOND, "a", 9).behind == [("g1", 0)]
 
 
@@ -818,7 +832,7 @@
 
 
 def test_a_relay_just_started_does_not_say_everywhere():
-    one = Acknowledgements(10 * SECOND, SECOND, began=HOUR)
+    one = Acknowledgements(10 * SECOND, SECOND, started=HOUR)
     one.subscribe(HOUR, "g1", "r1", {"a": 9})
     one.acknowledge(HOUR, "g1", {})
     tick(one, HOUR, HOUR + 11 * SECOND)
@@ -835,7 +849,7 @@
     tick(one, HOUR, HOUR + 8 * SECOND)
     assert one.in_force(HOUR + 8 * SECOND - 1, "a", 6).behind == [("g2", 10_999)]
     assert one.in_force(HOUR + 8 * SECOND, "a", 6) == (True, [], [], 1, {})
-    one = Acknowledgements(10 * SECOND, SECOND, began=0)
+    one = Acknowledgements(10 * SECOND, SECOND, started=0)
     assert not one.knows_all_subscribers(HOUR) and not one.knows_all_subscribers(HOUR + 4 * SECOND)
     tick(one, HOUR, HOUR + 11 * SECOND)
     assert one.knows_all_subscribers(HOUR + 11 * SECOND)
@@ -849,7 +863,7 @@
 
 
 def test_there_are_no_more_subscribers_than_a_relay_bears(monkeypatch):
-    monkeypatch.setattr(acknowledgements, "MOST", 2)
+    monkeypatch.setattr(acknowledgements, "MAX_SUBSCRIBERS", 2)
     one = acks(g1=1, g2=1)
     with pytest.raises(Senseless, match="2 subscribed already"):
         one.subscribe(0, "g3", "r", {})
@@ -884,7 +898,7 @@
             counts = entry is not None and known and entry[3] and now - entry[2] < 7 * SECOND
             if counts:
                 entry[0], entry[2], entry[4] = max(entry[0], index), now, True
-            assert one.acknowledge(now, gateway, {"a": index}, stay=stay) == counts
+            assert one.acknowledge(now, gateway, {"a": index}, subscription_id=stay) == counts
         elif kind == "left" and gateway in has:
             one.stream_ended(now, gateway, has[gateway][1])
             has[gateway][3] = False
@@ -913,7 +927,7 @@
     assert one.receive_line(now, line(changes=[["a", "k", 8, None]])) == [("a", "k", None)]
     one.receive_line(now, line(complete={"a": 6}))  # not past it yet
     assert one.receive_line(now, line(changes=[["a", "k", 7, UP]])) == [] and one.records["a"] == {}
-    assert one.receive_line(now, line(complete={"a": 9})) == [] and one.past["a"] == {}
+    assert one.receive_line(now, line(complete={"a": 9})) == [] and one.dropped_at["a"] == {}
     assert one.receive_line(now, line(changes=[["a", "k", 7, UP], ["a", "j", 9, UP]])) == []
     assert one.receive_line(now, line(changes=[["a", "k", 10, UP]])) == [("a", "k", UP)]
     assert one.receive_line(now, line(complete={"a": 8})) == [] and one.complete["a"] == 9
@@ -1106,26 +1120,37 @@
         b'{"cluster":"","at":7}',
         b'{"cluster":"c"}',
         b'{"at":7}',
-        b'{"changes":[["a","j",6,{"x":"%b"}]]}' % (b"y" * LINE),
+        b'{"changes":[["a","j",6,{"x":"%b"}]]}' % (b"y" * MAX_LINE_BYTES),
     ],
 )
 def test_a_line_that_is_none_is_unreadable_and_changes_nothing(data):
     one, now = stream("a")
     follows(one, now)
     one.receive_line(now, line(changes=[["a", "k", 4, UP]], complete={"a": 4}))
-    before, heard = state_of(one), one.heard_at
+    before, heard = state_of(one), one.last_line_at
     with pytest.raises(Unreadable) as error:
         one.receive_line(now + SECOND, data)
     assert error.value.do and 0 < len(str(error.value)) < 400
-    assert state_of(one) == before and one.heard_at == heard and one.silent_ns(now + SECOND) == SECOND
+    assert state_of(one) == before and one.last_line_at == heard and one.silent_ns(now + SECOND) == SECOND
     assert one.receive_line(now, line(changes=[["a", "k", 5, OUT]], n=3)) == [("a", "k", OUT)]
 
 
 def state_of(one):
     """All that may not change by what was not heeded."""
-    told = {scope: (sorted(one.told), one.staged) for scope, one in one.snapshots.items()}
-    tables = one.records, one.past, one.early, one.complete, one.refused, one.cluster, one.teller, one.lines
-    return repr((tables, told, sorted(one.foreign), sorted(one.unsaid), list(one.gone)))
+    told = {scope: (sorted(one.keys), one.staged) for scope, one in one.snapshots.items()}
+    tables = (
+        one.records,
+        one.dropped_at,
+        one.ahead,
+        one.complete,
+        one.refused,
+        one.cluster,
+        one.stream_cluster,
+        one.line_count,
+    )
+    return repr(
+        (tables, told, sorted(one.foreign_scopes), sorted(one.to_acknowledge), list(one.left_clusters))
+    )
 
 
 def test_nothing_counts_before_the_cluster_is_named():
@@ -1238,7 +1263,7 @@
     assert one.receive_line(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 9})) == [("a", "k", OUT)]
     one.receive_line(now, line(snapshot="a"))
     one.receive_line(now, line(changes=[["a", "k", 9, OUT]], complete={"a": 10}))
-    assert body(one.next(one.wake_at()))["refused"] == [] and one.past["a"] == {}
+    assert body(one.next(one.wake_at()))["refused"] == [] and one.dropped_at["a"] == {}
 
 
 def test_a_record_that_cant_be_dropped_is_in_force_still_and_told_by_name():
@@ -1257,7 +1282,7 @@
 
 
 def test_of_what_is_refused_past_the_most_nothing_is_said_to_be_in_force(monkeypatch):
-    monkeypatch.setattr(subscriber, "MOST_REFUSED", 2)
+    monkeypatch.setattr(subscriber, "MAX_REFUSED", 2)
     one, now = stream("a", "b")
     follows(one, now)
     told = [[scope, f"k{n}", 5 + n, {}] for n in range(3) for scope in "ab"]
@@ -1342,7 +1367,7 @@
     ones = [Subscriber(f"g{n}", "r1", ["a"], SEVERAL, n) for n in range(1000)]
     for one in ones:
         assert one.next(0) is None
-    assert busiest(ones) < 200 and max(one.wake_at() for one in ones) <= subscriber.FIRST
+    assert busiest(ones) < 200 and max(one.wake_at() for one in ones) <= subscriber.MAX_START_WAIT_NS
     for one in ones:
         one.next(one.wake_at())
         follows(one, SECOND)
@@ -1374,17 +1399,17 @@
         assert one.next(one.wake_at() - 1) is None
         now = one.wake_at()
         one.next(now)
-    assert max(waits[0::2]) <= subscriber.SHORTEST  # within a round of two relays
-    assert waits[1] <= subscriber.SHORTEST and min(waits) >= subscriber.SHORTEST // 10
-    assert subscriber.LONGEST // 2 < max(waits) <= subscriber.LONGEST
+    assert max(waits[0::2]) <= subscriber.MIN_BACKOFF_NS  # within a round of two relays
+    assert waits[1] <= subscriber.MIN_BACKOFF_NS and min(waits) >= subscriber.MIN_BACKOFF_NS // 10
+    assert subscriber.MAX_BACKOFF_NS // 2 < max(waits) <= subscriber.MAX_BACKOFF_NS
     follows(one, now)
-    one.stream_ended(now + subscriber.STEADY - 1, "short")
-    assert one.length == subscriber.LONGEST
+    one.stream_ended(now + subscriber.STEADY_STREAM_NS - 1, "short")
+    assert one.max_wait == subscriber.MAX_BACKOFF_NS
     now = one.wake_at()
     one.next(now)
     follows(one, now)
-    one.stream_ended(now + subscriber.STEADY, "lost")
-    assert one.wake_at() - now - subscriber.STEADY <= subscriber.SHORTEST
+    one.stream_ended(now + subscriber.STEADY_STREAM_NS, "lost")
+    assert one.wake_at() - now - subscriber.STEADY_STREAM_NS <= subscriber.MIN_BACKOFF_NS
     one.stream_ended(now + HOUR, "once more")  # of a stream that is none
     assert one.wake_at() < now + HOUR
     one.next(one.wake_at())
@@ -1419,15 +1444,15 @@
         now = one.wake_at()
         one.next(now)
     for place, wait in enumerate(waits):
-        most = min(subscriber.HOME << place, subscriber.LONGEST_HOME)
+        most = min(subscriber.MIN_REGION_RETRY_NS << place, subscriber.MAX_REGION_RETRY_NS)
         assert most // 2 <= wait <= most
-    one.next(one.home_at)
+    one.next(one.region_retry_at)
     follows(one, now)
-    one.stream_ended(now + subscriber.STEADY, "lost")
-    assert one.home == subscriber.HOME
+    one.stream_ended(now + subscriber.STEADY_STREAM_NS, "lost")
+    assert one.region_retry_interval == subscriber.MIN_REGION_RETRY_NS
     one.next(one.wake_at())
     one.receive_line(now, line(cluster="c", at=10))
-    assert one.relay[0] == "near" and one.home_at == subscriber.NEVER
+    assert one.relay[0] == "near" and one.region_retry_at == subscriber.NEVER
 
 
 def test_a_change_of_scopes_costs_what_it_adds():
@@ -1447,7 +1472,9 @@
         one.receive_line(now, line(changes=[["b", "k", 6, UP]]))
     assert one.receive_line(now, line(changes=[["c", "k", 6, UP]], complete={"c": 6}))
     assert body(one.next(now + SECOND))["refused"] == []
-    assert one.records.keys() == one.past.keys() == one.early.keys() == one.complete.keys() == {"a", "c"}
+    assert (
+        one.records.keys() == one.dropped_at.keys() == one.ahead.keys() == one.complete.keys() == {"a", "c"}
+    )
 
 
 # ---- from the ledger to a gateway, in any order
@@ -1594,7 +1621,7 @@
         for scope, base in self.base.items():
             if base <= held.index:
                 words = held.snapshot(scope)
-                words += [word for word in held.since(scope, base) or () if word[2] is None]
+                words += [word for word in held.changes_since(scope, base) or () if word[2] is None]
                 for key, index, record in words:
                     known = max(base, self.told.get((scope, key), 0))
                     assert urgency(record) != DRAIN or known >= index, (scope, key, index)
@@ -1602,10 +1629,10 @@
     def judge(self):
         """Nothing in force that was never committed, nothing back, all of a scope as of its `complete`."""
         for scope in self.one.records:
-            of = "c" if scope in self.one.foreign else self.one.cluster
+            of = "c" if scope in self.one.foreign_scopes else self.one.cluster
             assert of >= self.of[scope]
             self.of[scope] = of
-            complete = 0 if scope in self.one.foreign else self.one.complete[scope]
+            complete = 0 if scope in self.one.foreign_scopes else self.one.complete[scope]
             words = {key: words for (at, key), words in self.words.get(of, {}).items() if at == scope}
             force = {key: record for (at, key), record in self.force.items() if at == scope and record}
             assert force == {key: record for key, (_, record) in self.one.records[scope].items()}
@@ -1636,8 +1663,8 @@
         newest = {at: words[-1][1] for at, words in self.words[self.cluster].items() if words[-1][1]}
         assert {at: record for at, record in self.force.items() if record} == newest
         assert set(self.one.complete.values()) == {len(self.entries[self.cluster])}
-        assert self.one.cluster == self.cluster and not self.one.foreign and not self.one.refused
-        assert not any(self.one.past.values()) and not any(self.one.early.values())
+        assert self.one.cluster == self.cluster and not self.one.foreign_scopes and not self.one.refused
+        assert not any(self.one.dropped_at.values()) and not any(self.one.ahead.values())
         assert all(not position.ahead for position in self.box.positions.values())
 
 
@@ -1652,7 +1679,7 @@
     some.tuples(some.just("tell"), some.integers(1, 6), some.integers(0, SECOND)),
     some.tuples(some.just("tell"), some.integers(1, 6), some.integers(0, 60 * SECOND)),
     some.tuples(some.just("rescope"), some.sets(some.sampled_from(NAMES)).map(sorted)),
-    some.tuples(some.just("garble"), some.integers(0, LINE), some.integers(1, 255)),
+    some.tuples(some.just("garble"), some.integers(0, MAX_LINE_BYTES), some.integers(1, 255)),
     some.tuples(some.just("cut")),
 )
 KEPT, PAD = some.sampled_from([0, 3, 8, 1000]), some.sampled_from([0, 4000])
@@ -1697,7 +1724,7 @@
         elif kind == "rescope":
             path.rescope([scope for scope in NAMES if chance.random() < 0.8])
         elif kind == "garble":
-            path.garble(chance.randrange(LINE), chance.randint(1, 255))
+            path.garble(chance.randrange(MAX_LINE_BYTES), chance.randint(1, 255))
         else:
             getattr(path, kind)()
     path.change([("a", "k0", UP)])
--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -21,7 +21,7 @@
 MEMBERS = {"m1": "h:1", "m2": "h:2", "m3": "h:3"}
 
 
-def course():
+def new_polling():
     return MemberPolling(NOW, MEMBERS, 7)
 
 
@@ -29,17 +29,17 @@
 
 
 def test_it_stays_with_a_member_that_answers_and_asks_for_what_comes_after_what_it_has():
-    made = course()
+    made = new_polling()
     first = made.next(NOW)
     assert first.path == "/v1/events?after=0&parts=entries" and first.address == MEMBERS[first.member]
-    assert made.answered(NOW, "c1", 9, "m1")
-    made.had(9)
+    assert made.accept_response(NOW, "c1", 9, "m1")
+    made.state_applied(9)
     again = made.next(NOW)
     assert (again.member, again.path) == (first.member, "/v1/events?after=9&parts=entries")
 
 
 def test_after_failures_members_are_tried_in_turn_with_waits_that_grow_and_are_bounded():
-    made, now, asked, waits = course(), NOW, [], []
+    made, now, asked, waits = new_polling(), NOW, [], []
     for _ in range(12):
         asked.append(made.next(now).member)
         made.failed(now)
@@ -47,48 +47,55 @@
         waits.append(made.wake_at() - now)
         now = made.wake_at()
     assert asked[:3] * 4 == asked and set(asked) == set(MEMBERS)
-    assert waits[0] <= polling.SHORTEST and polling.LONGEST // 2 <= waits[-1] <= polling.LONGEST
-    assert made.answered(now, "c1", 9, "m1")
+    assert (
+        waits[0] <= polling.MIN_BACKOFF_NS
+        and polling.MAX_BACKOFF_NS // 2 <= waits[-1] <= polling.MAX_BACKOFF_NS
+    )
+    assert made.accept_response(now, "c1", 9, "m1")
     made.failed(now)
-    assert made.wake_at() - now <= polling.SHORTEST
+    assert made.wake_at() - now <= polling.MIN_BACKOFF_NS
 
 
 def test_a_member_that_asks_for_a_pause_gets_one_of_bounded_length():
-    made = course()
+    made = new_polling()
     made.failed(NOW, 500 * MS)
     first = made.wake_at()
     made.failed(NOW, 100 * SECOND)
-    assert (first, made.wake_at()) == (NOW + 500 * MS, NOW + polling.LONGEST)
+    assert (first, made.wake_at()) == (NOW + 500 * MS, NOW + polling.MAX_BACKOFF_NS)
 
 
 @pytest.mark.parametrize("at, leader, taken", [(8, "m1", False), (9, "", True), (9, "m1", True)])
 def test_one_that_lags_or_knows_no_leader_is_left_and_what_it_tells_is_heeded_unless_old(at, leader, taken):
     """Against a member that is cut off from the others: its word is true and stands still."""
-    made = course()
-    assert made.answered(NOW, "c1", 9, "m1")
-    made.had(9)
+    made = new_polling()
+    assert made.accept_response(NOW, "c1", 9, "m1")
+    made.state_applied(9)
     member = made.next(NOW).member
-    assert made.answered(NOW + MS, "c1", at, leader) == taken
+    assert made.accept_response(NOW + MS, "c1", at, leader) == taken
     left = made.wake_at() > NOW + MS
     assert left == (not taken or not leader)
     assert (made.next(max(made.wake_at(), NOW + MS)).member != member) == left
 
 
 def test_a_cluster_formed_anew_is_asked_for_all_and_the_one_before_counts_no_more():
-    made = course()
-    assert made.answered(NOW, "c1", 9, "m1")
-    made.had(9)
-    assert not made.answered(NOW, "c2", 3, "m1")
+    made = new_polling()
+    assert made.accept_response(NOW, "c1", 9, "m1")
+    made.state_applied(9)
+    assert not made.accept_response(NOW, "c2", 3, "m1")
     assert made.next(NOW).path == "/v1/events?after=0&parts=entries"
-    assert made.answered(NOW, "c2", 3, "m1") and not made.answered(NOW, "c1", 12, "m1")
+    assert made.accept_response(NOW, "c2", 3, "m1") and not made.accept_response(NOW, "c1", 12, "m1")
     assert made.counts["anew"] == 1 and made.counts["older"] == 1
 
 
 def test_a_relay_is_lost_once_no_member_that_knows_a_leader_was_heard_for_too_long():
-    made = course()
-    assert not made.is_cut_off(NOW + polling.LOST - 1) and made.is_cut_off(NOW + polling.LOST)
-    assert made.answered(NOW + polling.LOST, "c1", 9, "m1") and not made.is_cut_off(NOW + polling.LOST)
-    assert made.answered(NOW + 2 * polling.LOST, "c1", 9, "") and made.is_cut_off(NOW + 2 * polling.LOST)
+    made = new_polling()
+    assert not made.is_cut_off(NOW + polling.CUT_OFF_NS - 1) and made.is_cut_off(NOW + polling.CUT_OFF_NS)
+    assert made.accept_response(NOW + polling.CUT_OFF_NS, "c1", 9, "m1") and not made.is_cut_off(
+        NOW + polling.CUT_OFF_NS
+    )
+    assert made.accept_response(NOW + 2 * polling.CUT_OFF_NS, "c1", 9, "") and made.is_cut_off(
+        NOW + 2 * polling.CUT_OFF_NS
+    )
 
 
 # ---- what a relay reads
@@ -111,14 +118,14 @@
     (4, {"events": [changed(5, ("s k", ROW))]}, None),
 ])  # fmt: skip
 def test_what_is_the_whole_state_is_known_as_such(after, fields, state):
-    assert ledger_source.understood(body(**fields), None, after)[1] == state
+    assert ledger_source.parse_state(body(**fields), None, after)[1] == state
 
 
 def test_changes_and_whole_states_are_read_by_scope_and_key():
-    told = ledger_source.read(body(events=[changed(5, ("s k", ROW), (" all", None))]), None, 4)
-    assert ledger_source.entries(told.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
-    told = ledger_source.read(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
-    assert ledger_source.scopes(told.whole["entries"]) == {
+    told = ledger_source.parse_response(body(events=[changed(5, ("s k", ROW), (" all", None))]), None, 4)
+    assert ledger_source.entry_changes(told.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
+    told = ledger_source.parse_response(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
+    assert ledger_source.group_by_scope(told.whole["entries"]) == {
         "s": {"k": (5, {"a": 1})},
         "": {"all": (5, {"a": 1})},
     }
@@ -126,8 +133,8 @@
 
 def test_all_changes_that_there_ever_were_make_the_whole_state():
     events = [changed(3, ("s k", {**ROW, "since": 3})), changed(4, ("s j", ROW)), changed(5, ("s k", ROW))]
-    told = ledger_source.read(body(events=[*events, changed(9, ("s j", None))]), None, 0)
-    assert ledger_source.folded(told.events) == {"s k": EntryRow({"a": 1}, 5)}
+    told = ledger_source.parse_response(body(events=[*events, changed(9, ("s j", None))]), None, 0)
+    assert ledger_source.fold_events(told.events) == {"s k": EntryRow({"a": 1}, 5)}
 
 
 @pytest.mark.parametrize("data, check", [
@@ -139,7 +146,7 @@
 ])  # fmt: skip
 def test_answers_that_cannot_be_read_are_one_error(data, check):
     with pytest.raises(Unreadable):
-        ledger_source.read(data, check, 4)
+        ledger_source.parse_response(data, check, 4)
 
 
 @settings(max_examples=200, deadline=None)
@@ -150,9 +157,11 @@
         made[where] = data.draw(some.integers(0, 255))
     made = bytes(made[: data.draw(some.integers(0, len(made)))])
     try:
-        told = ledger_source.read(made, data.draw(some.sampled_from([None, f"{zlib.crc32(made):08x}"])), 4)
+        told = ledger_source.parse_response(
+            made, data.draw(some.sampled_from([None, f"{zlib.crc32(made):08x}"])), 4
+        )
         for event in told.events or ():
-            ledger_source.entries(event)
+            ledger_source.entry_changes(event)
     except Unreadable:
         return
     assert told.at >= 0
@@ -230,9 +239,9 @@
 
 
 def test_a_gateway_has_the_scope_that_all_need_beside_its_own():
-    made = driver.subscriber(GOOD, "g0")
+    made = driver.subscriber_from_settings(GOOD, "g0")
     assert list(made.complete) == ["", "svc-1"] and made.relays == [("r1", "north", "127.0.0.1:7")]
-    assert made.me == "g0" and driver.subscriber({**GOOD, "name": "own"}, "g0").me == "own"
+    assert made.name == "g0" and driver.subscriber_from_settings({**GOOD, "name": "own"}, "g0").name == "own"
 
 
 @pytest.mark.parametrize("more, says", [
@@ -243,7 +252,7 @@
 ])  # fmt: skip
 def test_settings_that_make_no_sense_are_one_error(more, says):
     with pytest.raises(Unusable, match=says):
-        driver.subscriber({**GOOD, **more}, "g0")
+        driver.subscriber_from_settings({**GOOD, **more}, "g0")
 
 
 def test_one_that_follows_and_names_relays_is_told_to_choose():
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -305,7 +305,9 @@
                 new.driver.start()
                 until(new.entered.is_set, "the other's first line")
                 late = {"gateway": "g0", "cluster": "c1", "complete": {"svc-1": 500}}
-                code, told = relay.ask("POST", "/v1/acknowledge", {**late, "stay": old.subscriber.stay()})
+                code, told = relay.ask(
+                    "POST", "/v1/acknowledge", {**late, "stay": old.subscriber.subscription_id()}
+                )
                 assert (code, told["error"]["type"]) == (404, "NotSubscribed")
                 old.held.set()
                 code, told = relay.ask("GET", force("svc-1", 500))
@@ -416,7 +418,7 @@
             assert code == wanted, (path, body, told)
             assert told["error"]["type"] and told["error"]["says"] and told["error"]["do"]
         assert not relay.relay.streams and not relay.relay.acknowledgements.subscribers
-        assert not relay.relay.readers
+        assert not relay.relay.streams_by_scope
 
 
 def test_a_relay_that_was_just_started_does_not_say_that_all_is_in_force():
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -188,39 +188,41 @@
 class SeesNoHoles(Subscriber):
     """Does not count lines."""
 
-    def checked(self, line):
-        return super().checked(type(line)(line.cluster, line.at, line.snapshot, line.changes, line.complete))
+    def check_line(self, line):
+        return super().check_line(
+            type(line)(line.cluster, line.at, line.snapshot, line.changes, line.complete)
+        )
 
 
 class GoesBack(SeesNoHoles):
     """Puts in force whatever it is told, older or not."""
 
-    def change(self, found, scope, key, index, record):
+    def apply_change(self, found, scope, key, index, record):
         if scope in self.snapshots:
-            self.snapshots[scope].told.add(key)
-        self.put(found, scope, key, index, record)
+            self.snapshots[scope].keys.add(key)
+        self.put_in_force(found, scope, key, index, record)
 
 
 class ForgetsRemovals(SeesNoHoles):
     """Told again, what was removed is back."""
 
-    def change(self, found, scope, key, index, record):
+    def apply_change(self, found, scope, key, index, record):
         if key in self.records[scope]:
-            super().change(found, scope, key, index, record)
+            super().apply_change(found, scope, key, index, record)
         else:
             if scope in self.snapshots:
-                self.snapshots[scope].told.add(key)
-            self.put(found, scope, key, index, record)
+                self.snapshots[scope].keys.add(key)
+            self.put_in_force(found, scope, key, index, record)
 
 
 class Mixes(Subscriber):
     """Takes another cluster's state for its own."""
 
-    def checked(self, line):
-        self.teller = self.teller and self.cluster
+    def check_line(self, line):
+        self.stream_cluster = self.stream_cluster and self.cluster
         if line.cluster is not None:
             line = type(line)(cluster=self.cluster or line.cluster, at=line.at, n=line.n)
-        return super().checked(line)
+        return super().check_line(line)
 
 
 class AcknowledgesReceived(Subscriber):
@@ -237,10 +239,10 @@
 class KeepsWhatIsGone(Subscriber):
     """A snapshot's end drops nothing."""
 
-    def completed(self, found, scope, index):
+    def scope_completed(self, found, scope, index):
         if scope in self.snapshots:
-            self.snapshots[scope].told |= set(self.records[scope])
-        super().completed(found, scope, index)
+            self.snapshots[scope].keys |= set(self.records[scope])
+        super().scope_completed(found, scope, index)
 
 
 class ReadsNonsense(Subscriber):
@@ -300,10 +302,10 @@
 class CompletesEarly(Outbox):
     """Tells a scope as complete with changes of it still to be told."""
 
-    def tell_complete(self, complete, room):
-        room = super().tell_complete(complete, room)
+    def add_complete(self, complete, room):
+        room = super().add_complete(complete, room)
         for scope, position in self.positions.items():
-            if position.base is not None and scope not in self.done and not complete:
+            if position.base is not None and scope not in self.completed_scopes and not complete:
                 complete.append(b"%b:%d" % (json.dumps(scope).encode(), self.store.index))
         return room
 
@@ -311,32 +313,32 @@
 class TellsHalf(Outbox):
     """Leaves out every other drain."""
 
-    def first(self):
-        found = super().first()
+    def first_pending(self):
+        found = super().first_pending()
         if found is not None and found[0] == 0 and found[3].index % 2:
             position = self.positions[found[1]]
-            (position.late_at if found[4] else position.at)[0] += 1
-            return self.first()
+            (position.late_done if found[4] else position.base_done)[0] += 1
+            return self.first_pending()
         return found
 
 
 class FloorsNothing(Store):
     """Claims to know all that changed since any index."""
 
-    def news(self, scope, index):
+    def list_changes(self, scope, index):
         if scope in self.scopes:
             self.scopes[scope].floor = 0
         self.floor = 0
-        return super().news(scope, index)
+        return super().list_changes(scope, index)
 
     def floor_of(self, scope):
         return 0
 
 
 class LosesRemovals(Store):
-    def take(self, index, changes):
+    def apply_records(self, index, changes):
         changes = [change for change in changes if change[2].raw is not None]
-        super().take(index, changes)
+        super().apply_records(index, changes)
 
 
 class CountsOnlyPresent(Acknowledgements):
@@ -352,7 +354,7 @@
 
     def acknowledge(self, now, gateway, complete, refused=(), stay=""):
         known = self.subscribers.get(gateway)
-        return super().acknowledge(now, gateway, complete, refused, known.stay if known else stay)
+        return super().acknowledge(now, gateway, complete, refused, known.subscription_id if known else stay)
 
 
 class HeedsNoRefusal(Acknowledgements):
