--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -9,8 +9,8 @@
 from itertools import combinations
 
 from lemonlead.drains import rules
-from lemonlead.drains.planner import Asked, Plan, lower_bound
-from lemonlead.drains.view import View
+from lemonlead.drains.planner import Plan, PlanRequest, lower_bound
+from lemonlead.drains.request_builder import PlanRequestBuilder
 from lemonlead.standins.drain_world import MS, S, World
 
 SIZES = (30, 300, 3000, 10_000)
@@ -51,18 +51,18 @@
 def look(made, view):
     running = {name: one for name, one in made.state.part("drains").items() if one.phase == "running"}
     view.update(made.state, running, frozenset())
-    return view.asked
+    return view.request
 
 
 def by_name(given):
     """Each wave takes, in the order of names, whatever still fits."""
-    left, waves = sorted(given.takes), 0
+    left, waves = sorted(given.demands), 0
     while left:
         sums, rest = {}, []
         for name in left:
-            takes = given.takes[name]
-            if all(sums.get(limit, 0) + much <= given.caps[limit] for limit, much in takes):
-                for limit, much in takes:
+            demands = given.demands[name]
+            if all(sums.get(limit, 0) + much <= given.caps[limit] for limit, much in demands):
+                for limit, much in demands:
                     sums[limit] = sums.get(limit, 0) + much
             else:
                 rest.append(name)
@@ -73,7 +73,7 @@
 
 def optimum(given):
     """Fewest waves, by trying all sets of nodes that may go together."""
-    nodes = sorted(given.takes)
+    nodes = sorted(given.demands)
     waves, reached, whole = 0, {0}, (1 << len(nodes)) - 1
     good = [
         sum(1 << nodes.index(name) for name in some)
@@ -90,23 +90,23 @@
 def fits(given, names):
     sums = {}
     for name in names:
-        for limit, much in given.takes[name]:
+        for limit, much in given.demands[name]:
             sums[limit] = sums.get(limit, 0) + much
     return all(much <= given.caps[limit] for limit, much in sums.items())
 
 
 def small(count, seed):
     """A crowded fleet: each node in up to three groups."""
-    chance, given = random.Random(seed), Asked()
-    takes = {f"n{number}": [(("units", number % 2), chance.randint(1, 4))] for number in range(count)}
+    chance, given = random.Random(seed), PlanRequest()
+    demands = {f"n{number}": [(("units", number % 2), chance.randint(1, 4))] for number in range(count)}
     for site in range(2):
         given.caps["units", site] = chance.randint(4, 3 * count)
     for number in range(count):
         size = chance.randint(2, 4)
         given.caps["group", number] = chance.randint(1, size - 1)
-        for name in chance.sample(sorted(takes), size):
-            takes[name].append((("group", number), 1))
-    given.takes = {name: tuple(some) for name, some in takes.items()}
+        for name in chance.sample(sorted(demands), size):
+            demands[name].append((("group", number), 1))
+    given.demands = {name: tuple(some) for name, some in demands.items()}
     return given
 
 
@@ -118,12 +118,12 @@
     made, nodes, chance = fleet(count, count, promised)
     free_of_gangs(made)
     began = time.process_time()
-    view = View()
+    view = PlanRequestBuilder()
     given = look(made, view)
     gathered = time.process_time() - began
     plan = Plan(given)
     whole = time.process_time() - began
-    waves, bound, plain = len(plan.waves), lower_bound(given, given.takes), by_name(given)
+    waves, bound, plain = len(plan.waves), lower_bound(given, given.demands), by_name(given)
     took = []
     for turn in range(30):
         name = chance.choice(nodes)
@@ -193,12 +193,12 @@
     """60 nodes to go within an hour. Gangs on two of them come every 5 s, and have for 20 minutes, and last 1
     to 20 minutes, so that hardly a node is free: share of starts refused in that hour, and how much of it the
     drain took."""
-    made, chance, kept = World(seed), random.Random(seed), rules.cordon_for
+    made, chance, kept = World(seed), random.Random(seed), rules.compute_cordon_ms
     nodes = [f"n{number:02}" for number in range(60)]
     for number, name in enumerate(nodes):
         made.ask("node", node=name, site=f"s{number % 3}", units=20)
     began, ended, asked, refused = made.wall + HOUR // 3, 0, 0, 0
-    rules.cordon_for = {"at once": at_once, "as it is": kept, "at the deadline": at_deadline}[how]
+    rules.compute_cordon_ms = {"at once": at_once, "as it is": kept, "at the deadline": at_deadline}[how]
     try:
         while made.wall < began + HOUR or not ended and made.wall < began + 3 * HOUR:
             made.step(S)
@@ -217,7 +217,7 @@
                 asked += made.wall >= began
                 refused += made.wall >= began and code != 200
     finally:
-        rules.cordon_for = kept
+        rules.compute_cordon_ms = kept
     assert not made.broken
     return refused / asked, (ended - began) / HOUR, made.waves
 
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -17,7 +17,7 @@
 from statistics import median
 
 from lemonlead.ledger import capacity
-from lemonlead.moves.steps import LONGEST_WAIT
+from lemonlead.moves.steps import MAX_WAIT_NS
 from lemonlead.standins.move_faults import FAULTS, NAMES, STEPS, awaited, begin, crossed, lossy, made
 from lemonlead.standins.two_clusters import MS, SECOND, World, furnish
 
@@ -152,7 +152,7 @@
         row = (crossings[name, fault] for name in NAMES)
         print(f"{fault:28}" + "".join(f"{t / plain:10.2f}{' ' if good == 1 else '!'}" for good, t in row))
     for cut, times in result["settled after a cut, s"].items():
-        by = times["worst"] * SECOND / LONGEST_WAIT
+        by = times["worst"] * SECOND / MAX_WAIT_NS
         print(
             f"after {cut}: next step {times['median']:.2f} s (median), {times['worst']:.2f} s (worst), "
             f"{by:.2f} of the longest wait"
--- a/lemonlead/drains/feasible.py
+++ b/lemonlead/drains/feasibility.py
@@ -2,8 +2,8 @@
 that whatever passes can be done one node at a time, and what only stands in the way now is waited for."""
 
 from ..ledger.capacity import up
+from .constraints import NO_LOAD, NO_SITE
 from .faults import DeadlinePassed, GangEndsLate, GroupNeedsAll, SeveralInTheWay, SiteNeedsAll
-from .ground import NO_LOAD, NO_SITE
 
 MOST_TOLD = 5  # findings, and names in one
 
--- a/lemonlead/drains/duty.py
+++ b/lemonlead/drains/leader_task.py
@@ -2,7 +2,8 @@
 in the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
-from . import ground
+from . import constraints
+from .constraints import NO_LOAD
 from .faults import (
     GangOverran,
     GangPastDeadline,
@@ -15,9 +16,9 @@
     StaysCatchingUp,
     StaysOut,
 )
-from .feasible import named
-from .ground import NO_LOAD
-from .planner import PIECE, Asked, Plan, bounding, through
+from .feasibility import named
+from .planner import PIECE, Plan, PlanRequest, bounding, through
+from .request_builder import NEVER, PlanRequestBuilder
 from .rules import (
     CLEAR,
     DOWN,
@@ -30,13 +31,12 @@
     RUNNING,
     DrainCordon,
     DrainGivenUp,
-    DrainTold,
-    PermitBack,
+    DrainPlanReport,
     PermitClear,
     PermitCommand,
+    PermitRevoke,
     stuck_by,
 )
-from .view import NEVER, View
 
 LATE = 600_000_000_000  # a node that takes longer for a phase is told of, and the next wave goes without it
 LOOK = 200_000_000  # between looks while only promises change
@@ -53,7 +53,7 @@
 WATCHED = ("nodes", "permits", "wants", "drains", "groups", "terms")  # looked at as soon as they change
 
 
-class Drains:
+class DrainTask:
     def __init__(self, late=LATE):
         self.late = late
         self.took_office(0)
@@ -70,11 +70,11 @@
         """No look is under way, and what was planned is forgotten."""
         self.work, self.begun, self.met, self.meet, self.spent = None, None, None, 0, 0
         self.alarm = None
-        self.view, self.rest = View(), ()
-        self.plan = Plan(self.view.asked)
+        self.builder, self.rest = PlanRequestBuilder(), ()
+        self.plan = Plan(self.builder.request)
 
     @property
-    def working(self):
+    def planning(self):
         """Whether a look is under way, of which each `next` does a slice."""
         return self.work is not None or self.alarm is not None
 
@@ -89,7 +89,7 @@
         running = {name: one for name, one in state.part("drains").items() if one.phase == RUNNING}
         if not running and not permits:
             self.wake = NEVER
-            if self.working:
+            if self.planning:
                 self.anew()
             return None
         if state.index != self.index:
@@ -102,12 +102,12 @@
         moment = state.moment + now - self.at  # the ledger's time, or a little less
         found = self.clear(now, state, followers)
         watched = tuple(state.part(name) for name in WATCHED)
-        if found is None and (self.working or now >= self.look or not alike(watched, self.seen)):
+        if found is None and (self.planning or now >= self.look or not alike(watched, self.seen)):
             found = self.urgent(now, moment, state, watched)
             if found is None and self.alarm is None:
                 found = self.slice(now, wall_ms, moment, state, running, watched)
         self.wake = now + ASK if self.given else max(self.look, now + 1)
-        if self.working:
+        if self.planning:
             self.wake = now + 1
         return found
 
@@ -184,16 +184,16 @@
         if not (yield from self.replan(moment, state, running)) and moment < self.held_until:
             return ()
         if self.plan.far():
-            yield from self.plan.making(self.view.asked)
+            yield from self.plan.making(self.builder.request)
         if self.plan.waves and (yield from self.better_later(wall_ms, moment, state)):
             self.held_until = moment + TELL
             return ()
-        found = ground.sums(state, moment) if self.plan.waves else {}
+        found = constraints.sums(state, moment) if self.plan.waves else {}
         yield summing(state)
         for wave in self.plan.waves[:MOST_WAVES]:
             names = tuple(sorted(wave))
             yield len(names)
-            faults = ground.objections(state, moment, names, found)
+            faults = constraints.objections(state, moment, names, found)
             if not faults:
                 self.rest = names[MOST_PERMITS:]
                 return names[:MOST_PERMITS]
@@ -224,22 +224,26 @@
                 and max(ends) <= last
                 and waited < SOON_MS * 1_000_000
             ):
-                takes = self.view.takes(state, name, gangs=True)
-                if takes is not None and all(much <= self.view.asked.caps[limit] for limit, much in takes):
-                    soon[name] = takes
+                demands = self.builder.demands(state, name, gangs=True)
+                if demands is not None and all(
+                    much <= self.builder.request.caps[limit] for limit, much in demands
+                ):
+                    soon[name] = demands
         if not soon:
             return False
-        asked, first = self.view.asked, self.plan.waves[0]
-        whole = Asked({**{name: asked.takes[name] for name in self.plan.where}, **soon}, asked.caps)
-        rest = [name for name in whole.takes if name not in first]
-        return (yield from bounding(whole, rest)) == (yield from bounding(whole, whole.takes))
+        request, first = self.builder.request, self.plan.waves[0]
+        whole = PlanRequest(
+            {**{name: request.demands[name] for name in self.plan.where}, **soon}, request.caps
+        )
+        rest = [name for name in whole.demands if name not in first]
+        return (yield from bounding(whole, rest)) == (yield from bounding(whole, whole.demands))
 
     def replan(self, moment, state, running):
         """Whether anything that waves depend on has changed."""
         late = frozenset(name for name, held in state.part("permits").items() if self.is_late(held, moment))
-        names, limits = yield from self.view.updating(state, running, late)
-        if len(names) * 4 > len(self.view.asked.takes):
-            yield from self.plan.making(self.view.asked)
+        names, limits = yield from self.builder.updating(state, running, late)
+        if len(names) * 4 > len(self.builder.request.demands):
+            yield from self.plan.making(self.builder.request)
         elif names or limits:
             self.plan.change(names, limits)
         return bool(names or limits)
@@ -256,7 +260,7 @@
             progress = state.part("progress")[name]
             waves, following, stuck = told[name]
             if (progress.waves, progress.next, progress.stuck) != (waves, following, stuck):
-                return DrainTold(drain=name, waves=waves, next=following, stuck=stuck)
+                return DrainPlanReport(drain=name, waves=waves, next=following, stuck=stuck)
             if wall_ms >= max(one.deadline_ms, 1) and moment >= progress.moved + GIVE_UP:
                 return DrainGivenUp(drain=name, moved=progress.moved)
             if wall_ms >= progress.cordon_ms + HOLD_MS:
@@ -276,7 +280,7 @@
 
 
 def fits(state, moment, names):
-    return all(may_go(state, name) for name in names) and not ground.objections(state, moment, names)
+    return all(may_go(state, name) for name in names) and not constraints.objections(state, moment, names)
 
 
 def may_go(state, name):
@@ -308,7 +312,7 @@
     kept = ()
     for name in names[:MOST_TRIED]:
         yield len(kept) + 1
-        if may_go(state, name) and not ground.objections(state, moment, (*kept, name), found):
+        if may_go(state, name) and not constraints.objections(state, moment, (*kept, name), found):
             kept = (*kept, name)
     return kept
 
@@ -318,7 +322,7 @@
     themselves."""
     gone = yield from taking(state, moment)
     if gone:
-        return PermitBack(nodes=tuple(sorted(gone)[:MOST_PERMITS]))
+        return PermitRevoke(nodes=tuple(sorted(gone)[:MOST_PERMITS]))
     down = own_down(state)
     if down:
         return PermitCommand(nodes=tuple(sorted(down)[:MOST_PERMITS]))
@@ -350,7 +354,7 @@
                 taken.add(name)
                 short -= 1
     yield summing(state) + len(open_) // 4
-    found = ground.sums(state, moment, {nodes[name].site for name in open_})
+    found = constraints.sums(state, moment, {nodes[name].site for name in open_})
     yield summing(state)
     here, back = {}, {}
     for name in order:
@@ -427,14 +431,14 @@
         says = f"{named(names)} can't go now"
         if what == "group":
             group = state.part("groups")[key]
-            have = ground.caught_up(state, group)
+            have = constraints.caught_up(state, group)
             yield names, GroupShort(f"group {key} has {have} caught up, its quorum is {group.quorum}: {says}")
         elif what == "units":
-            spare = plan.asked.caps[limit]
+            spare = plan.request.caps[limit]
             yield names, SiteShort(f"site {key} has {max(spare, 0)} units to spare: {says}")
         else:
             yield names, SiteShareTaken(f"site {key} has as many nodes away as may be: {says}")
 
 
 LATE_BY = {CLEAR: NotDown, DOWN: NotBack, RETURNING: StaysCatchingUp, RECALLED: StaysOut}
-__all__ = ["Drains", "in_the_way", "take_back"]
+__all__ = ["DrainTask", "in_the_way", "take_back"]
--- a/lemonlead/drains/planner.py
+++ b/lemonlead/drains/planner.py
@@ -17,19 +17,19 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PlanRequest:
     """`takes`: node to ((limit, how much), ...); `caps`: limit to how much a wave may take; `ranks`: node to
     what is placed first (deadline, age), the same for most."""
 
-    takes: dict = field(default_factory=dict)
+    demands: dict = field(default_factory=dict)
     caps: dict = field(default_factory=dict)
     ranks: dict = field(default_factory=dict)
 
 
-def blocked(asked, name):
+def blocked(request, name):
     """The first limit that this node alone overdraws, or None."""
-    for limit, much in asked.takes[name]:
-        if much > asked.caps[limit]:
+    for limit, much in request.demands[name]:
+        if much > request.caps[limit]:
             return limit
     return None
 
@@ -50,16 +50,16 @@
         yield some
 
 
-def lower_bound(asked, names):
+def lower_bound(request, names):
     """No plan for these takes fewer waves."""
-    return through(bounding(asked, names))
+    return through(bounding(request, names))
 
 
-def bounding(asked, names):
+def bounding(request, names):
     parts = {}
     for some in slices(names):
         for name in some:
-            for limit, much in asked.takes[name]:
+            for limit, much in request.demands[name]:
                 if much:
                     sizes = parts.get(limit)
                     if sizes is None:
@@ -69,7 +69,7 @@
     most = 1 if names else 0
     for some in slices(parts.items()):
         for limit, sizes in some:
-            most = max(most, waves_for(sizes, asked.caps[limit]))
+            most = max(most, waves_for(sizes, request.caps[limit]))
         yield len(some)
     return most
 
@@ -101,34 +101,34 @@
 class Plan:
     """Waves that are kept as the fleet changes."""
 
-    def __init__(self, asked=None):
-        self.asked, self.blocked = Asked(), {}
+    def __init__(self, request=None):
+        self.request, self.blocked = PlanRequest(), {}
         self.waves, self.used, self.where = [], [], {}  # names (a dict, in order); limit to sum; name to wave
         self.first, self.least = {}, {}  # limit to the first wave with room; to the least that a node takes
         self.took, self.totals, self.most = {}, {}, {}  # what each placed node takes; by limit: sum, most
         self.index = None  # limit to the names placed that take part of it; made once wanted
         self.bound, self.fresh = 0, True  # no plan takes fewer waves; nothing was changed since all was made
-        if asked is not None:
-            self.make(asked)
+        if request is not None:
+            self.make(request)
 
     # ---- whole
 
-    def make(self, asked):
+    def make(self, request):
         """All anew."""
-        through(self.making(asked))
+        through(self.making(request))
 
-    def making(self, asked):
+    def making(self, request):
         """In slices; the plan is whole once it is through."""
         self.fresh = True
-        self.asked = asked
+        self.request = request
         self.blocked = {}
-        for some in slices([*asked.takes]):
+        for some in slices([*request.demands]):
             for name in some:
-                if (limit := blocked(asked, name)) is not None:
+                if (limit := blocked(request, name)) is not None:
                     self.blocked[name] = limit
             yield len(some)
-        names = [name for name in asked.takes if name not in self.blocked]
-        self.bound = yield from bounding(asked, names)
+        names = [name for name in request.demands if name not in self.blocked]
+        self.bound = yield from bounding(request, names)
         rounds = max(1, min(TRIES, WORK // max(1, len(names))))
         yield from self.filling((yield from self.sorting(names)))
         best, chance = self.waves, random.Random(len(names))
@@ -158,7 +158,7 @@
             yield len(some)
 
     def by_rank(self, names):
-        ranks = self.asked.ranks
+        ranks = self.request.ranks
         return sorted(names, key=lambda name: ranks.get(name, ())) if ranks else names
 
     def scarcest(self, names):
@@ -166,16 +166,16 @@
 
     def sorting(self, names):
         """Those whose limits need the most waves come first."""
-        takes, caps, sums, keys = self.asked.takes, self.asked.caps, {}, {}
+        demands, caps, sums, keys = self.request.demands, self.request.caps, {}, {}
         for some in slices(names):
             for name in some:
-                for limit, much in takes[name]:
+                for limit, much in demands[name]:
                     sums[limit] = sums.get(limit, 0) + much
             yield len(some)
         press = {limit: total / max(1, caps[limit]) for limit, total in sums.items()}
 
         def hard(name):
-            found = [(press[limit], much) for limit, much in takes[name] if much]
+            found = [(press[limit], much) for limit, much in demands[name] if much]
             return -max(found, default=(0, 0))[0], -sum(p for p, _ in found), -sum(m for _, m in found), name
 
         for some in slices(names):
@@ -186,21 +186,21 @@
     # ---- one node
 
     def note(self, name):
-        for limit, much in self.asked.takes[name]:
+        for limit, much in self.request.demands[name]:
             if much:
                 self.least[limit] = min(self.least.get(limit, much), much)
                 self.most[limit] = max(self.most.get(limit, 0), much)
 
     def place(self, name):
-        caps, takes, used, first, least = (
-            self.asked.caps,
-            self.asked.takes[name],
+        caps, demands, used, first, least = (
+            self.request.caps,
+            self.request.demands[name],
             self.used,
             self.first,
             self.least,
         )
         wave, count = 0, len(used)
-        for limit, much in takes:
+        for limit, much in demands:
             if not much:
                 continue
             at, cap, small = first.get(limit, 0), caps[limit], least[limit]
@@ -211,7 +211,7 @@
                 wave = at
         while wave < count:
             sums = used[wave]
-            for limit, much in takes:
+            for limit, much in demands:
                 if sums.get(limit, 0) + much > caps[limit]:
                     break
             else:
@@ -223,14 +223,14 @@
         self.put(name, wave)
 
     def put(self, name, wave):
-        takes, sums, totals = self.asked.takes[name], self.used[wave], self.totals
-        for limit, much in takes:
+        demands, sums, totals = self.request.demands[name], self.used[wave], self.totals
+        for limit, much in demands:
             sums[limit] = sums.get(limit, 0) + much
             totals[limit] = totals.get(limit, 0) + much
         self.waves[wave][name] = None
-        self.where[name], self.took[name] = wave, takes
+        self.where[name], self.took[name] = wave, demands
         if self.index is not None:
-            for limit, _ in takes:
+            for limit, _ in demands:
                 self.index.setdefault(limit, {})[name] = None
 
     def remove(self, name):
@@ -251,7 +251,7 @@
         """The same plan after `asked` has changed: `names` take other parts, came or went; `limits` have
         other caps. What is gone leaves, what has no room any more or is new is placed anew; nothing else
         is touched. The waves may become more than a whole plan's: see `far`."""
-        takes, caps = self.asked.takes, self.asked.caps
+        demands, caps = self.request.demands, self.request.caps
         self.fresh = False
         if self.index is None:
             self.index = {}
@@ -263,18 +263,18 @@
             self.blocked.pop(name, None)
             if name in self.where:
                 self.remove(name)
-            if name in takes:
+            if name in demands:
                 new.add(name)
         for limit in limits:
             self.first.pop(limit, None)
         for limit in limits:
             if caps[limit] < self.most.get(limit, 0):
                 for name in [*self.index.get(limit, ())]:
-                    if (found := blocked(self.asked, name)) is not None:
+                    if (found := blocked(self.request, name)) is not None:
                         self.remove(name)
                         self.blocked[name] = found
         for name in [*self.blocked]:
-            limit = blocked(self.asked, name)
+            limit = blocked(self.request, name)
             if limit is None:
                 del self.blocked[name]
                 new.add(name)
@@ -285,7 +285,7 @@
             new.add(name)
         for name in sorted(new):
             self.note(name)
-            if (limit := blocked(self.asked, name)) is not None:
+            if (limit := blocked(self.request, name)) is not None:
                 self.blocked[name] = limit
                 new.discard(name)
         for name in self.scarcest(new):
@@ -307,8 +307,8 @@
         for limit in sorted(limits):
             over = {}
             for wave, sums in enumerate(self.used):
-                if sums.get(limit, 0) > max(0, self.asked.caps[limit]):
-                    over[wave] = sums[limit] - self.asked.caps[limit]
+                if sums.get(limit, 0) > max(0, self.request.caps[limit]):
+                    over[wave] = sums[limit] - self.request.caps[limit]
             for name in [*self.index.get(limit, ())][::-1] if over else ():
                 wave = self.where[name]
                 much = sum(much for one, much in self.took[name] if one == limit)
@@ -350,7 +350,8 @@
     def room(self, name, but):
         for wave, sums in enumerate(self.used):
             if wave != but and all(
-                sums.get(limit, 0) + much <= self.asked.caps[limit] for limit, much in self.asked.takes[name]
+                sums.get(limit, 0) + much <= self.request.caps[limit]
+                for limit, much in self.request.demands[name]
             ):
                 return wave
         return None
--- a/lemonlead/drains/view.py
+++ b/lemonlead/drains/request_builder.py
@@ -4,8 +4,8 @@
 and all were warm: plans are for later. What may go now is `ground.objections`."""
 
 from ..ledger.capacity import FAILED, SERVING, up
-from .ground import NO_LOAD, NO_SITE
-from .planner import Asked, slices, through
+from .constraints import NO_LOAD, NO_SITE
+from .planner import PlanRequest, slices, through
 from .rules import RECALLED
 
 NEVER = 1 << 62
@@ -13,9 +13,9 @@
 NOTHING = (0, 0, 0, 0, 0)  # what a node is to its site: nodes, spare units, away, awaited, lasting
 
 
-class View:
+class PlanRequestBuilder:
     def __init__(self):
-        self.asked = Asked()
+        self.request = PlanRequest()
         self.parts, self.groups, self.sites, self.late, self.running = {}, {}, {}, frozenset(), {}
         self.is_to, self.hoped = {}, {}  # by node: (site, what it is to it); whether groups may hope for it
         self.sums, self.hopes = {}, {}  # by site, by group
@@ -41,15 +41,15 @@
         several = len(running) > 1
         if running != self.running:
             self.running = running
-            names.update(self.asked.takes)
-            self.asked.ranks.clear()
+            names.update(self.request.demands)
+            self.request.ranks.clear()
         ranks = {name: (one.deadline_ms or NEVER, one.since) for name, one in running.items()}
         moved = set()
         for some in slices(names):
             for name in some:
                 self.take(state, name, moved)
-                if several and name in self.asked.takes:
-                    self.asked.ranks[name] = min(ranks[one] for one in state.part("wants")[name])
+                if several and name in self.request.demands:
+                    self.request.ranks[name] = min(ranks[one] for one in state.part("wants")[name])
             yield len(some)
         return moved, limits
 
@@ -80,7 +80,7 @@
                 changed.update(self.groups[name].nodes)
                 self.stale.discard(("group", name))
                 self.hopes.pop(name, None)
-                self.asked.caps.pop(("group", name), None)
+                self.request.caps.pop(("group", name), None)
             self.groups = new
 
     def reckon(self, state, name, late):
@@ -130,23 +130,23 @@
         self.stale = set()
 
     def cap(self, limit, much, limits):
-        if self.asked.caps.get(limit) != much:
-            self.asked.caps[limit] = much
+        if self.request.caps.get(limit) != much:
+            self.request.caps[limit] = much
             limits.add(limit)
 
     def take(self, state, name, moved):
         """What this node takes, where it is to be planned."""
-        takes, before = self.takes(state, name), self.asked.takes.get(name)
-        if takes is None:
-            self.asked.ranks.pop(name, None)
+        demands, before = self.demands(state, name), self.request.demands.get(name)
+        if demands is None:
+            self.request.ranks.pop(name, None)
             if before is not None:
-                del self.asked.takes[name]
+                del self.request.demands[name]
                 moved.add(name)
-        elif takes != before:
-            self.asked.takes[name] = takes
+        elif demands != before:
+            self.request.demands[name] = demands
             moved.add(name)
 
-    def takes(self, state, name, gangs=False):
+    def demands(self, state, name, gangs=False):
         """What this node takes of its limits, None where it is not to be planned now. `gangs`: as if none
         held it."""
         if name not in state.part("wants"):
@@ -159,6 +159,6 @@
             return None
         gone = name in self.late  # counted as away already
         counts = int(node.state == SERVING and not gone)
-        takes = [(("units", node.site), 0 if gone else node.units), (("share", node.site), int(not gone))]
-        takes += [(("group", group), counts) for group in load.groups]
-        return tuple(takes)
+        demands = [(("units", node.site), 0 if gone else node.units), (("share", node.site), int(not gone))]
+        demands += [(("group", group), counts) for group in load.groups]
+        return tuple(demands)
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -15,7 +15,7 @@
 from ..ledger import capacity
 from ..ledger.capacity import CATCHING_UP, DRAINED, FAILED, Millis, Name, Names, Report, change_node
 from ..ledger.state import Command
-from . import feasible, ground
+from . import constraints, feasibility
 from .faults import GivenUp, GroundGone, NoSuchDrain, TooManyDrains
 
 MOST_RUNNING = 100  # drains at once
@@ -110,11 +110,11 @@
     index: Index
 
 
-class PermitBack(Command, frozen=True, tag="permit_back"):
+class PermitRevoke(Command, frozen=True, tag="permit_back"):
     nodes: Some
 
 
-class DrainTold(Command, frozen=True, tag="drain_told"):
+class DrainPlanReport(Command, frozen=True, tag="drain_told"):
     """A leader's own: what it plans, and what stands in the way."""
 
     drain: Name
@@ -143,7 +143,7 @@
     capacity.once(nodes)
     for node in nodes:
         capacity.known_node(draft, node)
-    feasible.refuse(draft, nodes, deadline, draft.wall_ms)
+    feasibility.refuse(draft, nodes, deadline, draft.wall_ms)
     before = draft.get("drains", name)
     runs = before is not None and before.phase == RUNNING
     if not runs and sum(one.phase == RUNNING for one in draft.part("drains").values()) >= MOST_RUNNING:
@@ -155,7 +155,7 @@
     left = [node for node in nodes if node in old or node not in was]
     since = before.since if runs else draft.index
     draft.put("drains", name, Drain(nodes, deadline, since))
-    cordon = cordon_for(draft, left, deadline)
+    cordon = compute_cordon_ms(draft, left, deadline)
     draft.put("progress", name, Progress(len(left), draft.moment, cordon))
     for node in left:
         if node not in old:
@@ -183,7 +183,7 @@
         if name in permits and permits[name].phase != RECALLED:
             raise GroundGone(f"node {name} has a permit")
     asked = [name for name in command.nodes if capacity.up(nodes[name]) or nodes[name].out]
-    for fault in ground.objections(draft, draft.moment, asked):
+    for fault in constraints.objections(draft, draft.moment, asked):
         raise GroundGone(fault.says)
     for name in command.nodes:
         serves = draft.part("wants")[name]
@@ -352,7 +352,7 @@
     cordon_nodes(draft, (name,))
 
 
-def cordon_for(draft, nodes, deadline_ms):
+def compute_cordon_ms(draft, nodes, deadline_ms):
     """The latest wall moment at which these may still be held: what waves are needed at least, by what
     their groups and sites let go at once, have to fit in before the deadline."""
     if not deadline_ms:
@@ -363,7 +363,7 @@
     for name in nodes:
         site = draft.get("nodes", name).site
         sites[site] = sites.get(site, 0) + 1
-        for group in loads.get(name, ground.NO_LOAD).groups:
+        for group in loads.get(name, constraints.NO_LOAD).groups:
             groups[group] = groups.get(group, 0) + 1
     waves = 1
     for name, count in groups.items():
@@ -384,7 +384,7 @@
             draft.put("nodes", name, replace(nodes[name], cordon_ms=cordon))
 
 
-def shown(state):
+def describe_drains(state):
     """The part `drains` as it is asked for: each with its plan, and its permits by node."""
     permits = {}
     for node, held in sorted(state.part("permits").items()):
@@ -412,11 +412,11 @@
     DrainStop: drain_stop,
     PermitCommand: permit,
     PermitClear: permit_clear,
-    PermitBack: permit_back,
-    DrainTold: drain_told,
+    PermitRevoke: permit_back,
+    DrainPlanReport: drain_told,
     DrainCordon: drain_cordon,
     DrainGivenUp: drain_given_up,
     Report: report,  # in place of capacity's: give these rules after those
 }
-INNER = (PermitCommand, PermitClear, PermitBack, DrainTold, DrainCordon, DrainGivenUp)
-__all__ = ["INNER", "KINDS", "RULES", "shown"]
+INNER = (PermitCommand, PermitClear, PermitRevoke, DrainPlanReport, DrainCordon, DrainGivenUp)
+__all__ = ["INNER", "KINDS", "RULES", "describe_drains"]
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -1,14 +1,14 @@
 """The ledger as this program has it: the rules, records and duties of each package that takes part."""
 
 from ..drains import rules as drains
-from ..drains.duty import Drains
+from ..drains.leader_task import DrainTask
 from ..ledger import capacity, entries, followers, seating
 from ..ledger.state import Ledger
 from ..moves import rules as moves
-from ..moves.steps import Moving
+from ..moves.steps import MoveTask
 
 MODULES = (capacity, entries, followers, seating, drains, moves)  # RULES, KINDS; some INNER
-SHOWN = {"drains": drains.shown}  # parts that are asked for in another form than they are kept in
+SHOWN = {"drains": drains.describe_drains}  # parts that are asked for in another form than they are kept in
 
 
 def ledger():
@@ -25,8 +25,8 @@
     return [
         seating.Seating(dispatcher),
         followers.Forgetting(dispatcher),
-        Drains(),
-        Moving(cluster, clusters, seed),
+        DrainTask(),
+        MoveTask(cluster, clusters, seed),
     ]
 
 
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -160,7 +160,7 @@
     verdict: Annotated[str, Meta(pattern="^(on|back)$")]
 
 
-class MoveNext(Command, frozen=True, tag="move_next"):
+class MoveAdvance(Command, frozen=True, tag="move_next"):
     """The step (and stage) named is through. `proof`: the destination's entry that shows it. `group`: whose
     next member serves there, of `serving` that do."""
 
@@ -174,7 +174,7 @@
     says: Said = ""
 
 
-class MoveBack(Command, frozen=True, tag="move_back"):
+class MoveRollBack(Command, frozen=True, tag="move_back"):
     move: Short
     epoch: Index
     step: str
@@ -365,7 +365,7 @@
     left = Group(rest, 0)
     if capacity.caught_up(draft, left) + command.serving < before.quorum:
         raise NotAwaited(f"group {before.group} would fall below its quorum of {before.quorum}")
-    regroup(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
+    put_group(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
     put(draft, name, move, groups=tuple(groups))
 
 
@@ -377,12 +377,12 @@
     return tuple(one for one in nodes if one not in gone)
 
 
-def regroup(draft, name, nodes, quorum):
+def put_group(draft, name, nodes, quorum):
     capacity.room(draft, "groups", name)
     capacity.put_group(draft, name, Group(nodes, min(quorum, len(nodes))))
 
 
-def ungroup(draft, name):
+def remove_group(draft, name):
     capacity.put_group(draft, name, None)
 
 
@@ -409,7 +409,7 @@
         if (held := draft.get("reservations", one)) is not None:
             capacity.release(draft, one, held)
     for group in move.groups:
-        ungroup(draft, group.group)
+        remove_group(draft, group.group)
     services.unmark(draft, move.service, name)
     finish(draft, name, move, DONE, command.proof)
 
@@ -473,7 +473,7 @@
     """Each group as it was here; the other side's members go on until the hold is dropped."""
     for group in move.groups:
         if group.over:
-            regroup(draft, group.group, group.nodes, group.quorum)
+            put_group(draft, group.group, group.nodes, group.quorum)
 
 
 # ---- commands of the destination, sent by the source's leader
@@ -660,7 +660,7 @@
     return hold
 
 
-def warm(draft, command):
+def warm_hold(draft, command):
     """The instances start with the first such call; until all are up and warm the shift waits."""
     hold = held(draft, command)
     if hold.state == HELD:
@@ -687,7 +687,7 @@
         raise Senseless(f"group {command.group} has no member {command.over}")
     if command.over > placed.over and hold.state == WARM:
         over = replace(placed, over=command.over)
-        regroup(draft, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
+        put_group(draft, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
         groups = tuple(over if group is placed else group for group in hold.groups)
         draft.put("holds", command.key, replace(hold, groups=groups, at=draft.index))
     here = draft.get("groups", command.group)
@@ -697,16 +697,16 @@
 def keep(draft, command):
     hold = held(draft, command)
     if hold.state != KEPT:
-        keep_it(draft, command.key, hold, "")
+        make_hold_permanent(draft, command.key, hold, "")
     return {"state": KEPT}
 
 
-def keep_it(draft, key, hold, by):
+def make_hold_permanent(draft, key, hold, by):
     services.unmark(draft, hold.service, key)
     mark(draft, hold.reservations, "")
     for group in hold.groups:
         if group.over:
-            regroup(draft, group.group, group.nodes[: group.over], group.quorum)
+            put_group(draft, group.group, group.nodes[: group.over], group.quorum)
     draft.put("holds", key, replace(hold, state=KEPT, at=draft.index, by=by))
 
 
@@ -723,11 +723,11 @@
     elif hold.state == KEPT:
         raise HoldKept(f"{command.key} is kept here" + (f": {hold.by}" if hold.by else ""))
     elif hold.state != DROPPED:
-        drop_it(draft, command.key, hold, "")
+        release_hold(draft, command.key, hold, "")
     return {"state": DROPPED}
 
 
-def drop_it(draft, key, hold, by):
+def release_hold(draft, key, hold, by):
     services.unmark(draft, hold.service, key)
     for name in hold.reservations:
         reservation = draft.get("reservations", name)
@@ -735,7 +735,7 @@
             capacity.release(draft, name, reservation)
     for group in hold.groups:
         if group.over:
-            ungroup(draft, group.group)
+            remove_group(draft, group.group)
     draft.put("holds", key, replace(hold, state=DROPPED, at=draft.index, by=by))
 
 
@@ -743,7 +743,7 @@
     hold = draft.get("holds", command.hold)
     if hold is None or hold.state in (KEPT, DROPPED):
         raise Refused(f"no hold {command.hold} is open", "nothing is left to do")
-    (keep_it if command.keep else drop_it)(draft, command.hold, hold, command.because)
+    (make_hold_permanent if command.keep else release_hold)(draft, command.hold, hold, command.because)
 
 
 RULES = {
@@ -751,13 +751,13 @@
     MoveStop: stop,
     MoveLost: lost,
     MoveVote: vote,
-    MoveNext: forward,
-    MoveBack: backward,
+    MoveAdvance: forward,
+    MoveRollBack: backward,
     HoldTake: take,
-    HoldWarm: warm,
+    HoldWarm: warm_hold,
     HoldMember: member,
     HoldKeep: keep,
     HoldDrop: drop,
     HoldEnd: end_hold,
 }
-INNER = (MoveNext, MoveBack)
+INNER = (MoveAdvance, MoveRollBack)
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -6,7 +6,6 @@
 
 import random
 from dataclasses import dataclass
-
 from typing import Annotated
 
 import msgspec
@@ -33,7 +32,7 @@
 )
 
 SECOND = 1_000_000_000
-FIRST_WAIT, LONGEST_WAIT = SECOND // 4, 5 * SECOND  # after a call without an answer; doubled, spread
+MIN_WAIT_NS, MAX_WAIT_NS = SECOND // 4, 5 * SECOND  # after a call without an answer; doubled, spread
 CALL_LIFE = 15 * SECOND  # a call that the host never answered counts as unknown
 ANSWER_LIFE = 2 * SECOND  # an answer that led to nothing is asked for anew
 LOOK = 5 * SECOND  # how often it looks whether the hold still stands while requests go there
@@ -72,7 +71,7 @@
     answered: int = 0
 
 
-class Moving:
+class MoveTask:
     """A ledger.dispatcher.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be
     called."""
 
@@ -105,7 +104,7 @@
 
     def unanswered(self, now, task):
         self.counts["unknown"] += 1
-        longest = min(FIRST_WAIT << min(task.tries, 10), LONGEST_WAIT)
+        longest = min(MIN_WAIT_NS << min(task.tries, 10), MAX_WAIT_NS)
         task.wait, task.tries = now + int(longest * self.rng.uniform(0.5, 1.0)), task.tries + 1
 
     # ---- what is next
@@ -174,10 +173,10 @@
         self.rouse(task.wait)
 
     def on(self, name, move, **fields):
-        return rules.MoveNext(move=name, epoch=move.epoch, step=move.step, stage=move.stage, **fields)
+        return rules.MoveAdvance(move=name, epoch=move.epoch, step=move.step, stage=move.stage, **fields)
 
     def back(self, name, move, end, says, do=""):
-        return rules.MoveBack(
+        return rules.MoveRollBack(
             move=name, epoch=move.epoch, step=move.step, end=end, says=says[:500], do=do[:500]
         )
 
@@ -250,7 +249,7 @@
         if code is None:
             return call
         if code == SENSELESS:
-            return self.again(task, now, LONGEST_WAIT)
+            return self.again(task, now, MAX_WAIT_NS)
         return self.on(name, move, proof=body.at) if code == OK else self.refused(name, move, body)
 
     def go_back(self, now, moment, name, move, state, followers, task):
@@ -267,18 +266,18 @@
             return self.on(name, move, proof=body.at)
         if body.error.type == HoldKept.__name__:
             return self.on(name, move, says=f"{move.to}: {body.error.says}"[:500])
-        return self.again(task, now, LONGEST_WAIT)
+        return self.again(task, now, MAX_WAIT_NS)
 
 
 STEPS = {
-    ASKED: Moving.first,
-    RESERVING: Moving.reserve,
-    WARMING: Moving.warm,
-    MEMBERS: Moving.hand_over,
-    SHIFTING: Moving.shift,
-    SETTLING: Moving.settle,
-    GOING_BACK: Moving.go_back,
-    DROPPING: Moving.drop,
+    ASKED: MoveTask.first,
+    RESERVING: MoveTask.reserve,
+    WARMING: MoveTask.warm,
+    MEMBERS: MoveTask.hand_over,
+    SHIFTING: MoveTask.shift,
+    SETTLING: MoveTask.settle,
+    GOING_BACK: MoveTask.go_back,
+    DROPPING: MoveTask.drop,
 }
 
 
--- a/lemonlead/standins/drain_world.py
+++ b/lemonlead/standins/drain_world.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..drains.duty import Drains
+from ..drains.leader_task import DrainTask
 from ..drains.rules import INNER, KINDS, RULES, PermitCommand
 from ..ledger import capacity, followers
 from ..ledger.capacity import up
@@ -46,7 +46,7 @@
         self.state, _ = formed({}, self.terms)
         self.now, self.wall, self.term, self.ids = 0, 1_000_000, 1, 0
         self.office_moment, self.office_now = 0, 0
-        self.duty, self.follow = Drains(late), followers.Followers()
+        self.duty, self.follow = DrainTask(late), followers.Followers()
         self.slow = False  # whether a look's slices are a step apart each
         self.blocked = 0  # the duty proposes nothing before this
         self.watch = Watch(self.terms.lease, self.terms.grace, self.terms.cold_share, self.terms.site_share)
@@ -127,7 +127,7 @@
                 return
             wanted = self.follow.next(self.now, self.state)
             wanted = wanted or self.duty.next(self.now, self.wall, self.state, self.follow)
-            if wanted is None and self.duty.working and not self.slow:
+            if wanted is None and self.duty.planning and not self.slow:
                 continue
             if wanted is None:
                 return
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from ..drains import rules as drains
-from ..drains.duty import Drains
+from ..drains.leader_task import DrainTask
 from ..ledger import capacity, followers
 from ..ledger.records import COMMAND, Entry
 from ..ledger.state import Command, Ledger, State
 from ..moves import rules
-from ..moves.steps import Moving
+from ..moves.steps import MoveTask
 from .move_checks import Watch
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -40,7 +40,7 @@
         self.world, self.name, self.others, self.ledger, self.make = world, name, others, ledger, duty
         self.state, self.term, self.up = State(), 0, True
         self.followers, self.again, self.woken = followers.Followers(), {}, None
-        self.drains, self.stirred = Drains(), True
+        self.drains, self.stirred = DrainTask(), True
         self.gateways = []
         self.elect()
 
@@ -132,7 +132,7 @@
     """`lose`, `twice`: shares of messages; `late`: the longest delay; `cut`: (from, to) pairs that nothing
     passes. `judge`: what a gateway votes, function(world, gateway, move record)."""
 
-    def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, duty=Moving, ledgers=None, judge=None):
+    def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, duty=MoveTask, ledgers=None, judge=None):
         self.rng, self.now, self.turns, self.events = random.Random(seed), SECOND, count(), []
         self.watch, self.hooks, self.cut, self.answers = Watch(names), [], set(), []
         self.lose, self.twice, self.late, self.straggle = 0.0, 0.0, 20 * MS, 0
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -11,13 +11,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonlead.drains import duty, faults, planner, rules
-from lemonlead.drains.planner import Asked, Plan, lower_bound
-from lemonlead.drains.view import View
+from lemonlead.drains import faults, leader_task, planner, rules
+from lemonlead.drains.planner import Plan, PlanRequest, lower_bound
+from lemonlead.drains.request_builder import PlanRequestBuilder
 from lemonlead.ledger.faults import Fault, Senseless
 from lemonlead.ledger.records import Entry
 from lemonlead.ledger.state import Draft
-from lemonlead.moves.rules import ungroup
+from lemonlead.moves.rules import remove_group
 from lemonlead.standins.drain_checks import Watch
 from lemonlead.standins.drain_world import MS, S, World
 
@@ -69,7 +69,7 @@
     assert made.waves == 5 and made.watch.permits_given == 30  # a quarter of each site at once
     assert not permits(made) and not made.state.part("wants")
     assert all(not node.cordon_ms and not node.out for node in made.state.part("nodes").values())
-    shown = rules.shown(made.state)["kernel"]
+    shown = rules.describe_drains(made.state)["kernel"]
     assert (shown["phase"], shown["left"], shown["permits"]) == ("done", 0, {})
 
 
@@ -455,8 +455,8 @@
         rules.PermitCommand(nodes=("n1",)),
         rules.PermitCommand(nodes=("n5",)),
         rules.PermitClear(nodes=("n0",), index=3),
-        rules.PermitBack(nodes=("n1",)),
-        rules.DrainTold(drain="other", waves=1),
+        rules.PermitRevoke(nodes=("n1",)),
+        rules.DrainPlanReport(drain="other", waves=1),
         rules.DrainGivenUp(drain="kernel", moved=5),
     ]:
         assert made.apply(stale).code == 409
@@ -467,8 +467,8 @@
     for inner in [
         rules.PermitCommand(id="x", nodes=("n0",)),
         rules.PermitClear(id="x", nodes=("n0",), index=1),
-        rules.PermitBack(id="x", nodes=("n0",)),
-        rules.DrainTold(id="x", drain="d", waves=1),
+        rules.PermitRevoke(id="x", nodes=("n0",)),
+        rules.DrainPlanReport(id="x", drain="d", waves=1),
         rules.DrainCordon(id="x", drain="d", cordon_ms=1),
         rules.DrainGivenUp(id="x", drain="d", moved=1),
     ]:
@@ -523,37 +523,37 @@
 
 
 def random_asked(chance, count, sites=2, groups=None, units=(1, 4)):
-    asked, nodes = Asked(), [f"n{number}" for number in range(count)]
-    takes = {name: [] for name in nodes}
+    request, nodes = PlanRequest(), [f"n{number}" for number in range(count)]
+    demands = {name: [] for name in nodes}
     for number in range(groups if groups is not None else count // 2):
         size = chance.randint(2, min(5, count))
-        asked.caps["group", number] = chance.randint(1, size - 1)
+        request.caps["group", number] = chance.randint(1, size - 1)
         for name in chance.sample(nodes, size):
-            takes[name].append((("group", number), 1))
+            demands[name].append((("group", number), 1))
     for number, name in enumerate(nodes):
-        takes[name].append((("units", number % sites), chance.randint(*units)))
+        demands[name].append((("units", number % sites), chance.randint(*units)))
     for site in range(sites):
-        asked.caps["units", site] = chance.randint(units[1], max(units[1], count))
-    asked.takes = {name: tuple(some) for name, some in takes.items()}
-    return asked
+        request.caps["units", site] = chance.randint(units[1], max(units[1], count))
+    request.demands = {name: tuple(some) for name, some in demands.items()}
+    return request
 
 
-def fits(asked, names):
+def fits(request, names):
     sums = {}
     for name in names:
-        for limit, much in asked.takes[name]:
+        for limit, much in request.demands[name]:
             sums[limit] = sums.get(limit, 0) + much
-    return all(much <= asked.caps[limit] for limit, much in sums.items())
+    return all(much <= request.caps[limit] for limit, much in sums.items())
 
 
-def optimum(asked):
+def optimum(request):
     """Fewest waves, by trying all: over sets of nodes."""
-    nodes = sorted(asked.takes)
+    nodes = sorted(request.demands)
     good = [
         sum(1 << nodes.index(n) for n in some)
         for size in range(1, len(nodes) + 1)
         for some in combinations(nodes, size)
-        if fits(asked, some)
+        if fits(request, some)
     ]
     waves, reached, whole = 0, {0}, (1 << len(nodes)) - 1
     while whole not in reached:
@@ -562,19 +562,19 @@
     return waves
 
 
-def whole(plan, asked):
-    assert sorted(n for wave in plan.waves for n in wave) == sorted(set(asked.takes) - set(plan.blocked))
-    assert all(fits(asked, wave) and wave for wave in plan.waves)
+def whole(plan, request):
+    assert sorted(n for wave in plan.waves for n in wave) == sorted(set(request.demands) - set(plan.blocked))
+    assert all(fits(request, wave) and wave for wave in plan.waves)
     assert {name: number for number, wave in enumerate(plan.waves) for name in wave} == plan.where
 
 
 def test_waves_beside_the_true_optimum_on_small_fleets():
     chance, ratios = random.Random(4), []
     for _ in range(40):
-        asked = random_asked(chance, chance.randint(2, 7))
-        plan, best = Plan(asked), optimum(asked)
-        whole(plan, asked)
-        assert lower_bound(asked, asked.takes) <= best <= len(plan.waves)
+        request = random_asked(chance, chance.randint(2, 7))
+        plan, best = Plan(request), optimum(request)
+        whole(plan, request)
+        assert lower_bound(request, request.demands) <= best <= len(plan.waves)
         ratios.append(len(plan.waves) / best)
     assert sum(ratios) / len(ratios) < 1.05 and max(ratios) <= 1.5
 
@@ -583,57 +583,57 @@
 @given(st.integers(0, 10**6))
 def test_a_plan_stays_whole_through_any_change(seed):
     chance = random.Random(seed)
-    asked = random_asked(chance, chance.randint(1, 40) + 1)
-    plan = Plan(asked)
-    whole(plan, asked)
+    request = random_asked(chance, chance.randint(1, 40) + 1)
+    plan = Plan(request)
+    whole(plan, request)
     for _ in range(4):
-        some, limits = set(chance.sample(sorted(asked.takes), min(3, len(asked.takes)))), set()
+        some, limits = set(chance.sample(sorted(request.demands), min(3, len(request.demands)))), set()
         for name in some:
             if chance.random() < 0.5:
-                del asked.takes[name]
+                del request.demands[name]
             else:
-                asked.takes[name] = asked.takes[name][:-1]
-        for limit in chance.sample(sorted(asked.caps, key=str), 3 if len(asked.caps) > 2 else 1):
-            asked.caps[limit] += chance.choice((-2, -1, 1))
+                request.demands[name] = request.demands[name][:-1]
+        for limit in chance.sample(sorted(request.caps, key=str), 3 if len(request.caps) > 2 else 1):
+            request.caps[limit] += chance.choice((-2, -1, 1))
             limits.add(limit)
         plan.change(some, limits)
-        whole(plan, asked)
-        assert set(plan.blocked) == set(Plan(asked).blocked) and plan.bound <= len(plan.waves)
+        whole(plan, request)
+        assert set(plan.blocked) == set(Plan(request).blocked) and plan.bound <= len(plan.waves)
         if plan.far():
-            plan.make(asked)
-            whole(plan, asked)
+            plan.make(request)
+            whole(plan, request)
 
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 10**6))
 def test_what_the_planner_is_asked_is_kept_as_if_made_anew(seed):
-    chaos, kept = Chaos(seed), View()
+    chaos, kept = Chaos(seed), PlanRequestBuilder()
     for _ in range(60):
         chaos.once()
         chaos.world.step(chaos.chance.choice((5 * MS, 400 * MS)))
-        state, anew = chaos.world.state, View()
+        state, anew = chaos.world.state, PlanRequestBuilder()
         running = {name: one for name, one in state.part("drains").items() if one.phase == "running"}
         late = frozenset(name for name in state.part("permits") if chaos.chance.random() < 0.3)
         kept.update(state, running, late)
         anew.update(state, running, late)
-        assert (kept.asked.takes, kept.asked.caps) == (anew.asked.takes, anew.asked.caps)
-        assert kept.asked.ranks == anew.asked.ranks
+        assert (kept.request.demands, kept.request.caps) == (anew.request.demands, anew.request.caps)
+        assert kept.request.ranks == anew.request.ranks
 
 
 def test_a_group_that_is_no_more_binds_nobody():
-    made, kept = world(4), View()
+    made, kept = world(4), PlanRequestBuilder()
     made.ask("group", group="g", nodes=names(3), quorum=2)
     begin(made, names(4))
     running = dict(made.state.part("drains"))
     kept.update(made.state, running, frozenset())
-    plan = Plan(kept.asked)
+    plan = Plan(kept.request)
     assert len(plan.waves) == 4  # the site's share lets one go at once
     draft = Draft(made.state, Entry(made.state.index + 1, 1, 1, made.now, made.wall, b""))
-    ungroup(draft, "g")  # as a move does at its end
+    remove_group(draft, "g")  # as a move does at its end
     names_, limits = kept.update(replace(made.state, parts=draft.parts), running, frozenset())
     plan.change(names_, limits)
-    assert ("group", "g") not in kept.asked.caps and len(plan.waves) == 4
-    assert all(len(takes) == 2 for takes in kept.asked.takes.values())
+    assert ("group", "g") not in kept.request.caps and len(plan.waves) == 4
+    assert all(len(demands) == 2 for demands in kept.request.demands.values())
 
 
 # ---- the checker catches what it is there for
@@ -671,15 +671,15 @@
 
 @pytest.mark.parametrize("broken", ["quorum", "acknowledged", "recalled", "cold", "gang"])
 def test_a_rule_that_is_left_out_is_caught(broken, monkeypatch):
-    from lemonlead.drains import ground
+    from lemonlead.drains import constraints
 
     if broken == "quorum":
-        monkeypatch.setattr(ground, "group_objections", lambda *some: ())
-        monkeypatch.setattr(View, "takes", without_groups(View.takes))
+        monkeypatch.setattr(constraints, "group_objections", lambda *some: ())
+        monkeypatch.setattr(PlanRequestBuilder, "demands", without_groups(PlanRequestBuilder.demands))
     elif broken == "gang":
-        monkeypatch.setattr(ground, "gang_objections", lambda *some: ())
+        monkeypatch.setattr(constraints, "gang_objections", lambda *some: ())
     elif broken == "cold":
-        monkeypatch.setattr(ground, "bears", lambda node, moment, terms: node.units)
+        monkeypatch.setattr(constraints, "bears", lambda node, moment, terms: node.units)
     elif broken == "recalled":
         monkeypatch.setattr(rules, "take_back", lambda draft, name, held: rules.go(draft, name))
     made = world(8, pace=(300, 400))
@@ -698,8 +698,8 @@
     assert made.broken
 
 
-def without_groups(takes):
-    return lambda *some: tuple(one for one in takes(*some) or () if one[0][0] != "group") or None
+def without_groups(demands):
+    return lambda *some: tuple(one for one in demands(*some) or () if one[0][0] != "group") or None
 
 
 # ---- anything at all, in any order
@@ -788,7 +788,7 @@
 def test_whatever_happens_while_a_look_is_under_way_nothing_breaks_and_each_drain_ends(seed):
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(planner, "PIECE", 2)
-        patch.setattr(duty, "SLICE", 8)
+        patch.setattr(leader_task, "SLICE", 8)
         chaos = Chaos(seed)
         chaos.world.slow = True
         whatever(chaos, 20_000)
@@ -806,10 +806,10 @@
         found, before = None, 0
         while found is None and calls < 1000:
             found = made.duty.next(made.now, made.wall, made.state, made.follow)
-            assert (found is None) is made.duty.working and made.duty.wake_at() <= made.now + 1 or found
+            assert (found is None) is made.duty.planning and made.duty.wake_at() <= made.now + 1 or found
             most, before, calls = max(most, placed[0] - before), placed[0], calls + 1
     assert len(found.nodes) == 620 and placed[0] >= 2500  # a quarter of each site
-    assert most <= duty.SLICE + planner.PIECE
+    assert most <= leader_task.SLICE + planner.PIECE
 
 
 def test_a_wave_planned_before_a_node_failed_is_planned_anew():
@@ -817,14 +817,14 @@
     made.ask("group", group="g", nodes=names(3), quorum=2)
     begin(made, names(2))
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(duty, "SLICE", 1)
+        patch.setattr(leader_task, "SLICE", 1)
         while not made.duty.plan.where:
             assert made.duty.next(made.now, made.wall, made.state, made.follow) is None
-        assert made.duty.working
+        assert made.duty.planning
         made.fail("n2")
         while (found := made.duty.next(made.now, made.wall, made.state, made.follow)) is None:
             assert made.duty.wake_at() <= made.now + 1
-    assert isinstance(found, rules.DrainTold) and found.stuck[0].type == "GroupShort"
+    assert isinstance(found, rules.DrainPlanReport) and found.stuck[0].type == "GroupShort"
 
 
 def whatever(chaos, most=2000):
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -445,12 +445,12 @@
 
 
 def test_waits_grow_and_are_spread():
-    duty, task = steps.Moving("louis", ("ebene",), 1), steps.Task(())
+    duty, task = steps.MoveTask("louis", ("ebene",), 1), steps.Task(())
     waits = []
     for _ in range(12):
         duty.unanswered(0, task)
         waits.append(task.wait)
-    assert all(steps.FIRST_WAIT // 2 <= wait <= steps.LONGEST_WAIT for wait in waits)
+    assert all(steps.MIN_WAIT_NS // 2 <= wait <= steps.MAX_WAIT_NS for wait in waits)
     assert waits[0] < waits[3] and len(set(waits)) == 12 and duty.counts["unknown"] == 12
 
 
@@ -522,7 +522,7 @@
 def keeps_at_once(draft, command):
     """The destination takes what it holds for its own before the source decided."""
     answer = rules.take(draft, command)
-    rules.keep_it(draft, command.key, draft.get("holds", command.key), "")
+    rules.make_hold_permanent(draft, command.key, draft.get("holds", command.key), "")
     return answer
 
 
@@ -560,9 +560,9 @@
 
 def drops_while_shifting(draft, command):
     hold = draft.get("holds", command.key)
-    answer = rules.warm(draft, command)
+    answer = rules.warm_hold(draft, command)
     if hold.state == "warm" and answer["warm"]:
-        rules.drop_it(draft, command.key, draft.get("holds", command.key), "")
+        rules.release_hold(draft, command.key, draft.get("holds", command.key), "")
     return answer
 
 
@@ -604,8 +604,8 @@
     "takes half": (None, {"HoldTake": takes_half}, None),
     "forgets ends": (None, {"HoldDrop": forgets_ends}, "late take"),
     "drops while shifting": (None, {"HoldWarm": drops_while_shifting}, None),
-    "frees early": ({"MoveNext": frees_early}, None, None),
-    "hands over unasked": ({"MoveNext": hands_over_unasked}, None, "replicas lag"),
+    "frees early": ({"MoveAdvance": frees_early}, None, None),
+    "hands over unasked": ({"MoveAdvance": hands_over_unasked}, None, "replicas lag"),
     "stops late": ({"MoveStop": stops_late}, None, "stop late"),
     "two moves": ({"MoveCommand": two_moves}, None, "two moves"),
 }
--- a/tests/test_simulated_whole.py
+++ b/tests/test_simulated_whole.py
@@ -79,9 +79,9 @@
     made = rules_of.ledger()
 
     def warm(draft, command):
-        told = rules.warm(draft, command)
+        told = rules.warm_hold(draft, command)
         if told["warm"]:
-            rules.drop_it(draft, command.key, draft.get("holds", command.key), "")
+            rules.release_hold(draft, command.key, draft.get("holds", command.key), "")
         return told
 
     return Ledger({**made.rules, rules.HoldWarm: warm}, made.kinds, made.inner)
