--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -179,13 +179,13 @@
 
     # ---- what a listing has in a real gateway: its dispatcher, its discovery
 
-    def tell(self, happened, *values):
+    def handle(self, happened, *values):
         moment = now()
         happened(moment, *values)
         while self.balancer.decide(moment, DOOR):
             pass
 
-    def put(self, moment, lines, _, whole, fresh):
+    def publish(self, moment, lines, _, whole, fresh):
         self.balancer.listed(moment, lines, whole, fresh)
 
     def note(self, moment, scope, after, upto, early):
--- a/benchmarks/scale/wire.py
+++ b/benchmarks/scale/wire.py
@@ -27,7 +27,7 @@
         if body:
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         self.out += f"{head}\r\n".encode() + body
-        self.answer, self.busy = http.Answer(), True
+        self.answer, self.busy = http.Response(), True
         self.epoll.modify(self.sock, OUT)
 
     def write(self):
--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -9,7 +9,7 @@
 
 from ..gateway import http
 from ..gateway.config import address, now
-from ..gateway.upkeep import CONNECTS, REASONS, read_until
+from ..gateway.managed_connection import CONNECT_TIMEOUT_SECONDS, END_REASONS, read_until
 from .faults import Unusable
 from .listing import Listing
 from .records import ALL, shown
@@ -97,7 +97,7 @@
         except TimeoutError:
             return "silent"
         except OSError as error:
-            return REASONS.get(type(error), "unreachable")
+            return END_REASONS.get(type(error), "unreachable")
         except Exception as error:  # the next stream depends on the thread
             self.counters.add("relay faults")
             return f"fault {type(error).__name__}: {error}"
@@ -106,7 +106,7 @@
         """One stream from its beginning to its end; why it ended."""
         self.sock = connected(address(ask.address))
         post(self.sock, ask, "/v1/subscribe")
-        answer, heard = http.Answer(), time.monotonic()
+        answer, heard = http.Response(), time.monotonic()
         while not self.ending:
             if (line := answer.next()) is http.MORE:
                 if answer.status not in (0, 200):
@@ -186,7 +186,7 @@
 
     def exchange(self, ask):
         post(self.beside, ask, "/v1/acknowledge")
-        answer, until = http.Answer(), time.monotonic() + ANSWERS
+        answer, until = http.Response(), time.monotonic() + ANSWERS
         while (line := answer.next()) is not http.END:
             if line is http.MORE:
                 read_until(self.beside, until)
@@ -245,7 +245,7 @@
 def connected(where):
     sock = socket.socket()
     try:
-        sock.settimeout(CONNECTS)
+        sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         sock.connect(where)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
--- a/lemonlead/distribution/listing.py
+++ b/lemonlead/distribution/listing.py
@@ -56,7 +56,7 @@
             words.append(("nodes", id, said))
         if words:
             before = self.lines
-            self.dispatcher.tell(self.heard, words)
+            self.dispatcher.handle(self.heard, words)
             if self.lines == before:
                 raise RuntimeError("the balancer could not be told")
         return refused
@@ -66,5 +66,5 @@
         it, so each word counts as the newest."""
         lines, addresses = self.merge.heard(now, News(0, words, moment=now))
         if lines:
-            self.discovery.put(now, lines, addresses, False, False)
+            self.discovery.publish(now, lines, addresses, False, False)
         self.lines += 1
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -11,7 +11,7 @@
 from .. import interface
 from ..gateway import http
 from ..gateway.config import address, now
-from ..gateway.upkeep import CONNECTS, REASONS
+from ..gateway.managed_connection import CONNECT_TIMEOUT_SECONDS, END_REASONS
 from . import words
 from .course import FOLLOW, STATE, UNFOLLOW, VOTE, Course
 from .faults import Unusable
@@ -73,7 +73,7 @@
                 self.service.begin(now(), self.news)
             shown = self.merge.listed(lines, addresses, True)
             if self.service is not None:
-                discovery.put(now(), *shown, True, False)
+                discovery.publish(now(), *shown, True, False)
         threading.Thread(target=self.run, daemon=True).start()
         if self.wait and not self.first.wait(self.wait):
             self.counters.add("ledger unheard at start")
@@ -103,7 +103,7 @@
         except TimeoutError:
             reason = "silent"
         except OSError as error:
-            reason = REASONS.get(type(error), "unreachable")
+            reason = END_REASONS.get(type(error), "unreachable")
         except Exception as error:  # the next call depends on the thread
             reason = f"fault {type(error).__name__}: {error}"
             self.counters.add("ledger faults")
@@ -162,7 +162,7 @@
             if status == 200 and not self.heeded(told):
                 return self.unheeded(told)
             outcome = interface.COUNTED if status == 200 else interface.MOOT
-            self.dispatcher.tell(self.service.voted, ask.number, outcome)
+            self.dispatcher.handle(self.service.voted, ask.number, outcome)
             self.course.voted(ask.number)
         elif status == 200:
             since = words.whole_number(told, "at")
@@ -214,7 +214,7 @@
     def obey(self, news, leader):
         """Whether the balancer was told. Only then is the next poll an acknowledgement: from then on its
         `may_begin` lets no attempt begin that was meant for what is out."""
-        self.dispatcher.tell(self.heard, news)
+        self.dispatcher.handle(self.heard, news)
         if self.obeyed[0] != news.cluster or self.obeyed[1] < news.at:
             return False
         self.course.obeyed(now(), news.at, leader)
@@ -228,7 +228,7 @@
             return
         if told[0]:
             self.counters.add("ledger told")
-            self.discovery.put(moment, *told, False, False)
+            self.discovery.publish(moment, *told, False, False)
         self.obeyed = news.cluster, news.at
 
     # ---- one call
@@ -245,7 +245,7 @@
                     return 503, {}
         self.end()
         self.sock, self.at = socket.socket(), where
-        self.sock.settimeout(CONNECTS)
+        self.sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         self.sock.connect(where)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock.settimeout(SILENCE)
@@ -259,12 +259,12 @@
         if ask.body:
             head += f"Content-Type: application/json\r\nContent-Length: {len(ask.body)}\r\n"
         self.sock.sendall(f"{head}\r\n".encode() + ask.body)
-        answer, body, until = http.Answer(), [], time.monotonic() + LONGEST
+        answer, body, until = http.Response(), [], time.monotonic() + LONGEST
         while (line := answer.next()) is not http.END:
             if line is not http.MORE:
                 body.append(line)
             elif not answer.buffer.fill(self.sock.recv_into):
-                if answer.left is None and answer.state == answer.body and not answer.text:
+                if answer.remaining is None and answer.state == answer.body and not answer.text:
                     break  # a body that goes on to the end of the connection
                 raise EOFError
             elif time.monotonic() > until:
@@ -286,9 +286,9 @@
     def leave(self, until):
         """After the last attempt has ended: asks not to be waited for any more. Where one is still out at
         `until` (of `time.monotonic`), it says nothing: the ledger waits until the lease ran out."""
-        while self.dispatcher.instances.trips and time.monotonic() < until:
+        while self.dispatcher.instances.attempts_in_flight and time.monotonic() < until:
             time.sleep(0.02)
-        if self.dispatcher.instances.trips:
+        if self.dispatcher.instances.attempts_in_flight:
             return False
         self.leaves = True
         self.woken.set()
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -87,7 +87,7 @@
         more |= {"share": sides.share(), "waits": sides.waits()}
         if more != self.logged:
             self.logged = more
-            self.dispatcher.chores.append((self.tell, more))
+            self.dispatcher.deferred_actions.append((self.tell, more))
 
     def tell(self, more):
         self.log.info("shift", **more)
@@ -103,7 +103,7 @@
 
     def put(self, now, told):
         if told[0]:
-            self.dispatcher.discovery.put(now, *told, False, False)
+            self.dispatcher.discovery.publish(now, *told, False, False)
 
     def ended(self, now, attempt, end):
         self.counters.add(f"shift attempts {'far' if attempt.instance.zone in self.sides.abroad else 'near'}")
@@ -122,8 +122,8 @@
         held = verdict not in WORDS or verdict == at.ON and self.sides.doubtful()
         outcome = at.COUNTED if held else self.tell_ledger((*cast, WORDS[verdict]), True)
         if outcome is not None:
-            self.dispatcher.chores.append(
-                (self.dispatcher.tell, self.dispatcher.balancer.vote_answered, outcome)
+            self.dispatcher.deferred_actions.append(
+                (self.dispatcher.handle, self.dispatcher.balancer.vote_answered, outcome)
             )
 
     def tell_ledger(self, vote, asked):
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -89,9 +89,9 @@
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
     if config.pushed:  # no request goes by the list of before our start, unless discovery cannot be reached
-        discovery.ask()
+        discovery.request_list()
         until = time.monotonic() + FIRST_LIST
-        while not (ending() or discovery.tried.wait(TICK)) and time.monotonic() < until:
+        while not (ending() or discovery.first_result.wait(TICK)) and time.monotonic() < until:
             pass
     try:
         # nobody was let in: what came from now on might find no end before SIGKILL
@@ -178,13 +178,13 @@
         return log.warning("configuration unfit", reason=str(error))
     discovery.move(to)
     if platform is not None:
-        releases.upkeep.move(platform)
+        releases.connection.change_address(platform)
     log.info("configuration read", discovery=to, platform=platform)
 
 
 def figures(dispatcher, follower):
     with dispatcher.lock:
-        counted = {**dispatcher.counters.read(), "open": len(dispatcher.asks)}
+        counted = {**dispatcher.counters.read(), "open": len(dispatcher.pending_requests)}
         counted |= follower.figures() if follower is not None else {}
     return {name.replace(" ", "_").replace(":", ""): count for name, count in counted.items()}
 
@@ -195,14 +195,14 @@
     came later, on a connection that stood between requests at no moment, has until SIGKILL could come. The
     process ends LINGER, the longest deadline and LAST after SIGTERM at the latest, but for what the ledger
     takes."""
-    log.info("stopping", open=len(dispatcher.asks))
+    log.info("stopping", open=len(dispatcher.pending_requests))
     longest = max((told.deadline for told in server.config.start.request_classes), default=0) / 1e9
     closing = time.monotonic() + LINGER
     soon, until = closing + min(longest, COUNTED), closing + longest
     time.sleep(LINGER)
     late = configs.now()
     server.close()
-    while server.close_idle() or not server.closed.is_set() or dispatcher.asks:
+    while server.close_idle() or not server.closed.is_set() or dispatcher.pending_requests:
         if (moment := time.monotonic()) >= until + LAST:
             break
         if moment >= soon:
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -41,7 +41,7 @@
 NUMBER = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
 
 
-class Ask:
+class PendingRequest:
     """One command of a client's, and its answer once there is one."""
 
     __slots__ = ("client", "words", "answer", "request", "weight")
@@ -59,7 +59,7 @@
         self.sock, self.server, self.extra = sock, server, extra
         self.reader = resp.Reader(commands=True)
         self.room = threading.Condition()
-        self.asks = deque()  # not yet answered in full, in their order
+        self.pending_requests = deque()  # not yet answered in full, in their order
         self.unsent = bytearray()
         self.writing = False  # a thread writes out what the client did not take at once
         self.reason = None  # why we end it
@@ -89,7 +89,7 @@
         while True:
             if self.last:
                 with self.room:
-                    self.room.wait_for(lambda: not (self.asks or self.unsent) or self.broken)
+                    self.room.wait_for(lambda: not (self.pending_requests or self.unsent) or self.broken)
                 return self.reason
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
@@ -100,7 +100,7 @@
                     return self.reason or LEFT
                 if not count:  # we end it, and it had asked before it could know
                     with self.room:
-                        self.wait(lambda: not (self.asks or self.unsent))
+                        self.wait(lambda: not (self.pending_requests or self.unsent))
                     if not self.reader.empty():
                         time.sleep(REST_OF_IT)  # the other half of a command is on its way
             while (words := self.reader.next()) is not resp.MORE:
@@ -114,7 +114,7 @@
     def done(self):
         """Whether nothing is left to answer: what it asked by halves is no request yet, but will be."""
         with self.room:
-            return not (self.asks or self.unsent) and self.reader.empty()
+            return not (self.pending_requests or self.unsent) and self.reader.empty()
 
     def rests(self):
         """Ends it if it has stood between requests, or without the first, for too long; what has come by then
@@ -123,7 +123,7 @@
         rest = REST if len(self.server.clients) < self.server.most // 2 else SHORT_REST
         with self.room:
             rested = time.monotonic() - self.since >= (rest if self.asked else PART)
-            if rested and not (self.asks or self.unsent) and self.reader.empty():
+            if rested and not (self.pending_requests or self.unsent) and self.reader.empty():
                 self.stop_reading("rest" if self.asked else "silent")
 
     def weigh(self):
@@ -148,14 +148,14 @@
         arrived, name = now() - unread, words[0].upper()
         self.asked = True
         if name == b"PING":
-            return self.put(Ask(self, (), b"+PONG\r\n"))
+            return self.put(PendingRequest(self, (), b"+PONG\r\n"))
         try:
             request = self.server.request(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
-            self.put(Ask(self, (), resp.error(f"ERR no request: {text}")))
+            self.put(PendingRequest(self, (), resp.error(f"ERR no request: {text}")))
             return self.fault()
-        ask, size = Ask(self, words, None, request), sum(map(len, words))
+        ask, size = PendingRequest(self, words, None, request), sum(map(len, words))
         self.put(ask)
         dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.crowded()
         if is_stale(unread, request.deadline - request.arrived):
@@ -165,7 +165,7 @@
             ask.weight = size
         elif size > LARGE:
             turned_away = True
-        dispatcher.tell(
+        dispatcher.handle(
             dispatcher.request_turned_away if turned_away else dispatcher.request_arrived, ask, request
         )
         if ask.answer is dispatcher.TWICE:
@@ -195,25 +195,25 @@
     def put(self, ask):
         """Queues a command once there is room; OSError where its client can get no answer any more."""
         with self.room:
-            self.wait(lambda: len(self.asks) < MOST_ASKS and len(self.unsent) <= MOST_UNSENT)
+            self.wait(lambda: len(self.pending_requests) < MOST_ASKS and len(self.unsent) <= MOST_UNSENT)
             if self.broken:
                 raise ConnectionResetError
-            self.asks.append(ask)
+            self.pending_requests.append(ask)
         if ask.answer is not None:
             self.flush()
 
     def turn_away(self, error):
         """What cannot be read gets an error, soon though earlier requests wait; then the connection ends."""
         with self.room:
-            self.wait(lambda: not self.asks, PATIENCE)
+            self.wait(lambda: not self.pending_requests, PATIENCE)
             if self.broken:
                 return
             requests = self.unanswered()
         if requests:
-            self.server.dispatcher.tell(self.server.dispatcher.cut_short, requests)
-        self.put(Ask(self, (), resp.error(f"ERR {error}")))
+            self.server.dispatcher.handle(self.server.dispatcher.cut_short, requests)
+        self.put(PendingRequest(self, (), resp.error(f"ERR {error}")))
         with self.room, contextlib.suppress(OSError):
-            self.wait(lambda: not (self.asks or self.writing), SLOWEST)
+            self.wait(lambda: not (self.pending_requests or self.writing), SLOWEST)
             self.sock.shutdown(socket.SHUT_WR)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(DREGS_TIME / 2))
         # Closed with bytes unread, the connection would be reset, and the error might not be read.
@@ -223,7 +223,7 @@
                 left -= len(data)
 
     def unanswered(self):
-        return [ask.request for ask in self.asks if ask.request and ask.answer is None]
+        return [ask.request for ask in self.pending_requests if ask.request and ask.answer is None]
 
     def doubtful(self):
         return not self.asked or self.faults > 0
@@ -232,7 +232,7 @@
         """Whether it stands between requests, as far as can be seen from outside."""
         since = self.part_since  # once: its thread may end the part meanwhile
         part = since is not None and time.monotonic() - since < PART
-        return not (self.asks or self.unsent or part or self.reason)
+        return not (self.pending_requests or self.unsent or part or self.reason)
 
     def leave(self, reason):
         """Has its thread close it if it stands between requests; what has come by now is read first."""
@@ -248,8 +248,8 @@
     def flush(self):
         """Writes what is next to be answered; what the client does not take at once goes by a thread."""
         with self.room:
-            while self.asks and self.asks[0].answer is not None:
-                ask = self.asks.popleft()
+            while self.pending_requests and self.pending_requests[0].answer is not None:
+                ask = self.pending_requests.popleft()
                 self.unsent += ask.answer
                 self.answered = True
                 if ask.weight:
@@ -267,7 +267,7 @@
     def write_later(self):
         try:
             self.writing = True
-            self.server.thread_pool.do(self.drain)
+            self.server.thread_pool.submit(self.drain)
         except RuntimeError:
             self.writing = False
             self.end("no thread")
@@ -317,12 +317,12 @@
             while self.writing:
                 self.room.wait()
             requests = self.unanswered()
-            self.weight += sum(ask.weight for ask in self.asks)
-            self.asks.clear()
+            self.weight += sum(ask.weight for ask in self.pending_requests)
+            self.pending_requests.clear()
             self.sock.close()
         self.server.weigh(-self.weight)
         if requests:
-            self.server.dispatcher.tell(self.server.dispatcher.client_left, requests)
+            self.server.dispatcher.handle(self.server.dispatcher.client_left, requests)
         self.server.gone(self)
 
 
@@ -403,7 +403,7 @@
         accepted meanwhile."""
         while True:
             try:
-                return self.thread_pool.do(client.run)
+                return self.thread_pool.submit(client.run)
             except RuntimeError:
                 if time.monotonic() > until:
                     return client.close("no thread")
@@ -443,7 +443,7 @@
         """Whether more clients than the bound wait for answers. Guards against places held for nothing: those
         that say nothing must not have requests past the bound rejected."""
         with self.room:
-            return sum(bool(client.asks) for client in self.clients) > self.most
+            return sum(bool(client.pending_requests) for client in self.clients) > self.most
 
     def weigh(self, size):
         """Counts so many bytes more; False, and not counted, if that would be too many."""
@@ -492,7 +492,7 @@
                     continue
                 client.last, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
-            self.dispatcher.tell(self.dispatcher.cut_short, requests)
+            self.dispatcher.handle(self.dispatcher.cut_short, requests)
 
     def request(self, arrived, name, words):
         """A request from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -14,7 +14,9 @@
 
 EPOCH = time.time_ns() - time.monotonic_ns()  # all machines read one clock: instances' start times are on it
 
-UNHEARD = 6_000_000_000  # nanoseconds after which what discovery has counts as told, whether it came or not
+MAX_LIST_DELAY_NS = (
+    6_000_000_000  # nanoseconds after which what discovery has counts as told, whether it came or not
+)
 SPARE = 24  # descriptors kept for all that is no connection of a client's or to an instance
 
 
@@ -153,7 +155,7 @@
         start, request_classes, tenants, told = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
         pushed = told.values.get("Discovery") != "ask"
-        start.unheard_time = 0 if pushed else UNHEARD
+        start.unheard_time = 0 if pushed else MAX_LIST_DELAY_NS
         api, known = optional(config, "release_api"), optional(config, "known")
         connections, memory = limits_of(config)
         return Config(
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -8,9 +8,9 @@
 from .. import interface as at
 from ..told import in_ns
 from . import http
-from .config import UNHEARD, address, now
+from .config import MAX_LIST_DELAY_NS, address, now
 from .sockets import readable
-from .upkeep import CROWDED, Upkeep, read_until
+from .managed_connection import MAX_CROWDED_PAUSE_SECONDS, ManagedConnection, read_until
 
 MOVED = 4_000_000_000  # nanoseconds after a move by which what discovery has counts as told
 LOOK = 0.05  # seconds between looks whether news lie unread, for those that wait for them to be told
@@ -20,52 +20,54 @@
 class Discovery:
     def __init__(self, config, dispatcher, log, counters):
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
-        self.wanted = threading.Event()
+        self.list_requested = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(config.start.ask_within / 1e9 or CROWDED, CROWDED)
-        self.upkeep = Upkeep(config.discovery, config.start.seed, 0.05, 1.0, crowded)
-        self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
+        crowded = min(config.start.ask_within / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS)
+        self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, crowded)
+        # Set once a list has come, or a watch has ended for another reason than too many callers.
+        self.first_result = threading.Event()
         self.source = config.discovery  # whose list was last taken, or known to be ours
         # as of when the list here holds all that discovery has, or discovery was out of reach; 0: not known
-        self.heard, self.watched = 0, False
+        self.current_as_of, self.watch_started = 0, False
         self.merge = None  # with what a ledger says, where one is followed
         # The watch while it stands, and whether what it brought is being told: attempts wait for that.
         self.read_all, self.watched_sock, self.telling = threading.Condition(), None, False
         dispatcher.news = self
 
-    def ask(self):
-        self.wanted.set()
+    def request_list(self):
+        self.list_requested.set()
 
     def move(self, to):
-        if self.upkeep.move(to):
-            self.wanted.set()
+        if self.connection.change_address(to):
+            self.list_requested.set()
 
     def run(self):
         while True:
-            if not self.upkeep.moving:  # else a list that the old address told late may have cleared it
-                self.wanted.wait()
-            self.wanted.clear()
-            reason, detail = self.upkeep.run(self.watch)
+            # After an address change, a late list from the old address may have cleared the event.
+            if not self.connection.address_changed:
+                self.list_requested.wait()
+            self.list_requested.clear()
+            reason, detail = self.connection.run(self.watch)
             self.read_up_to(None)
             self.counters.add(f"watches ended: {reason}")
             self.log.info("watch ended", reason=reason, detail=detail, version=self.version)
             if reason != "unavailable":  # else it has a list, which counts
-                self.tried.set()
+                self.first_result.set()
             if reason == "moved":
-                self.heard = min(self.heard, now() + MOVED - UNHEARD)
-            elif reason in ("refused", "unreachable") or self.watched and reason in ("closed", "reset"):
-                self.heard = now()  # what it has from now on is not told yet
+                self.current_as_of = min(self.current_as_of, now() + MOVED - MAX_LIST_DELAY_NS)
+            elif reason in ("refused", "unreachable") or self.watch_started and reason in ("closed", "reset"):
+                self.current_as_of = now()  # what it has from now on is not told yet
             # before the pause, in which the list ages already
-            self.dispatcher.tell(self.dispatcher.balancer.list_failed, self.heard)
-            self.upkeep.wait(crowded=reason == "unavailable")
+            self.dispatcher.handle(self.dispatcher.balancer.list_failed, self.current_as_of)
+            self.connection.pause_before_retry(crowded=reason == "unavailable")
 
     def watch(self):
-        self.watched = False  # it has begun to tell us what changes
-        sock, source = self.upkeep.connected(SILENCE)
+        self.watch_started = False  # it has begun to tell us what changes
+        sock, source = self.connection.connect(SILENCE)
         query = f"/api/targets?stream=1&index={self.version}"
         sock.sendall(f"GET {query} HTTP/1.1\r\nHost: {source[0]}:{source[1]}\r\n\r\n".encode())
-        answer, objects, begun = http.Answer(), http.Objects(), time.monotonic()
+        answer, objects, begun = http.Response(), http.JsonObjects(), time.monotonic()
         while True:
             while (line := answer.next()) is http.MORE and answer.status in (0, 200):
                 self.read_up_to(sock)
@@ -79,14 +81,14 @@
             if line is http.END:
                 return "over"
             if text := objects.add(line):
-                self.watched = True
-                self.told(text, source)
-            elif not (self.watched or line or objects.lines):
-                self.watched = True  # a sign of life first: nothing has changed, so our list is current
+                self.watch_started = True
+                self.process_update(text, source)
+            elif not (self.watch_started or line or objects.lines):
+                self.watch_started = True  # a sign of life first: nothing has changed, so our list is current
                 self.source = source  # also at a new address: who did not know our version would tell all
-                self.dispatcher.tell(self.current)
-            if self.watched:
-                self.heard = now()
+                self.dispatcher.handle(self.current)
+            if self.watch_started:
+                self.current_as_of = now()
             if not objects.lines:  # else half an object, and then signs of life alone
                 begun = time.monotonic()
 
@@ -108,7 +110,7 @@
         sock = self.watched_sock
         return self.telling or sock is not None and readable(sock)
 
-    def told(self, text, source):
+    def process_update(self, text, source):
         try:
             update = json.loads(text)
             version, lines, addresses = self.read(update)
@@ -118,8 +120,8 @@
         if whole and source != self.source:
             self.version = -1  # another service may count anew, and its whole list needs no earlier one
         self.source = source
-        self.dispatcher.tell(self.listed, version, lines, addresses, whole, True)
-        self.upkeep.worked()
+        self.dispatcher.handle(self.listed, version, lines, addresses, whole, True)
+        self.connection.reset_pause()
 
     def read(self, update):
         """The version, the lines of the list and the instances' addresses from an object of discovery's. Its
@@ -159,23 +161,23 @@
     def listed(self, now, version, lines, addresses, whole, fresh):
         """Under the dispatcher's lock. A version that is not newer tells nothing but that discovery
         answers."""
-        self.wanted.clear()
+        self.list_requested.clear()
         if version <= self.version:
             lines, addresses, whole = [], {}, False
         self.version = max(version, self.version)
         if self.merge is not None:
             lines, addresses = self.merge.listed(lines, addresses, whole)
         self.counters.add("lists told")
-        self.put(now, lines, addresses, whole, fresh)
+        self.publish(now, lines, addresses, whole, fresh)
 
     def current(self, now):
         """Under the dispatcher's lock. The list as it is here is the one that discovery has."""
-        self.wanted.clear()
-        self.upkeep.worked()
-        self.tried.set()
+        self.list_requested.clear()
+        self.connection.reset_pause()
+        self.first_result.set()
         self.dispatcher.balancer.listed(now, [], False, True)
 
-    def put(self, now, lines, addresses, whole, fresh):
+    def publish(self, now, lines, addresses, whole, fresh):
         """The one way by which the balancer learns of instances. Under the dispatcher's lock."""
         for id in [id for id in self.dispatcher.instances.pools if id not in addresses] if whole else ():
             self.dispatcher.instances.listed(id, None, 0)
@@ -183,7 +185,7 @@
             self.dispatcher.instances.listed(id, where, started)
         self.dispatcher.balancer.listed(now, lines, whole, fresh)
         if fresh:
-            self.tried.set()
+            self.first_result.set()
 
 
 def number(value, otherwise):
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -26,8 +26,8 @@
         self.log_line, self.counters = log, counters
         self.balancer = Balancer(start)
         self.ids = set()  # those of the requests below
-        self.asks = {}  # the requests that want an answer: by request, the client's command
-        self.chores = []
+        self.pending_requests = {}  # the requests that want an answer: by request, the client's command
+        self.deferred_actions = []
         self.instances = self.discovery = self.releases = None  # the drivers, set before the first call
         self.news = None  # the driver that tells of the list: no attempt begins while it has not told all
         self.service = None  # between the platform and the balancer, where a service's moves are followed
@@ -35,18 +35,18 @@
 
     # ---- for the drivers
 
-    def tell(self, happened, *values):
+    def handle(self, happened, *values):
         """An input of the balancer's or of this dispatcher's, then all that is decided on it."""
         with self.lock:
-            chores = self.turn(happened, *values)
-        for chore, *values in chores:
+            deferred_actions = self.turn(happened, *values)
+        for action, *values in deferred_actions:
             try:
-                chore(*values)
+                action(*values)
             except Exception:  # the chores after it are other requests'
                 self.fault(traceback.format_exc())
 
     def turn(self, happened, *values):
-        moment, faults = now(), MOST_FAULTS + len(self.asks)
+        moment, faults = now(), MOST_FAULTS + len(self.pending_requests)
         self.guarded(happened, moment, *values)
         # A decision takes what it is about off its list first, so after a fault the others are still made.
         while (more := self.guarded(self.balancer.decide, moment, self)) or more is None and faults > 0:
@@ -57,15 +57,15 @@
         if wake < self.wake:
             self.lock.notify()
         self.wake = wake
-        chores, self.chores = self.chores, []
-        return chores
+        deferred_actions, self.deferred_actions = self.deferred_actions, []
+        return deferred_actions
 
     def guarded(self, call, *values):
         """What it gives, None after a fault: no input may end the thread that brought it."""
         try:
             return call(*values)
         except Exception:
-            self.chores.append((self.fault, traceback.format_exc()))
+            self.deferred_actions.append((self.fault, traceback.format_exc()))
             return None
 
     def keep_time(self):
@@ -74,7 +74,7 @@
             with self.lock:
                 while (wait := self.wake - now()) > 0:
                     self.lock.wait(min(wait / 1e9, 60.0))
-            self.tell(lambda moment: None)
+            self.handle(lambda moment: None)
 
     def fault(self, text):
         self.counters.add("faults")
@@ -94,36 +94,36 @@
     def cut_short(self, moment, requests):
         """Their connection is to end: those that still want an answer get their last one."""
         for request in requests:
-            if request in self.asks:
+            if request in self.pending_requests:
                 self.balancer.give_up(request, self)
 
     def taken(self, ask, request):
         """Whether it is: an id that another open request has would make two answers of one."""
         if request.id in self.ids:
             ask.answer = self.TWICE
-            self.chores.append((ask.client.flush,))
+            self.deferred_actions.append((ask.client.flush,))
             return False
-        self.asks[request] = ask
+        self.pending_requests[request] = ask
         self.ids.add(request.id)
         self.count("taken", request)
         return True
 
     def client_left(self, moment, requests):
         for request in requests:
-            if self.asks.pop(request, None) is not None:
+            if self.pending_requests.pop(request, None) is not None:
                 self.ids.discard(request.id)
                 self.count("left", request)
                 self.drop(request)
                 self.balancer.request_left(moment, request)
 
     def attempt_ended(self, moment, attempt, end, value):
-        if end == at.SUCCEEDED and attempt.request in self.asks:
+        if end == at.SUCCEEDED and attempt.request in self.pending_requests:
             self.answer(attempt.request, "succeeded", resp.bulk(value))
         self.counters.add(f"attempts {end}")
         if self.service is not None:
             self.service.ended(moment, attempt, end)
         took = moment - attempt.at if attempt.took is None else attempt.took
-        over = attempt.request not in self.asks
+        over = attempt.request not in self.pending_requests
         self.balancer.attempt_ended(moment, attempt, end, took, over, {})
 
     def stage_told(self, moment, *news):
@@ -135,7 +135,7 @@
         if self.news is not None:
             self.news.wait_until_told(attempt.request.deadline)
         with self.lock:
-            return self.balancer.may_begin(now(), attempt) if attempt.request in self.asks else 0
+            return self.balancer.may_begin(now(), attempt) if attempt.request in self.pending_requests else 0
 
     def count(self, what, request):
         self.counters.add(what)
@@ -144,13 +144,13 @@
     # ---- the door
 
     def answer(self, request, ending, data):
-        ask = self.asks.pop(request)
+        ask = self.pending_requests.pop(request)
         self.ids.discard(request.id)
         self.count(ending, request)
         # before the answer can go out, so that no attempt of it is written whole after that
         self.drop(request)
         ask.answer = data
-        self.chores.append((ask.client.flush,))
+        self.deferred_actions.append((ask.client.flush,))
 
     def drop(self, request):
         if any(not attempt.end for attempt in request.attempts):
@@ -159,11 +159,13 @@
     def attempt(self, request, instance_id, time_out):
         self.counters.add("attempts")
         until = now() + time_out
-        trip = self.instances.trip(request.attempts[-1], instance_id, self.asks[request].words, until)
-        self.chores.append((self.instances.start, trip))
+        in_flight = self.instances.prepare(
+            request.attempts[-1], instance_id, self.pending_requests[request].words, until
+        )
+        self.deferred_actions.append((self.instances.start, in_flight))
 
     def cancel(self, attempt):
-        self.chores.append((self.instances.cancel, attempt))
+        self.deferred_actions.append((self.instances.cancel, attempt))
 
     def reject(self, request, retry_after):
         pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
@@ -175,11 +177,11 @@
         self.answer(request, "aborted", resp.error("ERR aborted"))
 
     def watch_list(self):
-        self.discovery.ask()
+        self.discovery.request_list()
 
     def vote(self, build, stage, verdict):
         self.counters.add("votes")
         (self.service or self.releases).vote(build, stage, verdict)
 
     def log(self, text):
-        self.chores.append((self.log_line.info, text))
+        self.deferred_actions.append((self.log_line.info, text))
--- a/lemonlead/gateway/http.py
+++ b/lemonlead/gateway/http.py
@@ -12,7 +12,7 @@
 BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+"|")*+([{}\[\]]?)')
 
 
-class Answer:
+class Response:
     """Bytes go into `buffer`; `next` gives each line of the body once it is whole, then END."""
 
     def __init__(self):
@@ -20,7 +20,7 @@
         self.status = 0
         self.headers = {}
         self.state = self.status_line
-        self.left = None  # bytes of the chunk or of the whole body still to come; None: until the end
+        self.remaining = None  # bytes of the chunk or of the whole body still to come; None: until the end
         self.text = bytearray()  # of the body, up to where its last whole line ends
 
     def next(self):
@@ -63,26 +63,26 @@
             self.state = self.chunk_size
         else:
             length = self.headers.get(b"content-length")
-            self.left, self.state = None if length is None else int(length), self.body
-            if self.left is not None and self.left < 0:
+            self.remaining, self.state = None if length is None else int(length), self.body
+            if self.remaining is not None and self.remaining < 0:
                 raise Malformed("a body of less than nothing")
         return True
 
     def chunk_size(self):
         if (line := self.buffer.line(LONGEST_LINE)) is None:
             return False
-        self.left = int(line.split(b";")[0], 16)
-        if not 0 <= self.left <= LONGEST_CHUNK:
-            raise Malformed(f"a chunk of {self.left} bytes")
-        self.state = self.body if self.left else self.trailer
+        self.remaining = int(line.split(b";")[0], 16)
+        if not 0 <= self.remaining <= LONGEST_CHUNK:
+            raise Malformed(f"a chunk of {self.remaining} bytes")
+        self.state = self.body if self.remaining else self.trailer
         return True
 
     def body(self):
-        count = len(self.buffer) if self.left is None else min(self.left, len(self.buffer))
+        count = len(self.buffer) if self.remaining is None else min(self.remaining, len(self.buffer))
         self.text += self.buffer.take(count)
-        if self.left is not None:
-            self.left -= count
-            if not self.left:
+        if self.remaining is not None:
+            self.remaining -= count
+            if not self.remaining:
                 self.state = self.chunk_end if b"transfer-encoding" in self.headers else None
                 return True
         return count > 0
@@ -103,7 +103,7 @@
         return True
 
 
-class Objects:
+class JsonObjects:
     """Lines go into `add`, which gives the text of an object with its last line, and nothing before."""
 
     def __init__(self):
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -108,7 +108,7 @@
         return self.unused[0].used + SETTLE if self.unused else 0
 
 
-class Trip:
+class AttemptInFlight:
     """One attempt under way."""
 
     def __init__(self, attempt, pool, words, until):
@@ -126,7 +126,7 @@
         self.connect_time = config.start.connect_time
         self.most, self.open = config.connections // 2, 0  # connections that stand or are being made
         self.lock = threading.Lock()
-        self.pools, self.trips = {}, {}  # by the instance's id; by attempt
+        self.pools, self.attempts_in_flight = {}, {}  # by the instance's id; by attempt
         self.reached = set()  # the pools to which a connection was begun
 
     # ---- under the dispatcher's lock
@@ -139,27 +139,27 @@
                 del self.pools[id]
                 self.reached.discard(old)
                 old.closed = True  # nothing new begins there
-                self.dispatcher.chores.append((self.clear, old))
+                self.dispatcher.deferred_actions.append((self.clear, old))
             if address is not None and id not in self.pools:
                 self.pools[id] = Pool(address, started)
 
-    def trip(self, attempt, id, words, until):
+    def prepare(self, attempt, id, words, until):
         """An attempt to be started. It has the connection longest unused, if there is one, so that what is
         left is what the next one finds."""
-        trip = Trip(attempt, self.pools.get(id), words, until)
+        in_flight = AttemptInFlight(attempt, self.pools.get(id), words, until)
         with self.lock:
-            self.trips[attempt] = trip
-            if trip.pool is not None:
-                trip.connection = trip.pool.longest_unused()
-                attempt.rested_at = trip.pool.rested_at()
-        return trip
+            self.attempts_in_flight[attempt] = in_flight
+            if in_flight.pool is not None:
+                in_flight.connection = in_flight.pool.longest_unused()
+                attempt.rested_at = in_flight.pool.rested_at()
+        return in_flight
 
     def drop(self, attempts):
         """Their request is over: of those that are not written whole the last byte is written no more."""
         with self.lock:
-            for trip in filter(None, map(self.trips.get, attempts)):
-                if not trip.written:
-                    self.shut(trip)
+            for in_flight in filter(None, map(self.attempts_in_flight.get, attempts)):
+                if not in_flight.written:
+                    self.shut(in_flight)
 
     # ---- not under it
 
@@ -169,42 +169,42 @@
         for connection in unused:
             self.end(connection, "instance gone")
 
-    def start(self, trip):
+    def start(self, in_flight):
         try:
-            self.thread_pool.do(self.carry, trip)
+            self.thread_pool.submit(self.carry, in_flight)
         except RuntimeError:  # no thread to be had
-            self.over(trip, at.NOT_SENT, None)
+            self.over(in_flight, at.NOT_SENT, None)
 
     def cancel(self, attempt):
         with self.lock:
-            if (trip := self.trips.get(attempt)) is not None:
-                self.shut(trip)
+            if (in_flight := self.attempts_in_flight.get(attempt)) is not None:
+                self.shut(in_flight)
 
-    def shut(self, trip):
-        trip.cancelled = True
-        if trip.begun:
+    def shut(self, in_flight):
+        in_flight.cancelled = True
+        if in_flight.begun:
             with contextlib.suppress(OSError):
-                trip.connection.sock.shutdown(socket.SHUT_RDWR)
+                in_flight.connection.sock.shutdown(socket.SHUT_RDWR)
 
-    def carry(self, trip):
+    def carry(self, in_flight):
         """Neither the time until a thread took it up nor that for which its answer lay unread counts as its
         instance's: short of its own processor, a gateway would take all instances for slow."""
         taken_up = now()
         try:
-            end, value = self.outcome(trip)
+            end, value = self.outcome(in_flight)
         except Exception:  # an attempt always ends, and what may have run is never said not to have
             self.dispatcher.fault(traceback.format_exc())
-            end, value = (at.RESET if trip.begun else at.UNCONNECTED), None
-        unread = unread_for(trip.connection.sock) if end in ANSWERED else 0
-        trip.attempt.took = max(now() - taken_up - unread, 0)
-        self.over(trip, end, value)
+            end, value = (at.RESET if in_flight.begun else at.UNCONNECTED), None
+        unread = unread_for(in_flight.connection.sock) if end in ANSWERED else 0
+        in_flight.attempt.took = max(now() - taken_up - unread, 0)
+        self.over(in_flight, end, value)
 
-    def over(self, trip, end, value):
-        connection, pool, ended = trip.connection, trip.pool, []
+    def over(self, in_flight, end, value):
+        connection, pool, ended = in_flight.connection, in_flight.pool, []
         with self.lock:
-            del self.trips[trip.attempt]
+            del self.attempts_in_flight[in_flight.attempt]
             clean = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT)
-            keep = clean and not (trip.begun and trip.cancelled)
+            keep = clean and not (in_flight.begun and in_flight.cancelled)
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
                 if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
@@ -218,65 +218,69 @@
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
                 # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < trip.attempt.at]
-                pool.unused = [old for old in pool.unused if old.used >= trip.attempt.at]
-            trip.attempt.rested_at = 0 if pool is None else pool.rested_at()
+                ended += [(old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.at]
+                pool.unused = [old for old in pool.unused if old.used >= in_flight.attempt.at]
+            in_flight.attempt.rested_at = 0 if pool is None else pool.rested_at()
         for connection, reason in ended:
             self.end(connection, reason)
-        self.dispatcher.tell(self.dispatcher.attempt_ended, trip.attempt, end, value)
+        self.dispatcher.handle(self.dispatcher.attempt_ended, in_flight.attempt, end, value)
 
-    def outcome(self, trip):
+    def outcome(self, in_flight):
         """How the attempt ended, and the value if it succeeded."""
         try:
             while True:
-                if (made := self.reach(trip)) is False and trip.connection.settle():
+                if (made := self.reach(in_flight)) is False and in_flight.connection.settle():
                     self.counters.add("connections rested")
-                by = 0 if made is None or trip.cancelled else self.dispatcher.may_begin(trip.attempt)
+                by = (
+                    0 if made is None or in_flight.cancelled else self.dispatcher.may_begin(in_flight.attempt)
+                )
                 if not by:
                     return at.NOT_SENT, None
                 # Looked at last of all: what comes unasked would be taken for this request's answer, and on a
                 # connection that has ended nothing of this attempt has been written.
-                if made or trip.connection.quiet():
+                if made or in_flight.connection.quiet():
                     break
-                self.end(trip.connection, "instance closed")
-                trip.connection = None
+                self.end(in_flight.connection, "instance closed")
+                in_flight.connection = None
             with self.lock:
-                if trip.cancelled or trip.pool.closed:
+                if in_flight.cancelled or in_flight.pool.closed:
                     return at.NOT_SENT, None
-                trip.begun = True
-            trip.attempt.since = trip.connection.made
-            wait = max((trip.until - now()) // NS, 1)
-            trip.connection.write(resp.command(passed_on(trip.words, wait)), min(trip.until, by))
+                in_flight.begun = True
+            in_flight.attempt.since = in_flight.connection.made
+            wait = max((in_flight.until - now()) // NS, 1)
+            in_flight.connection.write(
+                resp.command(passed_on(in_flight.words, wait)), min(in_flight.until, by)
+            )
         except OSError:
-            return (at.NOT_SENT if trip.begun and trip.cancelled else at.UNCONNECTED), None
+            return (at.NOT_SENT if in_flight.begun and in_flight.cancelled else at.UNCONNECTED), None
         with self.lock:
-            trip.written = True
-            if trip.cancelled:
-                self.shut(trip)
+            in_flight.written = True
+            if in_flight.cancelled:
+                self.shut(in_flight)
         try:
-            value = trip.connection.read(trip.until)
+            value = in_flight.connection.read(in_flight.until)
         except TimeoutError:
             return at.TIMED_OUT, None
         except resp.Malformed:
             return at.SPOILT, None
         except OSError:
-            return at.CANCELLED if trip.cancelled else at.RESET, None
+            return at.CANCELLED if in_flight.cancelled else at.RESET, None
         return ending(value)
 
-    def reach(self, trip):
+    def reach(self, in_flight):
         """Has the connection longest unused, or makes one, and says whether it did; None where there is no
         room for one. The longest unused is the least likely to bring more than it should."""
-        pool, ended = trip.pool, []
+        pool, ended = in_flight.pool, []
         if pool is None:
             return None
         with self.lock:
-            trip.connection = trip.connection or pool.longest_unused()
-            while trip.connection is not None and trip.connection.used + self.idle_time < now():
-                ended.append(trip.connection)
-                trip.connection = pool.longest_unused()
+            in_flight.connection = in_flight.connection or pool.longest_unused()
+            while in_flight.connection is not None and in_flight.connection.used + self.idle_time < now():
+                ended.append(in_flight.connection)
+                in_flight.connection = pool.longest_unused()
         for connection in ended:
             self.end(connection, "unused")
-        if trip.connection is not None:
+        if in_flight.connection is not None:
             return False
         if not self.make_room():
             return None
@@ -284,13 +288,13 @@
             if not pool.closed:
                 self.reached.add(pool)
         try:
-            trip.connection = Connection(pool)
+            in_flight.connection = Connection(pool)
         except (OSError, MemoryError):  # no descriptor or no room to be had
             with self.lock:
                 self.open -= 1
             return None
         self.counters.add("connections made")
-        trip.connection.connect(min(trip.until, now() + self.connect_time))
+        in_flight.connection.connect(min(in_flight.until, now() + self.connect_time))
         return True
 
     def make_room(self):
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -7,7 +7,7 @@
 
 from .. import interface as at
 from . import platform
-from .upkeep import Upkeep, read_until
+from .managed_connection import ManagedConnection, read_until
 
 SILENCE = 3.5  # seconds without a whole sign of life after which news are cut off; one comes each second
 
@@ -17,7 +17,7 @@
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.answer_time = config.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
-        self.upkeep = Upkeep(config.platform, config.start.seed, 0.1, 2.0)
+        self.connection = ManagedConnection(config.platform, config.start.seed, 0.1, 2.0)
         # nanoseconds: since when the state of the last news stands; under the dispatcher's lock
         self.began = 0
 
@@ -28,19 +28,19 @@
 
     def hear(self):
         while True:
-            reason, detail = self.upkeep.run(self.listen)
+            reason, detail = self.connection.run(self.listen)
             self.counters.add(f"news ended: {reason}")
             self.log.info("news ended", reason=reason, detail=detail)
-            self.upkeep.wait()
+            self.connection.pause_before_retry()
 
     def listen(self):
-        (sock, _), reader = self.upkeep.connected(SILENCE), platform.Reader()
+        (sock, _), reader = self.connection.connect(SILENCE), platform.Reader()
         sock.sendall(b"NOTIFY\r\n")
         while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
-                self.dispatcher.tell(self.told, *platform.stage(words[2:]))
-                self.upkeep.worked()
+                self.dispatcher.handle(self.told, *platform.stage(words[2:]))
+                self.connection.reset_pause()
             elif words not in (["*"], ["OK"]):
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
         return "closed"
@@ -69,13 +69,13 @@
             self.counters.add(f"votes {outcome}")
             build, stage, verdict = vote
             self.log.info("vote", build=build, stage=stage, verdict=platform.VERDICTS[verdict], ended=outcome)
-            self.dispatcher.tell(self.answered, outcome, news)
+            self.dispatcher.handle(self.answered, outcome, news)
 
     def cast(self, until, vote):
         with socket.socket() as sock:
             try:
                 sock.settimeout(max(until - time.monotonic(), 0.001))
-                sock.connect(self.upkeep.address)
+                sock.connect(self.connection.address)
                 sock.sendall(platform.ballot(*vote))
             except OSError:
                 return at.VOTE_ERRED, None  # not carried out
--- a/lemonlead/gateway/thread_pool.py
+++ b/lemonlead/gateway/thread_pool.py
@@ -22,7 +22,7 @@
         self.lock = threading.Lock()
         self.free = []  # those that wait, the longest first
 
-    def do(self, *work):
+    def submit(self, *work):
         """Has a thread do it; RuntimeError if the system gives none."""
         with self.lock:
             worker = self.free.pop() if self.free else None
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -35,7 +35,9 @@
 
     def __setattr__(self, name, value):
         if name == "answer":
-            trips = [self.world.instances.trips.get(attempt) for attempt in self.request.attempts]
+            trips = [
+                self.world.instances.attempts_in_flight.get(attempt) for attempt in self.request.attempts
+            ]
             self.free = [trip for trip in trips if trip and not (trip.written or trip.cancelled)]
         super().__setattr__(name, value)
 
@@ -73,12 +75,12 @@
             self.instances.listed(id, where, since)
             self.balancer.listed(moment, [line], False, True)
 
-        self.dispatcher.tell(listed)
+        self.dispatcher.handle(listed)
 
     def ask(self, **more):
         """A request that a client sends; its answer is put into what is given back."""
         ask = self.made(**more)
-        self.dispatcher.tell(self.dispatcher.request_arrived, ask, ask.request)
+        self.dispatcher.handle(self.dispatcher.request_arrived, ask, ask.request)
         return ask
 
     def made(self, request_class=0, body=b"BODY"):
@@ -104,7 +106,7 @@
         def told():
             with self.dispatcher.lock:
                 attempts = [attempt for ask in self.asked for attempt in ask.request.attempts]
-                return not self.instances.trips and all(attempt.end for attempt in attempts)
+                return not self.instances.attempts_in_flight and all(attempt.end for attempt in attempts)
 
         until(told)
 
@@ -154,7 +156,7 @@
     halt = Halt(monkeypatch, made.instances, "reach", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
-    made.dispatcher.tell(made.dispatcher.client_left, [given_up.request])
+    made.dispatcher.handle(made.dispatcher.client_left, [given_up.request])
     late = answered + made.instances.idle_time
     monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
     halt.opened.set()
@@ -174,7 +176,7 @@
     assert halt.reached.wait(60)
     until(lambda: server.connections)
     accepted = now()
-    made.dispatcher.tell(made.dispatcher.client_left, [given_up.request])
+    made.dispatcher.handle(made.dispatcher.client_left, [given_up.request])
     halt.opened.set()
     made.ended()
     (connection,) = made.unused()
@@ -351,7 +353,7 @@
     made.keep_time()
     made.request_classes[1].memory = 10000 * MS
     ask = made.ask(request_class=request_class)
-    until(lambda: any(trip.written for trip in made.instances.trips.values()))
+    until(lambda: any(trip.written for trip in made.instances.attempts_in_flight.values()))
     made.list("i1", other := InstanceServer().start())
     killed.close()
     answer = made.answered(ask)
@@ -363,7 +365,7 @@
 
 def second(made, ask, id="i1"):
     """Decides on another attempt."""
-    made.dispatcher.tell(
+    made.dispatcher.handle(
         lambda moment: made.balancer.attempt(ask.request, made.balancer.members[id], moment, made.dispatcher)
     )
 
@@ -382,13 +384,13 @@
         assert made.answered(ask) == b"$1\r\n0\r\n"
         other.close()
     elif by == "the client leaves":
-        made.dispatcher.tell(made.dispatcher.client_left, [ask.request])
+        made.dispatcher.handle(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
         ask.request.over = True  # so that nothing follows
-        made.dispatcher.tell(lambda moment: made.dispatcher.cancel(attempt))
+        made.dispatcher.handle(lambda moment: made.dispatcher.cancel(attempt))
     elif by == "a break":
         ask.request.over = True
-        (trip,) = made.instances.trips.values()
+        (trip,) = made.instances.attempts_in_flight.values()
         trip.connection.sock.shutdown(socket.SHUT_RDWR)
     else:
         made.ended()
@@ -505,7 +507,7 @@
             made.dispatcher.request_arrived(moment, ask, ask.request)
 
     made.keep_time()
-    made.dispatcher.tell(arrive)  # all three are due at once
+    made.dispatcher.handle(arrive)  # all three are due at once
     assert [made.answered(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
     made.answered(spoilt)
     made.ended()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -90,7 +90,7 @@
 
     def tell(*entries):
         whole = {"version": 2, "full": False, "servers": list(entries)}
-        dispatcher.tell(discovery.listed, *discovery.read(whole), False, True)
+        dispatcher.handle(discovery.listed, *discovery.read(whole), False, True)
 
     try:
         yield SimpleNamespace(
@@ -199,7 +199,7 @@
             server.go.set()
         client.write(resp.command([b"PING", b"x" * 60_000]))
         if behind:
-            until(lambda: len(ran.ours(client).asks) == 2)
+            until(lambda: len(ran.ours(client).pending_requests) == 2)
             client.sock.close()  # it is not answered, but dropped with its connection
         else:
             assert client.read() == b"PONG"
@@ -332,7 +332,7 @@
         monkeypatch.setattr(Instances, where, held)
         if where == "start":  # its client's own thread would hand it over
             monkeypatch.setattr(
-                Instances, "start", lambda *trip: ran.gateway_server.thread_pool.do(held, *trip)
+                Instances, "start", lambda *trip: ran.gateway_server.thread_pool.submit(held, *trip)
             )
         client = ran.client().ask()
         assert met.wait(60)
@@ -743,8 +743,13 @@
     """Has the dispatcher told of this only once `go` is set; `met` from when it was to be told on."""
 
     def __init__(self, monkeypatch, dispatcher, name):
-        self.met, self.go, self.tell, self.name = threading.Event(), threading.Event(), dispatcher.tell, name
-        monkeypatch.setattr(dispatcher, "tell", self.told)
+        self.met, self.go, self.tell, self.name = (
+            threading.Event(),
+            threading.Event(),
+            dispatcher.handle,
+            name,
+        )
+        monkeypatch.setattr(dispatcher, "handle", self.told)
 
     def told(self, happened, *values):
         if happened.__name__ == self.name:
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -147,7 +147,7 @@
 leave = Client.leave
 
 def late(client, reason):
-    while client.answered and client.reason is None and not client.asks:
+    while client.answered and client.reason is None and not client.pending_requests:
         if select.select([client.sock], [], [], 0.001)[0]:
             break
     leave(client, reason)
@@ -256,7 +256,7 @@
         closed=threading.Event(),
         hurry=lambda since: seen.append((clock.at, since / 1e9)),
     )
-    dispatcher = SimpleNamespace(lock=threading.Lock(), asks={}, counters=Counters())
+    dispatcher = SimpleNamespace(lock=threading.Lock(), pending_requests={}, counters=Counters())
     assert gateways.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
     moments = [at for at, _ in seen]
     assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
@@ -429,7 +429,7 @@
 
 def test_nothing_is_left_of_clients_that_came_and_went():
     config = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
-    dispatcher, counters = SimpleNamespace(tell=None), Counters()
+    dispatcher, counters = SimpleNamespace(handle=None), Counters()
     gateway_server = GatewayServer(
         config, dispatcher, ThreadPool(), SimpleNamespace(info=lambda *_, **__: None), counters
     )
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -15,7 +15,7 @@
 from helpers import MS, NOW, balancer
 from lemonlead import interface as at
 from lemonlead.gateway import __main__ as program
-from lemonlead.gateway import discovery, releases, upkeep
+from lemonlead.gateway import discovery, releases, managed_connection
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.config import address
@@ -57,7 +57,7 @@
     def stage_told(self, now, *news):
         self.stages.append(news)
 
-    def tell(self, happened, *values):
+    def handle(self, happened, *values):
         self.gates.get(getattr(happened, "__name__", ""), lambda: None)()
         happened(NOW, *values)
         self.taken.append(getattr(happened, "__name__", ""))
@@ -93,7 +93,7 @@
     dispatcher = Dispatcher()
     made = Discovery(place(server), dispatcher, Quiet(), Counters())
     if ask:
-        made.ask()
+        made.request_list()
     return made, dispatcher
 
 
@@ -121,7 +121,9 @@
                 raise OSError(errno.ENOTCONN, "not connected")
             super().shutdown(how)
 
-    monkeypatch.setattr(upkeep, "socket", SimpleNamespace(socket=Posix, SHUT_RDWR=socket.SHUT_RDWR))
+    monkeypatch.setattr(
+        managed_connection, "socket", SimpleNamespace(socket=Posix, SHUT_RDWR=socket.SHUT_RDWR)
+    )
     return calls
 
 
@@ -146,7 +148,7 @@
     new.state = "2 0 trial 0.5 0"
     dispatcher = Dispatcher()
     made = Releases(place(platform=old), dispatcher, Quiet(), Counters())
-    sockets.before = once(lambda: made.upkeep.move(address(new.address)))
+    sockets.before = once(lambda: made.connection.change_address(address(new.address)))
     run(made.hear)
     until(lambda: dispatcher.stages == [(2, 0, at.ON_TRIAL, 0.5, 0)], SOON)
     assert not old.asked and made.counters.read() == {"news told": 1, "news ended: moved": 1}
@@ -183,7 +185,7 @@
         moving.set()
         until(lambda: waits.is_set() or dispatcher.lists, SOON)
 
-    made.upkeep.room = Room()
+    made.connection.condition = Room()
     sockets.after, sockets.shutting = once(move), once(shut)
     old.tell(entry("old", old), full=True, version=41)
     new.tell(entry("new", new), full=True, version=5)  # a service that counts anew
@@ -212,16 +214,16 @@
 
 def test_too_many_callers_at_the_old_address_lengthen_no_pause_at_the_new_one():
     """The move comes between the end of the old connection and its pause."""
-    kept = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0)
+    kept = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0)
     kept.run(lambda: None)
-    kept.move(("127.0.0.1", 2))
-    kept.wait(crowded=True)
-    assert kept.length == kept.shortest
+    kept.change_address(("127.0.0.1", 2))
+    kept.pause_before_retry(crowded=True)
+    assert kept.pause == kept.min_pause
 
 
 def test_a_pause_that_ends_as_the_address_moves_does_not_bring_back_its_length():
-    kept = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0)
-    at_end = once(lambda: kept.move(("127.0.0.1", 2)))
+    kept = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0)
+    at_end = once(lambda: kept.change_address(("127.0.0.1", 2)))
 
     class Room(threading.Condition):
         def wait_for(self, moving, seconds):
@@ -231,23 +233,23 @@
             super().__exit__(*error)
             at_end()
 
-    kept.room, kept.length = Room(), 8.0
-    kept.wait(crowded=True)
-    assert kept.moving and kept.length == kept.shortest
+    kept.condition, kept.pause = Room(), 8.0
+    kept.pause_before_retry(crowded=True)
+    assert kept.address_changed and kept.pause == kept.min_pause
 
 
 def test_a_move_for_which_no_socket_is_to_be_had_is_tried_after_a_pause(monkeypatch):
     """Else the thread would turn without a rest until a descriptor is free."""
-    kept, waited = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0), []
-    kept.move(("127.0.0.1", 2))
+    kept, waited = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0), []
+    kept.change_address(("127.0.0.1", 2))
 
     def none():
         raise OSError(errno.EMFILE, "too many")
 
-    monkeypatch.setattr(upkeep, "socket", SimpleNamespace(socket=none))
-    assert kept.run(lambda: kept.connected(1.0))[0] == "unreachable"
-    kept.room.wait_for = lambda moving, seconds: waited.append((moving(), seconds))
-    kept.wait()
+    monkeypatch.setattr(managed_connection, "socket", SimpleNamespace(socket=none))
+    assert kept.run(lambda: kept.connect(1.0))[0] == "unreachable"
+    kept.condition.wait_for = lambda moving, seconds: waited.append((moving(), seconds))
+    kept.pause_before_retry()
     assert waited[0][0] is False and waited[0][1] > 0
 
 
@@ -324,8 +326,8 @@
     with ours, theirs:
         theirs.sendall(b"x")
         with pytest.raises(TimeoutError):
-            upkeep.read_until(ours, time.monotonic())
-        upkeep.read_until(ours, time.monotonic() + SOON)
+            managed_connection.read_until(ours, time.monotonic())
+        managed_connection.read_until(ours, time.monotonic() + SOON)
         assert ours.recv(1) == b"x"
 
 
@@ -370,7 +372,7 @@
     """A body that never ends would have it taken for silence, and the gateway come again sooner."""
     server = servers(Drip(b"HTTP/1.1 " + status + b"\r\n" + rest, b""))
     made, dispatcher = watch(server)
-    made.upkeep.random.uniform = lambda least, most: 0
+    made.connection.random.uniform = lambda least, most: 0
     run(made.run)
     until(lambda: dispatcher.failures, SOON)
     assert made.counters.read() == {"watches ended: unavailable": 1} and not dispatcher.lists
@@ -388,13 +390,15 @@
     until(lambda: dispatcher.taken == ["listed"], SOON)
 
     def late():
-        made.upkeep.length = upkeep.CROWDED  # as after too many callers there
+        made.connection.pause = (
+            managed_connection.MAX_CROWDED_PAUSE_SECONDS
+        )  # as after too many callers there
 
     dispatcher.gates["list_failed"] = once(late)
     made.move(address(new.address))
     until(lambda: dispatcher.taken == ["listed", "list_failed", "current"], SOON)
     assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.members) == ["a"]
-    assert dispatcher.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
+    assert dispatcher.balancer.ask_at is None and made.connection.pause == made.connection.min_pause
 
 
 # ---- SIGHUP and SIGTERM at the start, and SIGHUP after SIGHUP
@@ -460,7 +464,7 @@
         config = {"discovery": lists, "release_api": {"address": f"127.0.0.1:{dispatcher}"}}
         (tmp_path / "config.json").write_text(json.dumps(config))
         program.move(made, news, Quiet())
-        at_where.append((made.upkeep.address[1], news.upkeep.address[1]))
+        at_where.append((made.connection.address[1], news.connection.address[1]))
     assert at_where == [(3, 4)] * 4 + [(1, 2)]
 
 
@@ -478,7 +482,7 @@
     server.cut()
     until(lambda: dispatcher.failures, SOON)
     server.updates = server.updates[:1]
-    made.ask()
+    made.request_list()
     until(lambda: len(dispatcher.lists) == 3, SOON)
     assert dispatcher.lists == [["a", "b"], ["b"], []] and made.version == 3
 
@@ -502,7 +506,7 @@
         lambda id, where, since: pools.update({id: where}),
     )
     lines = [entry("a", server, state, build, since) for state, build, since in entries]
-    made.told(json.dumps({"version": 2, "full": whole, "servers": lines}).encode(), made.source)
+    made.process_update(json.dumps({"version": 2, "full": whole, "servers": lines}).encode(), made.source)
     members = dispatcher.balancer.members
     rows = {id: (one.build.number, one.started // 10**6) for id, one in members.items()}
     assert rows == ({"a": there} if there else {})
@@ -515,14 +519,14 @@
     made, dispatcher = watch(server)
     dispatcher.balancer = balancer(ask_for_list=True)
     dispatcher.gates["list_failed"] = once(lambda: over.wait(SOON))
-    made.upkeep.random.uniform = lambda least, most: 0
+    made.connection.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
     dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
     dispatcher.balancer.listed(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
     server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
-    made.ask()  # early: while the failure is not told yet
+    made.request_list()  # early: while the failure is not told yet
     over.set()
     until(lambda: ages and dispatcher.balancer.ask_at is None, SOON)
     assert ages == [True] and made.counters.read() == {"watches ended: unavailable": 1}
@@ -535,14 +539,14 @@
         listener.bind(address(server.address))
         made, dispatcher = watch(server)
         run(made.run)
-        assert made.tried.wait(SOON)
+        assert made.first_result.wait(SOON)
         until(lambda: dispatcher.failures, SOON)
         assert made.counters.read() == {"watches ended: refused": 1} and not dispatcher.lists
         server.tell(entry("a", server), full=True)
         server.listener = listener
         listener.listen()
         servers(server)
-        made.ask()  # as the balancer does in its time
+        made.request_list()  # as the balancer does in its time
         until(lambda: dispatcher.lists == [["a"]], SOON)
 
 
@@ -550,10 +554,10 @@
     """What discovery has counts as told from the first moment, though it had no time to tell it yet."""
     server = servers(Drip(b"HTTP/1.1 503 Busy\r\n", b""))
     made, dispatcher = watch(server)
-    made.upkeep.random.uniform = lambda least, most: 0
+    made.connection.random.uniform = lambda least, most: 0
     run(made.run)
     until(lambda: dispatcher.failures, SOON)
-    assert not made.tried.is_set()
+    assert not made.first_result.is_set()
     server.head = CHUNKED + b"2d\r\n" + b'{"version": 9, "full": true, "servers": []}\r\n\r\n'
-    made.ask()
-    assert made.tried.wait(SOON) and dispatcher.lists == [[]]
+    made.request_list()
+    assert made.first_result.wait(SOON) and dispatcher.lists == [[]]
--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -202,12 +202,12 @@
 
 
 class Door:
-    """A dispatcher of which only `tell` is asked."""
+    """A dispatcher that has only `handle`."""
 
     def __init__(self, deaf=False):
         self.deaf = deaf
 
-    def tell(self, happened, *values):
+    def handle(self, happened, *values):
         if not self.deaf:
             happened(NOW, *values)
 
@@ -216,7 +216,7 @@
     def __init__(self, told):
         self.told, self.merge = told, None
 
-    def put(self, now, lines, addresses, whole, fresh):
+    def publish(self, now, lines, addresses, whole, fresh):
         self.told += lines
 
 
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -12,14 +12,14 @@
 from helpers import MS, request
 
 from lemonlead import interface as at
-from lemonlead.gateway import upkeep
+from lemonlead.gateway import managed_connection
 from lemonlead.gateway.buffer import Malformed
 from lemonlead.gateway.clients import Client, Server
 from lemonlead.gateway.config import now
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.dispatcher import Dispatcher
-from lemonlead.gateway.instances import Connection, Instances, Pool, Trip, passed_on
+from lemonlead.gateway.instances import Connection, Instances, Pool, AttemptInFlight, passed_on
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.server import until
@@ -56,9 +56,11 @@
     asked = request(now=now())
     attempt = at.Attempt(asked, 0, made.balancer.members["i0"], now())
     asked.attempts.append(attempt)
-    made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
+    made.pending_requests[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
     made.balancer.members["i0"].out[attempt] = None
-    under_way = made.instances.trips[attempt] = Trip(attempt, pool, WORDS, now() + left)
+    under_way = made.instances.attempts_in_flight[attempt] = AttemptInFlight(
+        attempt, pool, WORDS, now() + left
+    )
     pool.unused.append(connection)
     made.instances.open += 1
     return under_way, theirs
@@ -67,16 +69,18 @@
 def test_an_input_and_its_decisions_share_one_moment():
     made = dispatcher()
     seen = []
-    made.instances = SimpleNamespace(trip=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in))
+    made.instances = SimpleNamespace(
+        prepare=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in)
+    )
     asked = request(now=0)
     asked.deadline = now() + 5000 * MS
-    made.tell(made.request_arrived, SimpleNamespace(words=WORDS), asked)
+    made.handle(made.request_arrived, SimpleNamespace(words=WORDS), asked)
     assert seen == [asked.work]  # the module knows a new request by its moment, and counts its work once
 
 
 def test_a_fault_of_the_balancer_does_not_end_the_thread_that_met_it():
     made = dispatcher()
-    made.tell(lambda moment: 1 // 0)
+    made.handle(lambda moment: 1 // 0)
     assert made.counters.read()["faults"] == 1
 
 
@@ -146,7 +150,7 @@
     under_way, theirs = trip(made)
     asked = under_way.attempt.request
     if spoil == "over":
-        del made.asks[asked]
+        del made.pending_requests[asked]
     elif spoil == "drained":
         made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.DRAINING, 1.0, 0)], False, True)
     elif spoil == "late":
@@ -226,12 +230,12 @@
 def test_a_thread_pool_does_all_at_once_and_keeps_no_more_threads_than_its_work_takes():
     thread_pool, gate, done = ThreadPool(), threading.Barrier(5), []
     for _ in range(4):
-        thread_pool.do(gate.wait)
+        thread_pool.submit(gate.wait)
     gate.wait(60)  # none waited for another
     until(lambda: len(thread_pool.free) == 4)
 
     def one_is_left():  # though work goes on coming, one piece at a time
-        thread_pool.do(lambda: done.append(threading.get_ident()))
+        thread_pool.submit(lambda: done.append(threading.get_ident()))
         until(lambda: thread_pool.free)
         return len(thread_pool.free) == 1
 
@@ -316,9 +320,9 @@
     config = SimpleNamespace(start=started(SETTINGS, 7, now()), discovery=None, zones={}, kinds={})
     made.discovery = discovery = Discovery(config, made, Quiet(), made.counters)
     with pytest.raises(Malformed):
-        discovery.told(text.encode(), None)
+        discovery.process_update(text.encode(), None)
     assert list(made.balancer.members) == ["i0"] and not made.instances.pools and discovery.version == -1
-    discovery.told(json.dumps({"version": 5, "full": True, "servers": [ENTRY]}).encode(), None)
+    discovery.process_update(json.dumps({"version": 5, "full": True, "servers": [ENTRY]}).encode(), None)
     assert list(made.balancer.members) == ["i1"] == list(made.instances.pools)
 
 
@@ -326,13 +330,13 @@
 def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
     told, dispatcher = [], SimpleNamespace(request_turned_away="away", request_arrived="arrived", TWICE=b"-")
-    dispatcher.tell = lambda happened, *_: told.append(happened)
+    dispatcher.handle = lambda happened, *_: told.append(happened)
     server = Server(config, dispatcher, None, Quiet(), Counters())
     server.request = lambda *_: request()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
     for other in others[: waiting - 1]:
-        other.asks.append(None)
+        other.pending_requests.append(None)
     server.clients = set(clients)
     client.take(WORDS)
     assert told == ["away" if crowded else "arrived"]
@@ -353,14 +357,14 @@
 
 @pytest.mark.parametrize("crowded, longest", [(False, 1.0), (True, 16.0)])
 def test_who_finds_too_many_callers_comes_ever_less_often_until_it_gets_through(crowded, longest):
-    kept, waited = upkeep.Upkeep(("127.0.0.1", 1), 7, 0.05, 1.0), []
-    kept.room.wait_for = lambda moving, seconds: waited.append(seconds)
+    kept, waited = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0), []
+    kept.condition.wait_for = lambda moving, seconds: waited.append(seconds)
     for _ in range(12):
-        kept.wait(crowded)
+        kept.pause_before_retry(crowded)
     assert longest / 2 <= waited[-1] <= longest and max(waited) <= longest
     assert not crowded or waited[0] >= 1.0
-    kept.worked()
-    kept.wait()
+    kept.reset_pause()
+    kept.pause_before_retry()
     assert waited[-1] <= 0.05
 
 
@@ -369,8 +373,8 @@
     turn, also those given up meanwhile: 0.15 s a call, 2 s until one is given up."""
     chances, free, through, queue = random.Random(3), 0.0, 0, []
     for number in range(calls):
-        kept = upkeep.Upkeep(("127.0.0.1", 1), number, 0.05, 1.0)
-        kept.room.wait_for = lambda moving, seconds, kept=kept: setattr(kept, "waited", seconds)
+        kept = managed_connection.ManagedConnection(("127.0.0.1", 1), number, 0.05, 1.0)
+        kept.condition.wait_for = lambda moving, seconds, kept=kept: setattr(kept, "waited", seconds)
         queue.append((chances.random() * 0.1, number, kept))
     heapq.heapify(queue)
     while queue and queue[0][0] < 60:
@@ -379,7 +383,7 @@
         if free - moment <= 2.0:
             through += 1
             continue
-        kept.wait(grows)
+        kept.pause_before_retry(grows)
         heapq.heappush(queue, (moment + 2.0 + 0.6 + kept.waited, number, kept))
     return through
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -596,9 +596,9 @@
 def test_it_leaves_after_its_last_attempt_and_is_waited_for_no_more(ledger):
     ran = ledger.follow()
     ledger.acknowledged("g0", 3)
-    ran.dispatcher.instances.trips["an attempt"] = object()
+    ran.dispatcher.instances.attempts_in_flight["an attempt"] = object()
     assert not ran.follower.leave(0) and "g0" in ledger.parts["followers"]
-    ran.dispatcher.instances.trips.clear()
+    ran.dispatcher.instances.attempts_in_flight.clear()
     assert ran.follower.leave(0) and "g0" not in ledger.parts["followers"]
 
 
@@ -645,9 +645,9 @@
         self.truth = {}  # (cluster, index): nodes with a permit
         where = SimpleNamespace(name="g0", start=SimpleNamespace(seed=7))
         members = {"members": {"m1": "127.0.0.1:1", "m2": "127.0.0.1:2"}}
-        dispatcher = SimpleNamespace(tell=lambda function, news: function(NOW, news))
+        dispatcher = SimpleNamespace(handle=lambda function, news: function(NOW, news))
         self.follower = driver.Follower(where, members, dispatcher, Log(), Counters())
-        self.follower.discovery = SimpleNamespace(put=lambda *told: None)
+        self.follower.discovery = SimpleNamespace(publish=lambda *told: None)
         self.follower.merge.listed([line(id) for id in NAMES], {}, True)
         self.follower.exchange = lambda ask: self.answer
         self.seen()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -157,7 +157,7 @@
     """Seen on `disco+rate`, seed 87, on two cores beside load: BROKEN: drain, 25 times, the first 0.57 s
     after the news was written. The process had no time to read it, and went on sending meanwhile. Here the
     thread that has read the news is held before it tells them, while requests come."""
-    put, held, go = discoveries.Discovery.told, threading.Event(), threading.Event()
+    put, held, go = discoveries.Discovery.process_update, threading.Event(), threading.Event()
     first, second = (InstanceServer().start() for _ in range(2))
 
     def told(self, text, source):
@@ -166,7 +166,7 @@
             assert go.wait(60)
         return put(self, text, source)
 
-    monkeypatch.setattr(discoveries.Discovery, "told", told)
+    monkeypatch.setattr(discoveries.Discovery, "process_update", told)
     source = DiscoveryServer().start()
     with watching(tmp_path, source, first, second) as ran:
         until(lambda: source.asked)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -106,7 +106,7 @@
 )
 def test_a_body_is_read_by_lines_however_it_is_split(data, status, lines):
     for pieces in splits(data):
-        answer = http.Answer()
+        answer = http.Response()
         assert fed(answer, pieces, http.MORE) == [*lines, http.END] and answer.status == status
 
 
@@ -130,7 +130,7 @@
 )
 def test_an_answer_that_breaks_http_is_said_to(data):
     with pytest.raises(http.Malformed):
-        fed(http.Answer(), [data], http.MORE)
+        fed(http.Response(), [data], http.MORE)
 
 
 def test_the_platforms_lines_are_read_however_they_are_split():
@@ -199,7 +199,7 @@
     for _ in range(20_000):
         line = bytes(chance.choices(b'"{}[]\\ab ', k=chance.randrange(1, 14)))
         bare = re.sub(rb'"(?:[^"\\]|\\.)*"', b"", line)
-        objects = http.Objects()
+        objects = http.JsonObjects()
         objects.add(b"{" * 20)  # so that it stays open
         objects.add(line)
         assert objects.depth == 20 + sum(map(bare.count, b"{[")) - sum(map(bare.count, b"}]"))
@@ -208,7 +208,7 @@
 def test_a_large_list_takes_little_more_than_itself_to_find_its_end():
     servers = [{"id": f"s-{n}", "addr": "127.0.0.1:7000", "cell": n, "state": "up"} for n in range(2000)]
     text = json.dumps({"version": 2, "full": True, "servers": servers}).encode()
-    objects = http.Objects()
+    objects = http.JsonObjects()
     tracemalloc.start()
     try:
         assert objects.add(text) == text
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -113,7 +113,7 @@
     def listed(self, id, where, started):
         self.pools[id] = where
 
-    def trip(self, attempt, id, words, until):
+    def prepare(self, attempt, id, words, until):
         return attempt, id
 
     def start(self, trip):
@@ -122,11 +122,11 @@
 
     def carry(self, attempt, id):
         if not self.dispatcher.may_begin(attempt):
-            return self.dispatcher.tell(self.dispatcher.attempt_ended, attempt, at.NOT_SENT, None)
+            return self.dispatcher.handle(self.dispatcher.attempt_ended, attempt, at.NOT_SENT, None)
         self.attempts.append((self.now, id, id.startswith("f")))
         end, took = self.works(id, self.rng)
         self.at(
-            self.now + took, lambda: self.dispatcher.tell(self.dispatcher.attempt_ended, attempt, end, b"v")
+            self.now + took, lambda: self.dispatcher.handle(self.dispatcher.attempt_ended, attempt, end, b"v")
         )
 
     def cancel(self, attempt):
@@ -140,7 +140,7 @@
             return self.real.append(told)
         self.votes.append(told[0])
         number = len(self.votes)
-        self.at(self.now + 5 * MS, lambda: self.dispatcher.tell(self.service.voted, number, at.COUNTED))
+        self.at(self.now + 5 * MS, lambda: self.dispatcher.handle(self.service.voted, number, at.COUNTED))
         return number
 
     # ---- what happens
@@ -151,30 +151,30 @@
     def list(self, lines, whole=False):
         self.version += 1
         told = lines, {one.id: (("127.0.0.1", 1), one.started) for one in lines}, whole, True
-        self.dispatcher.tell(self.dispatcher.discovery.listed, self.version, *told)
+        self.dispatcher.handle(self.dispatcher.discovery.listed, self.version, *told)
 
     def hear(self, *moves, name="m"):
         """Each record as an entry; once this is back it is obeyed, and acknowledged."""
         for move in moves:
             self.index += 1
             news = News(self.index, [("moves", name, move)], (), 0)
-            self.clocked(self.dispatcher.tell, lambda now, news=news: self.obey(now, news))
+            self.clocked(self.dispatcher.handle, lambda now, news=news: self.obey(now, news))
         return self
 
     def obey(self, now, news):
         told = self.service.heard(now, news)
         if told is not None and told[0]:
-            self.dispatcher.discovery.put(now, *told, False, False)
+            self.dispatcher.discovery.publish(now, *told, False, False)
 
     def platform(self, number, stage, phase, cap):
-        self.clocked(self.dispatcher.tell, self.dispatcher.stage_told, number, stage, phase, cap, 0)
+        self.clocked(self.dispatcher.handle, self.dispatcher.stage_told, number, stage, phase, cap, 0)
 
     def ask(self, number):
         only, until = self.config.start.request_classes[0], self.now + 4 * SECOND
         request = at.Request(number, only, 0, number, self.now, until, 20 * MS)
         ask = SimpleNamespace(client=SimpleNamespace(flush=lambda: None), words=[b""] * 4, answer=None)
         self.asked.append(ask)
-        self.dispatcher.tell(self.dispatcher.request_arrived, ask, request)
+        self.dispatcher.handle(self.dispatcher.request_arrived, ask, request)
 
     def run(self, seconds, rate=100):
         """Requests at this rate for so long, and what follows from them."""
@@ -189,7 +189,7 @@
             if rate:
                 self.ask(len(self.asked))
             else:
-                self.dispatcher.tell(lambda now: None)
+                self.dispatcher.handle(lambda now: None)
         return self
 
     def verdicts(self):
@@ -304,10 +304,10 @@
     whole = ("nodes", "permits", "moves")
     for cluster, moves in (("a", [("moves", "m", record(share=900, epoch=90))]), ("b", [])):
         news = News(1, moves, whole, 0, cluster)
-        ran.clocked(ran.dispatcher.tell, lambda now, news=news: ran.obey(now, news))
+        ran.clocked(ran.dispatcher.handle, lambda now, news=news: ran.obey(now, news))
     assert ran.sides.share() == 900
     news = News(2, [("moves", "n", record("asked", -1, 0, epoch=2))], (), 0, "b")
-    ran.clocked(ran.dispatcher.tell, lambda now: ran.obey(now, news))
+    ran.clocked(ran.dispatcher.handle, lambda now: ran.obey(now, news))
     assert ran.sides.share() == 0 and not any(ran.run(0.5).far())
 
 
@@ -467,7 +467,7 @@
 
 
 def cast(ran, verdict, stage=1, epoch=7):
-    ran.dispatcher.tell(lambda now: ran.dispatcher.vote(FIRST + epoch, stage, verdict))
+    ran.dispatcher.handle(lambda now: ran.dispatcher.vote(FIRST + epoch, stage, verdict))
 
 
 def test_once_a_move_back_is_acknowledged_no_far_instance_may_be_sent_to(ledger, ran):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -21,13 +21,13 @@
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
-from lemonlead.gateway import resp, upkeep
+from lemonlead.gateway import resp, managed_connection
 from lemonlead.gateway.clients import Client
 from lemonlead.gateway.config import address
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.dispatcher import Dispatcher as DispatcherOfGateway
-from lemonlead.gateway.http import Objects
+from lemonlead.gateway.http import JsonObjects
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.planning import fleet
 from lemonlead.standins import clients
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("indent", [None, 0, 2, "\t"])
 def test_lists_are_read_however_they_are_indented(indent):
-    objects, text = Objects(), json.dumps(LIST, indent=indent).encode()
+    objects, text = JsonObjects(), json.dumps(LIST, indent=indent).encode()
     lines = [b"", *text.split(b"\n"), b"", b"  ", *text.split(b"\n")]
     told = [json.loads(whole) for whole in map(objects.add, lines) if whole]
     assert told == [LIST, LIST] and not objects.lines
@@ -99,7 +99,7 @@
         listed=lambda now, lines, whole, fresh: lists.append([row.id for row in lines]),
         list_failed=lambda now, current: failures.append(now),
     )
-    dispatcher.tell = lambda happened, *values: happened(NOW, *values)
+    dispatcher.handle = lambda happened, *values: happened(NOW, *values)
     return Discovery(config, dispatcher, Quiet(), Counters()), lists, failures
 
 
@@ -107,7 +107,7 @@
     """The same at work, in a thread of its own."""
     made, lists, failures = driver(where)
     threading.Thread(target=made.run, daemon=True).start()
-    made.ask()
+    made.request_list()
     return made, lists, failures
 
 
@@ -122,7 +122,7 @@
     until(lambda: failures)
     assert made.counters.read() == {"lists told": 1, "watches ended: silent": 1}
     server.silent.clear()
-    made.ask()  # as the balancer does in its time
+    made.request_list()  # as the balancer does in its time
     until(lambda: lists == [["a"], ["b"]])
     assert server.asked[-1] == "/api/targets?stream=1&index=2"
     server.close()
@@ -133,7 +133,7 @@
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
     until(lambda: lists == [[]])
-    assert made.counters.read() == {} and made.tried.is_set() and not failures
+    assert made.counters.read() == {} and made.first_result.is_set() and not failures
     server.close()
 
 
@@ -159,9 +159,9 @@
     """The pauses, in seconds, after so many failures in a row, each as long as chance may make it."""
     kept.random.uniform = lambda least, most: most
     waited = []
-    kept.room.wait_for = lambda moving, seconds: waited.append(seconds)
+    kept.condition.wait_for = lambda moving, seconds: waited.append(seconds)
     for _ in range(count):
-        kept.wait(crowded)
+        kept.pause_before_retry(crowded)
     return waited
 
 
@@ -179,8 +179,8 @@
 
 def test_what_a_silent_watch_missed_is_asked_for_within_six_seconds():
     made, *_ = driver()
-    made.upkeep.worked()  # it had told a list before
-    assert drivers.SILENCE + pauses(made.upkeep, False)[0] + asks_anew() < 5.7  # the rest is for the way
+    made.connection.reset_pause()  # it had told a list before
+    assert drivers.SILENCE + pauses(made.connection, False)[0] + asks_anew() < 5.7  # the rest is for the way
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
@@ -188,7 +188,7 @@
     """Milliseconds told for asking: four times that from a call that failed, after two seconds at most; and
     from the start until the first call."""
     made, *_ = driver(within=within)
-    longest = max(pauses(made.upkeep, True) + pauses(made.upkeep, False))
+    longest = max(pauses(made.connection, True) + pauses(made.connection, False))
     assert 2.0 + longest + asks_anew() <= 4 * within / 1e3
     rules = dict(now=NOW, balancers=200, ask_for_list=True, ask_within=within * MS)
     firsts = [Balancer(at.Start(seed=seed, **rules)).ask_at for seed in range(200)]
@@ -199,7 +199,7 @@
     full, server = Full().start(), DiscoveryServer().start()
     made, lists, _ = watching(full.address)
     server.tell(entry("a", server), full=True, version=2)
-    made.upkeep.length = upkeep.CROWDED
+    made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
     made.move(address(server.address))
     until(lambda: lists == [["a"]], 4)  # what is told there counts from then on
@@ -232,7 +232,7 @@
             ask.answer = resp.bulk(ask.words[1] * 400_000)
             client.flush()
 
-        gateway_server.dispatcher.tell = answer
+        gateway_server.dispatcher.handle = answer
         yield client, theirs
 
 
@@ -462,7 +462,7 @@
     )
     asked = request()
     asked.attempts = [at.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
-    made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
+    made.pending_requests[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
     made.abort(asked)
     assert made.counters.read().get("aborted unsent", 0) == counted
 
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -10,13 +10,13 @@
 from helpers import MS, NOW, Dispatcher, balancer, line, request, request_class, sent
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
-from lemonlead.gateway import upkeep
-from lemonlead.gateway.config import UNHEARD, now
+from lemonlead.gateway import managed_connection
+from lemonlead.gateway.config import MAX_LIST_DELAY_NS, now
 from lemonlead.records import Member
 from test_standing import driver
 
 pytestmark = pytest.mark.parallel
-TOLD = {"ask_for_list": True, "unheard_time": UNHEARD, "balancers": 100}
+TOLD = {"ask_for_list": True, "unheard_time": MAX_LIST_DELAY_NS, "balancers": 100}
 
 
 def chosen(made, moment, id=9):
@@ -130,24 +130,24 @@
         made, _, _ = driver()
         ages = []
         made.dispatcher.balancer.list_failed = lambda moment, held, ages=ages: ages.append(now() - held)
-        made.heard = now() - 7000 * MS
-        made.watched = watched
-        made.wanted.set()
+        made.current_as_of = now() - 7000 * MS
+        made.watch_started = watched
+        made.list_requested.set()
 
         def over(*_, crowded=None):
             raise StopIteration
 
-        made.upkeep.run = lambda work, reason=reason: (reason, "")
-        made.upkeep.wait = over
+        made.connection.run = lambda work, reason=reason: (reason, "")
+        made.connection.pause_before_retry = over
         with pytest.raises(StopIteration):
             made.run()
         assert age <= ages[0] / MS < age + 1000, reason
     made, _, _ = driver()
-    made.heard = now()
+    made.current_as_of = now()
     made.dispatcher.balancer.list_failed = lambda moment, held: ages.append(now() - held)
-    made.wanted.set()
-    made.upkeep.run = lambda work: ("moved", "")
-    made.upkeep.wait = over
+    made.list_requested.set()
+    made.connection.run = lambda work: ("moved", "")
+    made.connection.pause_before_retry = over
     with pytest.raises(StopIteration):
         made.run()
     assert 2000 <= ages[-1] / MS < 3000
@@ -197,8 +197,8 @@
         gateway = self.gateways[number] = SimpleNamespace(
             number=number, made=self.kind(start), up=True, pools={}, pause_until=0, calls=False
         )
-        gateway.upkeep = upkeep.Upkeep(("127.0.0.1", 1), number, 0.05, 1.0, 10.0)
-        gateway.upkeep.room.wait_for = lambda moving, seconds: setattr(gateway, "pause", seconds)
+        gateway.connection = managed_connection.ManagedConnection(("127.0.0.1", 1), number, 0.05, 1.0, 10.0)
+        gateway.connection.condition.wait_for = lambda moving, seconds: setattr(gateway, "pause", seconds)
         lines = [line(id, started=0 if first else self.now - 9000 * MS) for id in self.ids]
         gateway.made.listed(self.now, lines, True, False)
         if first:  # its watch ended as discovery went down
@@ -240,8 +240,8 @@
     def attempt(self, gateway, attempt):
         id, since = attempt.instance.id, self.now - NOW
         self.sent += 1
-        told = id in self.gone and since > self.DOWN + UNHEARD + self.GRACE
-        if id in self.back and since > self.AGAIN + UNHEARD or gateway.number in self.told_at:
+        told = id in self.gone and since > self.DOWN + MAX_LIST_DELAY_NS + self.GRACE
+        if id in self.back and since > self.AGAIN + MAX_LIST_DELAY_NS or gateway.number in self.told_at:
             told = False  # its return counts as told too, or it goes by what it was told
         if told:
             self.breaks.append((since // MS, gateway.number, id))
@@ -280,7 +280,7 @@
         if gateway.up and gateway is self.gateways[gateway.number]:
             gateway.calls = False
             gateway.made.list_failed(self.now, 0)
-            gateway.upkeep.wait(crowded=True)
+            gateway.connection.pause_before_retry(crowded=True)
             gateway.pause_until = self.now + int(gateway.pause * 1e9)
             self.turn(gateway)
 
