--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from lemonlead.ledger import capacity, followers, seating
+from lemonlead.ledger import capacity, followers, membership
 from lemonlead.ledger.dispatcher import Dispatcher
-from lemonlead.ledger.records import Kept, Seat, Told
+from lemonlead.ledger.records import ConfiguredMember, ReplicaConfig, StoredState
 from lemonlead.ledger.state import Ledger
 
 SIZES, CHANGES, ROUNDS, NODES = (1, 10, 100, 500), 30, 5, 1000
@@ -40,18 +40,18 @@
     def nothing(self, *_):
         pass
 
-    send = send_part = take_part = readable = snapshot = call = nothing
+    send = send_chunk = receive_chunk = readable = snapshot = call = nothing
 
 
 class World:
     def __init__(self, gateways):
-        rules = {**capacity.RULES, **followers.RULES, **seating.RULES}
-        kinds = {**capacity.KINDS, **followers.KINDS, **seating.KINDS}
+        rules = {**capacity.RULES, **followers.RULES, **membership.RULES}
+        kinds = {**capacity.KINDS, **followers.KINDS, **membership.KINDS}
         ledger = Ledger(rules, kinds, followers.INNER)
-        state, base = seating.formed({"g1": Seat("h:1", "f1")}, seating.Terms())
-        told = Told(cluster="c", name="g1", folder="f1", seed=1)
+        state, base = membership.formed({"g1": ConfiguredMember("h:1", "f1")}, membership.LedgerSettings())
+        told = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
-        self.dispatcher = Dispatcher(told, Kept(term=1, base=base), ledger, state, self.now)
+        self.dispatcher = Dispatcher(told, StoredState(term=1, base=base), ledger, state, self.now)
         while self.dispatcher.replica.role != "leader":
             self.now = max(self.dispatcher.wake_at(), self.now + MS)
             self.settle()
@@ -65,7 +65,7 @@
         self.again()
 
     def settle(self):
-        self.dispatcher.told_time(self.now, self.now // MS)
+        self.dispatcher.set_clocks(self.now, self.now // MS)
         while True:
             while self.dispatcher.decide(self.now, self.door):
                 pass
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -30,9 +30,9 @@
 import msgspec
 
 from benchmarks.callers import Caller, Load, load
-from lemonlead.ledger.records import COMMAND, Base, Entry, Seat, Write
-from lemonlead.ledger.seating import formed
-from lemonlead.ledger.state import Terms
+from lemonlead.ledger.membership import formed
+from lemonlead.ledger.records import COMMAND, ConfiguredMember, Entry, SnapshotBase, Write
+from lemonlead.ledger.state import LedgerSettings
 from lemonlead.member import whole
 from lemonlead.member.disk import open_folder
 from lemonlead.standins.members import Cluster, until
@@ -64,13 +64,13 @@
 def holding(seats, records, ids=False):
     """A state of so many reservations, and its base."""
     ledger = whole.ledger()
-    state, _ = formed(seats, Terms())
+    state, _ = formed(seats, LedgerSettings())
     node = b'{"id":"","kind":"node","node":"n1","site":"louis","units":1000000000}'
     state, _ = ledger.apply(state, Entry(2, 1, COMMAND, 2, 1, node))
     for entry in entries(3, records, ids=ids):
         state, applied = ledger.apply(state, entry)
         assert applied.code == 200, applied.body
-    return ledger, state, Base(state.index, 1, dict(seats), state.moment)
+    return ledger, state, SnapshotBase(state.index, 1, dict(seats), state.moment)
 
 
 def filled(folder, names, records, ids=False, log=0):
@@ -78,7 +78,7 @@
     covers yet."""
     cluster = Cluster(folder, names, times=TOLD)
     folders = {name: open_folder(cluster.data(name)) for name in names}
-    seats = {name: Seat(cluster.addresses[name], folders[name].id) for name in names}
+    seats = {name: ConfiguredMember(cluster.addresses[name], folders[name].id) for name in names}
     ledger, state, base = holding(seats, records, ids)
     for name, one in folders.items():
         one.form("bench", name, base, ledger.pieces(state), cluster.cluster)
@@ -341,7 +341,7 @@
 
 def held(told):
     rounds, found, clusters = told.count or 7, {}, {}
-    seat = {"g1": Seat("127.0.0.1:1", "f1")}
+    seat = {"g1": ConfiguredMember("127.0.0.1:1", "f1")}
     pure = alone({records: holding(seat, records)[:2] for records in HELD})
     with contextlib.ExitStack() as ends:
         for records in HELD:
--- a/benchmarks/ledger_disk.py
+++ b/benchmarks/ledger_disk.py
@@ -15,7 +15,7 @@
 import tracemalloc
 from pathlib import Path
 
-from lemonlead.ledger.records import Base, Entry, Seat, Write
+from lemonlead.ledger.records import ConfiguredMember, Entry, SnapshotBase, Write
 from lemonlead.member.disk import open_folder
 
 GROUPS = (1, 8, 64, 512)
@@ -30,7 +30,9 @@
     def __init__(self, path, held=0):
         self.path, self.last = path, 1
         self.folder = open_folder(path)
-        self.folder.form("c1", "g1", Base(1, 1, {"g1": Seat("127.0.0.1:7101", "f1")}), [b"{}\n"])
+        self.folder.form(
+            "c1", "g1", SnapshotBase(1, 1, {"g1": ConfiguredMember("127.0.0.1:7101", "f1")}), [b"{}\n"]
+        )
         while held:
             self.put(min(held, 1000))
             held -= min(held, 1000)
@@ -109,7 +111,7 @@
     """Seconds of puts of 8, alone and while a snapshot is written: each put waits for one step of it."""
     filled = Filled(place / "stalls", 10_000)
     alone = [filled.put(8) for _ in range(200)]
-    during, steps = [], filled.folder.snapshot(Base(filled.last, 1), pieces(RECORDS))
+    during, steps = [], filled.folder.snapshot(SnapshotBase(filled.last, 1), pieces(RECORDS))
     began, more = time.perf_counter(), True
     while more:
         before = time.perf_counter()
@@ -120,7 +122,7 @@
     filled.folder.close()
     at_once = Filled(place / "at once", 10_000)
     began = time.perf_counter()
-    for _ in at_once.folder.snapshot(Base(at_once.last, 1), pieces(RECORDS)):
+    for _ in at_once.folder.snapshot(SnapshotBase(at_once.last, 1), pieces(RECORDS)):
         pass
     plain = time.perf_counter() - began
     at_once.folder.close()
--- a/benchmarks/slopes/control.py
+++ b/benchmarks/slopes/control.py
@@ -76,7 +76,7 @@
         cluster = ends.enter_context(ledger.filled(Path(folder) / "records", ["g1"], size))
         ledger.started(cluster)
         memory = ledger.resident(cluster.processes["g1"])
-    code, state, _ = ledger.holding({"g1": ledger.Seat("127.0.0.1:1", "f1")}, size)
+    code, state, _ = ledger.holding({"g1": ledger.ConfiguredMember("127.0.0.1:1", "f1")}, size)
     pieces = sum(map(len, code.pieces(state)))
     took = min(spent(1, lambda n: sum(map(len, code.pieces(state)))) for _ in range(3))
     return {"member memory": memory / 1e6, "member snapshot": pieces, "member snapshot CPU": took * 1e3}
--- a/lemonlead/distribution/course.py
+++ b/lemonlead/distribution/course.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..ledger.waits import Waits
+from ..ledger.backoff import Backoff
 
 MS = 1_000_000
 SHORTEST, LONGEST = 50 * MS, 2000 * MS  # waits after failures; half to the whole of it
@@ -28,7 +28,7 @@
         """`members`: name to host:port."""
         self.members, self.order = dict(members), sorted(members)
         random.Random(seed).shuffle(self.order)
-        self.waits = Waits(seed, SHORTEST, LONGEST)
+        self.waits = Backoff(seed, SHORTEST, LONGEST)
         self.turn, self.not_before = 0, now
         self.at, self.heard = 0, now  # up to where all is had; when the ledger last spoke
         self.cluster, self.gone = "", deque(maxlen=MOST_LEFT)
--- a/lemonlead/distribution/told.py
+++ b/lemonlead/distribution/told.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from .. import settings
-from ..ledger.seating import MOST_SEATED
+from ..ledger.membership import MOST_SEATED
 from ..member.told import ALLOWED, address_fault, inside
 from .faults import Unfit
 
--- a/lemonlead/drains/duty.py
+++ b/lemonlead/drains/duty.py
@@ -1,5 +1,5 @@
-"""What a leader proposes for drains, one command at a time (a `ledger.dispatcher.Duty`). All that counts is
-in the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
+"""What a leader proposes for drains, one command at a time (a `ledger.dispatcher.LeaderTask`). All that
+counts is in the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
 from . import ground
@@ -56,9 +56,9 @@
 class Drains:
     def __init__(self, late=LATE):
         self.late = late
-        self.took_office(0)
+        self.became_leader(0)
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.seen, self.look, self.ask, self.wake = None, 0, 0, NEVER
         self.index, self.at = -1, now  # the last entry seen, and when
         self.held_until = 0  # the ledger's time up to which a wave is kept back, unless something changes
@@ -374,7 +374,7 @@
     """What a node that is out would bear were it taken back."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
-    return int(node.units * state.terms.cold_share) if node.warm > moment else node.units
+    return int(node.units * state.settings.cold_share) if node.warm > moment else node.units
 
 
 def told_of(plan, state, running, wall_ms, moment, late):
--- a/lemonlead/drains/ground.py
+++ b/lemonlead/drains/ground.py
@@ -30,7 +30,7 @@
 
 def sums(held, moment, only=None):
     """Site to its Sums; `only`: these sites."""
-    loads, gangs, permits, terms = held.part("loads"), held.part("gangs"), held.part("permits"), held.terms
+    loads, gangs, permits, terms = held.part("loads"), held.part("gangs"), held.part("permits"), held.settings
     found = {}
     for name, node in held.part("nodes").items():
         if only is not None and node.site not in only:
@@ -99,8 +99,8 @@
         by_site.setdefault(nodes[name].site, []).append(name)
     for site in sorted(touched):
         of, here = found[site], by_site.get(site, ())
-        left = of.bears - sum(bears(nodes[name], moment, held.terms) for name in here)
+        left = of.bears - sum(bears(nodes[name], moment, held.settings) for name in here)
         if left < of.need:
             yield SiteShort(f"site {site} would bear {left} units, {of.need} are promised")
-        if of.away + len(here) > of.most_away(held.terms) and of.permitted + len(here) > 1:
+        if of.away + len(here) > of.most_away(held.settings) and of.permitted + len(here) > 1:
             yield SiteShareTaken(f"site {site} would have {of.away + len(here)} of {of.nodes} nodes away")
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -261,7 +261,7 @@
 def unacted(draft, command, held):
     """Whether a node that serves can no longer act on a permit taken back: it has seen that, or what it
     knew of it is older than any lease."""
-    ran_out = held.moment + draft.terms.lease + draft.terms.grace
+    ran_out = held.moment + draft.settings.lease + draft.settings.grace
     return command.seen >= held.at or draft.moment >= ran_out
 
 
@@ -341,7 +341,7 @@
 def back(draft, name, held):
     """A node that was away serves again, cold; it is done for the drains that its time away served."""
     if draft.get("nodes", name).out:
-        change_node(draft, name, warm=draft.moment + draft.terms.cold)
+        change_node(draft, name, warm=draft.moment + draft.settings.cold)
     go(draft, name)
     for one in held.serves:
         if one in draft.part("wants").get(name, ()):
@@ -369,7 +369,7 @@
     for name, count in groups.items():
         waves = max(waves, -(-count // max(1, len(rows[name].nodes) - rows[name].quorum)))
     for site, count in sites.items():
-        waves = max(waves, -(-count // max(1, int(draft.terms.site_share * sizes[site]))))
+        waves = max(waves, -(-count // max(1, int(draft.settings.site_share * sizes[site]))))
     return max(draft.wall_ms, deadline_ms - waves * WAVE_MS)
 
 
--- a/lemonlead/drains/view.py
+++ b/lemonlead/drains/view.py
@@ -109,7 +109,7 @@
 
     def recap(self, state, limits):
         """Caps of the limits that may have moved; `limits` gets those that did."""
-        sites, terms = state.part("sites"), state.terms
+        sites, terms = state.part("sites"), state.settings
         if sites is not self.sites:
             for site, sums in sites.items():
                 old = self.sites.get(site, NO_SITE)
--- a/lemonlead/ledger/waits.py
+++ b/lemonlead/ledger/backoff.py
@@ -4,7 +4,7 @@
 import random
 
 
-class Waits:
+class Backoff:
     """`first` and `most`: nanoseconds."""
 
     def __init__(self, seed, first, most):
--- a/lemonlead/ledger/capacity.py
+++ b/lemonlead/ledger/capacity.py
@@ -106,11 +106,11 @@
     return node.state in (SERVING, CATCHING_UP) and not node.out
 
 
-def bears(node, moment, terms):
+def bears(node, moment, settings):
     """Units that it bears at this ledger moment: a cold one its share."""
     if not up(node):
         return 0
-    return int(node.units * terms.cold_share) if node.warm > moment else node.units
+    return int(node.units * settings.cold_share) if node.warm > moment else node.units
 
 
 def site_free(draft, site):
@@ -152,7 +152,7 @@
         more = lacks(draft, after) - (lacks(draft, before) if before.warm == after.warm else 0)
     out, cold = away.out + bool(after.out) - bool(before.out), away.cold
     if more > 0:
-        step = max(1, draft.terms.cold // COLD_STEPS)
+        step = max(1, draft.settings.cold // COLD_STEPS)
         sums = {until: units for until, units in cold if until > draft.moment}
         until = -(-after.warm // step) * step
         sums[until] = sums.get(until, 0) + more
@@ -160,13 +160,13 @@
     if (out, cold) == (away.out, away.cold):
         return
     if out or cold:
-        draft.put("away", after.site, Away(out, cold), told=False)
+        draft.put("away", after.site, Away(out, cold), notify=False)
     else:
-        draft.drop("away", after.site, told=False)
+        draft.drop("away", after.site, notify=False)
 
 
 def lacks(draft, node):
-    return node.units - int(node.units * draft.terms.cold_share)
+    return node.units - int(node.units * draft.settings.cold_share)
 
 
 def count(draft, node, load, sign):
@@ -433,7 +433,7 @@
         return
     fields = {"state": command.state, "since": draft.index}
     if before.state in (DRAINED, FAILED) and command.state in (SERVING, CATCHING_UP):
-        fields["warm"] = draft.moment + draft.terms.cold
+        fields["warm"] = draft.moment + draft.settings.cold
     change_node(draft, command.node, **fields)
 
 
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -14,10 +14,10 @@
 from .faults import Senseless
 from .followers import Followers
 from .log import WEIGHT
+from .membership import Change
 from .polls import Poll, Polls
-from .records import LEADER, NOT_DONE, Base, Write
+from .records import LEADER, NOT_DONE, SnapshotBase, Write
 from .replica import Replica
-from .seating import Change
 from .state import Command, State
 
 SNAPSHOT_EVERY = 4096  # entries applied since the last snapshot, or as many as that one has records
@@ -28,14 +28,14 @@
 TURNED_DOWN = 1_000_000_000  # before a duty's command that the rules refused is proposed again
 
 
-class Door(Protocol):
+class DispatcherHost(Protocol):
     """What a dispatcher asks of its host. `send`, `write`, `send_part`, `take_part` are as in
     `records.Door`."""
 
     def send(self, message) -> None: ...
     def write(self, write: Write) -> None: ...
-    def send_part(self, peer, message, most) -> None: ...
-    def take_part(self, message) -> None: ...
+    def send_chunk(self, peer, message, most) -> None: ...
+    def receive_chunk(self, message) -> None: ...
 
     def answer(self, ticket, code: int, body: dict) -> None:
         """The one answer to a `command`: 200, 400, 409, or 503 with `outcome` and `leader`."""
@@ -49,7 +49,7 @@
         the parts asked for; where they are kept no more, None and the whole `state`; both None where another
         member, `leader`, has to be asked."""
 
-    def snapshot(self, state: State, base: Base) -> None:
+    def snapshot(self, state: State, base: SnapshotBase) -> None:
         """To be brought to disk without stopping anything; then `Dispatcher.snapshot_kept(now, base)`."""
 
     def call(self, call: "Call") -> None:
@@ -64,24 +64,24 @@
 
     cluster: str
     data: bytes
-    duty: object
+    task: object
 
 
-class Duty(Protocol):
+class LeaderTask(Protocol):
     """What a leader does unasked. `next` gives a Command to propose, a Call, or None; it is asked again
     once its last command is answered and whenever the state has changed or `wake_at` has come. It keeps
     nothing that a new leader would miss: all that counts is in the state."""
 
-    def took_office(self, now) -> None: ...
+    def became_leader(self, now) -> None: ...
     def next(self, now, wall_ms, state, followers): ...
     def called(self, now, call, code, body) -> None: ...
     def wake_at(self) -> int: ...
 
 
 class Dispatcher:
-    def __init__(self, told, kept, ledger, state, now, duties=(), snapshot_every=SNAPSHOT_EVERY):
-        self.told, self.ledger, self.state, self.duties = told, ledger, state, list(duties)
-        self.replica = Replica(told, kept, now)
+    def __init__(self, config, kept, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_EVERY):
+        self.config, self.ledger, self.state, self.leader_tasks = config, ledger, state, list(leader_tasks)
+        self.replica = Replica(config, kept, now)
         self.wall_ms, self.now, self.snapshot_every = 0, now, snapshot_every
         self.polls = Polls(state.index)
         self.done = deque()  # answers that are ready: functions of the door
@@ -90,18 +90,18 @@
         self.snapshotting, self.since = None, kept.base.index
         self.records = state.records  # of the last snapshot
         self.log_bytes = 0  # of the entries applied since it was begun
-        self.office = 0  # the term in which the duties were told that this member leads
+        self.leader_term = 0  # the term in which the duties were told that this member leads
         self.followers = Followers()
         self.counts = {}
 
     # ---- inputs
 
-    def told_time(self, now, wall_ms):
+    def set_clocks(self, now, wall_ms):
         """With each turn of the host: the clocks. `wall_ms`: Unix time."""
         self.now, self.wall_ms = now, wall_ms
 
-    def heard(self, now, message):
-        self.replica.heard(now, message)
+    def receive(self, now, message):
+        self.replica.receive(now, message)
 
     def command(self, now, data, ticket):
         """A client's command; its one answer comes through the door."""
@@ -111,7 +111,7 @@
             body = {"error": error.read()}
             return self.done.append(lambda door: door.answer(ticket, 400, body))
         before = self.state.answers.get(command.id)
-        if before is not None and before.moment + self.state.terms.remember > self.state.moment:
+        if before is not None and before.moment + self.state.settings.remember > self.state.moment:
             return self.done.append(lambda door: door.answer(ticket, before.code, before.body))
         if self.state.full:
             self.count("turned away: ids")
@@ -155,8 +155,8 @@
         self.replica.compacted(now, base)
 
     def called(self, now, call, code, body):
-        call.duty.called(now, call, code, body)
-        self.proposing.pop(call.duty, None)
+        call.task.called(now, call, code, body)
+        self.proposing.pop(call.task, None)
 
     def hand_over(self, now, to=""):
         self.replica.hand_over(now, to)
@@ -192,8 +192,8 @@
         if applied < due * apart and self.log_bytes < MOST_LOG * apart:
             return False
         self.log_bytes, self.records = 0, self.state.records
-        members = self.replica.seats_at(self.state.index)
-        self.snapshotting = Base(self.state.index, self.state.term, members, self.state.moment)
+        members = self.replica.members_at(self.state.index)
+        self.snapshotting = SnapshotBase(self.state.index, self.state.term, members, self.state.moment)
         door.snapshot(self.state, self.snapshotting)
         return True
 
@@ -201,19 +201,19 @@
         """Only a leader whose state holds all that was committed before its term has duties."""
         if self.replica.role != LEADER or self.state.term != self.replica.term:
             return False
-        if self.office != self.replica.term:
-            self.office, self.proposing = self.replica.term, {}
-            self.followers.took_office(now)
-            for duty in self.duties:
-                duty.took_office(now)
-        for duty in self.duties:
-            if self.proposing.get(duty, now) > now:
+        if self.leader_term != self.replica.term:
+            self.leader_term, self.proposing = self.replica.term, {}
+            self.followers.became_leader(now)
+            for task in self.leader_tasks:
+                task.became_leader(now)
+        for task in self.leader_tasks:
+            if self.proposing.get(task, now) > now:
                 continue
-            wanted = duty.next(now, self.wall_ms, self.state, self.followers)
+            wanted = task.next(now, self.wall_ms, self.state, self.followers)
             if isinstance(wanted, Command):
-                self.proposing[duty] = NEVER
+                self.proposing[task] = NEVER
                 data = msgspec.json.encode(wanted)
-                self.replica.propose(now, self.wall_ms, data, Proposed(duty, self.office))
+                self.replica.propose(now, self.wall_ms, data, Proposed(task, self.leader_term))
                 return True
             if wanted is not None:
                 door.call(wanted)
@@ -225,7 +225,7 @@
         if len(self.polls):
             moments.append(self.polls.wake_at())
         if self.replica.role == LEADER:
-            moments += [max(duty.wake_at(), self.proposing.get(duty, 0)) for duty in self.duties]
+            moments += [max(task.wake_at(), self.proposing.get(task, 0)) for task in self.leader_tasks]
         return min(moments)
 
     # ---- what the replica decides, on its way to the host
@@ -247,12 +247,12 @@
 
     def proposed(self, ticket, code):
         """A duty's own command came to its end; one that the rules refused is not proposed again at once."""
-        if ticket.office == self.office:
+        if ticket.leader_term == self.leader_term:
             if code == 200:
-                self.proposing.pop(ticket.duty, None)
+                self.proposing.pop(ticket.task, None)
             else:
                 self.count("duties refused")
-                self.proposing[ticket.duty] = self.now + TURNED_DOWN
+                self.proposing[ticket.task] = self.now + TURNED_DOWN
 
     def refuse(self, ticket, outcome, leader):
         if isinstance(ticket, Read):
@@ -279,8 +279,8 @@
 class Proposed:
     """A duty's own command, of the term in which it was proposed."""
 
-    duty: object
-    office: int
+    task: object
+    leader_term: int
 
 
 class Through:
@@ -289,7 +289,7 @@
     def __init__(self, dispatcher, door):
         self.dispatcher, self.door = dispatcher, door
         self.send, self.write = door.send, door.write
-        self.send_part, self.take_part = door.send_part, door.take_part
+        self.send_chunk, self.receive_chunk = door.send_chunk, door.receive_chunk
 
     def commit(self, entries):
         self.dispatcher.commit(entries)
--- a/lemonlead/ledger/following.py
+++ b/lemonlead/ledger/follower.py
@@ -4,13 +4,13 @@
 from collections import deque
 
 from .log import BIGGEST, sound
-from .records import OUTSIDE, Appended, Parted
+from .records import OUTSIDE, AppendResponse, SnapshotChunkResponse
 
 MOST_BACKLOG = 4096  # entries that the disk has not been given; past it none is taken
 MOST_PARTS = 16  # pieces of a snapshot that the host has not taken; past it none is
 
 
-class Following:
+class FollowerState:
     def __init__(self, replica):
         self.replica = replica
         self.gathering, self.parts = None, deque()  # (base, term of its leader, next offset)
@@ -25,7 +25,7 @@
         replica, log, prev, entries = self.replica, self.replica.log, message.prev_index, message.entries
         new_round = message.round > self.round
         self.round = max(self.round, message.round)
-        if replica.paper.base is not None:  # a snapshot is on its way to disk
+        if replica.pending_writes.base is not None:  # a snapshot is on its way to disk
             return self.misfit(message, replica.committed)
         if prev < 0 or message.committed < 0 or not in_order(prev, message.prev_term, entries, message.term):
             return replica.count("garbled")
@@ -43,7 +43,7 @@
         if self.behind is None or message.committed < self.behind[0]:
             self.behind = message.committed, self.behind[1] if self.behind else now
         self.applied()
-        if new_round or not entries or replica.paper.held >= upto:
+        if new_round or not entries or replica.pending_writes.on_disk >= upto:
             self.acknowledge()
 
     def commit(self, index):
@@ -54,7 +54,7 @@
                 replica.role = replica.rest()
 
     def misfit(self, message, hint):
-        self.replica.reply(message, Appended, match=hint, round=self.round)
+        self.replica.reply(message, AppendResponse, match=hint, round=self.round)
 
     def take(self, prev, entries):
         """Puts entries after `prev`, which fits, where they are not there yet; cuts a tail that another
@@ -73,43 +73,43 @@
         new = entries[at:]
         if not new:
             return prev + len(entries)
-        if log.last - replica.paper.given + len(new) > MOST_BACKLOG:
+        if log.last - replica.pending_writes.submitted + len(new) > MOST_BACKLOG:
             replica.count("not taken: backlog")
             return prev + at
         if not all(map(sound, new)):
             return None
-        seats = log.seats[-1]
+        members = log.memberships[-1]
         if new[0].index <= log.last:
             replica.count("tails cut")
             log.cut(new[0].index)
-            replica.paper.cut(new[0].index)
+            replica.pending_writes.cut(new[0].index)
         log.extend(new)
-        if seats is not log.seats[-1]:
-            replica.fresh_seats()
+        if members is not log.memberships[-1]:
+            replica.refresh_members()
         elif replica.role == OUTSIDE:
             replica.role = replica.rest()
         return new[-1].index
 
     def acknowledge(self):
         """Tells the leader of this term how far this disk holds its log."""
-        replica, told = self.replica, self.replica.told
-        self.acked = min(self.verified, replica.paper.held)
+        replica, config = self.replica, self.replica.config
+        self.acked = min(self.verified, replica.pending_writes.on_disk)
         to, seal = replica.leader, replica.leader_seal
         replica.post(
-            Appended(
-                told.cluster, told.name, told.folder, to, seal, replica.term,
+            AppendResponse(
+                config.cluster, config.name, config.folder, to, seal, replica.term,
                 fits=True, match=self.acked, round=self.round,
             )
         )  # fmt: skip
 
     def written(self):
-        if min(self.verified, self.replica.paper.held) > self.acked:
+        if min(self.verified, self.replica.pending_writes.on_disk) > self.acked:
             self.acknowledge()
 
     def applied(self):
         """What is applied is as new as the leader's word was when it came."""
         if self.behind is not None and self.behind[0] <= self.replica.applied:
-            self.replica.fresh, self.behind = max(self.replica.fresh, self.behind[1]), None
+            self.replica.fresh_as_of, self.behind = max(self.replica.fresh_as_of, self.behind[1]), None
 
     def part(self, message):
         """A piece of a snapshot: taken in order, repeats dropped, the wanted offset told."""
@@ -120,16 +120,16 @@
         if not 0 <= base.moment < BIGGEST:
             return replica.count("garbled")
         if base.index <= replica.committed:
-            if base.index <= replica.paper.held:
-                replica.reply(message, Parted, base_index=base.index, done=True, round=round)
+            if base.index <= replica.pending_writes.on_disk:
+                replica.reply(message, SnapshotChunkResponse, base_index=base.index, done=True, round=round)
             return
-        if replica.paper.base is not None:
+        if replica.pending_writes.base is not None:
             return
         if self.gathering is None or self.gathering[:2] != (base, replica.term):
             if self.gathering and self.gathering[1] == replica.term and base.index < self.gathering[0].index:
                 return  # a late one, of a snapshot that its leader has given up
             if message.offset:
-                return replica.reply(message, Parted, base_index=base.index, round=round)
+                return replica.reply(message, SnapshotChunkResponse, base_index=base.index, round=round)
             self.gathering = base, replica.term, 0
         offset = self.gathering[2]
         if message.offset == offset and (message.data or message.last):
@@ -139,9 +139,9 @@
             self.parts.append(message)
             self.gathering = base, replica.term, offset
             if message.last:
-                self.gathering, self.behind, replica.paper.base = None, None, base
+                self.gathering, self.behind, replica.pending_writes.base = None, None, base
                 return
-        replica.reply(message, Parted, base_index=base.index, offset=offset, round=round)
+        replica.reply(message, SnapshotChunkResponse, base_index=base.index, offset=offset, round=round)
 
 
 def in_order(prev, prev_term, entries, term):
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -76,7 +76,7 @@
         # name: (moment last heard, index that it has obeyed up to, `since` of the stay that it is true of)
         self.heard = {}
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.heard = {}
 
     def polled(self, now, name, after, since=None):
@@ -100,14 +100,14 @@
     def waited_for(self, now, state, index):
         """The followers that could still act on the state before this entry: sorted names. One counts
         until it has obeyed the entry, or its lease and grace have run out since it was last heard."""
-        patience = state.terms.lease + state.terms.grace
+        patience = state.settings.lease + state.settings.grace
         self.look(now, state.part("followers"))
         heard = sorted(self.heard.items())
         return [name for name, (moment, after, _) in heard if after < index and now - moment < patience]
 
     def next(self, now, state):
         """The command that drops one whose lease and grace ran out, or None."""
-        patience = state.terms.lease + state.terms.grace
+        patience = state.settings.lease + state.settings.grace
         self.look(now, state.part("followers"))
         for name, (moment, _, since) in sorted(self.heard.items()):
             if now - moment >= patience:
@@ -121,7 +121,7 @@
     def __init__(self, dispatcher):
         self.dispatcher, self.again = dispatcher, 0
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.again = 0
 
     def next(self, now, wall_ms, state, followers):
--- a/lemonlead/ledger/office.py
+++ b/lemonlead/ledger/leader.py
@@ -11,12 +11,12 @@
     NOT_DONE,
     NOTHING,
     UNKNOWN,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendResponse,
+    ConfiguredMember,
     Entry,
-    Part,
-    Seat,
-    TakeOver,
+    SnapshotChunk,
+    TimeoutNow,
 )
 
 MOST_ROUNDS = 64  # rounds whose moment is remembered
@@ -25,9 +25,9 @@
 SLOW_DISK = 2  # election times that one Write may take before the leader gives up
 
 
-class Office:
+class LeaderState:
     def __init__(self, replica, now):
-        self.replica, self.told, self.log = replica, replica.told, replica.log
+        self.replica, self.config, self.log = replica, replica.config, replica.log
         self.term, self.since = replica.term, now
         self.moment, self.wall_ms = self.log.moment, self.log.wall_ms  # as it took office
         self.peers, self.leaving = {}, []
@@ -35,9 +35,9 @@
         self.bytes = 0  # of clients' entries that wait
         self.asked, self.reads, self.waiting = [], deque(), 0  # without a round; (round, index, tickets)
         self.round, self.rounds, self.confirmed = 0, deque(), -1
-        self.beat, self.check, self.moved = now, now + self.told.election, 0
+        self.beat, self.check, self.moved = now, now + self.config.election, 0
         self.handing = None  # (name, moment at which it is given up)
-        self.reseat(now)
+        self.update_peers(now)
         self.first = self.append(now, NOTHING, b"").index
 
     # ---- the log
@@ -50,8 +50,8 @@
         return entry
 
     def propose(self, now, wall_ms, data, ticket):
-        waits = self.log.last - self.replica.committed >= self.told.uncommitted
-        if waits or self.bytes + len(data) > MOST_BYTES * self.told.most_bytes or self.handing:
+        waits = self.log.last - self.replica.committed >= self.config.uncommitted
+        if waits or self.bytes + len(data) > MOST_BYTES * self.config.most_bytes or self.handing:
             self.replica.count("turned away: handing over" if self.handing else "turned away: uncommitted")
             return self.replica.refuse(ticket, NOT_DONE)
         entry = self.append(now, COMMAND, data, wall_ms)
@@ -69,7 +69,7 @@
         """Counts what a majority of the voters' disks hold; only an entry of the own term is committed by
         counting (3.6.2)."""
         replica = self.replica
-        index = replica.majority(lambda name: self.peers[name].match, replica.paper.held)
+        index = replica.majority(lambda name: self.peers[name].match, replica.pending_writes.on_disk)
         if index > replica.committed and self.log.term(index) == self.term:
             replica.committed = index
             self.moved = now
@@ -80,8 +80,10 @@
         if self.replica.changing():
             return
         for name in self.leaving:
-            if (peer := self.peers.pop(name, None)) is not None and not peer.silent(now, self.told.election):
-                self.replica.post(self.message(Append, peer, committed=self.replica.committed))
+            if (peer := self.peers.pop(name, None)) is not None and not peer.silent(
+                now, self.config.election
+            ):
+                self.replica.post(self.message(AppendEntries, peer, committed=self.replica.committed))
         self.leaving = []
         if not self.replica.votes():
             self.leave(now)
@@ -90,53 +92,53 @@
         """Removed: the peers hear that it is so, and the furthest that it may lead at once."""
         committed = self.replica.committed
         for peer in self.peers.values():
-            self.replica.post(self.message(Append, peer, committed=committed))
+            self.replica.post(self.message(AppendEntries, peer, committed=committed))
         best = max(self.replica.voters, key=lambda name: (self.peers[name].match, name))
-        self.replica.post(self.message(TakeOver, self.peers[best]))
+        self.replica.post(self.message(TimeoutNow, self.peers[best]))
         self.replica.step_down(now)
 
     # ---- members
 
-    def reseat(self, now):
+    def update_peers(self, now):
         """Peers by the newest MEMBERS entry; one that goes is kept until that is committed."""
-        seats, name = self.log.seats[-1][1], self.replica.name
-        for other, seat in seats.items():
+        members, name = self.log.memberships[-1][1], self.replica.name
+        for other, seat in members.items():
             if other != name:
                 if other not in self.peers:
                     last = self.log.last
-                    self.peers[other] = Peer(other, seat, last, now, self.told.heartbeat)
+                    self.peers[other] = Peer(other, seat, last, now, self.config.heartbeat)
                 self.peers[other].seat = seat
-        self.leaving = [other for other in self.peers if other not in seats]
+        self.leaving = [other for other in self.peers if other not in members]
 
     def open(self):
         """Whether the members may be changed now (4.1; and the fix of it: an entry of the own term first)."""
         replica = self.replica
         return not replica.changing() and self.first <= replica.committed and not self.handing
 
-    def change(self, now, seats, ticket):
-        if not self.open() or not one_apart(self.log.seats[-1][1], seats):
+    def change(self, now, members, ticket):
+        if not self.open() or not one_apart(self.log.memberships[-1][1], members):
             self.replica.count("turned away: members")
             return self.replica.refuse(ticket, NOT_DONE)
-        self.tickets.append((self.seat(now, seats), ticket, 0))
+        self.tickets.append((self.seat(now, members), ticket, 0))
 
-    def seat(self, now, seats):
-        data = msgspec.json.encode(dict(seats))
+    def seat(self, now, members):
+        data = msgspec.json.encode(dict(members))
         index = self.append(now, MEMBERS, data).index
-        self.reseat(now)
-        self.replica.fresh_seats()
+        self.update_peers(now)
+        self.replica.refresh_members()
         return index
 
     def promote(self, now):
         """A learner that has caught up gets its vote."""
-        seats = self.replica.seats
-        if len(seats) == len(self.replica.voters):
+        members = self.replica.members
+        if len(members) == len(self.replica.voters):
             return False
-        for name, seat in seats.items():
+        for name, seat in members.items():
             peer = self.peers.get(name)
             if not seat.votes and peer is not None and peer.caught and peer.mode == STREAM:
-                if not self.open() or peer.silent(now, self.told.election):
+                if not self.open() or peer.silent(now, self.config.election):
                     return False
-                self.seat(now, {**seats, name: Seat(seat.address, seat.folder, True)})
+                self.seat(now, {**members, name: ConfiguredMember(seat.address, seat.folder, True)})
                 return True
         return False
 
@@ -152,7 +154,7 @@
         ]
         if fit:
             to = max(fit, key=lambda name: (self.peers[name].match, name))
-            self.handing = to, now + self.told.election, False
+            self.handing = to, now + self.config.election, False
 
     def hand(self, now):
         to, until, sent = self.handing
@@ -162,14 +164,14 @@
             return True
         if not sent and peer.match == self.log.last == self.replica.committed:
             self.handing = to, until, True
-            self.replica.post(self.message(TakeOver, peer))
+            self.replica.post(self.message(TimeoutNow, peer))
             return True
         return False
 
     # ---- reads (6.4)
 
     def read(self, ticket):
-        if self.waiting >= self.told.waiting:
+        if self.waiting >= self.config.waiting:
             self.replica.count("turned away: reads")
             return self.replica.refuse(ticket, NOT_DONE)
         self.waiting += 1
@@ -189,7 +191,7 @@
         while self.rounds and self.rounds[0][0] <= self.confirmed:
             _, moment, committed = self.rounds.popleft()
             if committed <= replica.applied:
-                replica.fresh = max(replica.fresh, moment)
+                replica.fresh_as_of = max(replica.fresh_as_of, moment)
 
     def serve_reads(self, now):
         replica = self.replica
@@ -217,7 +219,7 @@
         peer = self.peers.get(message.sender)
         if peer is None or peer.seat.folder != message.seal or message.round > self.round:
             return
-        if isinstance(message, Appended):
+        if isinstance(message, AppendResponse):
             if not 0 <= message.match <= self.log.last:
                 return self.replica.count("garbled")
             self.answered(now, peer, message.round)
@@ -225,7 +227,7 @@
                 if peer.mode != SNAPSHOT or message.match >= max(peer.base.index, self.log.first - 1):
                     if peer.mode == SNAPSHOT:
                         peer.probe(message.match + 1)
-                    if peer.matched(now, message.match, self.log.last, self.told.election):
+                    if peer.matched(now, message.match, self.log.last, self.config.election):
                         self.settle(now)
             elif peer.mode != SNAPSHOT:
                 peer.missed(message.match)
@@ -234,13 +236,13 @@
             if peer.mode == SNAPSHOT and message.base_index == peer.base.index:
                 if message.done:
                     peer.probe(message.base_index + 1)
-                    if peer.matched(now, message.base_index, self.log.last, self.told.election):
+                    if peer.matched(now, message.base_index, self.log.last, self.config.election):
                         self.settle(now)
                 else:
-                    peer.wanted(now, message.offset, self.told.most_bytes, self.told.heartbeat)
+                    peer.wanted(now, message.offset, self.config.most_bytes, self.config.heartbeat)
 
     def answered(self, now, peer, round):
-        peer.spoke(now, self.told.heartbeat)
+        peer.spoke(now, self.config.heartbeat)
         if round > peer.answered:
             peer.answered = round
             self.confirm()
@@ -248,29 +250,29 @@
     def canvassed(self, now, name):
         """A peer that seeks a leader is alive, whatever it was before."""
         peer = self.peers.get(name)
-        if peer is not None and peer.wait > self.told.heartbeat:
-            peer.wait, peer.due = self.told.heartbeat, now
+        if peer is not None and peer.wait > self.config.heartbeat:
+            peer.wait, peer.due = self.config.heartbeat, now
 
     def silent(self, name, now):
         peer = self.peers.get(name)
-        return peer is None or peer.silent(now, self.told.election)
+        return peer is None or peer.silent(now, self.config.election)
 
     # ---- decisions
 
     def decide(self, now, door):
-        replica, told = self.replica, self.told
+        replica, config = self.replica, self.config
         if now >= self.check:
             heard = replica.majority(lambda name: self.peers[name].heard, now)
-            self.check = heard + told.election + 1
-            if now >= self.check or replica.paper.slow(now, SLOW_DISK * told.election):
+            self.check = heard + config.election + 1
+            if now >= self.check or replica.pending_writes.slow(now, SLOW_DISK * config.election):
                 replica.count("stepped down: no majority" if now >= self.check else "stepped down: slow disk")
                 replica.step_down(now)
                 return True
-            self.check = min(self.check, now + told.election // 2)
+            self.check = min(self.check, now + config.election // 2)
         if self.handing and self.hand(now):
             return True
         if now >= self.beat:
-            self.beat = now + told.heartbeat
+            self.beat = now + config.heartbeat
             self.next_round(now)
             self.assign()
             self.confirm()
@@ -280,26 +282,28 @@
 
     def feed(self, now, peer, door):
         """Sends a peer the next message, where one is due."""
-        told, log, chance = self.told, self.log, self.replica.chance
+        config, log, chance = self.config, self.log, self.replica.chance
         if peer.mode != SNAPSHOT and peer.next < log.first:
-            peer.start_snapshot(now, self.replica.base, told.heartbeat)
-        if peer.silent(now, told.election):
+            peer.start_snapshot(now, self.replica.base, config.heartbeat)
+        if peer.silent(now, config.election):
             if now < peer.due:
                 return False
-            peer.put_off(now, told.heartbeat, chance)
+            peer.put_off(now, config.heartbeat, chance)
             if peer.mode == SNAPSHOT:
                 peer.part_due = min(peer.part_due, now)
             else:
                 peer.probe(peer.next)
             return self.send(peer, door, 0)
         if peer.mode == SNAPSHOT and now >= peer.part_due:
-            return self.send_part(now, peer, door)
-        if peer.mode == STREAM and peer.next <= log.last and len(peer.flight) < told.in_flight:
-            return self.send(peer, door, told.most_entries)
+            return self.send_chunk(now, peer, door)
+        if peer.mode == STREAM and peer.next <= log.last and len(peer.flight) < config.in_flight:
+            return self.send(peer, door, config.most_entries)
         if peer.mode == PROBE and (not peer.waiting or now >= peer.due):
-            peer.waiting, peer.due = True, now + told.heartbeat
-            return self.send(peer, door, told.most_entries)
-        notice = peer.told < self.replica.committed and now >= self.moved + told.heartbeat // NOTICE
+            peer.waiting, peer.due = True, now + config.heartbeat
+            return self.send(peer, door, config.most_entries)
+        notice = (
+            peer.announced_commit < self.replica.committed and now >= self.moved + config.heartbeat // NOTICE
+        )
         if peer.round < self.round or (notice and not peer.flight):
             return self.send(peer, door, 0)
         return False
@@ -308,14 +312,14 @@
         """Entries from `next` on, or a heartbeat."""
         log = self.log
         prev = 0 if peer.mode == SNAPSHOT else peer.next - 1
-        entries = log.batch(prev + 1, count, self.told.most_bytes) if count and prev < log.last else []
+        entries = log.batch(prev + 1, count, self.config.most_bytes) if count and prev < log.last else []
         if entries and peer.mode == STREAM:
             peer.next = entries[-1].index + 1
             peer.flight.append(peer.next - 1)
-        peer.round, peer.told = self.round, self.replica.committed
+        peer.round, peer.announced_commit = self.round, self.replica.committed
         term = 0 if peer.mode == SNAPSHOT else log.term(prev)
         message = self.message(
-            Append,
+            AppendEntries,
             peer,
             prev_index=prev,
             prev_term=term,
@@ -326,19 +330,21 @@
         door.send(message)
         return True
 
-    def send_part(self, now, peer, door):
+    def send_chunk(self, now, peer, door):
         base = self.replica.base
         if peer.base.index != base.index:  # a host keeps one snapshot alone
-            peer.start_snapshot(now, base, self.told.heartbeat)
-        peer.put_off_part(now, self.told.heartbeat, self.replica.chance)
+            peer.start_snapshot(now, base, self.config.heartbeat)
+        peer.put_off_part(now, self.config.heartbeat, self.replica.chance)
         peer.round = self.round
-        part = self.message(Part, peer, base=peer.base, offset=peer.offset, round=self.round)
-        door.send_part(peer.name, part, self.told.most_bytes)
+        part = self.message(SnapshotChunk, peer, base=peer.base, offset=peer.offset, round=self.round)
+        door.send_chunk(peer.name, part, self.config.most_bytes)
         return True
 
     def message(self, kind, peer, **fields):
-        told = self.told
-        return kind(told.cluster, told.name, told.folder, peer.name, peer.seat.folder, self.term, **fields)
+        config = self.config
+        return kind(
+            config.cluster, config.name, config.folder, peer.name, peer.seat.folder, self.term, **fields
+        )
 
     def needed(self, now):
         """The last index that every peer has that answers, or will have once its snapshot is whole."""
@@ -346,14 +352,15 @@
             (
                 peer.base.index if peer.mode == SNAPSHOT else peer.match
                 for peer in self.peers.values()
-                if not peer.silent(now, self.told.election)
+                if not peer.silent(now, self.config.election)
             ),
             default=self.log.last,
         )
 
     def sends_snapshot(self, now):
         return any(
-            peer.mode == SNAPSHOT and not peer.silent(now, self.told.election) for peer in self.peers.values()
+            peer.mode == SNAPSHOT and not peer.silent(now, self.config.election)
+            for peer in self.peers.values()
         )
 
     def wake_at(self):
@@ -361,11 +368,11 @@
         if self.handing:
             moments.append(self.handing[1])
         for peer in self.peers.values():
-            if not peer.silent(self.replica.now, self.told.election):
+            if not peer.silent(self.replica.now, self.config.election):
                 if peer.mode == SNAPSHOT:
                     moments.append(peer.part_due)
-                if peer.told < self.replica.committed and not peer.flight:
-                    moments.append(self.moved + self.told.heartbeat // NOTICE)
+                if peer.announced_commit < self.replica.committed and not peer.flight:
+                    moments.append(self.moved + self.config.heartbeat // NOTICE)
                 if peer.mode != PROBE:
                     continue
             moments.append(peer.due)
--- a/lemonlead/ledger/log.py
+++ b/lemonlead/ledger/log.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from .records import COMMAND, MEMBERS, NOTHING, Seat, Write
+from .records import COMMAND, MEMBERS, NOTHING, ConfiguredMember, Write
 
 MOST_WRITES = 4  # out at a time; what comes meanwhile goes into the next as one (group commit)
 WEIGHT = 64  # bytes that an entry counts besides its data
 BIGGEST = 1 << 62  # indices, terms, moments: past it a message is garbled (SQLite's integers are signed)
-SEATS = msgspec.json.Decoder(dict[str, Seat])
+SEATS = msgspec.json.Decoder(dict[str, ConfiguredMember])
 
 
 def seats_of(entry):
@@ -40,7 +40,7 @@
         self.first, self.before = base.index + 1, base.term
         self.entries, self.last, self.last_term = [], base.index, base.term
         self.starts = []  # (index, term) of the first entry of each term that is in `entries`
-        self.seats = [(base.index, dict(base.members))]  # as of the base, then each MEMBERS entry's
+        self.memberships = [(base.index, dict(base.members))]  # as of the base, then each MEMBERS entry's
         self.moment = base.moment  # the greatest
         self.wall_ms = 0
         self.extend(entries)
@@ -51,8 +51,8 @@
             if entry.term != self.last_term:
                 self.starts.append((entry.index, entry.term))
                 self.last_term = entry.term
-            if entry.what == MEMBERS and (seats := seats_of(entry)):
-                self.seats.append((entry.index, seats))
+            if entry.what == MEMBERS and (members := seats_of(entry)):
+                self.memberships.append((entry.index, members))
             if entry.moment > self.moment:
                 self.moment = entry.moment
             if entry.wall_ms > self.wall_ms:
@@ -93,8 +93,8 @@
         self.last_term = self.term(self.last)
         while self.starts and self.starts[-1][0] >= start:
             self.starts.pop()
-        while self.seats[-1][0] >= start:
-            self.seats.pop()
+        while self.memberships[-1][0] >= start:
+            self.memberships.pop()
         self.moment = max((entry.moment for entry in self.entries[-1:]), default=self.moment)
 
     def drop(self, index, base):
@@ -105,22 +105,22 @@
             self.first = index + 1
             at = bisect_right(self.starts, index, key=lambda start: start[0])
             del self.starts[: max(at - 1, 0)]
-        at = bisect_right(self.seats, base.index, key=lambda kept: kept[0])
+        at = bisect_right(self.memberships, base.index, key=lambda kept: kept[0])
         if at > 1:
-            del self.seats[: at - 1]
+            del self.memberships[: at - 1]
 
-    def seats_at(self, index):
-        at = bisect_right(self.seats, index, key=lambda kept: kept[0])
-        return self.seats[max(at - 1, 0)][1]
+    def members_at(self, index):
+        at = bisect_right(self.memberships, index, key=lambda kept: kept[0])
+        return self.memberships[max(at - 1, 0)][1]
 
 
-class Paper:
+class PendingWrites:
     """What the disk holds, what is on its way to it, and what is still to be given to it."""
 
     def __init__(self, last):
         self.number = self.done = 0  # of the last Write given, and of the last that is on disk
         self.out = deque()  # [number, last index with it, moment, base] of each Write that is out
-        self.given = self.held = last  # last index given to the disk, and on disk
+        self.submitted = self.on_disk = last  # last index given to the disk, and on disk
         self.cutting = None  # the next Write drops from there on
         self.marked = False  # term or vote changed since the last Write
         self.base = None  # a snapshot received whole, to come into force; until then nothing is appended
@@ -131,16 +131,16 @@
         return self.number + 1
 
     def cut(self, start):
-        if start <= self.given:
+        if start <= self.submitted:
             self.cutting = start if self.cutting is None else min(start, self.cutting)
-        self.given, self.held = min(self.given, start - 1), min(self.held, start - 1)
+        self.submitted, self.on_disk = min(self.submitted, start - 1), min(self.on_disk, start - 1)
         for write in self.out:
             write[1] = min(write[1], start - 1)
 
     def take(self, now, term, voted, log):
         """The next Write, or None."""
         base = self.base if self.base is not None and not any(write[3] for write in self.out) else None
-        entries = self.base is None and log.last > self.given
+        entries = self.base is None and log.last > self.submitted
         if len(self.out) >= MOST_WRITES or not (self.marked or entries or base or self.cutting is not None):
             return None
         self.number += 1
@@ -150,9 +150,9 @@
             if log.term(base.index) != base.term:
                 write.cut = base.index + 1 if write.cut is None else min(write.cut, base.index + 1)
         elif entries:
-            write.entries = log.since(self.given + 1)
-            self.given = log.last
-        self.out.append([self.number, self.given, now, base])
+            write.entries = log.since(self.submitted + 1)
+            self.submitted = log.last
+        self.out.append([self.number, self.submitted, now, base])
         self.marked, self.cutting = False, None
         return write
 
@@ -161,7 +161,7 @@
         base = None
         while self.out and self.out[0][0] <= number:
             self.done, last, _, of = self.out.popleft()
-            self.held, base = max(self.held, last), of or base
+            self.on_disk, base = max(self.on_disk, last), of or base
         return base
 
     def slow(self, now, patience):
--- a/lemonlead/ledger/seating.py
+++ b/lemonlead/ledger/membership.py
@@ -12,8 +12,8 @@
 
 from .capacity import Name
 from .faults import Refused
-from .records import Base, Seat
-from .state import Command, MemberRow, State, Terms
+from .records import ConfiguredMember, SnapshotBase
+from .state import Command, LedgerSettings, MemberRow, State
 
 MOST_NAMES = 4096  # that were ever seated
 MOST_SEATED = 9
@@ -81,26 +81,26 @@
 RULES = {Add: add, Remove: remove}
 
 
-class Seating:
+class Membership:
     """A leader's duty: brings the seats in line with what was commanded."""
 
     def __init__(self, dispatcher):
         self.dispatcher, self.again = dispatcher, 0
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.again = 0
 
     def next(self, now, wall_ms, state, followers):
         if now < self.again:
             return None
         for name, wanted in state.part("seating").items():
-            seats = dict(self.dispatcher.replica.seats)
+            seats = dict(self.dispatcher.replica.members)
             if wanted.folder:
-                seats[name] = Seat(wanted.address, wanted.folder, False)
+                seats[name] = ConfiguredMember(wanted.address, wanted.folder, False)
             else:
                 seats.pop(name, None)
             self.again = now + AWAIT
-            if seats != self.dispatcher.replica.seats:
+            if seats != self.dispatcher.replica.members:
                 self.dispatcher.replica.change(now, seats, Change())
         return None
 
@@ -115,13 +115,13 @@
     """The ticket of a change of members: nobody waits for its answer, the state tells."""
 
 
-def formed(members, terms):
+def formed(members, settings):
     """The state and the base of a new cluster. `members`: dict of name to Seat."""
     rows = {
         name: MemberRow(seat.address, seat.folder, seat.votes, False, 1) for name, seat in members.items()
     }
-    parts = Map({"members": Map(rows), "terms": Map({"cluster": terms})})
-    return State(index=1, term=1, parts=parts, oldest=1), Base(1, 1, dict(members))
+    parts = Map({"members": Map(rows), "terms": Map({"cluster": settings})})
+    return State(index=1, term=1, parts=parts, oldest=1), SnapshotBase(1, 1, dict(members))
 
 
 # ---- forming: what a member with an empty folder does, by what the others listed answer
@@ -185,7 +185,7 @@
     `base`, the snapshot on the giver's disk. Were voters to begin with nothing, a majority of them could
     elect each other and form the cluster a second time."""
     seat = seats.get(name)
-    return base if seat is None or seat.votes else Base(0, 0, dict(seats))
+    return base if seat is None or seat.votes else SnapshotBase(0, 0, dict(seats))
 
 
 __all__ = [
@@ -193,8 +193,8 @@
     "RULES",
     "Add",
     "Remove",
-    "Seating",
-    "Terms",
+    "Membership",
+    "LedgerSettings",
     "first_base",
     "formed",
     "may_join",
--- a/lemonlead/ledger/peers.py
+++ b/lemonlead/ledger/peers.py
@@ -16,7 +16,7 @@
         self.heard, self.wait, self.due = now, heartbeat, now  # due: when something is sent at the latest
         self.flight = deque()  # the last index of each message with entries not yet answered
         self.round = self.answered = -1  # of heartbeats: sent, answered
-        self.told = 0  # index up to which it was told that entries are committed
+        self.announced_commit = 0  # index up to which it was told that entries are committed
         self.base, self.offset, self.part_due, self.part_wait = None, 0, now, heartbeat
         self.goal, self.since, self.caught = last, now, False  # a learner's catching up, by rounds (4.2.1)
 
--- a/lemonlead/ledger/records.py
+++ b/lemonlead/ledger/records.py
@@ -18,7 +18,7 @@
 NOT_DONE, UNKNOWN = "not done", "unknown"
 
 
-class Seat(Struct, frozen=True, array_like=True):
+class ConfiguredMember(Struct, frozen=True, array_like=True):
     """One member of the cluster, by its name. A learner gets the log and has no vote."""
 
     address: str  # host:port
@@ -41,13 +41,13 @@
     data: bytes  # COMMAND: the command as JSON; MEMBERS: dict of name to Seat as JSON, of the whole cluster
 
 
-class Base(Struct, frozen=True, array_like=True):
+class SnapshotBase(Struct, frozen=True, array_like=True):
     """What a snapshot stands for: all entries up to `index`, the last of them of `term`, the members and the
     ledger's time as of then."""
 
     index: int = 0
     term: int = 0
-    members: dict[str, Seat] = {}
+    members: dict[str, ConfiguredMember] = {}
     moment: int = 0  # from which a new leader goes on where its log holds nothing past the snapshot
 
 
@@ -68,7 +68,7 @@
     term: int
 
 
-class Canvass(Message, frozen=True, tag=True):
+class VoteRequest(Message, frozen=True, tag="Canvass"):
     """Asks for a vote. `early`: a pre-vote, which changes nothing at whoever is asked (9.6). `handed`: the
     leader asked for this, so that a leader that still lives is no reason to refuse (4.2.3)."""
 
@@ -78,12 +78,12 @@
     handed: bool = False
 
 
-class Ballot(Message, frozen=True, tag=True):
+class VoteResponse(Message, frozen=True, tag="Ballot"):
     given: bool = False
     early: bool = False
 
 
-class Append(Message, frozen=True, tag=True):
+class AppendEntries(Message, frozen=True, tag="Append"):
     """Entries after (`prev_index`, `prev_term`); none in a heartbeat. `round` grows with each heartbeat
     and comes back, so that the leader knows that it still led when it sent it (6.4)."""
 
@@ -94,7 +94,7 @@
     round: int = 0
 
 
-class Appended(Message, frozen=True, tag=True):
+class AppendResponse(Message, frozen=True, tag="Appended"):
     """`match`: the last entry known to be the leader's and on this member's disk, where `fits`; else where
     the leader should look next."""
 
@@ -103,35 +103,43 @@
     round: int = 0
 
 
-class Part(Message, frozen=True, tag=True):
+class SnapshotChunk(Message, frozen=True, tag="Part"):
     """A piece of a snapshot. A receiver that has another base or offset answers with the offset it wants."""
 
-    base: Base = Base()
+    base: SnapshotBase = SnapshotBase()
     offset: int = 0
     data: bytes = b""
     last: bool = False
     round: int = 0
 
 
-class Parted(Message, frozen=True, tag=True):
+class SnapshotChunkResponse(Message, frozen=True, tag="Parted"):
     base_index: int = 0
     offset: int = 0  # the next byte wanted
     done: bool = False  # the snapshot is on this member's disk and in force
     round: int = 0
 
 
-class TakeOver(Message, frozen=True, tag=True):
+class TimeoutNow(Message, frozen=True, tag="TakeOver"):
     """Stand for election at once (3.10)."""
 
 
-PeerMessage = Canvass | Ballot | Append | Appended | Part | Parted | TakeOver
+PeerMessage = (
+    VoteRequest
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | SnapshotChunk
+    | SnapshotChunkResponse
+    | TimeoutNow
+)
 
 
 # ---- between a replica and its host
 
 
 @dataclass(slots=True)
-class Told:
+class ReplicaConfig:
     """What a replica is told at start. Times in nanoseconds."""
 
     cluster: str  # the id drawn when the cluster was formed
@@ -149,12 +157,12 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredState:
     """What the disk had. `entries` are all after `base`, in order."""
 
     term: int = 0
     voted: str = ""
-    base: Base = field(default_factory=Base)
+    base: SnapshotBase = field(default_factory=SnapshotBase)
     entries: list = field(default_factory=list)
 
 
@@ -168,12 +176,12 @@
     voted: str
     cut: int | None = None  # drop every entry from this index on, before `entries` are put there
     entries: list = field(default_factory=list)
-    base: Base | None = (
+    base: SnapshotBase | None = (
         None  # the snapshot received whole becomes this member's: entries up to it are dropped
     )
 
 
-class Door(Protocol):
+class ReplicaHost(Protocol):
     """What a replica asks of its host; nothing of this waits. `ticket` is the host's own, given with a
     call."""
 
@@ -195,11 +203,11 @@
     def refuse(self, ticket, outcome: str, leader: str) -> None:
         """NOT_DONE or UNKNOWN; `leader`: whom to ask, empty where none is known."""
 
-    def send_part(self, peer: str, message: Part, most: int) -> None:
+    def send_chunk(self, peer: str, message: SnapshotChunk, most: int) -> None:
         """Fill in `data` (at most so many bytes from `offset` of the snapshot in `message.base`) and
         `last`, and send."""
 
-    def take_part(self, message: Part) -> None:
+    def receive_chunk(self, message: SnapshotChunk) -> None:
         """Bytes of a snapshot under way, in order from offset 0, which drops what was begun before. Once
         `last` has come and a Write with that `base` follows, the host loads it as the state, in the order
         of `commit`."""
--- a/lemonlead/ledger/services.py
+++ b/lemonlead/ledger/services.py
@@ -61,9 +61,9 @@
 
 def put(draft, part, key, record, empty):
     if record == empty:
-        draft.drop(part, key, told=False)
+        draft.drop(part, key, notify=False)
     else:
-        draft.put(part, key, record, told=False)
+        draft.put(part, key, record, notify=False)
 
 
 def of(held, service):
--- a/lemonlead/ledger/state.py
+++ b/lemonlead/ledger/state.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from .faults import Fault, Refused, Senseless
-from .records import COMMAND, MEMBERS, Entry, Seat
+from .records import COMMAND, MEMBERS, ConfiguredMember, Entry
 
 LONGEST = 256 * 1024  # bytes of a command
 DEEPEST = 100  # objects and lists in each other
@@ -32,7 +32,7 @@
     id: str = ""
 
 
-class Terms(Struct, frozen=True):
+class LedgerSettings(Struct, frozen=True):
     """Figures that all members must share, set as the cluster is formed. Times in nanoseconds of the
     ledger's time."""
 
@@ -81,8 +81,8 @@
         return self.parts.get(name, EMPTY)
 
     @property
-    def terms(self):
-        return self.part("terms").get("cluster", TERMS)
+    def settings(self):
+        return self.part("terms").get("cluster", DEFAULT_SETTINGS)
 
     @property
     def records(self):
@@ -94,10 +94,10 @@
         return len(self.answers) >= MOST_ANSWERS
 
 
-EMPTY, TERMS = Map(), Terms()
+EMPTY, DEFAULT_SETTINGS = Map(), LedgerSettings()
 
 
-class Draft:
+class Transaction:
     """A state being changed by one command. Reads see the changes made so far."""
 
     def __init__(self, state, entry):
@@ -105,7 +105,7 @@
         self.moment = max(entry.moment, state.moment)
         # As its leader read it: one that was ahead must not hold all later ones to its error.
         self.wall_ms = entry.wall_ms or state.wall_ms
-        self.parts, self.changes, self.terms = state.parts, {}, state.terms
+        self.parts, self.changes, self.settings = state.parts, {}, state.settings
 
     def part(self, name):
         """The whole Map, for lookups and for going over."""
@@ -114,18 +114,18 @@
     def get(self, part, key):
         return self.part(part).get(key)
 
-    def put(self, part, key, record, told=True):
+    def put(self, part, key, record, notify=True):
         """`told`: whoever polls for changes hears of it; what follows from other records need not be."""
         if self.get(part, key) != record:
             self.parts = self.parts.set(part, self.part(part).set(key, record))
-            if told:
+            if notify:
                 self.changes[part, key] = record
 
-    def drop(self, part, key, told=True):
+    def drop(self, part, key, notify=True):
         if key in self.part(part):
             rest = self.part(part).delete(key)
             self.parts = self.parts.set(part, rest) if rest else self.parts.delete(part)
-            if told:
+            if notify:
                 self.changes[part, key] = None
 
 
@@ -147,7 +147,7 @@
 
     def __init__(self, rules, kinds, inner=()):
         self.rules = rules
-        self.kinds = {"terms": Terms, "members": MemberRow, **kinds}
+        self.kinds = {"terms": LedgerSettings, "members": MemberRow, **kinds}
         self.inner = tuple(inner)
         self.known = {command.__struct_config__.tag: command for command in rules}
         self.readers = {kind: msgspec.json.Decoder(command) for kind, command in self.known.items()}
@@ -177,11 +177,11 @@
         """The state after this entry and what it came to. Nothing but the two decides it."""
         if entry.index != state.index + 1:
             raise ValueError(f"entry {entry.index} after {state.index}")
-        draft = Draft(state, entry)
+        draft = Transaction(state, entry)
         applied = Applied(200, {"at": entry.index}, draft.changes)
         id = ""
         if entry.what == MEMBERS:
-            self.seat(draft, msgspec.json.decode(entry.data, type=dict[str, Seat]))
+            self.seat(draft, msgspec.json.decode(entry.data, type=dict[str, ConfiguredMember]))
         elif entry.what == COMMAND:
             id, applied = self.command(state, draft, entry)
         if applied.code != 200 or applied.repeat:
@@ -207,7 +207,7 @@
         except Senseless as error:
             return "", Applied(400, {"error": error.read()}, {})
         before = state.answers.get(command.id) if command.id else None
-        if before is not None and before.moment + state.terms.remember > draft.moment:
+        if before is not None and before.moment + state.settings.remember > draft.moment:
             return command.id, Applied(before.code, before.body, {}, repeat=True)
         try:
             more = self.rules[type(command)](draft, command) or {}
@@ -303,7 +303,7 @@
     while most and oldest < state.index:
         id = order.get(oldest)
         if id is not None:
-            if answers[id].moment + state.terms.remember > state.moment:
+            if answers[id].moment + state.settings.remember > state.moment:
                 break
             if answers[id].index == oldest:
                 answers = answers.delete(id)
@@ -320,10 +320,20 @@
         yield some
 
 
-class Kind(Struct):
+class CommandKind(Struct):
     kind: str
 
 
 BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{}]', re.DOTALL)  # or a whole string
-KIND, ENCODE = msgspec.json.Decoder(Kind), msgspec.json.Encoder().encode
-__all__ = ["Applied", "Command", "Draft", "Entry", "Fault", "Ledger", "MemberRow", "State", "Terms"]
+KIND, ENCODE = msgspec.json.Decoder(CommandKind), msgspec.json.Encoder().encode
+__all__ = [
+    "Applied",
+    "Command",
+    "Entry",
+    "Fault",
+    "Ledger",
+    "LedgerSettings",
+    "MemberRow",
+    "State",
+    "Transaction",
+]
--- a/lemonlead/member/asking.py
+++ b/lemonlead/member/asking.py
@@ -7,7 +7,7 @@
 import aiohttp
 import msgspec
 
-from ..ledger.seating import Greeting
+from ..ledger.membership import Greeting
 
 SENDER = "X-Lemonlead-Member"  # the name of the member that asks
 REACHED = "X-Lemonlead-Reached"  # where the member that sends messages is reached
--- a/lemonlead/member/disk.py
+++ b/lemonlead/member/disk.py
@@ -33,7 +33,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from ..ledger.records import Base, Entry, Kept
+from ..ledger.records import Entry, SnapshotBase, StoredState
 from .epoch import FORMAT, Epoch, Note, identity
 from .faults import (
     Contradicts,
@@ -86,7 +86,7 @@
     last: int = 0  # the newest entry, its term and checksum
     last_term: int = 0
     last_sum: bytes = b""
-    base: Base = Base()  # the snapshot in force, its number, length and checksum
+    base: SnapshotBase = SnapshotBase()  # the snapshot in force, its number, length and checksum
     number: int = 0
     length: int = 0
     whole: bytes = b""
@@ -98,7 +98,7 @@
     """A snapshot that is not in force yet."""
 
     number: int
-    base: Base
+    base: SnapshotBase
     digest: object
     length: int = 0
     whole: bool = False
@@ -217,7 +217,9 @@
             self.db.execute(made)
         self.db.execute(f"PRAGMA application_id={APPLICATION}")
         self.db.execute(f"PRAGMA user_version={FORMAT}")
-        self.head = Head(FORMAT, id, root_sum=self.root_sum(Base()), last_sum=self.root_sum(Base()))
+        self.head = Head(
+            FORMAT, id, root_sum=self.root_sum(SnapshotBase()), last_sum=self.root_sum(SnapshotBase())
+        )
         self.store_head()
         self.db.execute("COMMIT")
         self.db.close()  # with a checkpoint: all is in the one file, synced
@@ -308,7 +310,7 @@
                 entries.append(entry)
         if (index, chain) != (head.last, head.last_sum) or max(term, head.base.term) > head.term:
             raise self.damaged(f"the log ends with entry {index}, not {head.last}")
-        kept = Kept(head.term, head.voted, head.base, entries)
+        kept = StoredState(head.term, head.voted, head.base, entries)
         return kept, self.state() if head.cluster else None
 
     def begin_run(self):
@@ -486,7 +488,7 @@
         yield
         yield from self.tidy()
 
-    def take_part(self, message):
+    def receive_chunk(self, message):
         """The bytes of a snapshot that a peer sends; the offset wanted next. Offset 0 begins anew."""
         self.works()
         gathering = self.gathering
--- a/lemonlead/member/forming.py
+++ b/lemonlead/member/forming.py
@@ -1,5 +1,5 @@
 """How a folder comes into a cluster: it is one of those that form it, or is handed a seat of its own. What is
-to be done is decided by `lemonlead.ledger.seating`; this asks, writes and sends."""
+to be done is decided by `lemonlead.ledger.membership`; this asks, writes and sends."""
 
 import asyncio
 import secrets
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ..ledger.records import Base, Seat
-from ..ledger.seating import FORM, first_base, formed, may_join, to_form
+from ..ledger.backoff import Backoff
+from ..ledger.membership import FORM, first_base, formed, may_join, to_form
+from ..ledger.records import ConfiguredMember, SnapshotBase
 from ..ledger.state import State
-from ..ledger.waits import Waits
 from .asking import TROUBLE, headers
 
 LOOK_FIRST, LOOK_MOST = 50_000_000, 1_000_000_000  # between two looks at who answers, nanoseconds
@@ -23,7 +23,7 @@
     """What a member that is in a cluster gives one with a seat and an empty folder."""
 
     cluster: str
-    base: Base
+    base: SnapshotBase
     state: bytes
 
 
@@ -36,7 +36,7 @@
 
     def __init__(self, member, seed):
         self.member, self.asking, self.log = member, member.asking, member.log
-        self.waits, self.lock = Waits(f"{seed} forming", LOOK_FIRST, LOOK_MOST), asyncio.Lock()
+        self.waits, self.lock = Backoff(f"{seed} forming", LOOK_FIRST, LOOK_MOST), asyncio.Lock()
         self.handing, self.counts = {}, {"handed": 0, "handing_failed": 0}
 
     # ---- a folder that is in no cluster
@@ -64,7 +64,7 @@
             return member.tell_why(why)
         async with self.lock:
             if member.host is None:
-                seats = {name: Seat(members[name], greetings[name].folder) for name in members}
+                seats = {name: ConfiguredMember(members[name], greetings[name].folder) for name in members}
                 state, base = formed(seats, member.told.terms)
                 await self.take(Handed(secrets.token_hex(16), base, b"".join(member.ledger.pieces(state))))
         for name in others:
@@ -112,7 +112,7 @@
 
     async def hand_base(self, name):
         member, host = self.member, self.member.host
-        seats = host.dispatcher.replica.seats_at(host.dispatcher.state.index)
+        seats = host.dispatcher.replica.members_at(host.dispatcher.state.index)
         seat = seats.get(name)
         if seat is not None:
             base, data = await member.on_disk(lambda: (member.folder.base, member.folder.state()))
--- a/lemonlead/member/host.py
+++ b/lemonlead/member/host.py
@@ -29,7 +29,7 @@
         self.loop, self.shelf, self.peers = asyncio.get_running_loop(), shelf, peers
         self.caller, self.log, self.broken = caller, log, broken
         self.dispatcher = Dispatcher(told, kept, shelf.ledger, state, time.monotonic_ns())
-        self.dispatcher.duties.extend(duties(self.dispatcher))
+        self.dispatcher.leader_tasks.extend(duties(self.dispatcher))
         self.messages, self.inputs = deque(), deque()
         self.soon = self.timer = None
         self.told = 0  # calls for events answered in this turn
@@ -103,27 +103,27 @@
 
     def address(self, name):
         """host:port of a member, None where it has no seat."""
-        seat = self.dispatcher.replica.seats.get(name)
+        seat = self.dispatcher.replica.members.get(name)
         return seat.address if seat else None
 
     def age(self):
         """Nanoseconds since the state here was last known to be what the cluster had committed."""
-        return time.monotonic_ns() - self.dispatcher.replica.fresh
+        return time.monotonic_ns() - self.dispatcher.replica.fresh_as_of
 
     def bears(self):
         """How many more losses the cluster bears, as a leader knows it; None where this does not lead."""
         replica = self.dispatcher.replica
         if replica.role != LEADER:
             return None
-        voters = {name for name, seat in replica.seats.items() if seat.votes}
-        return len(voters & set(replica.reached(time.monotonic_ns()))) - (len(voters) // 2 + 1)
+        voters = {name for name, seat in replica.members.items() if seat.votes}
+        return len(voters & set(replica.reachable_members(time.monotonic_ns()))) - (len(voters) // 2 + 1)
 
     def reason(self):
         """Why this member takes no part, or an empty string."""
         replica = self.dispatcher.replica
         if replica.failed:
             return f"its disk failed: {replica.failed}"
-        if replica.name not in replica.seats:
+        if replica.name not in replica.members:
             return f"{replica.name} was removed from the cluster: it joins anew under a new name"
         return ""
 
@@ -158,7 +158,7 @@
             if self.inputs:
                 function, arguments = self.inputs.popleft()
             elif self.messages:
-                function, arguments = self.dispatcher.heard, (self.messages.popleft(),)
+                function, arguments = self.dispatcher.receive, (self.messages.popleft(),)
                 self.counts["messages"] += 1
             else:
                 break
@@ -175,7 +175,7 @@
 
     def tell_time(self):
         now = time.monotonic_ns()
-        self.dispatcher.told_time(now, time.time_ns() // 1_000_000)
+        self.dispatcher.set_clocks(now, time.time_ns() // 1_000_000)
         return now
 
     def pull(self, now):
@@ -215,11 +215,11 @@
     def write(self, write):
         self.shelf.write(write, self)
 
-    def send_part(self, peer, message, most):
-        self.shelf.send_part(message, most, self.peers.send, self)
+    def send_chunk(self, peer, message, most):
+        self.shelf.send_chunk(message, most, self.peers.send, self)
 
-    def take_part(self, message):
-        self.shelf.take_part(message, self)
+    def receive_chunk(self, message):
+        self.shelf.receive_chunk(message, self)
 
     def snapshot(self, state, base):
         settle_memory()
--- a/lemonlead/member/outside.py
+++ b/lemonlead/member/outside.py
@@ -151,7 +151,7 @@
     @property
     def cluster_id(self):
         """Drawn as the cluster was formed: one formed anew, which counts from 1 again, has another."""
-        return self.host.dispatcher.replica.told.cluster
+        return self.host.dispatcher.replica.config.cluster
 
     async def within(self, ticket, outcome):
         try:
@@ -274,13 +274,13 @@
             told.update(role=OUTSIDE, term=0, leader="", committed=0, applied=0, members={}, bears=None)
             return answer(200, {**told, "reason": member.why})
         replica = host.dispatcher.replica
-        role = OUTSIDE if replica.name not in replica.seats else replica.role
+        role = OUTSIDE if replica.name not in replica.members else replica.role
         told["role"] = FOLLOWER if role == CANDIDATE else role
         told.update(term=replica.term, leader=replica.leader, committed=replica.committed)
         told["applied"] = host.dispatcher.state.index
         told["members"] = {
             name: LEADER if name == replica.leader else FOLLOWER if seat.votes else LEARNER
-            for name, seat in sorted(replica.seats.items())
+            for name, seat in sorted(replica.members.items())
         }
         told["bears"] = host.bears()
         if told["bears"] is None and HOP not in request.headers:
--- a/lemonlead/member/peers.py
+++ b/lemonlead/member/peers.py
@@ -10,8 +10,8 @@
 import aiohttp
 import msgspec
 
+from ..ledger.backoff import Backoff
 from ..ledger.records import PeerMessage
-from ..ledger.waits import Waits
 from .asking import REACHED, session
 
 MOST_QUEUED = 512  # messages to one peer
@@ -45,7 +45,7 @@
                 return
             self.make_room()
             queue = self.queues[message.to] = Queue()
-            waits = Waits(f"{self.seed} {message.to}", self.times.heartbeat // 4, self.times.election)
+            waits = Backoff(f"{self.seed} {message.to}", self.times.heartbeat // 4, self.times.election)
             self.tasks[message.to] = asyncio.get_running_loop().create_task(
                 self.run(message.to, queue, waits)
             )
--- a/lemonlead/member/run.py
+++ b/lemonlead/member/run.py
@@ -15,8 +15,8 @@
 from aiohttp import web
 
 from ..ledger.faults import Unusable
-from ..ledger.records import LEADER, Told
-from ..ledger.seating import Greeting
+from ..ledger.membership import Greeting
+from ..ledger.records import LEADER, ReplicaConfig
 from . import disk, whole
 from . import told as settings
 from .asking import Asking
@@ -183,7 +183,7 @@
         except ValueError as error:
             raise Damaged(f"{self.told.data}: {error}") from None
         times = self.told.times
-        told = Told(
+        told = ReplicaConfig(
             self.folder.cluster,
             self.name,
             self.folder.id,
@@ -224,7 +224,7 @@
 
     def is_member(self, host):
         """Whether a connection from there may be another member's."""
-        seats = self.host.dispatcher.replica.seats.values() if self.host is not None else ()
+        seats = self.host.dispatcher.replica.members.values() if self.host is not None else ()
         addresses = {*self.told.members.values(), *(seat.address for seat in seats)}
         return host in {address.rpartition(":")[0] for address in addresses}
 
@@ -241,7 +241,7 @@
         if host is None or host.dispatcher.replica.role != LEADER:
             return
         replica, began = host.dispatcher.replica, time.monotonic_ns()
-        if sum(seat.votes for seat in replica.seats.values()) > 1:
+        if sum(seat.votes for seat in replica.members.values()) > 1:
             host.hand_over()
             try:
                 async with asyncio.timeout(2 * self.told.times.election / 1e9):
--- a/lemonlead/member/shelf.py
+++ b/lemonlead/member/shelf.py
@@ -36,10 +36,10 @@
     def write(self, write, host):
         self.add(self.put, write, host)
 
-    def take_part(self, message, host):
+    def receive_chunk(self, message, host):
         self.add(self.take, message, host)
 
-    def send_part(self, message, most, send, host):
+    def send_chunk(self, message, most, send, host):
         if len(self.jobs) >= MOST_JOBS:
             self.counts["parts_dropped"] += 1
         else:
@@ -122,7 +122,7 @@
         return state
 
     def take(self, message, host):
-        self.guarded(host, self.folder.take_part, message)
+        self.guarded(host, self.folder.receive_chunk, message)
 
     def keep(self, state, base, host):
         """Begins a snapshot; told once it is in force, which is before the last rows are tidied away."""
--- a/lemonlead/member/told.py
+++ b/lemonlead/member/told.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from .. import settings
-from ..ledger.seating import MOST_SEATED
-from ..ledger.state import Terms
+from ..ledger.membership import MOST_SEATED
+from ..ledger.state import LedgerSettings
 from .faults import Unfit
 
 MOST_CLUSTERS = 64
@@ -34,8 +34,8 @@
     members: dict  # name to address, of those that form the cluster
     clusters: dict  # name to list of addresses, of other clusters
     times: Times
-    terms: Terms
-    bounds: dict  # by the names of `ledger.records.Told`
+    terms: LedgerSettings
+    bounds: dict  # by the names of `ledger.records.ReplicaConfig`
 
 
 def read(path):
@@ -52,7 +52,7 @@
         reached=told.get("reached", told["listen"]),
         data=Path(path).parent / told["data"],
         times=Times(**told["times"]),
-        terms=Terms(**told["terms"]),
+        terms=LedgerSettings(**told["terms"]),
     )
 
 
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -2,12 +2,12 @@
 
 from ..drains import rules as drains
 from ..drains.duty import Drains
-from ..ledger import capacity, entries, followers, seating
+from ..ledger import capacity, entries, followers, membership
 from ..ledger.state import Ledger
 from ..moves import rules as moves
 from ..moves.steps import Moving
 
-MODULES = (capacity, entries, followers, seating, drains, moves)  # RULES, KINDS; some INNER
+MODULES = (capacity, entries, followers, membership, drains, moves)  # RULES, KINDS; some INNER
 SHOWN = {"drains": drains.shown}  # parts that are asked for in another form than they are kept in
 
 
@@ -23,7 +23,7 @@
 def duties(dispatcher, cluster, clusters, seed):
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
     return [
-        seating.Seating(dispatcher),
+        membership.Membership(dispatcher),
         followers.Forgetting(dispatcher),
         Drains(),
         Moving(cluster, clusters, seed),
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -664,7 +664,7 @@
     """The instances start with the first such call; until all are up and warm the shift waits."""
     hold = held(draft, command)
     if hold.state == HELD:
-        hold = replace(hold, state=WARM, warm_at=draft.moment + draft.terms.cold, at=draft.index)
+        hold = replace(hold, state=WARM, warm_at=draft.moment + draft.settings.cold, at=draft.index)
         draft.put("holds", command.key, hold)
     nodes = draft.part("nodes")
     ours = [nodes[one] for one in nodes_of(draft, hold)]
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -73,7 +73,7 @@
 
 
 class Moving:
-    """A ledger.dispatcher.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be
+    """A ledger.dispatcher.LeaderTask. `cluster`: this cluster's name; `clusters`: names of those that can be
     called."""
 
     def __init__(self, cluster, clusters, seed):
@@ -81,7 +81,7 @@
         self.tasks, self.clock, self.wake, self.turn = {}, (0, 0), NEVER, 0
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.tasks, self.clock, self.wake = {}, (now, 0), now
 
     def wake_at(self):
--- a/lemonlead/standins/drain_world.py
+++ b/lemonlead/standins/drain_world.py
@@ -12,9 +12,9 @@
 from ..drains.rules import INNER, KINDS, RULES, PermitCommand
 from ..ledger import capacity, followers
 from ..ledger.capacity import up
+from ..ledger.membership import formed
 from ..ledger.records import COMMAND, Entry
-from ..ledger.seating import formed
-from ..ledger.state import Ledger, Terms
+from ..ledger.state import Ledger, LedgerSettings
 from .drain_checks import Watch
 
 MS = 1_000_000
@@ -37,7 +37,7 @@
 class World:
     def __init__(self, seed=1, terms=None, late=60 * S, gateways=2, pace=(1, 400), away=(500, 3000)):
         self.chance = random.Random(seed)
-        self.terms = terms or Terms(lease=2 * S, grace=S // 2, cold=3 * S)
+        self.terms = terms or LedgerSettings(lease=2 * S, grace=S // 2, cold=3 * S)
         self.ledger = Ledger(
             {**capacity.RULES, **followers.RULES, **RULES},
             {**capacity.KINDS, **followers.KINDS, **KINDS},
@@ -103,8 +103,8 @@
         """Another takes office: what the duty and the followers' rows kept is lost."""
         self.term += 1
         self.office_moment, self.office_now = self.state.moment, self.now
-        self.duty.took_office(self.now)
-        self.follow.took_office(self.now)
+        self.duty.became_leader(self.now)
+        self.follow.became_leader(self.now)
         self.watch.office, self.watch.acked = self.now, {}
         self.blocked = 0
 
--- a/lemonlead/standins/simulated/checks.py
+++ b/lemonlead/standins/simulated/checks.py
@@ -3,7 +3,16 @@
 
 import json
 
-from lemonlead.ledger.records import COMMAND, LEADER, MEMBERS, Append, Appended, Ballot, Canvass, Parted
+from lemonlead.ledger.records import (
+    COMMAND,
+    LEADER,
+    MEMBERS,
+    AppendEntries,
+    AppendResponse,
+    SnapshotChunkResponse,
+    VoteRequest,
+    VoteResponse,
+)
 
 from .history import first_wrong
 from .world import Broken
@@ -189,16 +198,16 @@
                 self.seated |= {seat[1] for seat in json.loads(entry.data).values()}
 
     def sent(self, host, message):
-        if isinstance(message, Ballot) and message.given:
+        if isinstance(message, VoteResponse) and message.given:
             if host.disk.folder in self.lost:
                 self.broken(f"folder {host.disk.folder} was lost and gave a vote")
             if host.disk.folder not in self.seated:
                 self.broken(f"{host.name} with folder {host.disk.folder} has no seat and gave a vote")
             if not message.early:
                 self.vote(host, message.term, message.to)
-        elif isinstance(message, Canvass) and not message.early:
+        elif isinstance(message, VoteRequest) and not message.early:
             self.vote(host, message.term, host.name)
-        elif isinstance(message, Append):
+        elif isinstance(message, AppendEntries):
             self.on_disk(host, message.term, host.name)
 
     def vote(self, host, term, to):
@@ -219,11 +228,15 @@
 
     def sent(self, host, message):
         held = host.disk.held
-        if isinstance(message, Appended) and message.fits and held.last < message.match:
+        if isinstance(message, AppendResponse) and message.fits and held.last < message.match:
             self.broken(f"{host.name} acknowledged entry {message.match}, its disk holds {held.last}")
-        if isinstance(message, Appended) and held.term < message.term:
+        if isinstance(message, AppendResponse) and held.term < message.term:
             self.broken(f"{host.name} answered in term {message.term}, its disk holds {held.term}")
-        if isinstance(message, Parted) and message.done and held.base.index < message.base_index:
+        if (
+            isinstance(message, SnapshotChunkResponse)
+            and message.done
+            and held.base.index < message.base_index
+        ):
             self.broken(f"{host.name} acknowledged a snapshot as of {message.base_index}")
 
 
--- a/lemonlead/standins/simulated/disks.py
+++ b/lemonlead/standins/simulated/disks.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lemonlead.ledger.records import Base, Kept
+from lemonlead.ledger.records import SnapshotBase, StoredState
 
 MS = 1_000_000
 
@@ -14,7 +14,7 @@
 
     term: int = 0
     voted: str = ""
-    base: Base = field(default_factory=Base)
+    base: SnapshotBase = field(default_factory=SnapshotBase)
     entries: list = field(default_factory=list)
     snapshot: bytes = b""
 
@@ -62,7 +62,7 @@
     """A Write of the replica, or a snapshot of its own (`base`, without `write`)."""
 
     write: object = None
-    base: Base | None = None
+    base: SnapshotBase | None = None
     snapshot: bytes = b""
     done: object = None  # function() once it is synced
 
@@ -141,4 +141,4 @@
     def kept(self):
         """What a replica is given at its start."""
         held = self.held
-        return Kept(held.term, held.voted, held.base, list(held.entries))
+        return StoredState(held.term, held.voted, held.base, list(held.entries))
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -4,8 +4,8 @@
 import random
 
 from lemonlead.ledger.dispatcher import Dispatcher
-from lemonlead.ledger.records import LEADER, Told
-from lemonlead.ledger.seating import Seat, Seating, Terms, formed
+from lemonlead.ledger.membership import ConfiguredMember, LedgerSettings, Membership, formed
+from lemonlead.ledger.records import LEADER, ReplicaConfig
 from lemonlead.ledger.state import State
 
 from .checks import Judge
@@ -18,7 +18,7 @@
 
 def short_told(cluster, name, folder, seed):
     """Times and bounds that make much happen in few seconds."""
-    return Told(
+    return ReplicaConfig(
         cluster,
         name,
         folder,
@@ -40,7 +40,7 @@
     dispatcher = Dispatcher(
         told, kept, cluster.ledger, state, now, duties, snapshot_every=cluster.snapshot_every
     )
-    dispatcher.duties.insert(0, Seating(dispatcher))
+    dispatcher.leader_tasks.insert(0, Membership(dispatcher))
     return dispatcher
 
 
@@ -74,8 +74,8 @@
         self.watching = {}  # what judges are told: the functions of those that want it
         self.hosts, self.folders = {}, 0
         world.clusters[id] = self
-        seats = {name: Seat(f"{name}:1", f"{name}-0") for name in names}
-        self.formed, self.base = formed(seats, terms or Terms())
+        seats = {name: ConfiguredMember(f"{name}:1", f"{name}-0") for name in names}
+        self.formed, self.base = formed(seats, terms or LedgerSettings())
         first = b"".join(ledger.pieces(self.formed))
         for judge in self.judges:
             judge.cluster = self
@@ -214,7 +214,7 @@
         dispatcher, now = self.dispatcher, self.now()
         if dispatcher is None:
             return
-        dispatcher.told_time(now, self.wall_ms())
+        dispatcher.set_clocks(now, self.wall_ms())
         door = Door(self)
         for _ in range(MOST_STEPS):
             if self.dies_in is not None:
@@ -244,7 +244,7 @@
         self.take(self.heard, message)
 
     def heard(self, message):
-        self.dispatcher.heard(self.now(), message)
+        self.dispatcher.receive(self.now(), message)
 
     def fail(self, why):
         self.dispatcher.disk_failed(self.now(), why)
@@ -317,7 +317,7 @@
         data = b"".join(self.cluster.ledger.pieces(state))
         host.disk.submit(Work(base=base, snapshot=data, done=done))
 
-    def send_part(self, peer, message, most):
+    def send_chunk(self, peer, message, most):
         """The snapshot in force on this disk; of another one nothing is to be had any more."""
         held = self.host.disk.held
         if held.base.index != message.base.index:
@@ -326,7 +326,7 @@
         last = message.offset + len(data) >= len(held.snapshot)
         self.send(type(message)(**{**fields(message), "data": data, "last": last}))
 
-    def take_part(self, message):
+    def receive_chunk(self, message):
         host = self.host
         if host.parts is None or host.parts[0] != message.base or message.offset == 0:
             host.parts = message.base, b""
--- a/lemonlead/standins/simulated/schedules.py
+++ b/lemonlead/standins/simulated/schedules.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass, replace
 
-from lemonlead.ledger import capacity, seating
+from lemonlead.ledger import capacity, membership
 from lemonlead.ledger.state import Ledger
 
 from .checks import Promises, Seeing, all_judges
@@ -97,7 +97,7 @@
 
 
 def plain_ledger():
-    return Ledger({**capacity.RULES, **seating.RULES}, {**capacity.KINDS, **seating.KINDS})
+    return Ledger({**capacity.RULES, **membership.RULES}, {**capacity.KINDS, **membership.KINDS})
 
 
 class Play:
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -5,7 +5,7 @@
 import random
 
 from lemonlead.ledger.dispatcher import Dispatcher
-from lemonlead.ledger.state import Terms
+from lemonlead.ledger.state import LedgerSettings
 from lemonlead.member import whole
 
 from . import schedules
@@ -21,7 +21,7 @@
 SERVICES = {"louis": "search", "ebene": "print"}  # by where each is at first
 NODES, UNITS = 5, 20  # of each cluster; units of each node
 QUORUM = 2  # of each service's group of three
-TERMS = Terms(lease=4 * SECOND, grace=SECOND, cold=SECOND)
+TERMS = LedgerSettings(lease=4 * SECOND, grace=SECOND, cold=SECOND)
 SPAN = 14_000  # milliseconds in which troubles begin and operators act
 HEALS = 1_500
 ENDS = 60_000  # within so many milliseconds after that all drains and moves end
@@ -42,7 +42,9 @@
 def dispatcher(host, told, kept, state, now):
     cluster = host.cluster
     made = Dispatcher(told, kept, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
-    made.duties = whole.duties(made, cluster.id, [name for name in NAMES if name != cluster.id], told.seed)
+    made.leader_tasks = whole.duties(
+        made, cluster.id, [name for name in NAMES if name != cluster.id], told.seed
+    )
     return made
 
 
--- a/lemonlead/standins/simulated/whole_checks.py
+++ b/lemonlead/standins/simulated/whole_checks.py
@@ -88,7 +88,7 @@
         self.ledger, self.between = ledger, between
 
     def formed(self, cluster, state, base):
-        terms = state.terms
+        terms = state.settings
         self.state, self.term, self.answers, self.waits = state, state.term, {}, []
         self.drains = drain_checks.Watch(terms.lease, terms.grace * RATES, terms.cold_share, terms.site_share)
         self.between.entries[cluster.id] = self
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -52,10 +52,10 @@
                 self.world.at(at + later * MS, lambda: self.haunt(old, state))
         self.term, self.again, self.up = self.term + 1, {}, True
         self.duty = self.make(self.name, self.others, self.world.rng.random())
-        self.followers.took_office(self.world.now)
+        self.followers.became_leader(self.world.now)
         self.apply(b"", 0)
         for duty in (self.duty, self.drains):
-            duty.took_office(self.world.now)
+            duty.became_leader(self.world.now)
 
     def haunt(self, duty, state):
         wanted = duty.next(self.world.now, 0, state, followers.Followers())
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -13,7 +13,10 @@
 
 
 def seats(names="abc", learners=""):
-    return {name: r.Seat(f"127.0.0.1:{ord(name)}", f"folder-{name}", name not in learners) for name in names}
+    return {
+        name: r.ConfiguredMember(f"127.0.0.1:{ord(name)}", f"folder-{name}", name not in learners)
+        for name in names
+    }
 
 
 def entry(index, term, what=r.COMMAND, data=b"{}", moment=0):
@@ -30,14 +33,14 @@
 
 
 def told(name="a", **more):
-    return r.Told("c1", name, f"folder-{name}", 7, **more)
+    return r.ReplicaConfig("c1", name, f"folder-{name}", 7, **more)
 
 
 def made(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
     """A replica that has just started, with entries of these terms in its log."""
     log = entries(terms) if log is None else log
     term = term or max([1, *(one.term for one in log)])
-    kept = r.Kept(term, voted, r.Base(1, 1, seats(names, learners)), log)
+    kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, seats(names, learners)), log)
     return Replica(told(name, **more), kept, NOW)
 
 
@@ -73,10 +76,10 @@
     def refuse(self, ticket, outcome, leader):
         self.end(ticket, outcome)
 
-    def send_part(self, peer, part, most):
+    def send_chunk(self, peer, part, most):
         self.sent.append(part)
 
-    def take_part(self, part):
+    def receive_chunk(self, part):
         self.parts.append(part)
 
     def kinds(self):
@@ -105,9 +108,9 @@
     for early in (True, False):
         for name in replica.voters:
             if name != replica.name and replica.candidacy is not None:
-                replica.heard(
+                replica.receive(
                     now,
-                    message(r.Ballot, name, replica.name, replica.term, given=True, early=early),
+                    message(r.VoteResponse, name, replica.name, replica.term, given=True, early=early),
                 )
                 if replica.candidacy is not None and replica.candidacy.early is not early:
                     break
@@ -119,9 +122,9 @@
 def ack(replica, now, name, match=None, round=None, **more):
     """A peer's answer to all that it was sent."""
     match = replica.last if match is None else match
-    round = replica.office.round if round is None else round
+    round = replica.leader_state.round if round is None else round
     fields = {"fits": True, "match": match, "round": round, **more}
-    replica.heard(now, message(r.Appended, name, replica.name, replica.term, **fields))
+    replica.receive(now, message(r.AppendResponse, name, replica.name, replica.term, **fields))
 
 
 class Member:
@@ -139,7 +142,7 @@
         self.frozen, self.up = False, True
 
     def disk_copy(self):
-        return r.Kept(self.disk.term, self.disk.voted, self.disk.base, list(self.disk.entries))
+        return r.StoredState(self.disk.term, self.disk.voted, self.disk.base, list(self.disk.entries))
 
     # the door
 
@@ -170,14 +173,14 @@
     def refuse(self, ticket, outcome, leader):
         self.net.end(ticket, outcome)
 
-    def send_part(self, peer, part, most):
+    def send_chunk(self, peer, part, most):
         data = self.snapshots.get(part.base.index)
         if data is not None:
             piece = data[part.offset : part.offset + most]
             last = part.offset + most >= len(data)
             self.net.send(msgspec.structs.replace(part, data=piece, last=last))
 
-    def take_part(self, part):
+    def receive_chunk(self, part):
         self.taken = (b"" if part.offset == 0 else self.taken) + part.data
 
     # the machine
@@ -208,12 +211,14 @@
 
     def compact(self):
         """A snapshot of what is applied."""
-        if self.at <= self.disk.base.index or self.replica.paper.base:
+        if self.at <= self.disk.base.index or self.replica.pending_writes.base:
             return
         while self.writes:
             self.to_disk(self.writes.pop(0)[1])
         applied = self.net.history[self.at]
-        base = r.Base(applied.index, applied.term, self.replica.seats_at(applied.index), applied.moment)
+        base = r.SnapshotBase(
+            applied.index, applied.term, self.replica.members_at(applied.index), applied.moment
+        )
         self.disk.base = base
         self.disk.entries = [one for one in self.disk.entries if one.index > base.index]
         self.snapshots = {base.index: self.state}  # one alone, as a host keeps it
@@ -235,10 +240,10 @@
         self.more = more
         self.members = {}
         for name in names:
-            self.add(name, r.Kept(1, "", r.Base(1, 1, seats(names, learners))))
+            self.add(name, r.StoredState(1, "", r.SnapshotBase(1, 1, seats(names, learners))))
 
     def add(self, name, kept=None):
-        self.members[name] = Member(self, name, kept or r.Kept(), **self.more)
+        self.members[name] = Member(self, name, kept or r.StoredState(), **self.more)
 
     def __getitem__(self, name):
         return self.members[name].replica
@@ -261,7 +266,7 @@
         for sent in due:
             member = self.members.get(sent.to)
             if member is not None and member.up and not member.frozen:
-                member.replica.heard(self.now, sent)
+                member.replica.receive(self.now, sent)
         for member in self.members.values():
             member.turn()
         leading = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
@@ -283,7 +288,7 @@
         """The name of the one that leads in the greatest term and has an entry of it committed."""
         up = [m.replica for m in self.members.values() if m.up and not m.frozen]
         best = max((one for one in up if one.role == r.LEADER), key=lambda one: one.term, default=None)
-        if best is not None and best.office.first <= best.committed:
+        if best is not None and best.leader_state.first <= best.committed:
             return best.name
         return None
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -6,9 +6,9 @@
 
 from lemonlead.ledger import polls
 from lemonlead.ledger.dispatcher import Dispatcher
+from lemonlead.ledger.membership import LedgerSettings, formed
 from lemonlead.ledger.polls import POLL
-from lemonlead.ledger.records import LEADER, Kept, Seat, Told
-from lemonlead.ledger.seating import Terms, formed
+from lemonlead.ledger.records import LEADER, ConfiguredMember, ReplicaConfig, StoredState
 from lemonlead.member import whole
 
 MS = 1_000_000
@@ -36,15 +36,17 @@
     def nothing(self, *_):
         pass
 
-    send = send_part = take_part = readable = call = nothing
+    send = send_chunk = receive_chunk = readable = call = nothing
 
 
 class World:
     def __init__(self, **more):
-        state, base = formed({"g1": Seat("h:1", "f1")}, Terms())
-        told = Told(cluster="c", name="g1", folder="f1", seed=1)
+        state, base = formed({"g1": ConfiguredMember("h:1", "f1")}, LedgerSettings())
+        told = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
-        self.dispatcher = Dispatcher(told, Kept(term=1, base=base), whole.ledger(), state, self.now, **more)
+        self.dispatcher = Dispatcher(
+            told, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
+        )
         while self.dispatcher.replica.role != LEADER:
             self.passes(max(self.dispatcher.wake_at() - self.now, MS))
         self.command("node", node="n1", site="s", units=5)
@@ -56,7 +58,7 @@
     def passes(self, time=0):
         """So much time, and all that there is to do until no write is out."""
         self.now += time
-        self.dispatcher.told_time(self.now, self.now // MS)
+        self.dispatcher.set_clocks(self.now, self.now // MS)
         self.decided()
         while self.door.writes:
             self.dispatcher.written(self.now, self.door.writes.pop(0).number)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -16,7 +16,7 @@
 from lemonlead.drains.view import View
 from lemonlead.ledger.faults import Fault, Senseless
 from lemonlead.ledger.records import Entry
-from lemonlead.ledger.state import Draft
+from lemonlead.ledger.state import Transaction
 from lemonlead.moves.rules import ungroup
 from lemonlead.standins.drain_checks import Watch
 from lemonlead.standins.drain_world import MS, S, World
@@ -628,7 +628,7 @@
     kept.update(made.state, running, frozenset())
     plan = Plan(kept.asked)
     assert len(plan.waves) == 4  # the site's share lets one go at once
-    draft = Draft(made.state, Entry(made.state.index + 1, 1, 1, made.now, made.wall, b""))
+    draft = Transaction(made.state, Entry(made.state.index + 1, 1, 1, made.now, made.wall, b""))
     ungroup(draft, "g")  # as a move does at its end
     names_, limits = kept.update(replace(made.state, parts=draft.parts), running, frozenset())
     plan.change(names_, limits)
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -5,14 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonlead.ledger import capacity, entries, followers, seating, state
+from lemonlead.ledger import capacity, entries, followers, membership, state
 from lemonlead.ledger.faults import Senseless
-from lemonlead.ledger.records import COMMAND, MEMBERS, Entry, Seat
+from lemonlead.ledger.records import COMMAND, MEMBERS, ConfiguredMember, Entry
 from lemonlead.standins import promises
 
 LEDGER = state.Ledger(
-    {**capacity.RULES, **entries.RULES, **followers.RULES, **seating.RULES},
-    {**capacity.KINDS, **entries.KINDS, **followers.KINDS, **seating.KINDS},
+    {**capacity.RULES, **entries.RULES, **followers.RULES, **membership.RULES},
+    {**capacity.KINDS, **entries.KINDS, **followers.KINDS, **membership.KINDS},
     followers.INNER,
 )
 SECOND = 1_000_000_000
@@ -101,15 +101,15 @@
 def test_a_node_that_failed_and_serves_again_is_cold_for_the_time_told():
     now = having(*FLEET, report("a", "failed"), report("a", "serving"))
     row = now.part("nodes")["a"]
-    assert row.warm == now.moment + now.terms.cold
-    assert capacity.bears(row, now.moment, now.terms) == 5
-    assert capacity.bears(row, row.warm, now.terms) == 10
+    assert row.warm == now.moment + now.settings.cold
+    assert capacity.bears(row, now.moment, now.settings) == 5
+    assert capacity.bears(row, row.warm, now.settings) == 10
 
 
 @pytest.mark.parametrize("out, later, free", [("", 0, 20), ("d", 0, 5), ("d", 6_250_000_000, 10)])
 def test_a_cold_node_counts_for_a_promise_by_its_share_while_a_drain_has_one_out(out, later, free):
     now = having(*FLEET, report("a", "failed"), report("a", "serving"))
-    draft = state.Draft(now, entry(now, b"", now.moment + later))
+    draft = state.Transaction(now, entry(now, b"", now.moment + later))
     capacity.change_node(draft, "b", out=out)
     assert capacity.site_free(draft, "s") == free
     with pytest.raises(capacity.Refused, match=f"{free} units free"):
@@ -121,7 +121,7 @@
 
 def test_a_cordoned_node_takes_only_gangs_that_end_in_time():
     now = having(*FLEET)
-    draft = state.Draft(now, entry(now, b""))
+    draft = state.Transaction(now, entry(now, b""))
     capacity.change_node(draft, "a", cordon_ms=50_000)
     capacity.gang(draft, capacity.GangCommand(gang="early", nodes=("a",), units=1, ends_ms=50_000))
     for ends_ms in (0, 50_001):
@@ -134,7 +134,7 @@
     second, done = told(first, id="x", **reserve("r", 20, site="s"))
     third, again = told(second, id="x", **reserve("other", 1, site="t"))
     assert again.repeat and again.body == done.body and third.parts == second.parts
-    late, _ = told(third, at=third.moment + third.terms.remember, **node("d"))
+    late, _ = told(third, at=third.moment + third.settings.remember, **node("d"))
     fourth, anew = told(late, id="x", **reserve("r", 20, site="s"))
     assert not anew.repeat and anew.code == 409
     assert fourth.answers["x"].code == 409
@@ -158,7 +158,7 @@
 def test_remembered_ids_do_not_grow_with_time():
     now = having(*FLEET)
     for n in range(300):
-        now, _ = told(now, at=now.moment + now.terms.remember // 10, id=f"n{n}", **report("a", "serving"))
+        now, _ = told(now, at=now.moment + now.settings.remember // 10, id=f"n{n}", **report("a", "serving"))
     assert len(now.answers) <= 12 and len(now.order) == len(now.answers)
 
 
@@ -178,7 +178,10 @@
 
 def test_a_name_that_was_seated_once_is_never_seated_again():
     now = having(*FLEET)
-    for seats in ({"m1": Seat("h:1", "f1"), "m2": Seat("h:2", "f2")}, {"m1": Seat("h:1", "f1")}):
+    for seats in (
+        {"m1": ConfiguredMember("h:1", "f1"), "m2": ConfiguredMember("h:2", "f2")},
+        {"m1": ConfiguredMember("h:1", "f1")},
+    ):
         now, _ = LEDGER.apply(now, entry(now, msgspec.json.encode(seats), what=MEMBERS))
     assert now.part("members")["m2"].gone
     for member, folder, says in (
@@ -190,7 +193,7 @@
     assert applied.code == 200
     _, second = told(now, kind="add", member="m4", address="127.0.0.1:9", folder="f4")
     assert second.code == 409 and "still being seated" in second.body["error"]["says"]
-    seats = {"m1": Seat("h:1", "f1"), "m3": Seat("h:9", "f3", False)}
+    seats = {"m1": ConfiguredMember("h:1", "f1"), "m3": ConfiguredMember("h:9", "f3", False)}
     now, _ = LEDGER.apply(now, entry(now, msgspec.json.encode(seats), what=MEMBERS))
     assert not now.part("seating")
 
@@ -236,10 +239,10 @@
         now, applied = told(now, **command)
         parts = promises.plain(now)
         assert not promises.faults(parts)
-        draft = state.Draft(now, entry(now, b""))
+        draft = state.Transaction(now, entry(now, b""))
         for site in now.part("sites"):
             rows = [row for row in now.part("nodes").values() if row.site == site and capacity.up(row)]
-            cold = sum(row.units - capacity.bears(row, now.moment, now.terms) for row in rows)
+            cold = sum(row.units - capacity.bears(row, now.moment, now.settings) for row in rows)
             assert capacity.not_borne(draft, site) >= cold
         if command["kind"] == "report":
             short = bool(promises.over(parts))
@@ -267,21 +270,21 @@
 
 def test_a_leader_waits_for_each_gateway_until_it_obeyed_or_its_lease_and_grace_ran_out():
     now = having(*FLEET, {"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g2"})
-    known, patience = followers.Followers(), now.terms.lease + now.terms.grace
-    known.took_office(100)
+    known, patience = followers.Followers(), now.settings.lease + now.settings.grace
+    known.became_leader(100)
     assert known.waited_for(100, now, 5) == ["g1", "g2"]
     known.polled(200, "g1", 5)
     assert known.waited_for(300, now, 5) == ["g2"]
     assert known.next(99 + patience, now) is None
     assert known.waited_for(100 + patience, now, 5) == []
     assert known.next(100 + patience, now).gateway == "g2"
-    known.took_office(150 + patience)
+    known.became_leader(150 + patience)
     assert known.waited_for(160 + patience, now, 5) == ["g1", "g2"]
 
 
 def test_a_gateway_that_begins_to_follow_under_an_old_leader_has_its_whole_lease():
-    known, patience = followers.Followers(), state.TERMS.lease + state.TERMS.grace
-    known.took_office(100)
+    known, patience = followers.Followers(), state.DEFAULT_SETTINGS.lease + state.DEFAULT_SETTINGS.grace
+    known.became_leader(100)
     first = having({"kind": "follow", "gateway": "g1"})
     late = 100 + 10 * patience
     assert known.next(late, first) is None and known.waited_for(late, first, 5) == ["g1"]
@@ -305,22 +308,22 @@
     assert after.part("followers")["g1"].since == 2
 
 
-GREETED = seating.Greeting
+GREETED = membership.Greeting
 
 
 @pytest.mark.parametrize(
     "me, greetings, what",
     [
-        ("g1", {"g1": GREETED("g1", "f1")}, seating.WAIT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, seating.FORM),
-        ("g2", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, seating.WAIT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", "louis")}, seating.STAY_OUT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("other", "f2")}, seating.STAY_OUT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", joins=True)}, seating.STAY_OUT),
+        ("g1", {"g1": GREETED("g1", "f1")}, membership.WAIT),
+        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, membership.FORM),
+        ("g2", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, membership.WAIT),
+        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", "louis")}, membership.STAY_OUT),
+        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("other", "f2")}, membership.STAY_OUT),
+        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", joins=True)}, membership.STAY_OUT),
     ],
 )
 def test_a_cluster_forms_only_of_folders_that_are_all_empty(me, greetings, what):
-    assert seating.to_form(me, {"g1": "h:1", "g2": "h:2"}, greetings)[0] == what
+    assert membership.to_form(me, {"g1": "h:1", "g2": "h:2"}, greetings)[0] == what
 
 
 @pytest.mark.parametrize(
@@ -329,8 +332,10 @@
      ("f3", True, "g3", True), ("f3", False, "g3", False), ("f9", True, "g3", False)],
 )  # fmt: skip
 def test_a_folder_takes_up_a_cluster_only_where_its_seat_names_it(folder, joins, name, fits):
-    _, base = seating.formed({"g1": Seat("h:1", "f1"), "g3": Seat("h:3", "f3")}, state.Terms())
-    assert (seating.may_join(folder, joins, {"g1": "h:1"}, name, base) == "") == fits
+    _, base = membership.formed(
+        {"g1": ConfiguredMember("h:1", "f1"), "g3": ConfiguredMember("h:3", "f3")}, state.LedgerSettings()
+    )
+    assert (membership.may_join(folder, joins, {"g1": "h:1"}, name, base) == "") == fits
 
 
 # ---- entries, told to gateways by scope
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -181,7 +181,7 @@
     chance, leader = random.Random(30), trio.wait_leader()
     term = trio.status(leader)["term"]
     good = msgspec.msgpack.encode(
-        [records.Append("c", leader, "seal", "g1", "seal", term + 5, 3, 1, [], 9, 1)] * 3
+        [records.AppendEntries("c", leader, "seal", "g1", "seal", term + 5, 3, 1, [], 9, 1)] * 3
     )
     command = json.dumps(dict(id="fuzz/1", kind="node", node="fuzz", site="s", units=1)).encode()
     for _ in range(150):
--- a/tests/test_member_disk.py
+++ b/tests/test_member_disk.py
@@ -24,13 +24,16 @@
 from msgspec.structs import replace
 
 from lemonlead.ledger.faults import Fault, Unusable
-from lemonlead.ledger.records import Base, Entry, Kept, Part, Seat, Write
+from lemonlead.ledger.records import ConfiguredMember, Entry, SnapshotBase, SnapshotChunk, StoredState, Write
 from lemonlead.member import disk, epoch, faults
 from lemonlead.member.disk import open_folder
 
 KILLS = int(os.environ.get("LEMONLEAD_DISK_KILLS", 30))
 FUZZ = int(os.environ.get("LEMONLEAD_DISK_FUZZ", 200))
-SEATS = {"g1": Seat("127.0.0.1:7101", "f1"), "g2": Seat("127.0.0.1:7102", "f2", False)}
+SEATS = {
+    "g1": ConfiguredMember("127.0.0.1:7101", "f1"),
+    "g2": ConfiguredMember("127.0.0.1:7102", "f2", False),
+}
 
 
 def entry(index, term=1, size=100):
@@ -52,7 +55,7 @@
 
 def formed(path, held=0, **told):
     folder = open_folder(path, **told)
-    folder.form("c1", "g1", Base(1, 1, SEATS, 5), [state(1)], "louis")
+    folder.form("c1", "g1", SnapshotBase(1, 1, SEATS, 5), [state(1)], "louis")
     if held:
         folder.put([write(entries=entries(2, 1 + held))])
     return folder
@@ -64,8 +67,10 @@
 
 def receive(folder, base, data, size=300_000):
     for at in range(0, len(data), size):
-        folder.take_part(
-            Part("c1", "g2", "f2", "g1", "f1", 1, base, at, data[at : at + size], at + size >= len(data))
+        folder.receive_chunk(
+            SnapshotChunk(
+                "c1", "g2", "f2", "g1", "f1", 1, base, at, data[at : at + size], at + size >= len(data)
+            )
         )
 
 
@@ -97,7 +102,7 @@
 
 def test_a_new_folder_holds_nothing_and_keeps_its_id(tmp_path):
     folder = open_folder(tmp_path / "a" / "b")
-    assert folder.kept() == (Kept(), None) and folder.cluster == ""
+    assert folder.kept() == (StoredState(), None) and folder.cluster == ""
     id = folder.id
     folder.close()
     again, other = open_folder(tmp_path / "a" / "b"), open_folder(tmp_path / "c")
@@ -105,19 +110,22 @@
 
 
 PUTS = {
-    "entries": ([write(entries=entries(2, 9))], Kept(1, "", Base(1, 1, SEATS, 5), entries(2, 9))),
-    "a vote": ([write(3, "g2")], Kept(3, "g2", Base(1, 1, SEATS, 5), [])),
+    "entries": (
+        [write(entries=entries(2, 9))],
+        StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 9)),
+    ),
+    "a vote": ([write(3, "g2")], StoredState(3, "g2", SnapshotBase(1, 1, SEATS, 5), [])),
     "a cut": (
         [write(entries=entries(2, 9)), write(4, "g2", cut=5, entries=entries(5, 6, 4))],
-        Kept(4, "g2", Base(1, 1, SEATS, 5), entries(2, 4) + entries(5, 6, 4)),
+        StoredState(4, "g2", SnapshotBase(1, 1, SEATS, 5), entries(2, 4) + entries(5, 6, 4)),
     ),
     "a cut of all": (
         [write(entries=entries(2, 9)), write(2, cut=2)],
-        Kept(2, "", Base(1, 1, SEATS, 5), []),
+        StoredState(2, "", SnapshotBase(1, 1, SEATS, 5), []),
     ),
     "a cut past the end": (
         [write(entries=entries(2, 3)), write(1, cut=4, entries=entries(4, 4))],
-        Kept(1, "", Base(1, 1, SEATS, 5), entries(2, 4)),
+        StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 4)),
     ),
 }
 
@@ -141,15 +149,15 @@
 
 @pytest.mark.parametrize("size", [0, 1, 1000, disk.ROW, 3 * disk.ROW + 5])
 def test_an_own_snapshot_in_short_steps_between_puts(tmp_path, size):
-    folder, data, base = formed(tmp_path, 20), state("own", size), Base(15, 1, SEATS, 9)
+    folder, data, base = formed(tmp_path, 20), state("own", size), SnapshotBase(15, 1, SEATS, 9)
     chunks, index = [data[at : at + 100_001] for at in range(0, size, 100_001)], 22
     for _ in folder.snapshot(base, chunks):
         folder.put([write(entries=[entry(index)])])
         index += 1
-    wanted = Kept(1, "", base, entries(16, index - 1)), data
+    wanted = StoredState(1, "", base, entries(16, index - 1)), data
     assert folder.kept() == wanted
     assert folder.db.execute("SELECT min(idx) FROM log").fetchone() == (16,)
-    assert folder.part(Base(1, 1, SEATS, 5), 0, 10) is None
+    assert folder.part(SnapshotBase(1, 1, SEATS, 5), 0, 10) is None
     for most in (1, 70_000, disk.ROW, 10**6):
         if size < 2000 or most > 1:
             got, last = b"", False
@@ -165,23 +173,23 @@
 @pytest.mark.parametrize(
     "base, stay",
     [
-        (Base(30, 2, SEATS, 9), []),
-        (Base(10, 1, SEATS, 9), entries(11, 21)),
-        (Base(10, 2, SEATS, 9), []),
-        (Base(21, 1, SEATS, 9), []),
+        (SnapshotBase(30, 2, SEATS, 9), []),
+        (SnapshotBase(10, 1, SEATS, 9), entries(11, 21)),
+        (SnapshotBase(10, 2, SEATS, 9), []),
+        (SnapshotBase(21, 1, SEATS, 9), []),
     ],
 )
 def test_a_received_snapshot_comes_in_force_with_its_write(tmp_path, base, stay):
     folder, data = formed(tmp_path, 20), state("far", 700_000)
-    before = Kept(1, "", Base(1, 1, SEATS, 5), entries(2, 21)), state(1)
-    receive(folder, Base(12, 1), b"given up half-way")
+    before = StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 21)), state(1)
+    receive(folder, SnapshotBase(12, 1), b"given up half-way")
     receive(folder, base, data)
     assert folder.kept() == before and folder.gathered() == data
     folder.put([write(2, base=base)])
     assert run(folder.tidy()) > 0
     following = entries(max(base.index, stay[-1].index if stay else 0) + 1, 40, 2)
     folder.put([write(2, entries=following)])
-    wanted = Kept(2, "", base, stay + following), data
+    wanted = StoredState(2, "", base, stay + following), data
     assert folder.kept() == wanted and folder.needless() == []
     folder.close()
     assert open_folder(tmp_path).kept() == wanted
@@ -189,29 +197,29 @@
 
 def test_a_snapshot_not_in_force_is_dropped_at_the_next_start(tmp_path):
     folder = formed(tmp_path, 20)
-    receive(folder, Base(30, 1), state("far", 700_000))
-    own = folder.snapshot(Base(15, 1), [state("own", 900_000)])
+    receive(folder, SnapshotBase(30, 1), state("far", 700_000))
+    own = folder.snapshot(SnapshotBase(15, 1), [state("own", 900_000)])
     next(own), next(own)
     folder.close()
     folder = open_folder(tmp_path)
-    assert folder.kept() == (Kept(1, "", Base(1, 1, SEATS, 5), entries(2, 21)), state(1))
+    assert folder.kept() == (StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 21)), state(1))
     assert folder.db.execute("SELECT count(*) FROM piece").fetchone() == (1,)
 
 
 def test_an_own_snapshot_that_a_received_one_overtook_is_not_put_in_force(tmp_path):
-    folder, base = formed(tmp_path, 20), Base(30, 1)
-    own = folder.snapshot(Base(15, 1), [state("own", 900_000)])
+    folder, base = formed(tmp_path, 20), SnapshotBase(30, 1)
+    own = folder.snapshot(SnapshotBase(15, 1), [state("own", 900_000)])
     next(own)
     receive(folder, base, state("far"))
     folder.put([write(base=base)])
     run(own)
-    assert folder.kept() == (Kept(1, "", base, []), state("far"))
+    assert folder.kept() == (StoredState(1, "", base, []), state("far"))
     assert folder.db.execute("SELECT count(*) FROM piece").fetchone() == (1,)
 
 
 def test_dropping_what_a_snapshot_covers_goes_in_bounded_steps(tmp_path):
     folder = formed(tmp_path, 3 * disk.TIDIED)
-    steps, lengths = folder.snapshot(Base(3 * disk.TIDIED, 1), [b"x"]), []
+    steps, lengths = folder.snapshot(SnapshotBase(3 * disk.TIDIED, 1), [b"x"]), []
     for _ in steps:
         lengths.append(folder.db.execute("SELECT count(*) FROM log").fetchone()[0])
     assert max(one - other for one, other in zip(lengths, lengths[1:], strict=False)) <= disk.TIDIED
@@ -234,7 +242,7 @@
     path = memory / "model"
     shutil.rmtree(path, ignore_errors=True)
     folder = formed(path)
-    wanted, held = Kept(1, "", Base(1, 1, SEATS, 5), []), state(1)
+    wanted, held = StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), []), state(1)
     for number, (what, many, up) in enumerate(ops):
         last = wanted.entries[-1].index if wanted.entries else wanted.base.index
         term = wanted.term + up
@@ -242,26 +250,26 @@
         if what == "put":
             more = entries(last + 1, last + many, term)
             folder.put([write(term, voted, entries=more[:3]), write(term, voted, entries=more[3:])])
-            wanted = Kept(term, voted, wanted.base, wanted.entries + more)
+            wanted = StoredState(term, voted, wanted.base, wanted.entries + more)
         elif what == "cut":
             at = max(wanted.base.index + 1, last - many)
             folder.put([write(term, voted, cut=at, entries=entries(at, at + 1, term))])
             kept = [one for one in wanted.entries if one.index < at]
-            wanted = Kept(term, voted, wanted.base, kept + entries(at, at + 1, term))
+            wanted = StoredState(term, voted, wanted.base, kept + entries(at, at + 1, term))
         elif what == "vote":
             folder.put([write(term, voted)])
-            wanted = Kept(term, voted, wanted.base, wanted.entries)
+            wanted = StoredState(term, voted, wanted.base, wanted.entries)
         elif what == "own" and wanted.entries:
             at = wanted.entries[many % len(wanted.entries)]
-            base, held = Base(at.index, at.term, SEATS, number), state(number, 300 * many)
+            base, held = SnapshotBase(at.index, at.term, SEATS, number), state(number, 300 * many)
             run(folder.snapshot(base, [held]))
             kept = [one for one in wanted.entries if one.index > base.index]
-            wanted = Kept(wanted.term, wanted.voted, base, kept)
+            wanted = StoredState(wanted.term, wanted.voted, base, kept)
         elif what == "receive":
-            base, held = Base(last + many + 1, term, SEATS, number), state(number, 300 * many + 1)
+            base, held = SnapshotBase(last + many + 1, term, SEATS, number), state(number, 300 * many + 1)
             receive(folder, base, held, 2000)
             folder.put([write(term, voted, base=base)])
-            wanted = Kept(term, voted, base, [])
+            wanted = StoredState(term, voted, base, [])
         elif what == "reopen":
             folder.close()
             folder = open_folder(path)
@@ -283,7 +291,7 @@
     "a term that falls in the log": write(2, "g1", entries=[entry(12, 2), entry(13, 1)]),
     "an entry of a term to come": write(2, "g1", entries=entries(12, 12, 3)),
     "a cut into the snapshot": write(2, "g1", cut=1),
-    "a base never received": write(2, "g1", base=Base(40, 1)),
+    "a base never received": write(2, "g1", base=SnapshotBase(40, 1)),
 }
 
 
@@ -302,14 +310,18 @@
 
 def test_a_part_that_does_not_follow_is_not_taken(tmp_path):
     folder = formed(tmp_path)
-    part = functools.partial(Part, "c1", "g2", "f2", "g1", "f1", 1)
-    assert folder.take_part(part(Base(9, 1), 0, b"abc")) == 3
-    for wrong in (part(Base(9, 1), 2, b"c"), part(Base(9, 1), 4, b"e"), part(Base(8, 1), 3, b"d")):
+    part = functools.partial(SnapshotChunk, "c1", "g2", "f2", "g1", "f1", 1)
+    assert folder.receive_chunk(part(SnapshotBase(9, 1), 0, b"abc")) == 3
+    for wrong in (
+        part(SnapshotBase(9, 1), 2, b"c"),
+        part(SnapshotBase(9, 1), 4, b"e"),
+        part(SnapshotBase(8, 1), 3, b"d"),
+    ):
         with pytest.raises(faults.Contradicts):
-            folder.take_part(wrong)
+            folder.receive_chunk(wrong)
     with pytest.raises(faults.Contradicts):
-        folder.put([write(base=Base(9, 1))])
-    assert folder.take_part(part(Base(9, 1), 3, b"d", True)) == 4
+        folder.put([write(base=SnapshotBase(9, 1))])
+    assert folder.receive_chunk(part(SnapshotBase(9, 1), 3, b"d", True)) == 4
     assert folder.gathered() == b"abcd"
 
 
@@ -317,9 +329,9 @@
     folder = open_folder(tmp_path)
     with pytest.raises(faults.Contradicts):
         folder.put([write(entries=entries(1, 1))])
-    folder.form("c1", "g1", Base(1, 1), [b"x"])
+    folder.form("c1", "g1", SnapshotBase(1, 1), [b"x"])
     with pytest.raises(faults.Contradicts):
-        folder.form("c2", "g1", Base(1, 1), [b"x"])
+        folder.form("c2", "g1", SnapshotBase(1, 1), [b"x"])
     assert folder.cluster == "c1"
 
 
@@ -541,8 +553,8 @@
 
     assert in_child(work) in (0, 5)
     folder = open_folder(tmp_path)
-    folder.form("c1", "g1", Base(1, 1), [b"x"])
-    assert folder.kept() == (Kept(1, "", Base(1, 1), []), b"x")
+    folder.form("c1", "g1", SnapshotBase(1, 1), [b"x"])
+    assert folder.kept() == (StoredState(1, "", SnapshotBase(1, 1), []), b"x")
 
 
 def test_the_names_of_a_new_folder_are_synced(tmp_path, monkeypatch):
@@ -586,8 +598,8 @@
 def refuses_all(folder):
     calls = [
         lambda: folder.put([write(entries=entries(12, 12))]),
-        lambda: next(folder.snapshot(Base(5, 1), [b"x"])),
-        lambda: folder.take_part(Part("c1", "g2", "f2", "g1", "f1", 1, Base(9, 1))),
+        lambda: next(folder.snapshot(SnapshotBase(5, 1), [b"x"])),
+        lambda: folder.receive_chunk(SnapshotChunk("c1", "g2", "f2", "g1", "f1", 1, SnapshotBase(9, 1))),
         lambda: folder.part(folder.base, 0, 10),
         lambda: next(folder.tidy()),
         lambda: folder.gathered(),
@@ -678,10 +690,10 @@
         raise KeyError("state")
 
     with pytest.raises(KeyError):
-        run(folder.snapshot(Base(5, 1), pieces()))
+        run(folder.snapshot(SnapshotBase(5, 1), pieces()))
     folder.put([write(entries=entries(12, 12))])
-    assert run(folder.snapshot(Base(5, 1), [b"x"])) > 0
-    assert folder.kept() == (Kept(1, "", Base(5, 1), entries(6, 12)), b"x")
+    assert run(folder.snapshot(SnapshotBase(5, 1), [b"x"])) > 0
+    assert folder.kept() == (StoredState(1, "", SnapshotBase(5, 1), entries(6, 12)), b"x")
 
 
 # ---- kills
@@ -699,7 +711,7 @@
         last += many
         os.write(told, b"%d %d\n" % (last, term))
         if next(own, None) is None and chance.random() < 0.1:
-            base = Base(last, term, SEATS, last)
+            base = SnapshotBase(last, term, SEATS, last)
             own = (True for _ in folder.snapshot(base, [state(last, 200_000)] * 3))
 
 
@@ -751,7 +763,7 @@
 
     def work():
         folder = formed(path, 60)
-        run(folder.snapshot(Base(20, 1, SEATS, 9), [state("own", 9000)]))
+        run(folder.snapshot(SnapshotBase(20, 1, SEATS, 9), [state("own", 9000)]))
         folder.put([write(3, "g2", cut=50, entries=entries(50, 70, 3))])
         if request.param == "closed":
             folder.close()
@@ -760,7 +772,7 @@
     names = [name for name in ("ledger.db", "ledger.db-wal", "epoch") if (path / name).exists()]
     assert len(names) == (2 if request.param == "closed" else 3)
     files = {name: (path / name).read_bytes() for name in names}
-    wanted = Kept(3, "g2", Base(20, 1, SEATS, 9), entries(21, 49) + entries(50, 70, 3))
+    wanted = StoredState(3, "g2", SnapshotBase(20, 1, SEATS, 9), entries(21, 49) + entries(50, 70, 3))
     return Stored(path, files, (wanted, state("own", 9000)))
 
 
--- a/tests/test_member_parts.py
+++ b/tests/test_member_parts.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lemonlead.ledger.records import Base, Part, Seat, Write
-from lemonlead.ledger.seating import first_base
-from lemonlead.ledger.waits import Waits
+from lemonlead.ledger.backoff import Backoff
+from lemonlead.ledger.membership import first_base
+from lemonlead.ledger.records import ConfiguredMember, SnapshotBase, SnapshotChunk, Write
 from lemonlead.member import faults, peers, run
 from lemonlead.member.asking import Asking
 from lemonlead.member.host import Host
@@ -23,7 +23,7 @@
     "row, least, most", [(0, 5, 10), (1, 10, 20), (3, 40, 80), (4, 50, 100), (90, 50, 100)]
 )
 def test_waits_grow_with_failures_in_a_row_up_to_the_most(row, least, most):
-    waits = Waits(1, 10 * MS, 100 * MS)
+    waits = Backoff(1, 10 * MS, 100 * MS)
     for _ in range(row):
         waits.failed()
     assert least * MS <= waits.failed() <= most * MS
@@ -32,7 +32,7 @@
 
 
 def test_members_wait_differently_after_the_same_failure():
-    assert len({Waits(f"{seed} g1", 10 * MS, 100 * MS).failed() for seed in range(20)}) > 15
+    assert len({Backoff(f"{seed} g1", 10 * MS, 100 * MS).failed() for seed in range(20)}) > 15
 
 
 @pytest.mark.parametrize(
@@ -58,12 +58,12 @@
     assert not queue.messages and queue.size == 0 and not queue.filled.is_set()
 
 
-SEATS = {"g1": Seat("a:1", "f1"), "g4": Seat("a:4", "f4", False)}
+SEATS = {"g1": ConfiguredMember("a:1", "f1"), "g4": ConfiguredMember("a:4", "f4", False)}
 
 
 @pytest.mark.parametrize("name, index", [("g1", 7), ("g4", 0), ("g9", 7)])
 def test_a_learner_begins_with_nothing_and_a_voter_with_a_snapshot(name, index):
-    assert first_base(SEATS, name, Base(7, 2, SEATS)).index == index
+    assert first_base(SEATS, name, SnapshotBase(7, 2, SEATS)).index == index
 
 
 # ---- the disk's thread
@@ -73,7 +73,7 @@
     """Writes down what it is asked; fails on demand, and holds a put until it is let go."""
 
     def __init__(self, failing=()):
-        self.asked, self.failing, self.go, self.base = [], set(failing), threading.Event(), Base()
+        self.asked, self.failing, self.go, self.base = [], set(failing), threading.Event(), SnapshotBase()
 
     def put(self, writes):
         self.go.wait(10)
@@ -92,7 +92,7 @@
         return None
 
 
-PART = Part("c", "g1", "f1", "g2", "f2", 1, base=Base(9, 1))
+PART = SnapshotChunk("c", "g1", "f1", "g2", "f2", 1, base=SnapshotBase(9, 1))
 
 
 class Told:
@@ -154,7 +154,7 @@
     host.wait(2)
     for number in (3, 4):
         one.write(Write(number, 1, ""), host)
-    one.snapshot([b"a"], Base(9, 1), host)
+    one.snapshot([b"a"], SnapshotBase(9, 1), host)
     one.end(10)
     assert folder.asked == [[1], [2]]
     assert [call[0] for call in host.calls] == ["written", "disk_failed"] and "no space" in host.calls[1][1]
@@ -170,7 +170,7 @@
             one.write(Write(number, 1, ""), host)
             yield b"piece"
 
-    one.snapshot(pieces(), Base(9, 1), host)
+    one.snapshot(pieces(), SnapshotBase(9, 1), host)
     host.wait(4)
     assert folder.asked == [b"piece", [1], b"piece", [2], b"piece", [3]]
     assert [call[0] for call in host.calls].count("snapshot_kept") == 1
@@ -183,7 +183,7 @@
     folder.part = Mock(side_effect=error)
     one = shelf(folder)
     for _ in range(2):
-        one.send_part(PART, 100, sent.append, host)
+        one.send_chunk(PART, 100, sent.append, host)
     one.write(Write(1, 1, ""), host)
     one.end(10)
     assert [call[0] for call in host.calls] == ["disk_failed"] and str(error) in host.calls[0][1]
@@ -194,7 +194,7 @@
     folder, host, sent = Folder(), Told(), []
     folder.go.set()
     one = shelf(folder)
-    one.send_part(PART, 100, sent.append, host)
+    one.send_chunk(PART, 100, sent.append, host)
     one.write(Write(1, 1, ""), host)
     host.wait(1)
     assert (host.calls, sent, one.counts["parts_dropped"]) == ([("written", 1)], [], 1)
@@ -207,13 +207,13 @@
     """Writes down the order in which it is asked."""
 
     def __init__(self, wake):
-        self.asked, self.wake, self.duties = [], wake, []
+        self.asked, self.wake, self.leader_tasks = [], wake, []
         self.replica = SimpleNamespace(role="follower", term=1, leader="")
 
-    def told_time(self, now, wall_ms):
+    def set_clocks(self, now, wall_ms):
         self.now = now
 
-    def heard(self, now, message):
+    def receive(self, now, message):
         assert now == self.now
         self.asked.append(message)
 
--- a/tests/test_member_told.py
+++ b/tests/test_member_told.py
@@ -5,8 +5,8 @@
 import pytest
 
 from lemonlead.ledger.faults import Unusable
-from lemonlead.ledger.records import Told
-from lemonlead.ledger.state import Terms
+from lemonlead.ledger.records import ReplicaConfig
+from lemonlead.ledger.state import LedgerSettings
 from lemonlead.member import told
 from lemonlead.member.faults import Unfit
 
@@ -30,8 +30,8 @@
     assert found.data == tmp_path / "var" / "g1"
     assert found.members == {f"g{n}": f"127.0.0.1:710{n}" for n in (1, 2, 3)}
     assert found.clusters == {"ebene": [f"127.0.0.1:720{n}" for n in (1, 2, 3)]}
-    assert found.terms == Terms()
-    wanted = Told("", "", "", 0)
+    assert found.terms == LedgerSettings()
+    wanted = ReplicaConfig("", "", "", 0)
     assert (found.times.election, found.times.heartbeat) == (wanted.election, wanted.heartbeat)
     assert found.bounds == {name: getattr(wanted, name) for name in found.bounds} and found.bounds
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -308,7 +308,7 @@
     assert [declare(name, 1)[0] for name in world.sides] == [200, 200]
 
 
-class Counted(state.Draft):
+class Counted(state.Transaction):
     """Counts what is gone over, and forbids to go over a part that holds records of all services."""
 
     looked = 0
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -6,13 +6,27 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from replicas import BEAT, ELECTION, MS, NOW, Host, Net, ack, elected, entries, entry, made, members_entry
+from replicas import (
+    BEAT,
+    ELECTION,
+    MS,
+    NOW,
+    Host,
+    Net,
+    ack,
+    elected,
+    entries,
+    entry,
+    made,
+    members_entry,
+    seats,
+    told,
+)
 from replicas import message as said
-from replicas import seats, told
 
 from lemonlead.ledger import records as r
+from lemonlead.ledger.leader import one_apart
 from lemonlead.ledger.log import MOST_WRITES, Log
-from lemonlead.ledger.office import one_apart
 from lemonlead.ledger.replica import Replica
 
 LONG = int(os.environ.get("LEMONLEAD_LONG", "1"))  # times as many examples and schedules, by chance
@@ -22,21 +36,21 @@
 
 
 def canvass(sender="b", term=2, last=(1, 1), **more):
-    return said(r.Canvass, sender, term=term, last_term=last[0], last_index=last[1], **more)
+    return said(r.VoteRequest, sender, term=term, last_term=last[0], last_index=last[1], **more)
 
 
 def append(prev=(1, 1), terms=(), term=1, committed=0, round=0, sender="b", log=None):
     log = entries(terms, prev[0] + 1) if log is None else log
     return said(
-        r.Append, sender, term=term, prev_index=prev[0], prev_term=prev[1], entries=log, committed=committed,
-        round=round,
+        r.AppendEntries, sender, term=term, prev_index=prev[0], prev_term=prev[1], entries=log,
+        committed=committed, round=round,
     )  # fmt: skip
 
 
 def heard(replica, sent, now=NOW, host=None, sync=True):
     """What it sends after one message."""
     host = host or Host()
-    replica.heard(now, sent)
+    replica.receive(now, sent)
     return host.pull(replica, now, sync)
 
 
@@ -126,10 +140,10 @@
 def test_term_and_own_vote_are_on_disk_before_it_asks_and_before_it_leads():
     replica, host = made(), Host()
     now = silence(replica, host)
-    assert heard(replica, said(r.Ballot, "b", given=True, early=True), now, host, sync=False) == []
+    assert heard(replica, said(r.VoteResponse, "b", given=True, early=True), now, host, sync=False) == []
     (write,) = host.writes
     assert (write.term, write.voted, replica.term) == (2, "a", 2)
-    replica.heard(now, said(r.Ballot, "b", term=2, given=True))
+    replica.receive(now, said(r.VoteResponse, "b", term=2, given=True))
     assert replica.role == r.CANDIDATE
     replica.written(now, write.number)
     assert replica.role == r.LEADER
@@ -140,20 +154,20 @@
 @pytest.mark.parametrize(
     "ballot",
     [
-        said(r.Ballot, "b", term=2, given=False),
-        said(r.Ballot, "b", term=1, given=True),
-        said(r.Ballot, "d", term=2, given=True),
-        said(r.Ballot, "z", term=2, given=True),
-        said(r.Ballot, "b", term=2, given=True, early=True),
+        said(r.VoteResponse, "b", term=2, given=False),
+        said(r.VoteResponse, "b", term=1, given=True),
+        said(r.VoteResponse, "d", term=2, given=True),
+        said(r.VoteResponse, "z", term=2, given=True),
+        said(r.VoteResponse, "b", term=2, given=True, early=True),
     ],
 )
 def test_ballots_that_do_not_count(ballot):
     replica, host = made(names="abcd", learners="d"), Host()
     now = silence(replica, host)
-    replica.heard(now, said(r.Ballot, "b", given=True, early=True))
-    replica.heard(now, said(r.Ballot, "c", given=True, early=True))
+    replica.receive(now, said(r.VoteResponse, "b", given=True, early=True))
+    replica.receive(now, said(r.VoteResponse, "c", given=True, early=True))
     host.pull(replica, now)
-    replica.heard(now, ballot)
+    replica.receive(now, ballot)
     assert (replica.role, replica.term) == (r.CANDIDATE, 2)
 
 
@@ -174,14 +188,24 @@
 
 
 def test_an_empty_folder_is_outside_and_votes_for_nobody():
-    replica = Replica(told(), r.Kept(), NOW)
+    replica = Replica(told(), r.StoredState(), NOW)
     assert replica.role == r.OUTSIDE
     assert heard(replica, canvass()) == []
     heard(replica, append((0, 0), terms=[1], term=2))
     assert replica.role == r.LEARNER
 
 
-@pytest.mark.parametrize("kind", [r.Appended, r.Parted, r.Append, r.Part, r.TakeOver, r.Ballot])
+@pytest.mark.parametrize(
+    "kind",
+    [
+        r.AppendResponse,
+        r.SnapshotChunkResponse,
+        r.AppendEntries,
+        r.SnapshotChunk,
+        r.TimeoutNow,
+        r.VoteResponse,
+    ],
+)
 def test_a_newer_term_deposes_a_leader(kind):
     replica, host = made(), Host()
     now = elected(replica, host)
@@ -207,7 +231,7 @@
         ("term", 1 << 63),
     ],
 )
-@pytest.mark.parametrize("sent", [canvass(), append(terms=[2], term=2), said(r.Part, "b", term=2)])
+@pytest.mark.parametrize("sent", [canvass(), append(terms=[2], term=2), said(r.SnapshotChunk, "b", term=2)])
 def test_what_is_not_meant_for_it_changes_nothing(field, value, sent):
     replica, host = made(), Host()
     assert heard(replica, msgspec.structs.replace(sent, **{field: value}), host=host) == []
@@ -304,10 +328,10 @@
     while replica.last == prev:
         heard(replica, append((prev, 1), terms=[1] * 200), host=host, sync=False)
         prev += 200
-    assert replica.last - replica.paper.given <= 4096
+    assert replica.last - replica.pending_writes.submitted <= 4096
     assert (len(host.writes), replica.counts["not taken: backlog"]) == (4, 1)
     host.pull(replica, NOW)
-    assert replica.paper.held == replica.last
+    assert replica.pending_writes.on_disk == replica.last
 
 
 def test_what_is_committed_is_not_applied_before_the_disk_was_given_it():
@@ -329,7 +353,7 @@
 def test_a_leader_counts_itself_only_once_written():
     replica, host = made(), Host()
     now = elected(replica, host, sync=False)
-    assert r.Append in host.kinds()  # sent before its own disk holds it
+    assert r.AppendEntries in host.kinds()  # sent before its own disk holds it
     replica.propose(now, 0, b"{}", "t")
     host.pull(replica, now, sync=False)
     ack(replica, now, "b")
@@ -344,7 +368,7 @@
     host.pull(replica, now, sync=False)
     ack(replica, now, "b")
     ack(replica, now, "c")
-    assert (replica.committed, replica.paper.held) == (2, 1)
+    assert (replica.committed, replica.pending_writes.on_disk) == (2, 1)
 
 
 def test_entries_of_older_terms_are_committed_by_one_of_the_own_alone():
@@ -369,7 +393,7 @@
 
 
 def test_ledger_time_goes_on_from_the_greatest_in_the_log():
-    kept = r.Kept(1, "", r.Base(1, 1, seats("a"), moment=500), [])
+    kept = r.StoredState(1, "", r.SnapshotBase(1, 1, seats("a"), moment=500), [])
     replica, host = Replica(told(), kept, NOW), Host()
     now = elected(replica, host)
     replica.propose(now + 7, 11, b"{}", "t")
@@ -382,7 +406,7 @@
     """A leader of three whose peers have all that it has."""
     replica, host = made(**more), Host()
     now = elected(replica, host)
-    for name in replica.seats:
+    for name in replica.members:
         if name in replica.voters and name != replica.name:
             ack(replica, now, name)
     host.pull(replica, now)
@@ -435,7 +459,7 @@
     assert max(gaps[:5]) <= 2 * BEAT
     assert 8 * BEAT < max(gaps) <= 16 * BEAT * 2
     assert len(gaps) < to_b / 5
-    replica.heard(moment, canvass("c", term=1, early=True))
+    replica.receive(moment, canvass("c", term=1, early=True))
     assert "c" in [sent.to for sent in host.pull(replica, moment)]
 
 
@@ -468,7 +492,7 @@
     for ticket in range(9):
         replica.propose(now, 0, b"{}", ticket)
         host.pull(replica, now, sync=False)
-    assert (len(host.writes), replica.paper.given) == (4, 6)
+    assert (len(host.writes), replica.pending_writes.submitted) == (4, 6)
     ack(replica, now, "b")
     ack(replica, now, "c")
     host.pull(replica, now, sync=False)
@@ -533,7 +557,7 @@
         ack(replica, now, "c")
     host.pull(replica, now)
     assert replica.applied == 102
-    replica.compacted(now, r.Base(90, 2, seats()))
+    replica.compacted(now, r.SnapshotBase(90, 2, seats()))
     assert (replica.log.first, replica.last, replica.base.index) == (81, 102, 90)
     assert replica.log.term(80) == 2
     assert replica.log.term(79) is None
@@ -553,8 +577,8 @@
     ack(replica, now, "b")
     sent = host.pull(replica, now)
     assert host.ends == {}
-    assert {one.to for one in sent if one.round == replica.office.round} == {"b", "c"}
-    ack(replica, now, "c", round=replica.office.round - 1)
+    assert {one.to for one in sent if one.round == replica.leader_state.round} == {"b", "c"}
+    ack(replica, now, "c", round=replica.leader_state.round - 1)
     host.pull(replica, now)
     assert host.ends == {}
     ack(replica, now, "c")
@@ -576,7 +600,7 @@
 
 def test_reads_share_rounds():
     replica, host, now = leading()
-    before = replica.office.round
+    before = replica.leader_state.round
     for ticket in range(500):
         replica.read(now, ticket)
         host.pull(replica, now)
@@ -584,7 +608,7 @@
         ack(replica, now, "b")
         host.pull(replica, now)
     assert host.ends == dict.fromkeys(range(500), "readable")
-    assert replica.office.round == before + 2
+    assert replica.leader_state.round == before + 2
 
 
 def test_a_lone_voter_serves_reads_once_an_entry_of_its_term_is_committed():
@@ -680,7 +704,7 @@
 @pytest.mark.parametrize("sent", [canvass(), append(terms=[1], round=1)])
 def test_what_waited_for_the_disk_is_never_sent_after_it_failed(sent):
     replica, host = made(), Host()
-    replica.heard(NOW, sent)
+    replica.receive(NOW, sent)
     host.pull(replica, NOW, sync=False)
     replica.disk_failed(NOW, "EIO")
     replica.written(NOW, 1)
@@ -695,13 +719,13 @@
     [
         (seats("abcd", "d"), True),
         (seats("ab"), True),
-        ({**seats(), "c": r.Seat("127.0.0.1:9", "folder-c")}, True),
+        ({**seats(), "c": r.ConfiguredMember("127.0.0.1:9", "folder-c")}, True),
         (seats("abcd"), False),  # a vote at once
         (seats("abcde", "de"), False),
         (seats("abd", "d"), False),
         (seats("abc", "c"), False),
-        ({**seats(), "c": r.Seat("127.0.0.1:99", "other")}, False),
-        ({**seats(), "d": r.Seat("127.0.0.1:9", "folder-c", False)}, False),
+        ({**seats(), "c": r.ConfiguredMember("127.0.0.1:99", "other")}, False),
+        ({**seats(), "d": r.ConfiguredMember("127.0.0.1:9", "folder-c", False)}, False),
         (seats(), False),
         ({}, False),
     ],
@@ -730,7 +754,7 @@
     replica.change(now, seats("abc" + more, more), "t")
     host.pull(replica, now)
     if state == "open":
-        assert replica.seats == seats("abcd", "d")  # effective when appended
+        assert replica.members == seats("abcd", "d")  # effective when appended
         ack(replica, now, "b")
         host.pull(replica, now)
     assert host.ends["t"] == (3 if state == "open" else r.NOT_DONE)
@@ -738,9 +762,9 @@
 
 def test_members_are_taken_back_with_the_entry_that_named_them():
     replica = made(log=[members_entry(2, 1, seats("abcd", "d")), members_entry(3, 1, seats("abcd"))])
-    assert (len(replica.voters), replica.seats_at(2)) == (4, seats("abcd", "d"))
+    assert (len(replica.voters), replica.members_at(2)) == (4, seats("abcd", "d"))
     heard(replica, append(terms=[2], term=2))
-    assert replica.seats == seats()
+    assert replica.members == seats()
 
 
 def test_a_learner_that_has_caught_up_gets_its_vote():
@@ -752,14 +776,14 @@
     net.lead().change(net.now, seats("abcd", "d"), "add")
     net.run(lambda: net["d"].role == r.FOLLOWER)
     assert net.ends["add"]
-    net.run(lambda: net.lead().seats == seats("abcd") and net.same())
+    net.run(lambda: net.lead().members == seats("abcd") and net.same())
 
 
 def test_a_learner_that_does_not_answer_gets_none_and_may_be_removed():
     net = Net()
     net.lead().change(net.now, seats("abcd", "d"), "add")
     net.pause(3000)
-    assert net.lead().seats == seats("abcd", "d")
+    assert net.lead().members == seats("abcd", "d")
     net.lead().change(net.now, seats(), "remove")
     net.run(lambda: "remove" in net.ends)
     assert isinstance(net.ends["remove"], int)
@@ -775,7 +799,7 @@
     ack(replica, now, "c")
     sent = host.pull(replica, now)
     assert (replica.role, host.ends) == (r.LEARNER, {"t": 3})
-    assert r.TakeOver in map(type, sent)
+    assert r.TimeoutNow in map(type, sent)
 
 
 def test_after_its_leader_is_removed_a_cluster_goes_on_and_the_removed_one_does_not_disturb():
@@ -818,7 +842,7 @@
     replica, host, now = leading()
     replica.hand_over(now, "b")
     replica.propose(now, 0, b"{}", "meanwhile")
-    assert r.TakeOver in map(type, host.pull(replica, now))
+    assert r.TimeoutNow in map(type, host.pull(replica, now))
     for at in range(1, 9):
         ack(replica, now + at * BEAT, "c")
         host.pull(replica, now + at * BEAT)
@@ -834,26 +858,26 @@
 def test_nothing_is_handed_to_who_has_no_vote_or_already_leads(to):
     replica, host, now = leading(names="abcd", learners="d")
     replica.hand_over(now, to)
-    assert replica.office.handing is None
+    assert replica.leader_state.handing is None
 
 
 def test_only_the_leader_that_is_known_may_hand_over():
     replica = made()
     heard(replica, append(sender="b"))
-    heard(replica, said(r.TakeOver, "c"))
+    heard(replica, said(r.TimeoutNow, "c"))
     assert replica.role == r.FOLLOWER
-    heard(replica, said(r.TakeOver, "b"))
+    heard(replica, said(r.TimeoutNow, "b"))
     assert (replica.role, replica.term) == (r.CANDIDATE, 2)
 
 
 # ---- snapshots
 
 
-BASE = r.Base(50, 3, seats("abc"), 77)
+BASE = r.SnapshotBase(50, 3, seats("abc"), 77)
 
 
 def part(offset=0, data=b"12345", last=False, base=BASE, term=3, sender="b"):
-    return said(r.Part, sender, term=term, base=base, offset=offset, data=data, last=last)
+    return said(r.SnapshotChunk, sender, term=term, base=base, offset=offset, data=data, last=last)
 
 
 def test_a_snapshot_is_taken_in_order_and_is_in_force_once_written():
@@ -869,7 +893,7 @@
     replica.written(NOW, write.number)
     assert (replica.committed, replica.last, replica.base, replica.log.moment) == (50, 50, BASE, 77)
     done = host.pull(replica, NOW)
-    assert [(one.fits, one.match) for one in done if type(one) is r.Appended] == [(True, 50)]
+    assert [(one.fits, one.match) for one in done if type(one) is r.AppendResponse] == [(True, 50)]
     assert heard(replica, part(10, last=True), host=host)[0].done
     heard(replica, append((50, 3), terms=[3], term=3, committed=51), host=host)
     assert [one.index for one in host.applied] == [51]
@@ -880,23 +904,23 @@
     heard(replica, part(last=True), host=host, sync=False)
     (answer,) = heard(replica, append((3, 2), terms=[3], term=3, round=1), host=host, sync=False)
     assert (answer.fits, replica.last) == (False, 3)
-    heard(replica, said(r.TakeOver, "b", term=3), host=host, sync=False)
+    heard(replica, said(r.TimeoutNow, "b", term=3), host=host, sync=False)
     assert replica.role == r.FOLLOWER
 
 
 @pytest.mark.parametrize("fits", [True, False])
 def test_entries_after_a_snapshot_stay_where_they_follow_on_it(fits):
     replica, host = made(terms=[1] * 10), Host()
-    heard(replica, part(last=True, base=r.Base(5, 1 if fits else 2, seats())), host=host)
-    assert (replica.last, replica.log.seats) == (11 if fits else 5, [(5, seats())])
+    heard(replica, part(last=True, base=r.SnapshotBase(5, 1 if fits else 2, seats())), host=host)
+    assert (replica.last, replica.log.memberships) == (11 if fits else 5, [(5, seats())])
 
 
 @pytest.mark.parametrize(
     "second, offsets, wanted",
     [
-        (part(0, base=r.Base(60, 3, seats())), [0, 0], 5),  # a newer one drops what was begun
-        (part(5, base=r.Base(60, 3, seats())), [0], 0),
-        (part(0, base=r.Base(40, 3, seats())), [0], None),  # a late piece of an older one
+        (part(0, base=r.SnapshotBase(60, 3, seats())), [0, 0], 5),  # a newer one drops what was begun
+        (part(5, base=r.SnapshotBase(60, 3, seats())), [0], 0),
+        (part(0, base=r.SnapshotBase(40, 3, seats())), [0], None),  # a late piece of an older one
         (part(5, term=4, sender="c"), [0], 0),  # another leader's bytes
     ],
 )
@@ -909,7 +933,14 @@
 
 
 @pytest.mark.parametrize(
-    "base", [r.Base(), r.Base(-5, 1, seats()), r.Base(9, 99, seats()), r.Base(9, 1, {}), r.Base(1 << 70, 1)]
+    "base",
+    [
+        r.SnapshotBase(),
+        r.SnapshotBase(-5, 1, seats()),
+        r.SnapshotBase(9, 99, seats()),
+        r.SnapshotBase(9, 1, {}),
+        r.SnapshotBase(1 << 70, 1),
+    ],
 )
 def test_garbled_snapshots_are_dropped(base):
     replica, host = made(), Host()
@@ -938,7 +969,7 @@
     late = lagging(net)
     net.cuts, net.lost, net.twice, net.delay = set(), lost, twice, 30 * MS
     net.run(lambda: net[late].base.index >= 300)
-    assert sum(type(one) is r.Part and one.to == late for one in net.log) >= 4
+    assert sum(type(one) is r.SnapshotChunk and one.to == late for one in net.log) >= 4
     net.lost = 0
     net.run(net.same)
 
@@ -954,7 +985,7 @@
         net.pause(5)
         if not (waits and net.lead().sends_snapshot()):
             net.members[net.lead().name].compact()
-    bases = {one.base.index for one in net.log if type(one) is r.Part and one.to == late}
+    bases = {one.base.index for one in net.log if type(one) is r.SnapshotChunk and one.to == late}
     assert len(bases) == 1 if waits else len(bases) > 3
     net.run(net.same)
     assert net[late].base.index >= 300
@@ -969,14 +1000,14 @@
         ack(replica, now, "b", match=match)
     ack(replica, now, "c", match=30)
     host.pull(replica, now)
-    replica.compacted(now, r.Base(60, 2, seats()))
+    replica.compacted(now, r.SnapshotBase(60, 2, seats()))
     assert replica.log.first == 31
     for at in range(40):
         replica.propose(now, 0, b"{}", 100 + at)
     host.pull(replica, now)
     ack(replica, now, "b")
     host.pull(replica, now)
-    replica.compacted(now, r.Base(100, 2, seats()))
+    replica.compacted(now, r.SnapshotBase(100, 2, seats()))
     assert replica.log.first == 100 - 8 * 5 + 1  # but not without end
 
 
@@ -1030,7 +1061,9 @@
     net.members[late].kill()
     net.members[late].disk.term += 5
     net.members[late].start()
-    net.run(lambda: net.leader() and net.lead().term > leader.office.term if leader.office else True)
+    net.run(
+        lambda: net.leader() and net.lead().term > leader.leader_state.term if leader.leader_state else True
+    )
     net.run(lambda: net.leader() and net.same())
 
 
@@ -1103,7 +1136,7 @@
 names = st.sampled_from(["a", "b", "c", "d", "z", ""])
 bytes_ = st.one_of(st.binary(max_size=20), st.just(msgspec.json.encode(seats("abcd", "d"))))
 any_entry = st.builds(r.Entry, numbers, numbers, st.integers(-1, 3), numbers, numbers, bytes_)
-bases = st.builds(r.Base, numbers, numbers, st.sampled_from([{}, seats(), seats("bcd")]), numbers)
+bases = st.builds(r.SnapshotBase, numbers, numbers, st.sampled_from([{}, seats(), seats("bcd")]), numbers)
 some_entries = st.one_of(
     st.lists(any_entry, max_size=4),
     st.builds(lambda terms, start: entries(terms, start), st.lists(st.integers(1, 5), max_size=5), numbers),
@@ -1119,20 +1152,20 @@
 
 
 any_message = st.one_of(
-    messages(r.Canvass, last_index=numbers, last_term=numbers, early=st.booleans(), handed=st.booleans()),
-    messages(r.Ballot, given=st.booleans(), early=st.booleans()),
+    messages(r.VoteRequest, last_index=numbers, last_term=numbers, early=st.booleans(), handed=st.booleans()),
+    messages(r.VoteResponse, given=st.booleans(), early=st.booleans()),
     messages(
-        r.Append,
+        r.AppendEntries,
         prev_index=numbers,
         prev_term=numbers,
         entries=some_entries,
         committed=numbers,
         round=numbers,
     ),
-    messages(r.Appended, fits=st.booleans(), match=numbers, round=numbers),
-    messages(r.Part, base=bases, offset=numbers, data=bytes_, last=st.booleans(), round=numbers),
-    messages(r.Parted, base_index=numbers, offset=numbers, done=st.booleans(), round=numbers),
-    messages(r.TakeOver),
+    messages(r.AppendResponse, fits=st.booleans(), match=numbers, round=numbers),
+    messages(r.SnapshotChunk, base=bases, offset=numbers, data=bytes_, last=st.booleans(), round=numbers),
+    messages(r.SnapshotChunkResponse, base_index=numbers, offset=numbers, done=st.booleans(), round=numbers),
+    messages(r.TimeoutNow),
 )
 
 
@@ -1143,25 +1176,25 @@
     now = elected(replica, host) if leads else NOW
     for at, one in enumerate(sent):
         before, term, voted = list(host.applied), replica.term, replica.voted
-        replica.heard(now + at * MS, one)
+        replica.receive(now + at * MS, one)
         host.pull(replica, now + at * MS)
         assert replica.term >= term
         assert replica.term > term or voted in ("", replica.voted)
         assert host.applied[: len(before)] == before
         assert replica.committed <= replica.last
         assert replica.applied <= replica.committed
-        assert replica.paper.held <= replica.last
+        assert replica.pending_writes.on_disk <= replica.last
         assert [one.index for one in replica.log.entries] == list(range(replica.log.first, replica.last + 1))
-        assert replica.log.seats[0][0] <= replica.applied
+        assert replica.log.memberships[0][0] <= replica.applied
         assert replica.wake_at() > now + at * MS
 
 
 @HEAVY
 @given(st.lists(st.integers(1, 4), max_size=12).map(sorted), st.integers(2, 14), st.integers(0, 14))
 def test_the_log_knows_its_terms_through_cuts_and_drops(held, cut, drop):
-    log, base = Log(r.Base(1, 1, seats()), entries(held)), 1
+    log, base = Log(r.SnapshotBase(1, 1, seats()), entries(held)), 1
     base = min(drop, log.last)
-    log.drop(base, r.Base(base, 1, seats()))
+    log.drop(base, r.SnapshotBase(base, 1, seats()))
     if log.first <= cut <= log.last:
         log.cut(cut)
     log.extend(entries([9, 9], log.last + 1))
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -14,7 +14,7 @@
 
 from benchmarks import schedules
 from lemonlead.ledger import log
-from lemonlead.ledger.records import Append, Base, Entry, Write
+from lemonlead.ledger.records import AppendEntries, Entry, SnapshotBase, Write
 from lemonlead.ledger.replica import Replica
 from lemonlead.standins.simulated.checks import Logs
 from lemonlead.standins.simulated.disks import Disk, Held, Work
@@ -120,7 +120,7 @@
 
 def test_whatever_is_garbled_is_dropped():
     chance = random.Random(1)
-    message = Append("c", "g1", "f1", "g2", "f2", 3, 4, 2, [entry(5), entry(6)], 4, 9)
+    message = AppendEntries("c", "g1", "f1", "g2", "f2", 3, 4, 2, [entry(5), entry(6)], 4, 9)
     frame = packed(message)
     assert unpacked(frame) == message
     for _ in range(500):
@@ -193,13 +193,13 @@
 def test_a_snapshot_takes_the_place_of_what_it_covers():
     held = Held()
     held.take(Work(Write(1, 1, "", None, [entry(1), entry(2), entry(3)])))
-    held.take(Work(base=Base(2, 1), snapshot=b"two"))
+    held.take(Work(base=SnapshotBase(2, 1), snapshot=b"two"))
     assert held.snapshot == b"two" and [one.index for one in held.entries] == [3] and held.entry(2) is None
-    held.take(Work(base=Base(1, 1), snapshot=b"one"))
+    held.take(Work(base=SnapshotBase(1, 1), snapshot=b"one"))
     assert held.snapshot == b"two"
     held.take(Work(Write(2, 2, "", 3, [entry(3, 2)])))
     assert held.entry(3).term == 2
-    held.take(Work(Write(3, 2, "", base=Base(9, 2)), snapshot=b"nine"))
+    held.take(Work(Write(3, 2, "", base=SnapshotBase(9, 2)), snapshot=b"nine"))
     assert held.last == 9 and held.entries == []
     with pytest.raises(ValueError):
         held.take(Work(Write(4, 2, "", None, [entry(11)])))
@@ -234,11 +234,13 @@
     stands(Schedule(KINDS[kind][0], 3, troubles))
 
 
-@pytest.mark.parametrize("base, right", [(Base(5, 1), True), (Base(6, 1), False), (Base(5, 2), False)])
+@pytest.mark.parametrize(
+    "base, right", [(SnapshotBase(5, 1), True), (SnapshotBase(6, 1), False), (SnapshotBase(5, 2), False)]
+)
 def test_a_snapshot_of_what_the_disk_was_not_given_is_caught(base, right):
     judge = Logs()
     judge.cluster = SimpleNamespace(world=SimpleNamespace(now=0))
-    judge.logs, judge.bases = {"f": {5: entry(5)}}, {"f": Base(4, 1)}
+    judge.logs, judge.bases = {"f": {5: entry(5)}}, {"f": SnapshotBase(4, 1)}
     host = SimpleNamespace(name="g1", disk=SimpleNamespace(folder="f"))
     with nullcontext() if right else pytest.raises(Broken, match="keeps a snapshot as of"):
         judge.kept(host, base)
@@ -251,11 +253,11 @@
     rightly = Replica.commit
 
     def at_once(self, now, door):
-        given, self.paper.given = self.paper.given, self.log.last
+        given, self.pending_writes.submitted = self.pending_writes.submitted, self.log.last
         try:
             return rightly(self, now, door)
         finally:
-            self.paper.given = given
+            self.pending_writes.submitted = given
 
     monkeypatch.setattr(Replica, "commit", at_once)
     assert any("before its disk was given it" in str(play(draw(seed)).broken) for seed in range(100))
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -8,14 +8,14 @@
 from immutables import Map
 
 from lemonlead.ledger.capacity import Reserve
-from lemonlead.ledger.following import Following
-from lemonlead.ledger.office import Office
-from lemonlead.ledger.records import Canvass
+from lemonlead.ledger.follower import FollowerState
+from lemonlead.ledger.leader import LeaderState
+from lemonlead.ledger.membership import Change
+from lemonlead.ledger.records import VoteRequest
 from lemonlead.ledger.replica import Replica
-from lemonlead.ledger.seating import Change
 from lemonlead.ledger.state import Ledger
 from lemonlead.standins.simulated.hosts import plain_dispatcher
-from lemonlead.standins.simulated.schedules import Schedule, Trouble, draw, play, plain_ledger, shrunk
+from lemonlead.standins.simulated.schedules import Schedule, Trouble, draw, plain_ledger, play, shrunk
 
 MOST = 300  # schedules in which each has to be caught
 
@@ -47,8 +47,8 @@
 
     class Elected(Replica):
         def decide(self, now, door):
-            if type(self.office) is Office:
-                self.office.__class__ = kind
+            if type(self.leader_state) is LeaderState:
+                self.leader_state.__class__ = kind
             return super().decide(now, door)
 
         tick = getattr(kind, "tick", Replica.tick)
@@ -60,17 +60,17 @@
     class Follows(Replica):
         def __init__(self, told, kept, now):
             super().__init__(told, kept, now)
-            self.following.__class__ = kind
+            self.follower_state.__class__ = kind
 
     return of_replica(Follows)
 
 
-class AcknowledgesBeforeSync(Following):
+class AcknowledgesBeforeSync(FollowerState):
     def acknowledge(self):
-        paper = self.replica.paper
-        held, paper.held = paper.held, max(self.verified, paper.held)
+        pending_writes = self.replica.pending_writes
+        held, pending_writes.on_disk = pending_writes.on_disk, max(self.verified, pending_writes.on_disk)
         super().acknowledge()
-        paper.held = held
+        pending_writes.on_disk = held
 
 
 class SendsBeforeSync(Replica):
@@ -82,28 +82,28 @@
 
 class CountsOwnUnsynced(Replica):
     def majority(self, of, own):
-        return super().majority(of, self.log.last if own == self.paper.held else own)
+        return super().majority(of, self.log.last if own == self.pending_writes.on_disk else own)
 
 
 class VotesTwice(Replica):
-    def heard(self, now, message):
-        if isinstance(message, Canvass) and message.term == self.term and not message.early:
+    def receive(self, now, message):
+        if isinstance(message, VoteRequest) and message.term == self.term and not message.early:
             self.voted = ""
-        super().heard(now, message)
+        super().receive(now, message)
 
 
 class VotesForShortLogs(Replica):
-    def heard(self, now, message):
-        if isinstance(message, Canvass):
+    def receive(self, now, message):
+        if isinstance(message, VoteRequest):
             message = msgspec.structs.replace(message, last_term=1 << 40)
-        super().heard(now, message)
+        super().receive(now, message)
 
 
-class CommitsOldTerms(Office):
+class CommitsOldTerms(LeaderState):
     def settle(self, now):
         """As the office does, but for the term of the entry."""
         replica = self.replica
-        index = replica.majority(lambda name: self.peers[name].match, replica.paper.held)
+        index = replica.majority(lambda name: self.peers[name].match, replica.pending_writes.on_disk)
         if index > replica.committed:
             replica.committed, self.moved = index, now
 
@@ -112,12 +112,12 @@
     """And leaves them learners, so that it matters for long."""
 
     def decide(self, now, door):
-        if self.office is not None:
-            self.office.promote = lambda now: False
+        if self.leader_state is not None:
+            self.leader_state.promote = lambda now: False
         return super().decide(now, door)
 
     def majority(self, of, own):
-        figures = sorted((own if name == self.name else of(name) for name in self.seats), reverse=True)
+        figures = sorted((own if name == self.name else of(name) for name in self.members), reverse=True)
         return figures[self.quorum - 1]
 
 
@@ -128,19 +128,19 @@
 
 
 class ElectedByFew(Replica):
-    def fresh_seats(self):
-        super().fresh_seats()
+    def refresh_members(self):
+        super().refresh_members()
         self.quorum = len(self.voters) // 2
 
 
-class ReadsWithoutRound(Office):
+class ReadsWithoutRound(LeaderState):
     """A leader that was paused, or cut off, and reads at once."""
 
     def tick(self, now):
         self.now = max(now, self.now)
 
     def decide(self, now, door):
-        self.check = now + self.told.election
+        self.check = now + self.config.election
         return super().decide(now, door)
 
     def confirm(self):
@@ -148,23 +148,23 @@
         self.confirmed = self.round
 
 
-class CutsWhatItHas(Following):
+class CutsWhatItHas(FollowerState):
     """A late repeat cuts off what came after it."""
 
     def take(self, prev, entries):
         replica = self.replica
         if prev + 1 >= replica.log.first and entries[0].index <= replica.log.last:
             replica.log.cut(entries[0].index)
-            replica.paper.cut(entries[0].index)
-            replica.fresh_seats()
+            replica.pending_writes.cut(entries[0].index)
+            replica.refresh_members()
         return super().take(prev, entries)
 
 
 class SeatsWithoutFolder(Replica):
-    def meant(self, message):
+    def accepts(self, message):
         return message.to == self.name and message.sender != self.name
 
-    def mine(self, seats):
+    def own_membership(self, seats):
         return seats.get(self.name)
 
 
@@ -175,7 +175,7 @@
         super().refuse(ticket, "not done" if outcome else outcome)
 
 
-class TakesNoSnapshot(Following):
+class TakesNoSnapshot(FollowerState):
     def part(self, message):
         return None
 
@@ -226,7 +226,7 @@
     propose = dispatcher.replica.propose
 
     def command(now, wall_ms, data, ticket):
-        if dispatcher.replica.office is None:
+        if dispatcher.replica.leader_state is None:
             return propose(now, wall_ms, data, ticket)
         propose(now, wall_ms, data, Change())
         at = dispatcher.replica.last
@@ -237,7 +237,9 @@
 
 def goes_on_without_disk(dispatcher, host):
     """A disk that failed is taken as one that wrote."""
-    dispatcher.disk_failed = lambda now, why: dispatcher.written(now, dispatcher.replica.paper.number)
+    dispatcher.disk_failed = lambda now, why: dispatcher.written(
+        now, dispatcher.replica.pending_writes.number
+    )
 
 
 def odd(dispatcher, host):
