--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -2,12 +2,12 @@
 
 from ..drains import rules as drains
 from ..drains.leader_task import DrainTask
-from ..ledger import capacity, entries, followers, seating
+from ..ledger import capacity, entries, followers, membership
 from ..ledger.state import Ledger
 from ..moves import rules as moves
 from ..moves.steps import MoveTask
 
-MODULES = (capacity, entries, followers, seating, drains, moves)  # RULES, KINDS; some INNER
+MODULES = (capacity, entries, followers, membership, drains, moves)  # RULES, KINDS; some INNER
 SHOWN = {"drains": drains.describe_drains}  # parts that are asked for in another form than they are kept in
 
 
@@ -23,7 +23,7 @@
 def duties(dispatcher, cluster, clusters, seed):
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
     return [
-        seating.Seating(dispatcher),
+        membership.Membership(dispatcher),
         followers.Forgetting(dispatcher),
         DrainTask(),
         MoveTask(cluster, clusters, seed),
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -72,7 +72,7 @@
 
 
 class MoveTask:
-    """A ledger.dispatcher.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be
+    """A ledger.dispatcher.LeaderTask. `cluster`: this cluster's name; `clusters`: names of those that can be
     called."""
 
     def __init__(self, cluster, clusters, seed):
@@ -80,7 +80,7 @@
         self.tasks, self.clock, self.wake, self.turn = {}, (0, 0), NEVER, 0
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.tasks, self.clock, self.wake = {}, (now, 0), now
 
     def wake_at(self):
