--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -179,10 +179,10 @@
     chance, now = random.Random(1), 1000 * S
     request_class = at.RequestClass(0, at.IDEMPOTENT, S, 4 * S, 1.0)
     made = Balancer(
-        at.Start(
+        at.StartSettings(
             now=now,
             seed=1,
-            me=3,
+            balancer_index=3,
             balancers=2800,
             step=5_000_000,
             request_classes=[request_class],
@@ -192,22 +192,22 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * S,
-            release=at.Release(window=4 * S, free_attempts=50, vote_life=4 * S),
+            release=at.Release(window=4 * S, free_attempts=50, vote_lifetime=4 * S),
         )
     )
     lines = [
         at.Instance(f"s-{n}", chance.randrange(16), chance.randrange(3), 1, 0, at.READY, 1.0, 0)
         for n in range(size)
     ]
-    made.listed(now, lines, True, True)
-    made.stage_told(now, 1, 0, at.RELEASED, 1.0, 0)
+    made.list_received(now, lines, True, True)
+    made.stage_reported(now, 1, 0, at.RELEASED, 1.0, 0)
     door, numbers = Taken(made), iter(range(10**9))
 
     def change(n):
         line = lines[n * 7 % size]
         for state in (at.DRAINING, at.READY):
             row = at.Instance(line.id, line.zone, line.kind, line.build, 0, state, 1.0, 0)
-            made.listed(now, [row], False, True)
+            made.list_received(now, [row], False, True)
 
     def request(n):
         nonlocal now
@@ -227,8 +227,8 @@
         at.Instance(f"t-{n}", lines[n].zone, lines[n].kind, 2, 0, at.READY, 1.0, now - 60 * S)
         for n in range(max(size // 100, 3))
     ]
-    made.listed(now, new, False, True)
-    made.stage_told(now, 2, 0, at.ON_TRIAL, 0.9, 0)
+    made.list_received(now, new, False, True)
+    made.stage_reported(now, 2, 0, at.ON_TRIAL, 0.9, 0)
     spent(50, request)
     got[MODULE + "request on trial"] = spent(200, request)
     return got
--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -11,7 +11,7 @@
 from lemonlead.gateway import http
 from lemonlead.gateway.config import EPOCH
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 from .gateway import CUT_TIME, MS, S, Hollow, now
 from .world import ALL
@@ -45,7 +45,7 @@
         self.starts += 1
         seed = self.seed + self.starts
         self.started_at = self.not_before = now()
-        self.balancer = Balancer(started(SETTINGS, seed, self.started_at))
+        self.balancer = Balancer(start_from_settings(SETTINGS, seed, self.started_at))
         config = SimpleNamespace(name=self.name, start=SimpleNamespace(seed=seed))
         members = {name: address for name, _, address in self.process.relays}
         counters = SimpleNamespace(add=self.count)
--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -14,7 +14,7 @@
 from lemonlead.distribution.subscriber import Acknowledge, Subscribe, Subscriber
 from lemonlead.gateway import http
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 from .tally import Tally
 
@@ -66,7 +66,7 @@
         seed = self.seed + self.starts
         self.started_at = self.not_before = now()
         self.subscriber = Subscriber(self.name, self.region, list(self.scopes), self.process.relays, seed)
-        self.balancer = Balancer(started(SETTINGS, seed, self.started_at))
+        self.balancer = Balancer(start_from_settings(SETTINGS, seed, self.started_at))
         self.listing = Listing(self, self.balancer.cold_time)
         self.listing.begin(self, *self.listed())
         self.queue, self.complete, self.early, self.ready_at = deque(), {}, set(), 0
@@ -75,7 +75,7 @@
         """What discovery lists at the start; the balancer is told it."""
         rows = (row for scope in self.scopes for row in self.process.instances.get(scope, ()))
         lines = [line_of(*row) for row in rows]
-        self.balancer.listed(self.started_at, lines, True, True)
+        self.balancer.list_received(self.started_at, lines, True, True)
         return lines, dict.fromkeys((line.id for line in lines), (ADDRESS, 0))
 
     def hang_up(self):
@@ -186,7 +186,7 @@
             pass
 
     def put(self, moment, lines, _, whole, fresh):
-        self.balancer.listed(moment, lines, whole, fresh)
+        self.balancer.list_received(moment, lines, whole, fresh)
 
     def note(self, moment, scope, after, upto, early):
         """What was committed to a scope past one index up to the other is in force; `early`: before the scope
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -163,7 +163,7 @@
             scopes = list(hollow.wrong(truth))
             missing += len(scopes)
             wrong += [[hollow.name, scope] for scope in scopes[: 10 - len(wrong)]]
-        members = sum(len(hollow.balancer.members) for hollow in self.hollows)
+        members = sum(len(hollow.balancer.instances) for hollow in self.hollows)
         self.say(check={"scopes_wrong": missing, "first_wrong": wrong, "members": members})
 
     def do_result(self):
@@ -177,7 +177,7 @@
                 "cpu_s": (one.cpu + loop * one.events) / 1e9,
                 "bytes_in": one.bytes_in,
                 "bytes_out": one.bytes_out,
-                "instances": len(one.balancer.members),
+                "instances": len(one.balancer.instances),
                 "scopes": len(one.scopes),
                 "scopes_complete": one.had(),
                 "start_ms": (one.ready_at - one.started_at) // MS if one.ready_at else None,
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -97,10 +97,10 @@
 
     request_class = at.RequestClass(0, at.IDEMPOTENT, S, 4 * S, 1.0)
     balancer = Balancer(
-        at.Start(
+        at.StartSettings(
             now=1000 * S,
             seed=1,
-            me=3,
+            balancer_index=3,
             balancers=2800,
             step=5_000_000,
             request_classes=[request_class],
@@ -110,12 +110,12 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * S,
-            release=at.Release(window=4 * S, free_attempts=50, vote_life=4 * S),
+            release=at.Release(window=4 * S, free_attempts=50, vote_lifetime=4 * S),
         )
     )
     rows = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(20)]
-    balancer.listed(1000 * S, rows, True, True)
-    balancer.stage_told(1000 * S, 1, 0, at.RELEASED, 1.0, 0)
+    balancer.list_received(1000 * S, rows, True, True)
+    balancer.stage_reported(1000 * S, 1, 0, at.RELEASED, 1.0, 0)
     door, now, process = list_changes.Taken(balancer), 1000 * S, SimpleNamespace(pid=os.getpid())
 
     def asks(n, tenant):
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -10,13 +10,13 @@
 from math import inf
 from statistics import median
 
-from .interface import BACK, COUNTED, HOLD, ON, OVER_ALLOWANCE
-from .interface import CANCELLED, ERRED, NEVER_RAN, REJECTED, RESET, SPOILT, SUCCEEDED, TIMED_OUT
-from .interface import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, UNCONNECTED, UNFIT, Attempt
+from .interface import VERDICT_ROLL_BACK, COUNTED, VERDICT_HOLD, VERDICT_PROMOTE, OVER_ALLOWANCE
+from .interface import CANCELLED, ERRED, NEVER_RAN, REJECTED, RESET, UNREADABLE, SUCCEEDED, TIMED_OUT
+from .interface import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, UNCONNECTED, BAD_REQUEST, Attempt
 from .interface import ON_TRIAL, READY, RELEASED
-from .members import Members
-from .odds import chance, smoothed
-from .records import Builds, Group, Member, Wakes, recent
+from .instance_table import InstanceTable
+from .significance import chance, smoothed
+from .records import Builds, InstanceGroup, InstanceState, RequestTimers, recent
 
 MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged; a fraction of any pair
 PAIRS, SEEN = 4, 200  # pairs in view; a build's last outcomes kept
@@ -48,7 +48,11 @@
         self.across = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
         self.attempts_cap, self.retry_after_cap = start.attempts_cap, start.retry_after_cap
-        self.connect_time, self.spare, self.ask_within = start.connect_time, 2 * start.step, start.ask_within
+        self.connect_time, self.spare, self.max_list_call_gap = (
+            start.connect_time,
+            2 * start.step,
+            start.max_list_call_gap,
+        )
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
         self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
         self.mean_revenue = sum(class_.revenue for class_ in classes) / max(len(classes), 1) or 1.0
@@ -59,32 +63,41 @@
         self.free_attempts, self.per_class = release.free_attempts, release.per_class
         self.guarded_stages, self.forward_only = release.guarded_stages, release.forward_only
         self.clocked = release.control == "automatic"
-        self.vote_life, self.stage_time = release.vote_life, release.bake + 2 * WARM_UP  # none ends sooner
+        self.vote_lifetime, self.stage_time = (
+            release.vote_lifetime,
+            release.bake + 2 * WARM_UP,
+        )  # none ends sooner
         # Nor does the last, after which earlier machines go, before what is sent in it is due its answers.
         objectives = [class_.latency_objective for class_ in classes] or [0]
         self.last_time = max(self.stage_time, release.bake + sum(objectives) // len(objectives))
         self.born = self.paced_at = start.now
         # How often one balancer may be wrong, so that as many as send a build back are so by rare luck only.
-        self.chance = max(max(release.back_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
-        self.vote_wait = release.answer_time + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
-        self.members, self.groups = Members(start.me * GOLDEN % 1.0), {}  # by id, by zone and kind
+        self.chance = max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
+        self.vote_wait = release.vote_timeout + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
+        self.instances, self.groups = (
+            InstanceTable(start.balancer_index * GOLDEN % 1.0),
+            {},
+        )  # by id, by zone and kind
         # The members in the order in which this balancer uses them, and the time between requests, smoothed.
-        self.ring, self.gap, self.last = self.members.arc(()), 1e9, start.now
+        self.ring, self.gap, self.last = self.instances.arc(()), 1e9, start.now
         # The build of the last news; the one on trial that has machines; the one that votes can still move.
-        self.told = self.trial = self.judged = None
+        self.reported_build = self.trial = self.judged = None
         self.like = set()  # kinds of machine that run it and the earlier build, where there are any
         self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of requests; the work let in
         self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)  # of a request taken
         self.pace, self.rescues = 0.0, 5.0  # time to answer by objective, smoothed; what RESCUES left over
         # Of each class and tenant: last times by objective; lower quartile; if it waits, its last test.
         self.times, self.lows, self.tested = {}, {}, {}
-        self.due, self.notes, self.wakes = deque(), deque(), Wakes()  # requests, lines
+        self.due, self.notes, self.wakes = deque(), deque(), RequestTimers()  # requests, lines
         # The more start together, the longer they spread their first call for the list.
-        spread = min(25 * MS * (balancers - 1), 2000 * MS, start.ask_within // 2 or 2000 * MS)
+        spread = min(25 * MS * (balancers - 1), 2000 * MS, start.max_list_call_gap // 2 or 2000 * MS)
         first = start.now + int(self.rng.random() * spread)
         self.next_tick, self.ask_at = start.now, first if start.ask_for_list else None
         # After so long what was not heard counts as told; as of when the list in hand holds all there is.
-        self.unheard, self.current = start.unheard_time - HEED if start.unheard_time else inf, -inf
+        self.unheard, self.current = (
+            start.assumed_known_after - HEED if start.assumed_known_after else inf,
+            -inf,
+        )
         self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, class)
         self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of attempts left unconnected
         self.news = self.look = False  # an outcome came since the pair was last judged; a vote may be due
@@ -94,31 +107,35 @@
 
     # ---- inputs: they only update what is known
 
-    def listed(self, now, lines, whole, fresh):
+    def list_received(self, now, lines, whole, fresh):
         """The list, whole or its changes. It may be stale, and an id may stand for a new machine."""
         named = {row.id for row in lines}
         for row in lines:
-            old = self.members.get(row.id)
+            old = self.instances.get(row.id)
             if old is None or (old.build.number, old.started) != (row.build, row.started):
-                group = self.groups.setdefault((row.zone, row.kind), Group())
+                group = self.groups.setdefault((row.zone, row.kind), InstanceGroup())
                 # Balancers start at random within their share, so that a cold one is not met by all at once.
-                due = self.rng.random() * self.mean_work * max(len(self.members), len(lines))
-                self.members.put(Member(row, self.builds[row.build], group, now, 3.0, self.work_in, due))
-            self.members[row.id].ready = row.state == READY
-        seen = self.members if whole else named  # else only what is told can have left
-        self.members.settle([id for id in seen if id not in named or not self.members[id].ready])
+                due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
+                self.instances.put(
+                    InstanceState(row, self.builds[row.build], group, now, 3.0, self.work_in, due)
+                )
+            self.instances[row.id].ready = row.state == READY
+        seen = self.instances if whole else named  # else only what is told can have left
+        self.instances.settle([id for id in seen if id not in named or not self.instances[id].ready])
         if self.current == -inf and self.unheard < inf and self.ask_at:
             holds = (now - max((row.started for row in lines), default=now)) // QUIET
             holds = min(max(holds, ANEW), self.unheard)
             self.current, calls = now - self.unheard + holds, (self.ask_at - now) * holds // ANEW
-            self.ask_at = now + min(calls, self.ask_within // 2 or calls)  # while it holds
+            self.ask_at = now + min(calls, self.max_list_call_gap // 2 or calls)  # while it holds
         self.ask_at, self.current = (None, inf) if fresh else (self.ask_at, self.current)
-        self.ring = self.members.arc(self.builds.values())
+        self.ring = self.instances.arc(self.builds.values())
         self.see_trial()
 
     def list_failed(self, now, current):
         self.current = current if self.current == inf else max(current, self.current)
-        longest = min(900 * MS, 2 * self.ask_within or 900 * MS)  # a call that failed holds for four times
+        longest = min(
+            900 * MS, 2 * self.max_list_call_gap or 900 * MS
+        )  # a call that failed holds for four times
         self.ask_at = now + int(self.rng.uniform(longest / 3, longest))
 
     def request_arrived(self, now, request):
@@ -138,20 +155,20 @@
             def sort(m):
                 return m.group, m.started if self.warmth(m, now) < 1 else 0
 
-            self.share = self.members.share(self.trial, rate, sort, now // STALE)
+            self.share = self.instances.share(self.trial, rate, sort, now // STALE)
             self.trial.credit = min(self.trial.credit + self.share, 2.0)
         self.due.append(request)
 
     def request_left(self, now, request):
-        request.over = True  # also once its answer streams: the end is the client's then
+        request.finished = True  # also once its answer streams: the end is the client's then
 
     def attempt_ended(self, now, attempt, end, took, over, report):
         attempt.end, member, request = end, attempt.instance, attempt.request
-        class_, member.rested_at = request.request_class, attempt.rested_at
+        class_, member.connection_free_at = request.request_class, attempt.connection_free_at
         written_off = member.out.pop(attempt, attempt) is not None
         member.held -= 0 if written_off else request.work
-        request.over = request.over or over
-        self.due.extend([] if request.over else [request])
+        request.finished = request.finished or over
+        self.due.extend([] if request.finished else [request])
         number, objective, waits = class_.number, max(class_.latency_objective, 1), self.waits(request)
         slow, answered = took > objective, end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
@@ -161,14 +178,14 @@
                     times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
                 times.append(took / objective)
                 self.lows[kind] = sorted(times)[WAITS // 4] if len(times) == WAITS else 0.5
-        silent = member.heard_at <= attempt.at and end in (TIMED_OUT, CANCELLED)
+        silent = member.heard_at <= attempt.sent_at and end in (TIMED_OUT, CANCELLED)
         self.scarce += 0.1 * ((end == UNCONNECTED) - self.scarce)
-        self.members.keep_open(member, now + self.idle_time if answered else 0)  # unsure where none came
+        self.instances.keep_open(member, now + self.idle_time if answered else 0)  # unsure where none came
         if answered or end in (UNCONNECTED, RESET):
             member.group.lost += 0.2 * ((not answered) - member.group.lost)
-        if answered or end in (SPOILT, UNFIT):
+        if answered or end in (UNREADABLE, BAD_REQUEST):
             # What is spoilt on the way, or fit for none, tells no more. It could hide a build that spoils.
-            member.heard_at, member.newest, member.strikes = now, max(member.newest, attempt.at), 0
+            member.heard_at, member.newest, member.strikes = now, max(member.newest, attempt.sent_at), 0
             member.answered, member.failed = member.answered + 1, member.failed + (end == ERRED)
             member.shunned_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
@@ -192,12 +209,12 @@
         elif end == SUCCEEDED and 2 * (len(member.out) + 1) >= member.limit:
             member.limit += 0.25 / member.limit
         if end == SUCCEEDED:
-            member.proved(attempt.since, attempt.at)
+            member.proved(attempt.connected_since, attempt.sent_at)
             member.build.answers, group = member.build.answers + 1, member.group
             group.took = smoothed(group.took, took, 0.05)
             group.work = smoothed(group.work, max(request.work, 1), 0.05)
         if end == SUCCEEDED and self.forward_only and request.key:
-            member.build.keys.update({request.key, request.asked_key or request.key})
+            member.build.keys.update({request.key, request.client_key or request.key})
         # Answers are the build's, and what was waited for in vain while others got theirs; the path is not.
         theirs = end in (SUCCEEDED, ERRED) or slow and not over and (self.blind > 0.5 or not silent)
         if self.pair_at is not None and not waits and theirs:
@@ -214,12 +231,12 @@
         wait = min(250 * MS << min(int(member.strikes), 4), 3000 * MS) if member.strikes >= 1 else 0
         member.shunned_until = now + int(wait * self.rng.uniform(0.7, 1.0))
 
-    def answer_wrong(self, now, instance_id):
-        if (member := self.members.get(instance_id)) is not None:
+    def wrong_answer_reported(self, now, instance_id):
+        if (member := self.instances.get(instance_id)) is not None:
             member.build.flags += 1
 
-    def stage_told(self, now, number, stage, phase, cap, age):
-        build = self.told = self.builds[number]
+    def stage_reported(self, now, number, stage, phase, cap, age):
+        build = self.reported_build = self.builds[number]
         build.began = build.began if (build.stage, build.phase) == (stage, phase) else now - age
         build.stage, build.phase, build.cap, build.tried = stage, phase, cap, build.tried or phase == ON_TRIAL
         self.see_trial()
@@ -227,16 +244,16 @@
     def vote_answered(self, now, answer):
         """Guards against many that ask a full platform in step: those that find no harm ask ever less often,
         so that votes back get through, and a vote that stands is not renewed early at another's cost."""
-        back = self.vote_out is not None and self.vote_out[2] == BACK
+        back = self.vote_out is not None and self.vote_out[2] == VERDICT_ROLL_BACK
         if answer == OVER_ALLOWANCE and not back:
-            self.vote_pause = min(2 * self.vote_pause or 400 * MS, self.vote_life)
+            self.vote_pause = min(2 * self.vote_pause or 400 * MS, self.vote_lifetime)
         short, part = 400 * MS, self.rng.uniform(0.5, 1.0)
         wait = short if back else max(self.vote_pause, short)
         self.vote_busy, self.vote_at = now + int(part * short), now + int(part * wait)
         if answer == COUNTED:
             late = 0.2 if self.vote_pause else 0.0
             self.vote_busy, self.vote_pause = now, self.vote_pause // 2
-            self.vote_at = now + int(self.vote_life * (self.rng.uniform(0.6, 0.8) + late))
+            self.vote_at = now + int(self.vote_lifetime * (self.rng.uniform(0.6, 0.8) + late))
 
     # ---- decisions, pulled one by one
 
@@ -259,7 +276,7 @@
         if look and self.cast_vote(now, door):
             return True
         while self.due:
-            if not (request := self.due.popleft()).over and self.settle(request, now, door):
+            if not (request := self.due.popleft()).finished and self.settle(request, now, door):
                 return True
         return False
 
@@ -268,7 +285,9 @@
         if out and now < request.deadline:
             return self.rescue(request, out, now, door)
         # Guards against the jam in which each request is turned away at many full machines.
-        spent = any(s.end == UNFIT or s.end == REJECTED and self.rescues < 1 for s in request.attempts[-1:])
+        spent = any(
+            s.end == BAD_REQUEST or s.end == REJECTED and self.rescues < 1 for s in request.attempts[-1:]
+        )
         if spent or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
             return self.give_up(request, door)
         self.work_in += request.work if now == request.arrived else 0
@@ -289,13 +308,13 @@
         member.out[attempt] = None
         member.held += request.work
         if self.on_trial(member.build):
-            attempt.counted = now
+            attempt.counted_from = now
             for counted in self.counts_of(request):
                 member.build.sent.setdefault(counted, deque()).append(now)
             member.build.credit = max(member.build.credit - 1.0, -3.0)
-        member.cold_from, member.cold_due = self.work_in, request.work * len(self.members)
+        member.cold_from, member.cold_due = self.work_in, request.work * len(self.instances)
         door.attempt(request, member.id, request.deadline - now)
-        member.rested_at = attempt.rested_at
+        member.connection_free_at = attempt.connection_free_at
         self.wakes.add(self.overdue_at(attempt), request)
         return True
 
@@ -305,7 +324,7 @@
         last, member = out[-1], out[-1].instance
         if now < self.overdue_at(last) or self.waits(request):
             return False
-        lost, silent = member.newest > last.at, member.heard_at <= last.at
+        lost, silent = member.newest > last.sent_at, member.heard_at <= last.sent_at
         if (lost or silent) and member.out.pop(last, last) is None:  # written off: it holds no place there
             member.held -= request.work
             self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
@@ -328,12 +347,14 @@
     def overdue_at(self, attempt):  # by what its work takes, too: a heavy request is not begun twice
         request, group = attempt.request, attempt.instance.group  # half of it is waiting, heavy or light
         usual = group.took * (1 + request.work / group.work) / 2 if group.work else request.work
-        return attempt.at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
+        return attempt.sent_at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
 
     def give_up(self, request, door):
-        request.over, class_, ends = True, request.request_class, {s.end for s in request.attempts}
-        alone = class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.group != "all"
-        if UNFIT in ends or alone and not ends.issubset(NEVER_RAN):
+        request.finished, class_, ends = True, request.request_class, {s.end for s in request.attempts}
+        alone = (
+            class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.repeat_scope != "all"
+        )
+        if BAD_REQUEST in ends or alone and not ends.issubset(NEVER_RAN):
             door.abort(request)
         else:
             door.reject(request, min(self.retry_after_cap, class_.latency_objective // 16))
@@ -346,7 +367,7 @@
         tried = [attempt.instance for attempt in request.attempts]
         due = self.trial is not None and self.trial.credit >= 1 and not self.trial.bad
         trial = {build for build in self.builds.values() if self.on_trial(build)}
-        pool = self.ring if whole else self.members.arc(trial if due else {*self.builds.values()} - trial)
+        pool = self.ring if whole else self.instances.arc(trial if due else {*self.builds.values()} - trial)
         if self.scarce > 0.05 and not whole:
             # Guards against connections that are few or slow. When machines die it keeps to what answers.
             pool = pool.open(now) or pool
@@ -387,7 +408,7 @@
         across = 1.0 if member.zone == self.zone else self.across
         chance = self.rng.uniform(0.9, 1.1) * self.rng.expovariate(1.0) ** (self.blind / 2)
         time = (1 + LOST * member.group.lost) * slowness * (request.work + member.held) * across * chance
-        return time / self.warmth(member, now) + max(member.rested_at - now, 0)
+        return time / self.warmth(member, now) + max(member.connection_free_at - now, 0)
 
     def usable(self, member, request, now):
         class_ = request.request_class
@@ -414,7 +435,7 @@
         if ran and class_.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran):
             return False
         if ran and class_.effect == DEDUPLICATED:
-            group = class_.group
+            group = class_.repeat_scope
             same = group == "all" or all(getattr(s.instance, group) == getattr(member, group) for s in ran)
             if not same or now >= self.repeated_by(ran) - self.connect_time:
                 return False
@@ -436,29 +457,29 @@
         ran = [other for other in request.attempts if other is not attempt and other.end not in NEVER_RAN]
         if ran and request.request_class.effect == DEDUPLICATED:
             by = min(by, self.repeated_by(ran))
-        fit = not request.over and now < by and self.members.get(member.id) is member
+        fit = not request.finished and now < by and self.instances.get(member.id) is member
         fit = fit and self.listed_still(member, now) and not self.goes_back(request, member)
         if fit and self.on_trial(member.build):  # it counts from now on, as it may have waited past a window
             sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(request)]
-            for times in [times for times in sent if attempt.counted in times]:
-                times.remove(attempt.counted)
+            for times in [times for times in sent if attempt.counted_from in times]:
+                times.remove(attempt.counted_from)
             if fit := self.exposure_left(member.build, request, now):
-                attempt.counted = now
+                attempt.counted_from = now
                 for times in sent:
                     times.append(now)
         return by if fit else 0
 
     def goes_back(self, request, member):  # keys are kept only where they bind
-        told, keys = self.told, (request.key, request.asked_key)
+        told, keys = self.reported_build, (request.key, request.client_key)
         older = told is not None and member.build.number < told.number and told.phase in (ON_TRIAL, RELEASED)
         return older and not told.keys.isdisjoint(keys)
 
     def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
-        return ran[0].at + ran[0].request.request_class.memory - self.spare
+        return ran[0].sent_at + ran[0].request.request_class.repeat_window - self.spare
 
     def exposure_left(self, build, request, now):
         """The window is a little wider for attempts than for requests. A lower cap binds at once."""
-        stage = build.stage if build is self.told else 0
+        stage = build.stage if build is self.reported_build else 0
         if build.cap <= 0 or (stage < self.guarded_stages and request.request_class.effect != IDEMPOTENT):
             return False
         for counted in self.counts_of(request):
@@ -477,27 +498,37 @@
         return warmth * self.cold_room if warmth < 1 else 1.0
 
     def on_trial(self, build):
-        if self.told is None:
+        if self.reported_build is None:
             return build is self.trial
-        return build.number > self.told.number or (build is self.told and build.phase != RELEASED)
+        return build.number > self.reported_build.number or (
+            build is self.reported_build and build.phase != RELEASED
+        )
 
     def counts_of(self, request):
         """What a cap counts it by: class asked and class given; neither lends the other what it took."""
         number = request.request_class.number if self.per_class else 0
-        return (request.asked.number, ~number) if self.per_class and request.asked else (number,)
+        return (
+            (request.client_class.number, ~number) if self.per_class and request.client_class else (number,)
+        )
 
     # ---- the gate: the build on trial against the earlier one, in pairs of short windows
 
     def see_trial(self):
         numbers = sorted(number for number, build in self.builds.items() if build.ring)
         trial = self.builds[numbers[-1]] if numbers else None
-        trial = trial if trial and (self.on_trial(trial) if self.told else len(numbers) > 1) else None
-        judged = told if (told := self.told) and told.tried and told.phase in (ON_TRIAL, RELEASED) else None
+        trial = (
+            trial if trial and (self.on_trial(trial) if self.reported_build else len(numbers) > 1) else None
+        )
+        judged = (
+            told
+            if (told := self.reported_build) and told.tried and told.phase in (ON_TRIAL, RELEASED)
+            else None
+        )
         if trial is not self.trial or judged is not self.judged:
             if trial is not None and trial is not self.trial:
                 trial.credit = self.rng.random()  # small shares of little traffic add up over balancers
             self.trial, self.judged, self.pair_at, self.pair = trial, judged, None, {}
-        self.look, number = True, min([self.told.number if self.told else 0, *numbers])
+        self.look, number = True, min([self.reported_build.number if self.reported_build else 0, *numbers])
         for old in [old for old in self.builds if old < number]:
             del self.builds[old]  # no machine runs it and no news is of it
         earlier = {kind for build in self.builds.values() if build is not judged for kind in build.kinds}
@@ -537,7 +568,7 @@
     def compared(self, build, on, off):
         """Of each metric: the earlier figure, the trial's, how many of its outcomes are worse than tolerance
         allows, of how many, how likely an earlier one is so. After the release only errors, with none."""
-        fit = [m for m in self.members.values() if m.service and (not self.like or m.kind in self.like)]
+        fit = [m for m in self.instances.values() if m.service and (not self.like or m.kind in self.like)]
         services = [[m.service for m in fit if (m.build is build) is on] for on in (False, True)]
         # A queue at few machines is not the build's: where told, longer answers want longer service.
         alike = all(services) and median(services[1]) <= median(services[0]) * (1 + SERVICE_TOLERANCE)
@@ -552,7 +583,7 @@
                 figures[class_, "errors"] = erring(side, self.pair.get((False, class_), ()))
         # Service time by that before it; the lower quartile, as other programs slow but some.
         strains = sorted(m.service / m.usual for m in fit if m.usual and m.build is not build)
-        if self.calm_time and len(off) >= PAIR_OUTCOMES and 2 * len(strains) >= len(self.members) > 2:
+        if self.calm_time and len(off) >= PAIR_OUTCOMES and 2 * len(strains) >= len(self.instances) > 2:
             strain = min(strains[len(strains) // 4], middle(off) / self.calm_time)
             figures[STRAIN] = (1.0, strain, 0, 0, 1.0)
         return figures
@@ -588,9 +619,9 @@
 
     def verdict(self, build, now):
         if build.bad or build.leaning:
-            return BACK
+            return VERDICT_ROLL_BACK
         if build.phase != ON_TRIAL or self.clocked:
-            return HOLD if build.doubt and build.phase == ON_TRIAL else None
+            return VERDICT_HOLD if build.doubt and build.phase == ON_TRIAL else None
         # Unjudged once a pair stood open for two pairs' time; a lagging list must pass nothing unmet.
         unmet = not build.pairs and (self.pair_at is None or now < self.pair_at + 2 * PAIR)
         # Nor by one whose list is old: on means that earlier machines go, and it may know none to come.
@@ -600,10 +631,10 @@
             return None
         # Errors too few for most pairs, as of a build that fails late, hold it all the same.
         earlier, ours, *_ = erring(list(build.seen) + self.pooled(True), self.pooled(False))
-        return ON if ours - earlier <= ERROR_TOLERANCE else None
+        return VERDICT_PROMOTE if ours - earlier <= ERROR_TOLERANCE else None
 
     def cast_vote(self, now, door):
-        build = self.told
+        build = self.reported_build
         movable = build is not None and now >= self.vote_busy and build.phase in (ON_TRIAL, RELEASED)
         if not movable or (verdict := self.verdict(build, now)) is None:
             return False
--- a/lemonlead/commands/given.py
+++ b/lemonlead/commands/given.py
@@ -9,7 +9,7 @@
 
 from ..matching.declared import Asked
 from ..matching.kinds import BYTES, DOUBLE, DURATION
-from ..told import in_ns, started
+from ..start_settings import ms_to_ns, start_from_settings
 
 FIELDS = {
     "command": str,
@@ -58,7 +58,7 @@
         told.get("key", ""),
         told.get("lane", ""),
         told.get("customer", ""),
-        in_ns(float(told.get("wait_ms", 0))),
+        ms_to_ns(float(told.get("wait_ms", 0))),
         int(told.get("work_us", 0) * 1000),
         told.get("repeat", False),
         told.get("stamped", False),
@@ -75,7 +75,7 @@
     try:
         config = json.loads(Path(path).read_text())
         told = config.get("settings", config)
-        start = started(told, 0, 0)
+        start = start_from_settings(told, 0, 0)
         request_classes = {
             lane["Name"]: start.request_classes[number] for number, lane in enumerate(told["Lanes"])
         }
--- a/lemonlead/distribution/listing.py
+++ b/lemonlead/distribution/listing.py
@@ -4,7 +4,7 @@
 
 from ..following.merge import Merge
 from ..following.words import News
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 
 INSTANCE = "instance/"  # before an instance's id, as the record's key
 WORDS = {"up": {}, "draining": {"out": "relay"}, "removed": {"state": "drained"}}
@@ -22,7 +22,7 @@
         raise ValueError(f"{key}.state: {state!r}; expected one of {', '.join(WORDS)}"[:200])
     if type(started) is not int or started < 0:
         raise ValueError(f"{key}.started_ms: {started!r}; expected milliseconds, a whole number"[:200])
-    return {**WORDS[state], "warm": in_ns(started) + cold if started else 0}
+    return {**WORDS[state], "warm": ms_to_ns(started) + cold if started else 0}
 
 
 class Listing:
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -9,7 +9,7 @@
 from .merge import Merge
 from .sides import Sides
 
-WORDS = {at.ON: "on", at.BACK: "back"}  # the ledger knows no vote to hold
+WORDS = {at.VERDICT_PROMOTE: "on", at.VERDICT_ROLL_BACK: "back"}  # the ledger knows no vote to hold
 
 
 def checked(told, config):
@@ -72,7 +72,7 @@
     def shown(self, now, whole=False, again=False):
         """What of the list the balancer is to be told; of builds it is told here."""
         if (stage := self.sides.stage(now, again)) is not None:
-            self.dispatcher.balancer.stage_told(now, *stage)
+            self.dispatcher.balancer.stage_reported(now, *stage)
         self.say()
         if self.sides.lost is not None:
             self.tell_ledger((*self.sides.lost, "back"), False)
@@ -97,7 +97,7 @@
 
     # ---- the platform's side
 
-    def stage_told(self, now, *news):
+    def stage_reported(self, now, *news):
         self.sides.platform_told(now, *news)
         self.put(now, self.shown(now, again=True))
 
@@ -119,7 +119,7 @@
         cast = self.sides.vote(build, stage)
         if cast is None:
             return self.dispatcher.releases.vote(build, stage, verdict)
-        held = verdict not in WORDS or verdict == at.ON and self.sides.doubtful()
+        held = verdict not in WORDS or verdict == at.VERDICT_PROMOTE and self.sides.doubtful()
         outcome = at.COUNTED if held else self.tell_ledger((*cast, WORDS[verdict]), True)
         if outcome is not None:
             self.dispatcher.chores.append(
--- a/lemonlead/following/sides.py
+++ b/lemonlead/following/sides.py
@@ -12,13 +12,13 @@
 from ..interface import (
     CANCELLED,
     DRAINING,
-    GOING_BACK,
+    ROLLING_BACK,
     GONE,
     ON_TRIAL,
     READY,
     RELEASED,
     RESET,
-    SPOILT,
+    UNREADABLE,
     TIMED_OUT,
     UNCONNECTED,
 )
@@ -26,7 +26,7 @@
 SHIFTING, ALL = "shifting", 1000  # a record's step; thousandths
 FIRST = 1 << 40  # a far side's build is this plus the move's epoch
 LOOKED = 8  # last ends in view of each side
-LOST = (UNCONNECTED, RESET, TIMED_OUT, SPOILT, CANCELLED)  # ends that pairs of builds may not count
+LOST = (UNCONNECTED, RESET, TIMED_OUT, UNREADABLE, CANCELLED)  # ends that pairs of builds may not count
 
 
 class Sides:
@@ -139,7 +139,7 @@
         if self.news is None:
             return len(ready) > 1
         number, _, phase, _ = self.news
-        return phase in (ON_TRIAL, GOING_BACK) or any(
+        return phase in (ON_TRIAL, ROLLING_BACK) or any(
             build > number or build == number and phase != RELEASED for build in ready
         )
 
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -63,7 +63,7 @@
     with dispatcher.lock:
         discovery.listed(configs.now(), *known, True, False)
         if config.news is not None:
-            dispatcher.balancer.stage_told(configs.now(), *config.news)
+            dispatcher.balancer.stage_reported(configs.now(), *config.news)
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
         from . import sorting  # what it needs is not imported while no rules are asked for
 
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from . import resp
 from .admission import is_stale
 from .config import now
@@ -511,7 +511,7 @@
         if (request_class.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this request class goes by the other command")
         tenant = self.config.tenants.get(said.get("t"), -1)
-        deadline = arrived + in_ns(wait)
+        deadline = arrived + ms_to_ns(wait)
         work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
         request = at.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.sorting is not None:
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from .. import interface as at
-from ..told import EFFECTS, Nonsense, Told, shown, started
+from ..start_settings import EFFECTS, InvalidSettings, SettingsReader, describe_value, start_from_settings
 from .platform import PHASES
 
 EPOCH = time.time_ns() - time.monotonic_ns()  # all machines read one clock: instances' start times are on it
@@ -35,7 +35,7 @@
     platform: tuple | None
     connections: int  # descriptors for clients and instances, half for each
     memory: int  # bytes that it may take
-    start: at.Start
+    start: at.StartSettings
     request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
@@ -53,7 +53,7 @@
         if not (port.isascii() and port.isdecimal() and len(port) < 6 and int(port) < 65536):
             raise ValueError
     except (OSError, ValueError):  # a text with a zero byte is a ValueError, and so are letters beyond ASCII
-        raise ValueError(f"no address: {shown(text)}") from None
+        raise ValueError(f"no address: {describe_value(text)}") from None
     return host, int(port)
 
 
@@ -75,7 +75,9 @@
     names = [entry.text("Name") for entry in told.parts(key)]
     for name, count in Counter(names).items():
         if count > 1:
-            raise Nonsense(f"settings.{key} names {shown(name)} twice; expected a name of its own for each")
+            raise InvalidSettings(
+                f"settings.{key} names {describe_value(name)} twice; expected a name of its own for each"
+            )
     return names
 
 
@@ -97,8 +99,8 @@
     path = environment["ROUTER_CONFIG"]
     with open(path, encoding="utf-8") as file:
         try:
-            return Told(json.load(file), "")
-        except Nonsense as error:
+            return SettingsReader(json.load(file), "")
+        except InvalidSettings as error:
             raise Unfit(f"{path}{error}"[:200]) from None
         except ValueError as error:
             raise Unfit(f"{path} is no JSON: {error}"[:200]) from None
@@ -120,7 +122,7 @@
 
 def optional(config, key):
     """A part of the configuration that may be left out, or be null."""
-    return Told({}, key) if config.values.get(key) is None else config.part(key)
+    return SettingsReader({}, key) if config.values.get(key) is None else config.part(key)
 
 
 def limits_of(config):
@@ -135,7 +137,12 @@
     told = config.part("settings")
     for request_class in told.parts("Lanes"):
         request_class.one_of("Effect", EFFECTS, "at_most_once")
-    return started(told.values, seed, now()), names_of(told, "Lanes"), names_of(told, "Projects"), told
+    return (
+        start_from_settings(told.values, seed, now()),
+        names_of(told, "Lanes"),
+        names_of(told, "Projects"),
+        told,
+    )
 
 
 def seed_of(config):
@@ -149,11 +156,11 @@
     with unfit():
         config = load(environment)
         if "settings" not in config.values:
-            raise Nonsense("settings is missing; expected an object")
+            raise InvalidSettings("settings is missing; expected an object")
         start, request_classes, tenants, told = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
         pushed = told.values.get("Discovery") != "ask"
-        start.unheard_time = 0 if pushed else UNHEARD
+        start.assumed_known_after = 0 if pushed else UNHEARD
         api, known = optional(config, "release_api"), optional(config, "known")
         connections, memory = limits_of(config)
         return Config(
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -6,7 +6,7 @@
 import time
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from . import http
 from .config import UNHEARD, address, now
 from .sockets import readable
@@ -23,7 +23,7 @@
         self.wanted = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(config.start.ask_within / 1e9 or CROWDED, CROWDED)
+        crowded = min(config.start.max_list_call_gap / 1e9 or CROWDED, CROWDED)
         self.upkeep = Upkeep(config.discovery, config.start.seed, 0.05, 1.0, crowded)
         self.tried = threading.Event()  # a list has come, or a watch has ended but for too many callers
         self.source = config.discovery  # whose list was last taken, or known to be ours
@@ -146,7 +146,7 @@
                     int(cell),
                     state,
                     float(weight),
-                    in_ns(started),
+                    ms_to_ns(started),
                 )
             )
             where = None
@@ -173,7 +173,7 @@
         self.wanted.clear()
         self.upkeep.worked()
         self.tried.set()
-        self.dispatcher.balancer.listed(now, [], False, True)
+        self.dispatcher.balancer.list_received(now, [], False, True)
 
     def put(self, now, lines, addresses, whole, fresh):
         """The one way by which the balancer learns of instances. Under the dispatcher's lock."""
@@ -181,7 +181,7 @@
             self.dispatcher.instances.listed(id, None, 0)
         for id, (where, started) in addresses.items():
             self.dispatcher.instances.listed(id, where, started)
-        self.dispatcher.balancer.listed(now, lines, whole, fresh)
+        self.dispatcher.balancer.list_received(now, lines, whole, fresh)
         if fresh:
             self.tried.set()
 
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -5,7 +5,7 @@
 
 from .. import interface as at
 from ..balance import Balancer
-from ..told import NS
+from ..start_settings import NS
 from . import resp
 from .config import now
 
@@ -122,13 +122,13 @@
         self.counters.add(f"attempts {end}")
         if self.service is not None:
             self.service.ended(moment, attempt, end)
-        took = moment - attempt.at if attempt.took is None else attempt.took
+        took = moment - attempt.sent_at if attempt.took is None else attempt.took
         over = attempt.request not in self.asks
         self.balancer.attempt_ended(moment, attempt, end, took, over, {})
 
-    def stage_told(self, moment, *news):
+    def stage_reported(self, moment, *news):
         """The platform's news of the newest build."""
-        (self.service or self.balancer).stage_told(moment, *news)
+        (self.service or self.balancer).stage_reported(moment, *news)
 
     def may_begin(self, attempt):
         """The moment by which its last byte has to be written; 0 if it may not begin."""
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -8,7 +8,7 @@
 import traceback
 
 from .. import interface as at
-from ..told import NS
+from ..start_settings import NS
 from . import resp
 from .config import now
 from .sockets import unread_for
@@ -19,7 +19,7 @@
 # that finds no other so much time; a new connection would cost the instance more.
 SETTLE = 10 * NS
 # The endings of attempts that brought a whole answer.
-ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.UNFIT)
+ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
 
 
 class Connection:
@@ -103,7 +103,7 @@
         """It is out of the pool then; None where there is none."""
         return self.unused.pop(0) if self.unused else None
 
-    def rested_at(self):
+    def connection_free_at(self):
         """The moment from which the one longest unused may be used again; 0 where there is none."""
         return self.unused[0].used + SETTLE if self.unused else 0
 
@@ -151,7 +151,7 @@
             self.trips[attempt] = trip
             if trip.pool is not None:
                 trip.connection = trip.pool.longest_unused()
-                attempt.rested_at = trip.pool.rested_at()
+                attempt.connection_free_at = trip.pool.connection_free_at()
         return trip
 
     def drop(self, attempts):
@@ -218,9 +218,9 @@
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
                 # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < trip.attempt.at]
-                pool.unused = [old for old in pool.unused if old.used >= trip.attempt.at]
-            trip.attempt.rested_at = 0 if pool is None else pool.rested_at()
+                ended += [(old, "instance silent") for old in pool.unused if old.used < trip.attempt.sent_at]
+                pool.unused = [old for old in pool.unused if old.used >= trip.attempt.sent_at]
+            trip.attempt.connection_free_at = 0 if pool is None else pool.connection_free_at()
         for connection, reason in ended:
             self.end(connection, reason)
         self.dispatcher.tell(self.dispatcher.attempt_ended, trip.attempt, end, value)
@@ -244,7 +244,7 @@
                 if trip.cancelled or trip.pool.closed:
                     return at.NOT_SENT, None
                 trip.begun = True
-            trip.attempt.since = trip.connection.made
+            trip.attempt.connected_since = trip.connection.made
             wait = max((trip.until - now()) // NS, 1)
             trip.connection.write(resp.command(passed_on(trip.words, wait)), min(trip.until, by))
         except OSError:
@@ -258,7 +258,7 @@
         except TimeoutError:
             return at.TIMED_OUT, None
         except resp.Malformed:
-            return at.SPOILT, None
+            return at.UNREADABLE, None
         except OSError:
             return at.CANCELLED if trip.cancelled else at.RESET, None
         return ending(value)
@@ -326,8 +326,8 @@
         if value.split(b" ")[0] == b"BUSY":
             return at.REJECTED, None
         if value.startswith(b"ERR ") or value == b"SYNTAX":
-            return at.UNFIT, None  # another error that can be read speaks of the command
-    return at.SPOILT, None
+            return at.BAD_REQUEST, None  # another error that can be read speaks of the command
+    return at.UNREADABLE, None
 
 
 def passed_on(words, wait):
--- a/lemonlead/gateway/platform.py
+++ b/lemonlead/gateway/platform.py
@@ -1,17 +1,22 @@
 """The platform's lines: a state machine that is fed bytes and gives each line's words, and what they tell."""
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from .buffer import Buffer, Malformed
 
 LONGEST_LINE = 8192
 PHASES = {
     "trial": at.ON_TRIAL,
-    "rolling_back": at.GOING_BACK,
+    "rolling_back": at.ROLLING_BACK,
     "released": at.RELEASED,
-    "withdrawn": at.TAKEN_OFF,
+    "withdrawn": at.WITHDRAWN,
+}
+VERDICTS = {
+    at.VERDICT_NONE: "blank",
+    at.VERDICT_PROMOTE: "go",
+    at.VERDICT_HOLD: "stay",
+    at.VERDICT_ROLL_BACK: "stop",
 }
-VERDICTS = {at.NO_VOTE: "blank", at.ON: "go", at.HOLD: "stay", at.BACK: "stop"}
 REFUSALS = {"Throttling": at.OVER_ALLOWANCE, "ConditionFailed": at.MOOT}
 
 
@@ -33,10 +38,10 @@
 
 
 def stage(words):
-    """Build, stage, phase, cap and age, as `stage_told` takes them, from five words."""
+    """Build, stage, phase, cap and age, as `stage_reported` takes them, from five words."""
     try:
         build, stage, phase, cap, age = words
-        told = int(build), int(stage), PHASES[phase], float(cap), in_ns(float(age))
+        told = int(build), int(stage), PHASES[phase], float(cap), ms_to_ns(float(age))
         if told[0] < 0 or told[1] < 0 or not 0 <= told[3] <= 1 or told[4] < 0:
             raise ValueError
     except (ValueError, KeyError, TypeError):
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -15,7 +15,7 @@
 class Releases:
     def __init__(self, config, dispatcher, log, counters):
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
-        self.answer_time = config.start.release.answer_time / 1e9
+        self.answer_time = config.start.release.vote_timeout / 1e9
         self.votes = queue.SimpleQueue()
         self.upkeep = Upkeep(config.platform, config.start.seed, 0.1, 2.0)
         # nanoseconds: since when the state of the last news stands; under the dispatcher's lock
@@ -54,7 +54,7 @@
 
     def told(self, now, *news):
         self.began = now - news[-1]
-        self.dispatcher.stage_told(now, *news)
+        self.dispatcher.stage_reported(now, *news)
 
     # ---- votes
 
@@ -90,4 +90,4 @@
         before would stand until the next news. An answer's state that is older than theirs is left."""
         self.dispatcher.balancer.vote_answered(now, outcome)
         if news is not None and now - news[-1] >= self.began:
-            self.dispatcher.stage_told(now, *news)
+            self.dispatcher.stage_reported(now, *news)
--- a/lemonlead/gateway/sorting.py
+++ b/lemonlead/gateway/sorting.py
@@ -84,7 +84,7 @@
         fails: rules may sort requests, they may not lose one."""
         if self.standing.active is None:
             return
-        request.asked = request.request_class
+        request.client_class = request.request_class
         try:
             seen = self.seen(request, words, said)
             given = self.standing.judge(seen, lambda rule, fault: self.erred(now, rule, fault))
@@ -120,7 +120,7 @@
         if given.lane is not None:
             request.request_class = given.lane
         if given.key is not None:
-            request.key, request.asked_key = given.key, request.key
+            request.key, request.client_key = given.key, request.key
         if given.customer is not None:
             request.tenant = self.config.tenants.get(given.customer, -1)
 
--- a/lemonlead/members.py
+++ b/lemonlead/instance_table.py
@@ -48,7 +48,7 @@
         return map(ring.__getitem__, chain(range(first, len(ring)), range(first)))
 
 
-class Members(dict):
+class InstanceTable(dict):
     """The members by id, in the order in which they came; one that takes another's id takes its place, too.
     What is put counts once it is settled. `start_at`: the part of the ring before where this balancer
     begins."""
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -13,14 +13,17 @@
 # How an attempt ended.
 SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
 UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
-SPOILT, UNFIT = "spoilt", "unfit"  # an answer that cannot be read; the instance cannot use this request
+UNREADABLE, BAD_REQUEST = (
+    "spoilt",
+    "unfit",
+)  # an answer that cannot be read; the instance cannot use this request
 NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that an attempt did not run
 # An instance's state as listed.
 GONE, DRAINING, READY = 0, 1, 2
 # A build's phase.
-ON_TRIAL, GOING_BACK, RELEASED, TAKEN_OFF = 0, 1, 2, 3
+ON_TRIAL, ROLLING_BACK, RELEASED, WITHDRAWN = 0, 1, 2, 3
 # Verdicts, and what became of a vote.
-NO_VOTE, ON, HOLD, BACK = 0, 1, 2, 3
+VERDICT_NONE, VERDICT_PROMOTE, VERDICT_HOLD, VERDICT_ROLL_BACK = 0, 1, 2, 3
 COUNTED, MOOT, OVER_ALLOWANCE, VOTE_ERRED, UNANSWERED = "counted", "moot", "over", "erred", "unanswered"
 
 
@@ -33,8 +36,8 @@
     revenue: float
     late_share: float = 0.0  # share of the revenue that an answer past the latency objective still earns
     objective_stretch: float = 0.0  # the latency objective grows by this multiple of the request's own work
-    group: str = "all"  # deduplicated: which instances drop repeats: "all", one "zone" or one "cell"
-    memory: int = 0  # deduplicated: for how long they do
+    repeat_scope: str = "all"  # deduplicated: which instances drop repeats: "all", one "zone" or one "cell"
+    repeat_window: int = 0  # deduplicated: for how long they do
     streamed: bool = False
 
 
@@ -43,11 +46,11 @@
     """What is told of how builds come and go."""
 
     control: str = "by_count"  # "first_voice", "by_count" or "automatic"
-    on_needed: int = 1
-    back_needed: int = 1
+    promote_votes_needed: int = 1
+    roll_back_votes_needed: int = 1
     bake: int = 0
-    vote_life: int = 0
-    answer_time: int = 0
+    vote_lifetime: int = 0
+    vote_timeout: int = 0
     votes_per_s: float = 0.0
     window: int = 0
     free_attempts: float = 0.0
@@ -62,12 +65,12 @@
 
 
 @dataclass(slots=True)
-class Start:
+class StartSettings:
     """All that a balancer is told when it starts."""
 
     now: int
     seed: int
-    me: int = 0
+    balancer_index: int = 0
     balancers: int = 1
     zone: int = 0
     step: int = 0
@@ -76,8 +79,12 @@
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False
-    ask_within: int = 0  # without a watch or call for so long it is held to all that was listed; 0: not told
-    unheard_time: int = 0  # so long after, what discovery has counts as told unheard; 0: only what is told
+    max_list_call_gap: int = (
+        0  # without a watch or call for so long it is held to all that was listed; 0: not told
+    )
+    assumed_known_after: int = (
+        0  # so long after, what discovery has counts as told unheard; 0: only what is told
+    )
     attempts_cap: int = 1
     may_cancel: bool = False
     may_duplicate: bool = False
@@ -114,13 +121,13 @@
     request: "Request"
     number: int
     instance: object
-    at: int
+    sent_at: int
     end: str = ""  # how it ended; empty while it is out
-    since: int = 0  # the moment since which the connection that it was sent on has stood
-    counted: int = 0  # the moment from which it counts against a build's cap; 0: against none
+    connected_since: int = 0  # the moment since which the connection that it was sent on has stood
+    counted_from: int = 0  # the moment from which it counts against a build's cap; 0: against none
     # Told by the host as it begins and as it ends: from when the next one at its instance finds an unused
     # connection that may be used. 0: at once, or there is none.
-    rested_at: int = 0
+    connection_free_at: int = 0
     # Told by the host as it ends: what it took, without what it waited for the host; None: not told.
     took: int | None = None
 
@@ -136,13 +143,13 @@
     work: int = 0  # the work hinted at, 0 without a hint
     repeat: bool = False
     attempts: list = field(default_factory=list)
-    over: bool = False  # it has its final answer, or its client has left
+    finished: bool = False  # it has its final answer, or its client has left
     # the request class that the client named, where rules may give another; else None
-    asked: RequestClass | None = None
-    asked_key: object = None  # the client's key, where a rule gave another
+    client_class: RequestClass | None = None
+    client_key: object = None  # the client's key, where a rule gave another
 
 
-class Door(Protocol):
+class BalancerHost(Protocol):
     """What a balancer may ask of its host; each call takes effect at once."""
 
     def attempt(self, request: Request, instance_id: int, time_out: int) -> None: ...
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -116,7 +116,7 @@
             self.balancer.attempt_ended,
             attempt,
             end,
-            self.world.now - attempt.at,
+            self.world.now - attempt.sent_at,
             request not in self.wants,
             {},
         )
@@ -155,7 +155,7 @@
                 request_class.goal,
                 request_class.stop,
                 request_class.revenue,
-                memory=request_class.memory,
+                repeat_window=request_class.memory,
             )
             for number, (name, request_class) in enumerate(fleet.request_classes.items())
         }
@@ -169,15 +169,15 @@
                 self.gateways.append(Gateway(self, site.name, number, self.start(site.name, number)))
         lines = [self.line(machine) for machine in self.machines]
         for gateway in self.gateways:
-            gateway.balancer.listed(0, lines, True, True)
-            gateway.balancer.stage_told(0, 1, 0, at.RELEASED, 1.0, 0)
+            gateway.balancer.list_received(0, lines, True, True)
+            gateway.balancer.stage_reported(0, 1, 0, at.RELEASED, 1.0, 0)
 
     def start(self, site, number):
         fleet = self.fleet
-        return at.Start(
+        return at.StartSettings(
             now=0,
             seed=self.random.getrandbits(64),
-            me=number,
+            balancer_index=number,
             balancers=fleet.gateway_count(),
             zone=self.zones[site],
             step=5 * NS_MS,
@@ -199,11 +199,11 @@
     def release(self):
         fleet, gateways = self.fleet, self.fleet.gateway_count()
         return at.Release(
-            on_needed=max(round(fleet.on * gateways), 1),
-            back_needed=max(round(fleet.back * gateways), 1),
+            promote_votes_needed=max(round(fleet.on * gateways), 1),
+            roll_back_votes_needed=max(round(fleet.back * gateways), 1),
             bake=fleet.bake,
-            vote_life=4 * S,
-            answer_time=800 * NS_MS,
+            vote_lifetime=4 * S,
+            vote_timeout=800 * NS_MS,
             votes_per_s=75.0,
             window=fleet.window,
             free_attempts=fleet.free,
@@ -362,28 +362,31 @@
 
     def tell_stage(self, stage, phase, cap):
         for gateway in self.gateways:
-            gateway.tell(gateway.balancer.stage_told, 2, stage, phase, cap, 0)
+            gateway.tell(gateway.balancer.stage_reported, 2, stage, phase, cap, 0)
 
     def voted(self, gateway, build, stage, verdict):
         gateway.tell(gateway.balancer.vote_answered, at.COUNTED if self.phase == at.ON_TRIAL else at.MOOT)
-        if build != 2 or self.phase == at.GOING_BACK:
+        if build != 2 or self.phase == at.ROLLING_BACK:
             return
         self.votes[gateway.number] = stage, verdict
         release, votes = self.release(), list(self.votes.values())
-        if sum(verdict == at.BACK for _, verdict in votes) >= release.back_needed:
-            self.phase = at.GOING_BACK
+        if sum(verdict == at.VERDICT_ROLL_BACK for _, verdict in votes) >= release.roll_back_votes_needed:
+            self.phase = at.ROLLING_BACK
             self.stages.append((self.now, self.stage, "back"))
             self.at(self.now + NEWS, self.tell_stage, self.stage, self.phase, 0.0)
             self.at(
                 self.now + self.fleet.notice, self.tell_lines, [self.line(m, at.DRAINING) for m in self.trial]
             )
-        elif self.phase == at.ON_TRIAL and votes.count((self.stage, at.ON)) >= release.on_needed:
+        elif (
+            self.phase == at.ON_TRIAL
+            and votes.count((self.stage, at.VERDICT_PROMOTE)) >= release.promote_votes_needed
+        ):
             if self.now >= self.began + self.fleet.bake:
                 self.advance()
 
     def tell_lines(self, lines):
         for gateway in self.gateways:
-            gateway.tell(gateway.balancer.listed, lines, False, True)
+            gateway.tell(gateway.balancer.list_received, lines, False, True)
 
     # ---- losses
 
@@ -424,8 +427,8 @@
         for gateway in self.gateways:
             if not gateway.up:
                 new = Gateway(self, gateway.site, gateway.number, self.start(gateway.site, gateway.number))
-                new.balancer.listed(self.now, [self.line(m) for m in self.machines], True, True)
-                new.balancer.stage_told(self.now, 1, 0, at.RELEASED, 1.0, 0)
+                new.balancer.list_received(self.now, [self.line(m) for m in self.machines], True, True)
+                new.balancer.stage_reported(self.now, 1, 0, at.RELEASED, 1.0, 0)
                 self.gateways[gateway.number] = new
         self.at(self.now + self.fleet.notice, self.tell_list, site, at.READY)
 
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from .interface import ON_TRIAL
-from .members import moved
+from .instance_table import moved
 
 
 def recent(times, since):
@@ -16,7 +16,7 @@
     return len(times)
 
 
-class Group:
+class InstanceGroup:
     """Instances of one zone and kind: stands in for those not heard from of late."""
 
     __slots__ = "slowness", "lost", "took", "work"
@@ -27,7 +27,7 @@
         self.took = self.work = 0.0  # of its answers, smoothed: the time they took, their work
 
 
-class Member:
+class InstanceState:
     """All that is known of one instance: its line on the list, and what its attempts have shown."""
 
     __slots__ = (
@@ -58,7 +58,7 @@
         "cold_due",
         "up_from",
         "up_to",
-        "rested_at",
+        "connection_free_at",
     )
 
     def __init__(self, line, build, group, now, limit, cold_from, cold_due):
@@ -76,7 +76,7 @@
         self.service = self.usual = 0.0  # its reported service time of late, and while no build is on trial
         self.failed, self.answered = 0, 0  # errors, answers
         self.open_until = 0  # until when a connection to it stays open, as far as is told
-        self.rested_at = 0  # from when its next unused connection may be used, as last told
+        self.connection_free_at = 0  # from when its next unused connection may be used, as last told
         self.strikes, self.shunned_until = 0, 0  # failures of the path since its last answer
         # While it is cold: the work let in when it last got some, and how much more is due until the next.
         self.cold_from, self.cold_due = cold_from, cold_due
@@ -118,7 +118,7 @@
         self.ring, self.kinds, self.starts = [], Counter(), []
 
     def change(self, out, new):
-        """Members that ran it are gone, and others run it now."""
+        """InstanceTable that ran it are gone, and others run it now."""
         self.ring = moved(self.ring, out, new)
         self.kinds.update(member.kind for member in new)
         self.kinds.subtract(member.kind for member in out)
@@ -143,7 +143,7 @@
         return self.setdefault(number, Build(number, *self.rest))
 
 
-class Wakes:
+class RequestTimers:
     """The requests that are to be looked at again, by the moment. Past a bound those that are over go: guards
     against clients that say they wait for days."""
 
@@ -158,7 +158,7 @@
 
     def add(self, at, request):
         if len(self.heap) >= self.most:
-            self.heap = [wake for wake in self.heap if not wake[2].over]
+            self.heap = [wake for wake in self.heap if not wake[2].finished]
             heapq.heapify(self.heap)
             self.most = 2 * len(self.heap) + 1000
         heapq.heappush(self.heap, (at, next(self.turns), request))
--- a/lemonlead/told.py
+++ b/lemonlead/start_settings.py
@@ -10,21 +10,21 @@
 EFFECTS = {"idempotent": at.IDEMPOTENT, "deduplicated": at.DEDUPLICATED, "at_most_once": at.NON_IDEMPOTENT}
 
 
-class Nonsense(ValueError):
+class InvalidSettings(ValueError):
     """The settings hold something that none can go by. The text says where, what it is, and what to write."""
 
 
-def in_ns(ms):
+def ms_to_ns(ms):
     return round(ms * NS) if math.isfinite(ms) else 0
 
 
-def shown(value):
+def describe_value(value):
     """A value of a configuration on one short line."""
     text = repr(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
 
 
-class Told:
+class SettingsReader:
     """One object of the settings: `where` it stands, and its values by key, each checked as it is read. What
     is absent is as the caller says. Nothing can be named that is not read: unknown keys harm none."""
 
@@ -36,7 +36,7 @@
 
     def unfit(self, key, value, wanted):
         where = ".".join(part for part in (self.where, key) if part)
-        raise Nonsense(f"{where} is {shown(value)}; expected {wanted}")
+        raise InvalidSettings(f"{where} is {describe_value(value)}; expected {wanted}")
 
     def number(self, key, otherwise, least=0, most=MOST):
         value = self.values.get(key, otherwise)
@@ -54,7 +54,7 @@
         value = self.values.get(key, otherwise)
         if type(value) not in (int, float) or not 0 <= value <= LONGEST:
             self.unfit(key, value, f"milliseconds from 0 to {LONGEST:.15g}")
-        return in_ns(value)
+        return ms_to_ns(value)
 
     def flag(self, key):
         value = self.values.get(key, False)
@@ -76,7 +76,7 @@
 
     def text(self, key):
         if key not in self.values:
-            raise Nonsense(f"{self.where}.{key} is missing; expected a text".lstrip("."))
+            raise InvalidSettings(f"{self.where}.{key} is missing; expected a text".lstrip("."))
         if type(value := self.values[key]) is not str or not value:
             self.unfit(key, value, "a text")
         return value
@@ -88,10 +88,10 @@
         return value
 
     def part(self, key):
-        return Told(self.values.get(key, {}), f"{self.where}.{key}".lstrip("."))
+        return SettingsReader(self.values.get(key, {}), f"{self.where}.{key}".lstrip("."))
 
     def parts(self, key):
-        return [Told(value, f"{self.where}.{key}[{n}]") for n, value in enumerate(self.list(key))]
+        return [SettingsReader(value, f"{self.where}.{key}[{n}]") for n, value in enumerate(self.list(key))]
 
     def names(self, key):
         """The texts of this list, each but once."""
@@ -102,12 +102,12 @@
 
     def numbers(self, key, most=MOST):
         values = self.list(key)
-        return [Told({key: value}, self.where).number(key, 0, 0, most) for value in values]
+        return [SettingsReader({key: value}, self.where).number(key, 0, 0, most) for value in values]
 
 
 def request_class_of(told, number):
     effect = EFFECTS.get(told.word("Effect"), at.NON_IDEMPOTENT)  # one unknown here is run once at most
-    # For the others, group and memory mean nothing; without a window repeats are told apart for no time.
+    # For the others, group and window mean nothing; without a window repeats are told apart for no time.
     deduplicated = effect == at.DEDUPLICATED
     return at.RequestClass(
         number=number,
@@ -117,8 +117,8 @@
         revenue=told.number("Worth", 1.0),
         late_share=told.number("LateWorth", 0.0),
         objective_stretch=told.number("AimStretch", 0.0),
-        group=told.one_of("Group", ("all", "zone", "cell"), "all") if deduplicated else "all",
-        memory=told.time("Window") if deduplicated else 0,
+        repeat_scope=told.one_of("Group", ("all", "zone", "cell"), "all") if deduplicated else "all",
+        repeat_window=told.time("Window") if deduplicated else 0,
         streamed=told.flag("Stream"),
     )
 
@@ -126,11 +126,11 @@
 def release_of(told):
     return at.Release(
         control=told.one_of("Control", ("first_voice", "by_count", "automatic"), "by_count"),
-        on_needed=told.count("AyesNeeded", 1),
-        back_needed=told.count("NoesNeeded", 1),
+        promote_votes_needed=told.count("AyesNeeded", 1),
+        roll_back_votes_needed=told.count("NoesNeeded", 1),
         bake=told.time("Bake"),
-        vote_life=told.time("BallotTtl"),
-        answer_time=told.time("ApiTimeout"),
+        vote_lifetime=told.time("BallotTtl"),
+        vote_timeout=told.time("ApiTimeout"),
         votes_per_s=told.number("VoteAllowance", 0.0),
         window=told.time("ExposureWindow"),
         free_attempts=told.number("SpareTries", 0.0),
@@ -145,16 +145,16 @@
     )
 
 
-def started(settings, salt, now):
-    """The settings as read, in our words; what is absent stays at the interface's default. Nonsense where
+def start_from_settings(settings, salt, now):
+    """The settings as read, in our words; what is absent stays at the default. InvalidSettings where
     they hold what none can go by."""
-    told = Told(settings, "settings")
+    told = SettingsReader(settings, "settings")
     limits, rules, prices = told.part("Limits"), told.part("Obligations"), told.part("Tariffs")
     retry_after = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
-    return at.Start(
+    return at.StartSettings(
         now=now,
         seed=salt,
-        me=told.count("Me", 0),
+        balancer_index=told.count("Me", 0),
         balancers=told.count("Balancers", 1),
         zone=told.count("Az", 0),
         step=told.time("Step"),
@@ -173,7 +173,7 @@
         retry_after_cap=retry_after,
         connect_time=limits.time("ConnectTimeout"),
         idle_time=limits.time("IdleClose"),
-        ask_within=rules.time("AskWithin"),
+        max_list_call_gap=rules.time("AskWithin"),
         drain_grace=rules.time("DrainGrace"),
         cold_time=rules.time("Cold"),
         cold_share=rules.number("ColdFrom", 1.0, 0, 1),
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -5,7 +5,7 @@
 
 from .. import interface as at_door
 from ..balance import Balancer
-from ..told import NS, in_ns, started
+from ..start_settings import NS, ms_to_ns, start_from_settings
 from .codec import ROW, BadFrame, Reply, cut
 
 _ENDS = {
@@ -126,7 +126,7 @@
             told = json.loads(bytes(cut(self.tail, offset, size)))
             if not isinstance(told, dict):
                 raise ValueError("no object")
-            start = started(told, salt, self.now)
+            start = start_from_settings(told, salt, self.now)
         except (ValueError, TypeError, AttributeError) as error:
             raise BadFrame(f"settings of gateway {instance} cannot be read: {error}") from None
         try:
@@ -140,7 +140,7 @@
         for row in ROW.iter_unpack(cut(self.tail, offset, count * ROW.size)):
             id, zone, kind, build, cell, state, nominal, started_at = row
             build = int(build) if math.isfinite(build) else 0
-            rows.append(at_door.Instance(id, zone, kind, build, cell, state, nominal, in_ns(started_at)))
+            rows.append(at_door.Instance(id, zone, kind, build, cell, state, nominal, ms_to_ns(started_at)))
         self.lists[buffer] = rows
 
     def directory_update(self, seat, form, generation, buffer):
@@ -149,19 +149,19 @@
         elif buffer not in self.lists:
             raise BadFrame(f"gateway {seat.number}: no list has the number {buffer}")
         else:
-            seat.balancer.listed(self.now, self.lists[buffer], form in _FULL_LISTS, form != 0)
+            seat.balancer.list_received(self.now, self.lists[buffer], form in _FULL_LISTS, form != 0)
 
     def work_item(self, seat, id, request_class, tenant, key, left, hint, flags):
         if request_class not in seat.request_classes:
             raise BadFrame(f"gateway {seat.number}: a request of the unknown request class {request_class}")
-        work = max(in_ns(hint), 0) if flags & 1 else 0
+        work = max(ms_to_ns(hint), 0) if flags & 1 else 0
         request = at_door.Request(
             id,
             seat.request_classes[request_class],
             tenant,
             key,
             self.now,
-            self.now + in_ns(left),
+            self.now + ms_to_ns(left),
             work,
             bool(flags & 2),
         )
@@ -180,7 +180,7 @@
             seat.requests.pop(id, None)
         end = _ENDS.get(code, at_door.ERRED)
         report = dict(zip(seat.fields, gauge[:count], strict=False))
-        seat.balancer.attempt_ended(self.now, attempt, end, in_ns(lag), bool(ended), report)
+        seat.balancer.attempt_ended(self.now, attempt, end, ms_to_ns(lag), bool(ended), report)
 
     def left(self, seat, id):
         if (request := seat.requests.pop(id, None)) is not None:
@@ -201,10 +201,10 @@
         if answers_vote:
             seat.balancer.vote_answered(self.now, _VOTES.get(status, at_door.VOTE_ERRED))
         if status == 200:
-            seat.balancer.stage_told(self.now, build, stage, phase, cap, in_ns(age))
+            seat.balancer.stage_reported(self.now, build, stage, phase, cap, ms_to_ns(age))
 
     def scorecard(self, seat, *counted):
         pass  # a balancer judges by its own outcomes
 
     def bad_answer(self, seat, instance, request_class, age):
-        seat.balancer.answer_wrong(self.now, instance)
+        seat.balancer.wrong_answer_reported(self.now, instance)
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -8,20 +8,20 @@
 
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 MS = 1_000_000
 BEGIN = 1_700_000_000_000 * MS
 STATES = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
-PHASES = (at.ON_TRIAL, at.GOING_BACK, at.RELEASED, at.TAKEN_OFF)
+PHASES = (at.ON_TRIAL, at.ROLLING_BACK, at.RELEASED, at.WITHDRAWN)
 ENDS = (
     at.SUCCEEDED,
     at.ERRED,
     at.REJECTED,
     at.RESET,
     at.UNCONNECTED,
-    at.SPOILT,
-    at.UNFIT,
+    at.UNREADABLE,
+    at.BAD_REQUEST,
     "silent",
 )  # of attempts; silent ones time out
 NEVER = {at.REJECTED, at.UNCONNECTED, at.NOT_SENT}
@@ -38,7 +38,7 @@
     def __init__(self, settings, world, make=Balancer):
         self.settings, self.world, self.random = settings, world, random.Random(world["seed"])
         self.now, self.events, self.turns, self.record = BEGIN, [], count(), []
-        self.start = started(settings, world["seed"], BEGIN)
+        self.start = start_from_settings(settings, world["seed"], BEGIN)
         self.balancer = make(self.start)
         self.open, self.trips, self.armed, self.wakes = {}, {}, None, 0
         self.machines, self.watching, self.latest = {}, False, BEGIN  # when the last client gives up
@@ -63,7 +63,7 @@
             self.machines[number] = self.machine(number, 1, old=self.random.random() < 0.7)
         self.list_told(True, False, stale=True)
         if world["news"]:
-            self.stage_told()
+            self.stage_reported()
         self.pull()
         at_ms = 0.0
         for number in range(world["requests"]):
@@ -127,7 +127,7 @@
         ]
         said = [(r["id"], r["state"], r["build"], r["zone"], r["cell"], r["started"]) for r in rows]
         self.note("list", whole, said)
-        self.balancer.listed(self.now, lines, whole, fresh)
+        self.balancer.list_received(self.now, lines, whole, fresh)
 
     def change(self):
         """Something of the fleet or of the release changes, or the watch breaks."""
@@ -163,7 +163,7 @@
 
     def news(self, row):
         caps = self.settings.get("FamilyInfo", {}).get("StageCap", [])
-        if self.phase in (at.RELEASED, at.TAKEN_OFF):
+        if self.phase in (at.RELEASED, at.WITHDRAWN):
             self.build, self.stage, self.phase = self.build + 1, 0, at.ON_TRIAL
             if row:
                 number = int(row["id"][1:])
@@ -174,16 +174,16 @@
             if go < 0.5 and self.stage + 1 < len(caps):
                 self.stage += 1
             else:
-                self.phase = self.random.choice([at.GOING_BACK, at.RELEASED, at.TAKEN_OFF])
+                self.phase = self.random.choice([at.ROLLING_BACK, at.RELEASED, at.WITHDRAWN])
         trial = caps[min(self.stage, len(caps) - 1)] if caps else 0.0
         self.cap = 1.0 if self.phase == at.RELEASED else trial if self.phase == at.ON_TRIAL else 0.0
         self.since = self.now
-        self.after(self.random.choice([0, 20 * MS]), self.stage_told)
+        self.after(self.random.choice([0, 20 * MS]), self.stage_reported)
 
-    def stage_told(self):
+    def stage_reported(self):
         self.note("stage", self.build, self.stage, PHASES.index(self.phase), self.cap)
         age = self.now - self.since
-        self.balancer.stage_told(self.now, self.build, self.stage, self.phase, self.cap, age)
+        self.balancer.stage_reported(self.now, self.build, self.stage, self.phase, self.cap, age)
 
     # ---- requests
 
@@ -257,7 +257,7 @@
             self.note("final", request.id, "served")
         over = request.id not in self.open
         report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
-        self.balancer.attempt_ended(self.now, attempt, end, self.now - attempt.at, over, report)
+        self.balancer.attempt_ended(self.now, attempt, end, self.now - attempt.sent_at, over, report)
 
     def cancel(self, attempt):
         self.note("cancel", attempt.request.id, attempt.number)
--- a/tests/days.py
+++ b/tests/days.py
@@ -25,7 +25,7 @@
     def listed(self, *_):
         pass
 
-    stage_told = vote_answered = list_failed = listed
+    stage_reported = vote_answered = list_failed = listed
 
     def wake_at(self):
         return 1 << 62
@@ -34,15 +34,15 @@
         self.due.append(request)
 
     def request_left(self, now, request):
-        request.over = True
+        request.finished = True
 
     def attempt_ended(self, now, attempt, end, took, over, report):
-        attempt.end, attempt.request.over = end, attempt.request.over or over
+        attempt.end, attempt.request.finished = end, attempt.request.finished or over
         self.due.append(attempt.request)
 
     def decide(self, now, door):
         while self.due:
-            if not (request := self.due.popleft()).over:
+            if not (request := self.due.popleft()).finished:
                 self.settle(request, now, door)
                 return True
         return False
@@ -56,7 +56,7 @@
             s.end not in at.NEVER_RAN for s in request.attempts
         )
         if best is None or ran or 4 * seen[best] > request.request_class.latency_objective:
-            request.over = True
+            request.finished = True
             return door.reject(request, LATE // 2)
         request.attempts.append(at.Attempt(request, len(request.attempts), best, now))
         return door.attempt(request, best, request.deadline - now)
@@ -144,8 +144,8 @@
         for number in numbers:
             site = self.gateways[number].site
             gateway = self.gateways[number] = Gateway(self, site, number, self.start(site, number))
-            gateway.balancer.listed(self.now, lines, True, True)
-            gateway.balancer.stage_told(self.now, 1, 0, at.RELEASED, 1.0, 0)
+            gateway.balancer.list_received(self.now, lines, True, True)
+            gateway.balancer.stage_reported(self.now, 1, 0, at.RELEASED, 1.0, 0)
 
     # ---- what is counted
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,8 +56,8 @@
         free_attempts=2,
         caps=[0.1, 0.5, 1.0],
         steps=[0.1, 0.5, 1.0],
-        vote_life=4000 * MS,
-        answer_time=800 * MS,
+        vote_lifetime=4000 * MS,
+        vote_timeout=800 * MS,
         votes_per_s=100.0,
         bake=1000 * MS,
     )
@@ -73,16 +73,16 @@
         cold_multiple=3.0,
         retry_after_cap=500 * MS,
     )
-    start = at.Start(
+    start = at.StartSettings(
         now=NOW,
         request_classes=request_classes or [request_class()],
         release=release,
         **{"seed": 7, **rules, **more},
     )
     made = Balancer(start)
-    made.listed(NOW, list(lines), True, True)
+    made.list_received(NOW, list(lines), True, True)
     if told is not None:
-        made.stage_told(NOW, *told, 0)
+        made.stage_reported(NOW, *told, 0)
     return made
 
 
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -10,7 +10,7 @@
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 EXAMPLES = int(os.environ.get("ANY_SETTINGS", 150))
 
@@ -173,7 +173,7 @@
 
 def test_a_list_whose_call_failed_is_asked_for_anew_before_it_binds_no_more():
     for within, longest in ((50, 100), (200, 400), (450, 900), (10_000, 900), (0, 900)):
-        made = Balancer(started({**SETTINGS, "Obligations": {"AskWithin": within}}, 7, BEGIN))
+        made = Balancer(start_from_settings({**SETTINGS, "Obligations": {"AskWithin": within}}, 7, BEGIN))
         made.list_failed(BEGIN, BEGIN)
         assert longest * MS / 3 <= made.ask_at - BEGIN <= longest * MS
 
@@ -190,14 +190,18 @@
 def waiting(release, at_=BEGIN, key=b"a"):
     """A balancer that has news of build 2 on trial, and an attempt to build 1 and 2 each that waits to
     begin."""
-    made = Balancer(started({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **release}}, 7, BEGIN))
-    made.listed(BEGIN, [at.Instance(f"i{n}", 0, 0, n, 0, at.READY, 1.0, 0) for n in (1, 2)], True, True)
-    made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
-    attempts, made_lane = {}, started(SETTINGS, 7, BEGIN).request_classes[0]
+    made = Balancer(
+        start_from_settings({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **release}}, 7, BEGIN)
+    )
+    made.list_received(
+        BEGIN, [at.Instance(f"i{n}", 0, 0, n, 0, at.READY, 1.0, 0) for n in (1, 2)], True, True
+    )
+    made.stage_reported(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
+    attempts, made_lane = {}, start_from_settings(SETTINGS, 7, BEGIN).request_classes[0]
     for build in (1, 2):
         request = at.Request(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
         made.request_arrived(at_, request)
-        request.attempts.append(at.Attempt(request, 0, made.members[f"i{build}"], at_))
+        request.attempts.append(at.Attempt(request, 0, made.instances[f"i{build}"], at_))
         attempts[build] = request.attempts[0]
     return made, attempts
 
@@ -211,11 +215,11 @@
 
 def test_an_attempt_that_waited_past_the_window_counts_in_that_in_which_it_begins():
     made, attempts = waiting({"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]})
-    made.stage_told(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
+    made.stage_reported(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
     other = at.Request(3, attempts[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
     assert made.may_begin(late, attempts[2])
-    assert not made.may_attempt(other, made.members["i2"], late)
+    assert not made.may_attempt(other, made.instances["i2"], late)
     assert made.may_begin(late + MS, attempts[2])  # asked again for the same send, it counts once
 
 
@@ -234,7 +238,7 @@
     def give_up(self, request, door):
         if not any(attempt.end in (at.TIMED_OUT, "") for attempt in request.attempts):
             return super().give_up(request, door)
-        request.over = True
+        request.finished = True
         return True
 
 
@@ -266,7 +270,7 @@
 
 class Refusing(Balancer):
     def give_up(self, request, door):
-        request.over = True
+        request.finished = True
         door.reject(request, 0)
         return True
 
@@ -282,10 +286,10 @@
 class Deaf(Balancer):
     """Takes drains for nothing."""
 
-    def listed(self, now, lines, whole, fresh):
+    def list_received(self, now, lines, whole, fresh):
         for line in lines:
             line.state = at.READY
-        super().listed(now, lines, False, fresh)
+        super().list_received(now, lines, False, fresh)
 
 
 class Lazy(Balancer):
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -253,13 +253,23 @@
     config = {name: CONFIG[name] for name in ("name", "listen", "discovery", "seed")}
     got = read(tmp_path, {**config, "settings": settings, "limits": None, "release_api": None, "known": None})
     start, request_class = got.start, got.request_classes["look"]
-    assert (request_class.effect, request_class.group, request_class.memory, request_class.revenue) == (
+    assert (
+        request_class.effect,
+        request_class.repeat_scope,
+        request_class.repeat_window,
+        request_class.revenue,
+    ) == (
         "non-idempotent",
         "all",
         0,
         1.0,
     )
-    assert (start.attempts_cap, start.balancers, start.ask_within, start.retry_after_cap) == (1, 1, 0, 0)
+    assert (start.attempts_cap, start.balancers, start.max_list_call_gap, start.retry_after_cap) == (
+        1,
+        1,
+        0,
+        0,
+    )
     assert (got.platform, got.news, got.connections, got.tenants) == (None, None, 1000, {})
     assert read(tmp_path, {**config, "settings": {}}).request_classes == {}
 
@@ -267,13 +277,13 @@
 def test_a_deduplicated_class_without_a_window_is_never_sent_again_once_it_may_have_run(tmp_path):
     got = read(tmp_path, changed("settings", "Lanes", 1, "Window", to=ABSENT))
     made = Balancer(got.start)
-    made.listed(got.start.now, [line(1), line(2)], True, True)
+    made.list_received(got.start.now, [line(1), line(2)], True, True)
     asked = request(on=got.start.request_classes[1], now=got.start.now)
-    sent(asked, made.members[1], at.RESET, got.start.now)
+    sent(asked, made.instances[1], at.RESET, got.start.now)
     assert asked.request_class.effect == at.DEDUPLICATED
-    assert not made.may_attempt(asked, made.members[2], got.start.now)
+    assert not made.may_attempt(asked, made.instances[2], got.start.now)
     asked.attempts[0].end = at.UNCONNECTED
-    assert made.may_attempt(asked, made.members[2], got.start.now)
+    assert made.may_attempt(asked, made.instances[2], got.start.now)
 
 
 def test_whole_numbers_may_be_written_as_fractions(tmp_path):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -7,10 +7,10 @@
 
 from lemonlead import interface as at
 from lemonlead.balance import NEAR, Balancer, sound
-from lemonlead.odds import chance
+from lemonlead.significance import chance
 
-DEDUPLICATED_ZONE = request_class(1, at.DEDUPLICATED, group="zone", memory=4000 * MS)
-DEDUPLICATED_ALL = request_class(1, at.DEDUPLICATED, group="all", memory=8000 * MS)
+DEDUPLICATED_ZONE = request_class(1, at.DEDUPLICATED, repeat_scope="zone", repeat_window=4000 * MS)
+DEDUPLICATED_ALL = request_class(1, at.DEDUPLICATED, repeat_scope="all", repeat_window=8000 * MS)
 NON_IDEMPOTENT = request_class(2, at.NON_IDEMPOTENT)
 SECOND = 1000 * MS
 
@@ -41,15 +41,15 @@
 def test_a_second_attempt_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
     made = balancer([line(1, zone=0), line(2, zone=zone)])
     asked = request(on=on, left=30 * SECOND)
-    sent(asked, made.members[1], end)
-    assert made.may_attempt(asked, made.members[2], NOW + age * MS) is allowed
+    sent(asked, made.instances[1], end)
+    assert made.may_attempt(asked, made.instances[2], NOW + age * MS) is allowed
 
 
 def test_no_second_attempt_while_one_is_out_where_copies_are_barred():
     made = balancer([line(1), line(2)], may_duplicate=False)
     asked = request()
-    sent(asked, made.members[1])
-    assert not made.may_attempt(asked, made.members[2], NOW)
+    sent(asked, made.instances[1])
+    assert not made.may_attempt(asked, made.instances[2], NOW)
 
 
 @pytest.mark.parametrize(
@@ -59,8 +59,8 @@
     made = balancer([line(1)])
     asked = request(left=left * MS)
     for _ in range(attempts):
-        sent(asked, made.members[1], at.UNCONNECTED)
-    assert made.may_attempt(asked, made.members[1], NOW) is allowed
+        sent(asked, made.instances[1], at.UNCONNECTED)
+    assert made.may_attempt(asked, made.instances[1], NOW) is allowed
 
 
 @pytest.mark.parametrize(
@@ -77,9 +77,9 @@
 def test_the_final_answer_tells_what_may_have_run(on, end, answer):
     made, dispatcher = balancer([line(1)]), Dispatcher()
     asked = request(on=on)
-    sent(asked, made.members[1], end)
+    sent(asked, made.instances[1], end)
     made.give_up(asked, dispatcher)
-    assert [call[0] for call in dispatcher.calls] == [answer] and asked.over
+    assert [call[0] for call in dispatcher.calls] == [answer] and asked.finished
 
 
 @pytest.mark.parametrize("left", [0, -5, 300])
@@ -98,7 +98,7 @@
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     made.rescues = rescues
     asked = request()
-    sent(asked, made.members[1])
+    sent(asked, made.instances[1])
     made.attempt_ended(NOW + MS, asked.attempts[0], at.REJECTED, MS, False, {})
     assert [call[0] for call in dispatcher.pull(made, NOW + MS)] == [answer]
 
@@ -106,17 +106,17 @@
 @pytest.mark.parametrize("state", [at.DRAINING, at.GONE])
 def test_nothing_new_goes_to_what_drains_or_is_gone(state):
     made, dispatcher = balancer([line(1)]), Dispatcher()
-    made.listed(NOW, [line(1, state=state)], False, True)
+    made.list_received(NOW, [line(1, state=state)], False, True)
     made.request_arrived(NOW, request())
     assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "attempt"]
 
 
 def test_what_a_whole_list_leaves_out_is_gone_and_a_new_machine_starts_afresh():
     made = balancer([line(1), line(2)])
-    made.members[2].strikes = 3
-    made.listed(NOW, [line(2, build=2, started=NOW)], True, True)
-    assert list(made.members) == [2]
-    assert (made.members[2].strikes, made.members[2].build.number) == (0, 2)
+    made.instances[2].strikes = 3
+    made.list_received(NOW, [line(2, build=2, started=NOW)], True, True)
+    assert list(made.instances) == [2]
+    assert (made.instances[2].strikes, made.instances[2].build.number) == (0, 2)
 
 
 def test_a_failed_call_for_the_list_is_made_again():
@@ -134,7 +134,7 @@
         now = NOW + step * 5 * MS
         made.request_arrived(now, request(step, now=now, work=20 * MS))
         got += sum(call[0] == "attempt" and call[2] == 1 for call in dispatcher.pull(made, now))
-        for member in made.members.values():
+        for member in made.instances.values():
             member.out.clear()
     assert 1 <= got <= 400 / 4 * 0.7
 
@@ -147,7 +147,7 @@
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 10, True),
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 3, 10, False),
         ((2, 0, at.ON_TRIAL, 0.0), request_class(), 0, 99, False),
-        ((2, 1, at.GOING_BACK, 0.0), request_class(), 0, 99, False),
+        ((2, 1, at.ROLLING_BACK, 0.0), request_class(), 0, 99, False),
         ((2, 0, at.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
         ((1, 2, at.RELEASED, 1.0), request_class(), 2, 10, True),  # not announced: as in the first stage
         ((1, 2, at.RELEASED, 1.0), request_class(), 3, 10, False),
@@ -159,28 +159,28 @@
 def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, taken, allowed):
     made = trial()
     made.guarded_stages = 1
-    made.stage_told(NOW, *told, 0)
+    made.stage_reported(NOW, *told, 0)
     for number in range(taken):
         made.request_arrived(NOW, request(number, on=on))
-    made.members[3].build.sent[0] = deque([NOW] * attempts)
-    assert made.may_attempt(request(99, on=on), made.members[3], NOW) is allowed
+    made.instances[3].build.sent[0] = deque([NOW] * attempts)
+    assert made.may_attempt(request(99, on=on), made.instances[3], NOW) is allowed
 
 
 def test_request_classes_are_counted_apart_where_told():
     made = trial()
     made.per_class = True
-    made.members[3].build.sent[0] = [NOW] * 2
-    assert not made.exposure_left(made.members[3].build, request(), NOW)
-    assert made.exposure_left(made.members[3].build, request(on=DEDUPLICATED_ALL), NOW)
+    made.instances[3].build.sent[0] = [NOW] * 2
+    assert not made.exposure_left(made.instances[3].build, request(), NOW)
+    assert made.exposure_left(made.instances[3].build, request(on=DEDUPLICATED_ALL), NOW)
 
 
 def test_a_key_that_the_new_build_answered_stays_with_it():
     made = trial()
-    made.members[3].build.keys.add(77)
-    assert not made.may_attempt(request(key=77), made.members[1], NOW)
-    assert made.may_attempt(request(key=78), made.members[1], NOW)
-    made.stage_told(NOW, 2, 0, at.GOING_BACK, 0.0, 0)
-    assert made.may_attempt(request(key=77), made.members[1], NOW)
+    made.instances[3].build.keys.add(77)
+    assert not made.may_attempt(request(key=77), made.instances[1], NOW)
+    assert made.may_attempt(request(key=78), made.instances[1], NOW)
+    made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0)
+    assert made.may_attempt(request(key=77), made.instances[1], NOW)
 
 
 def outcomes(slow=1.0, errs=0, count=20, machines=4, faulty=None):
@@ -213,7 +213,7 @@
 def test_a_build_is_bad_when_most_pairs_breach(on, off, services, bad):
     made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, at.ON_TRIAL, 0.1))
     made.calm_time = 1.2
-    for member in made.members.values():
+    for member in made.instances.values():
         member.service, member.usual = services[member.build is not made.judged], 10.0 * (member.id != 9)
     for _ in range(4):
         judged(made, on, off)
@@ -237,10 +237,10 @@
 
 def test_answers_found_wrong_send_a_build_back():
     made = trial()
-    made.members[1].build.answers = made.members[3].build.answers = 100
+    made.instances[1].build.answers = made.instances[3].build.answers = 100
     for _ in range(3):
-        made.answer_wrong(NOW, 3)
-    made.answer_wrong(NOW, 999)
+        made.wrong_answer_reported(NOW, 3)
+    made.wrong_answer_reported(NOW, 999)
     judged(made, outcomes(), outcomes())
     assert made.judged.bad
 
@@ -248,11 +248,11 @@
 @pytest.mark.parametrize(
     "doubt, bad, age, clocked, verdict",
     [
-        (False, False, 9, False, at.ON),
+        (False, False, 9, False, at.VERDICT_PROMOTE),
         (False, False, 1, False, None),  # the stage cannot end yet
         (True, False, 9, False, None),
-        (True, True, 9, False, at.BACK),
-        (True, False, 9, True, at.HOLD),
+        (True, True, 9, False, at.VERDICT_ROLL_BACK),
+        (True, False, 9, True, at.VERDICT_HOLD),
         (False, False, 9, True, None),
     ],
 )
@@ -283,37 +283,39 @@
     made = balancer([line(n) for n in range(8)], told=(1, 2, at.RELEASED, 1.0))
     made.builds[1].bad = True
     if machines:
-        made.listed(NOW, [line(100 + n, build=2) for n in range(machines)], False, True)
-        made.stage_told(NOW, 2, 2, at.ON_TRIAL, cap, 0)
+        made.list_received(NOW, [line(100 + n, build=2) for n in range(machines)], False, True)
+        made.stage_reported(NOW, 2, 2, at.ON_TRIAL, cap, 0)
         made.request_arrived(NOW, request(1))
     made.class_work = dict.fromkeys((0, 1, 2), 100 * MS)
-    assert made.usable(made.members[1], request(2, on=on), NOW) is not takes
+    assert made.usable(made.instances[1], request(2, on=on), NOW) is not takes
 
 
 def test_a_released_build_that_is_found_bad_is_left_out_where_earlier_ones_can_take_its_load():
     made = balancer([line(1), line(2), line(3, build=2)], told=(2, 2, at.RELEASED, 1.0))
     made.builds[2].bad = True
-    assert not made.usable(made.members[3], request(), NOW)
-    assert made.usable(made.members[1], request(), NOW)
+    assert not made.usable(made.instances[3], request(), NOW)
+    assert made.usable(made.instances[1], request(), NOW)
 
 
 @pytest.mark.parametrize("answer", [at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED, at.MOOT, at.COUNTED])
 def test_a_vote_is_cast_again_whatever_became_of_it(answer):
     made, dispatcher = trial(), Dispatcher()
     made.judged.bad = True
-    assert ("vote", 2, 0, at.BACK) in dispatcher.pull(made, NOW)
+    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW)
     made.vote_answered(NOW, answer)
-    assert ("vote", 2, 0, at.BACK) not in dispatcher.pull(made, NOW)
+    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) not in dispatcher.pull(made, NOW)
     # while the last one still stands
-    assert ("vote", 2, 0, at.BACK) in dispatcher.pull(made, NOW + 3500 * MS)
+    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
     made.vote_answered(NOW + 3500 * MS, at.COUNTED)
-    made.stage_told(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
-    assert ("vote", 2, 1, at.BACK) in dispatcher.pull(made, NOW + 3500 * MS)  # a change does not wait
+    made.stage_reported(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
+    assert ("vote", 2, 1, at.VERDICT_ROLL_BACK) in dispatcher.pull(
+        made, NOW + 3500 * MS
+    )  # a change does not wait
 
 
 def test_a_silent_machine_is_shunned_and_then_tried_with_one_request():
     made = balancer([line(1)])
-    member, asked = made.members[1], request()
+    member, asked = made.instances[1], request()
     attempt = sent(asked, member)
     made.attempt_ended(NOW + SECOND, attempt, at.TIMED_OUT, SECOND, False, {})
     assert not made.usable(member, request(2), NOW + SECOND)
@@ -326,7 +328,7 @@
 @pytest.mark.parametrize("took, grows", [(100, True), (900, False)])
 def test_a_limit_of_one_grows_on_quick_answers_and_falls_on_slow_ones(took, grows):
     made = balancer([line(1)])
-    member = made.members[1]
+    member = made.instances[1]
     member.limit = 1.0
     for number in range(20):
         asked = request(number)
@@ -334,10 +336,10 @@
     assert (member.limit > 1.5) is grows
 
 
-@pytest.mark.parametrize("end, again", [(at.SPOILT, True), (at.UNFIT, False)])
+@pytest.mark.parametrize("end, again", [(at.UNREADABLE, True), (at.BAD_REQUEST, False)])
 def test_answers_that_are_none_speak_against_no_machine_and_no_build(end, again):
     made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
-    made.pair_at, member = NOW, made.members[2]
+    made.pair_at, member = NOW, made.instances[2]
     member.slowness, asked = 1.0, request()
     made.attempt_ended(NOW, sent(asked, member), end, MS, False, {})
     assert (member.strikes, member.failed, member.slowness, member.limit, made.pair) == (0, 0, 1.0, 3.0, {})
@@ -355,7 +357,7 @@
 )
 def test_one_reset_is_no_sign_of_a_dead_machine(ends, shunned):
     made = balancer([line(1)])
-    member = made.members[1]
+    member = made.instances[1]
     for end in ends:
         made.attempt_ended(NOW, sent(request(), member), end, MS, True, {})
     assert (member.shunned_until > NOW) is shunned
@@ -365,7 +367,7 @@
 
 def test_one_light_request_that_queued_makes_no_machine_slow():
     made = balancer([line(1), line(2)])
-    member = made.members[1]
+    member = made.instances[1]
     member.slowness = member.group.slowness = 2.0
     made.attempt_ended(NOW, sent(request(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
     assert member.slowness <= 3.0 and member.group.slowness <= 3.0
@@ -384,7 +386,7 @@
     heard, newest, budget, again, held, strikes
 ):
     made = balancer([line(1), line(2)])
-    made.rescues, member, asked = budget, made.members[1], request()
+    made.rescues, member, asked = budget, made.instances[1], request()
     attempt = sent(asked, member)
     member.heard_at, member.newest = NOW + heard, NOW + newest
     made.due.append(asked)
@@ -397,8 +399,8 @@
 def test_what_was_kept_of_older_builds_and_requests_is_dropped():
     made = balancer([line(1)])
     for number in range(2, 9):
-        made.listed(NOW, [line(number, build=number)], True, True)
-        made.stage_told(NOW, number, 0, at.RELEASED, 1.0, 0)
+        made.list_received(NOW, [line(number, build=number)], True, True)
+        made.stage_reported(NOW, number, 0, at.RELEASED, 1.0, 0)
     for second in range(20):
         made.request_arrived(NOW + second * SECOND, request(second))
     assert set(made.builds) == {8} and len(made.taken[0]) <= 2
@@ -408,40 +410,43 @@
     """Guards against the machine that errs or rejects in a millisecond and so never looks busy."""
     made = balancer([line(1), line(2)])
     for number in range(40):
-        for member, end, took in ((made.members[1], at.ERRED, MS), (made.members[2], at.SUCCEEDED, 100 * MS)):
+        for member, end, took in (
+            (made.instances[1], at.ERRED, MS),
+            (made.instances[2], at.SUCCEEDED, 100 * MS),
+        ):
             made.attempt_ended(NOW, sent(request(number), member), end, took, True, {})
-    costs = [made.cost(member, request(99), NOW) for member in made.members.values()]
+    costs = [made.cost(member, request(99), NOW) for member in made.instances.values()]
     assert costs[0] > 3 * costs[1]
 
 
-@pytest.mark.parametrize("heard, verdict", [(True, at.ON), (False, None)])
+@pytest.mark.parametrize("heard, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
 def test_a_balancer_whose_watch_broke_votes_no_stage_on_until_a_list_has_come(heard, verdict):
     """Guards against a build that is released while discovery is down: nobody knows its machines then."""
     made = trial()
     made.pair_at = NOW
     made.list_failed(NOW, NOW)
     if heard:
-        made.listed(NOW, [], False, True)
+        made.list_received(NOW, [], False, True)
     assert made.verdict(made.judged, NOW + 9 * SECOND) == verdict
 
 
-@pytest.mark.parametrize("listed, verdict", [(True, at.ON), (False, None)])
+@pytest.mark.parametrize("listed, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
 def test_a_build_that_nobody_met_is_not_voted_on(listed, verdict):
     made, dispatcher = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1)), Dispatcher()
     if listed:
-        made.listed(NOW, [line(3, build=2, started=NOW)], False, True)
+        made.list_received(NOW, [line(3, build=2, started=NOW)], False, True)
     for second in range(8):
         dispatcher.pull(made, NOW + second * SECOND)
-    assert made.verdict(made.told, NOW + 9 * SECOND) == verdict
+    assert made.verdict(made.reported_build, NOW + 9 * SECOND) == verdict
 
 
 @pytest.mark.parametrize(
     "goal, cap, after, verdict",
     [
-        (1, 1.0, 3, at.ON),  # where answers are due soon, bake and two seconds are enough
-        (8, 0.1, 3, at.ON),  # earlier machines stay after it
+        (1, 1.0, 3, at.VERDICT_PROMOTE),  # where answers are due soon, bake and two seconds are enough
+        (8, 0.1, 3, at.VERDICT_PROMOTE),  # earlier machines stay after it
         (8, 1.0, 8, None),
-        (8, 1.0, 9, at.ON),
+        (8, 1.0, 9, at.VERDICT_PROMOTE),
     ],
 )
 def test_the_last_stage_is_voted_on_once_what_was_sent_in_it_was_due_its_answers(goal, cap, after, verdict):
@@ -449,7 +454,7 @@
     made = balancer(
         [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)]
     )
-    made.stage_told(NOW, 2, 1, at.ON_TRIAL, cap, 0)
+    made.stage_reported(NOW, 2, 1, at.ON_TRIAL, cap, 0)
     made.pair_at = NOW
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
 
@@ -457,19 +462,24 @@
 @pytest.mark.parametrize(
     "cap, age, after, verdict",
     [
-        (0.1, 0, 3, at.ON),
+        (0.1, 0, 3, at.VERDICT_PROMOTE),
         (0.1, 60, 2, None),
-        (0.1, 60, 3, at.ON),
+        (0.1, 60, 3, at.VERDICT_PROMOTE),
         (1.0, 0, 8, None),
         (1.0, 60, 2, None),
-        (1.0, 60, 3, at.ON),  # a rolling restart is not to hold the last stage for a latency objective more
+        (
+            1.0,
+            60,
+            3,
+            at.VERDICT_PROMOTE,
+        ),  # a rolling restart is not to hold the last stage for a latency objective more
     ],
 )
 def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
     """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
     request_classes = [at.RequestClass(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
     made = balancer([line(1), line(2, build=2)], request_classes, told=None)
-    made.stage_told(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
+    made.stage_reported(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
     made.pair_at = NOW - 9 * SECOND
     assert made.verdict(made.judged, NOW + after * SECOND) == verdict
 
@@ -502,7 +512,7 @@
 
 
 @pytest.mark.parametrize(
-    "balancers, back_needed, on, bad",
+    "balancers, roll_back_votes_needed, on, bad",
     [
         (400, 20, outcomes(errs=2, count=2), True),
         (400, 20, outcomes(errs=1, count=1), False),  # too many balancers have such luck
@@ -511,9 +521,9 @@
         (3, 1, outcomes(9.0, count=3), False),  # one vote of three sends it back
     ],
 )
-def test_thin_evidence_is_weighed_by_the_votes_that_send_back(balancers, back_needed, on, bad):
+def test_thin_evidence_is_weighed_by_the_votes_that_send_back(balancers, roll_back_votes_needed, on, bad):
     """Guards against bad builds passed where no balancer fills a pair, and good ones sent back by luck."""
-    made = trial(balancers=balancers, release=at.Release(back_needed=back_needed))
+    made = trial(balancers=balancers, release=at.Release(roll_back_votes_needed=roll_back_votes_needed))
     made.judge(made.judged, [made.compared(made.judged, on, outcomes(count=8))])
     assert made.judged.leaning is bad and made.judged.doubt
     made.judge(made.judged, [made.compared(made.judged, outcomes(count=7), outcomes(count=8))])
@@ -534,9 +544,9 @@
     )
     for number in range(40):
         for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
-            member = made.members[1 + number % 2]
+            member = made.instances[1 + number % 2]
             made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
-    assert all(member.slowness < 2 < member.limit for member in made.members.values())
+    assert all(member.slowness < 2 < member.limit for member in made.instances.values())
     for number in range(10):
         made.request_arrived(NOW, request(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
@@ -557,22 +567,22 @@
     for seed in range(200):
         made = balancer([line(n, started=NOW) for n in range(50)], balancers=200, seed=seed)
         made.request_arrived(NOW, asked := request())
-        met += made.may_attempt(asked, made.members[1], NOW)
+        met += made.may_attempt(asked, made.instances[1], NOW)
     assert met < 20
 
 
 @pytest.mark.parametrize("age, known", [(0, True), (60 * SECOND, False)])
 def test_what_was_heard_long_ago_gives_way_to_the_group(age, known):
     made = balancer([line(1), line(2)])
-    member, member.group.slowness = made.members[1], 1.0
+    member, member.group.slowness = made.instances[1], 1.0
     member.slowness, member.heard_at = 10.0, NOW - age
-    assert (made.cost(member, request(), NOW) > 5 * made.cost(made.members[2], request(), NOW)) is known
+    assert (made.cost(member, request(), NOW) > 5 * made.cost(made.instances[2], request(), NOW)) is known
 
 
 def test_a_connection_that_has_to_rest_makes_its_instance_cost_as_much_more_time():
     made, asked = balancer([line(1), line(2)]), request()
-    member, attempt = made.members[1], sent(asked, made.members[1])
-    attempt.rested_at = NOW + 10 * MS
+    member, attempt = made.instances[1], sent(asked, made.instances[1])
+    attempt.connection_free_at = NOW + 10 * MS
     made.attempt_ended(NOW, attempt, at.SUCCEEDED, MS, True, {})
     member.slowness, member.group.slowness = 0.001, 0.002
     chance = made.rng.getstate()
@@ -592,46 +602,50 @@
     """Guards against squeezed or slow connections: each that fails costs a good part of the latency
     objective."""
     made = balancer([line(n) for n in range(9)], idle_time=9 * SECOND)
-    made.members.keep_open(made.members[4], NOW + SECOND)
+    made.instances.keep_open(made.instances[4], NOW + SECOND)
     made.scarce = 0.5
-    assert made.choose(request(), NOW) is made.members[4]
-    made.members[4].ready = False
-    assert made.choose(request(), NOW) is not made.members[4]
+    assert made.choose(request(), NOW) is made.instances[4]
+    made.instances[4].ready = False
+    assert made.choose(request(), NOW) is not made.instances[4]
 
 
 @pytest.mark.parametrize("work, overdue", [(100, True), (400, False)])
 def test_a_heavy_request_is_not_begun_twice(work, overdue):
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     asked = request(work=work * MS)
-    made.attempt(asked, made.members[1], NOW, dispatcher)
+    made.attempt(asked, made.instances[1], NOW, dispatcher)
     assert made.rescue(asked, asked.attempts, NOW + 600 * MS, dispatcher) is overdue
 
 
 def test_a_choice_among_many_looks_at_few_but_finds_the_last_one_fit():
     made = balancer([line(n) for n in range(200)])
-    for member in made.members.values():
+    for member in made.instances.values():
         member.shunned_until = 0 if member.id == 7 else NOW + SECOND
-    assert made.choose(request(), NOW) is made.members[7]
+    assert made.choose(request(), NOW) is made.instances[7]
 
 
 @pytest.mark.parametrize(
     "member, changed, allowed",
     [
         (1, lambda made, asked: None, True),
-        (1, lambda made, asked: made.listed(NOW, [line(1, state=at.DRAINING)], False, True), False),
-        (1, lambda made, asked: made.listed(NOW, [line(1, started=NOW)], False, True), False),  # it came back
+        (1, lambda made, asked: made.list_received(NOW, [line(1, state=at.DRAINING)], False, True), False),
+        (
+            1,
+            lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True),
+            False,
+        ),  # it came back
         (1, lambda made, asked: made.request_left(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
-        (3, lambda made, asked: made.stage_told(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
-        (3, lambda made, asked: made.stage_told(NOW, 2, 0, at.GOING_BACK, 0.0, 0), False),
+        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
+        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0), False),
         (3, lambda made, asked: made.builds[2].sent[0].extend([NOW] * 2), False),
     ],
 )
 def test_an_attempt_that_waited_begins_only_while_it_still_may(member, changed, allowed):
     made, asked = trial(), request()
     made.builds[2].sent[0] = deque([NOW])
-    attempt = sent(asked, made.members[member])
+    attempt = sent(asked, made.instances[member])
     changed(made, asked)
     assert made.may_begin(NOW, attempt) == (asked.deadline if allowed else 0)
 
@@ -641,20 +655,20 @@
     open_ones = [request(id, left=days) for id in range(3)]
     for number in range(5000):
         made.request_arrived(NOW, asked := open_ones[number] if number < 3 else request(left=days))
-        asked.over = number >= 3
+        asked.finished = number >= 3
     assert len(made.wakes) <= 1000 and {wake[2] for wake in made.wakes} >= set(open_ones)
     made.due.clear()
     dispatcher.pull(made, NOW + days)
-    assert all(asked.over for asked in open_ones)
+    assert all(asked.finished for asked in open_ones)
 
 
 def test_an_attempt_counts_against_the_cap_from_when_it_begins():
     made, asked = trial(), [request(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
     build.sent[0] = deque([NOW] * 2)  # as many as are free
-    attempts = [sent(one, made.members[3]) for one in asked]
+    attempts = [sent(one, made.instances[3]) for one in asked]
     for attempt in attempts:
-        attempt.counted = NOW
+        attempt.counted_from = NOW
     for attempt in attempts * 2:  # asked again, as where the connection had ended, it still counts once
         assert made.may_begin(begun, attempt) == attempt.request.deadline
     assert list(build.sent[0]) == [begun] * 2
@@ -663,9 +677,9 @@
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
-    repeated = request_class(effect=at.DEDUPLICATED, memory=2000 * MS)
+    repeated = request_class(effect=at.DEDUPLICATED, repeat_window=2000 * MS)
     made, asked = balancer([line(1), line(2)], [repeated]), request(on=repeated)
-    first, again = sent(asked, made.members[1], at.RESET), sent(asked, made.members[2], at_time=NOW + MS)
+    first, again = sent(asked, made.instances[1], at.RESET), sent(asked, made.instances[2], at_time=NOW + MS)
     last = NOW + 1990 * MS  # two steps are spared
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
     first.end = at.REJECTED  # proven not to have run: it binds nothing
@@ -677,7 +691,7 @@
 
 def ruled(id, asked, given, **more):
     made = request(id, given, **more)
-    made.asked = asked
+    made.client_class = asked
     return made
 
 
@@ -714,12 +728,12 @@
     release = at.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
     made = balancer([line(1), line(2, build=2)], None, (2, 0, at.ON_TRIAL, 1.0), release)
     first = request(1, key=b"given")
-    first.asked_key = b"asked"
+    first.client_key = b"asked"
     made.request_arrived(NOW, first)
-    made.attempt_ended(NOW, sent(first, made.members[2]), at.SUCCEEDED, 5 * MS, True, {})
+    made.attempt_ended(NOW, sent(first, made.instances[2]), at.SUCCEEDED, 5 * MS, True, {})
     again = request(2, key=key)
-    assert not made.may_attempt(again, made.members[1], NOW)
-    assert made.may_attempt(request(3, key=b"x"), made.members[1], NOW)
+    assert not made.may_attempt(again, made.instances[1], NOW)
+    assert made.may_attempt(request(3, key=b"x"), made.instances[1], NOW)
 
 
 def test_without_rules_requests_are_counted_as_they_were():
@@ -769,7 +783,7 @@
 def test_a_change_of_the_list_moves_a_stretch_by_little():
     made = fleet_of(192, 96)[100]
     before = {member.id for member in made.ring[:NEAR]}
-    made.listed(NOW, [line(f"new-{n}") for n in range(8)], False, True)
+    made.list_received(NOW, [line(f"new-{n}") for n in range(8)], False, True)
     assert len(before & {member.id for member in made.ring[:NEAR]}) >= NEAR - 6
 
 
@@ -779,14 +793,14 @@
     made.pace, made.paced_at = 1.0, NOW
     for n in range(1, 3):
         asked = request(n, now=NOW + n * gap)
-        made.attempt_ended(NOW + n * gap, sent(asked, made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(NOW + n * gap, sent(asked, made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
     assert any(made.sheds(request(9), NOW) for _ in range(100)) is shed
 
 
 @pytest.mark.parametrize("balancers, left", [(3, False), (200, True)])
 def test_with_few_attempts_of_its_own_a_silent_machine_is_left_until_it_answers(balancers, left):
     made = balancer([line(1), line(2)], balancers=balancers)
-    member, asked = made.members[1], request()
+    member, asked = made.instances[1], request()
     attempt = sent(asked, member)
     made.due.append(asked)
     member.heard_at = NOW
@@ -798,19 +812,19 @@
 
 def test_a_zone_whose_attempts_are_lost_costs_more_and_less_again_once_it_answers():
     made = balancer([line(1), line(2), line(3, zone=1)], balancers=40)
-    lost, other = made.members[2], made.members[3]
+    lost, other = made.instances[2], made.instances[3]
     for n in range(6):
-        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.UNCONNECTED, MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.UNCONNECTED, MS, False, {})
     assert sum(made.cost(lost, request(), NOW) > made.cost(other, request(), NOW) for _ in range(200)) > 150
     for n in range(12):
-        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
     assert lost.group.lost < 0.1
 
 
 @pytest.mark.parametrize("work, due", [(30, 500), (100, 500), (400, 1250)])
 def test_what_is_overdue_goes_by_what_like_work_took_however_long_light_ones_queued(work, due):
     made = balancer([line(1)])
-    member = made.members[1]
+    member = made.instances[1]
     for n in range(200):  # light ones take ten times their work, heavy ones hardly more than theirs
         light = n % 2
         asked = request(n, work=(10 if light else 190) * MS)
@@ -821,7 +835,7 @@
 
 
 def test_votes_on_that_are_turned_away_come_ever_less_often_and_spread_and_those_back_do_not():
-    pauses = {at.ON: [], at.BACK: []}
+    pauses = {at.VERDICT_PROMOTE: [], at.VERDICT_ROLL_BACK: []}
     for seed in range(20):
         for verdict in pauses:
             made = balancer([line(1)], seed=seed, balancers=200)
@@ -830,8 +844,11 @@
                 made.vote_answered(NOW, at.OVER_ALLOWANCE)
             pauses[verdict].append(made.vote_at - NOW)
             assert made.vote_busy <= NOW + 400 * MS  # another verdict, or another stage, goes out before
-    assert 1900 * MS < min(pauses[at.ON]) < 2500 * MS and 3500 * MS < max(pauses[at.ON]) <= 4000 * MS
-    assert max(pauses[at.BACK]) <= 400 * MS
+    assert (
+        1900 * MS < min(pauses[at.VERDICT_PROMOTE]) < 2500 * MS
+        and 3500 * MS < max(pauses[at.VERDICT_PROMOTE]) <= 4000 * MS
+    )
+    assert max(pauses[at.VERDICT_ROLL_BACK]) <= 400 * MS
 
 
 def test_an_answer_to_a_vote_of_before_the_start_is_taken_calmly():
@@ -842,7 +859,7 @@
 
 def test_a_vote_that_stands_is_renewed_late_while_the_platform_is_full():
     made = balancer([line(1)])
-    made.vote_out, made.vote_pause = (2, 0, at.ON), 800 * MS
+    made.vote_out, made.vote_pause = (2, 0, at.VERDICT_PROMOTE), 800 * MS
     made.vote_answered(NOW, at.COUNTED)
     assert made.vote_at >= NOW + 3200 * MS and made.vote_pause == 400 * MS
 
@@ -852,24 +869,26 @@
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
     made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, request()
     for n in range(8):
-        made.attempt_ended(NOW, sent(request(n), made.members[1]), at.SUCCEEDED, 3 * SECOND, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 3 * SECOND, False, {})
     assert made.waits(asked)
-    made.attempt_ended(NOW, sent(asked, made.members[1]), at.SUCCEEDED, took * MS, False, {})
+    made.attempt_ended(NOW, sent(asked, made.instances[1]), at.SUCCEEDED, took * MS, False, {})
     assert made.waits(request()) is waits
 
 
 def test_one_late_answer_after_a_silence_makes_no_overload():
     made = balancer([line(1)], balancers=200)
     made.pace, made.paced_at = 0.2, NOW - 3 * SECOND
-    made.attempt_ended(NOW, sent(request(), made.members[1]), at.SUCCEEDED, 2 * SECOND, False, {})
+    made.attempt_ended(NOW, sent(request(), made.instances[1]), at.SUCCEEDED, 2 * SECOND, False, {})
     assert made.pace == pytest.approx(0.38)
 
 
 def test_nothing_grows_while_builds_ids_and_requests_come_and_go():
     made, dispatcher, moment = balancer(balancers=200), Dispatcher(), NOW
     for build in range(1, 200):
-        made.stage_told(moment, build, 0, at.RELEASED, 1.0, 0)
-        made.listed(moment, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True)
+        made.stage_reported(moment, build, 0, at.RELEASED, 1.0, 0)
+        made.list_received(
+            moment, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True
+        )
         for n in range(10):
             asked = request((build, n), now=moment, left=4 * SECOND)
             made.request_arrived(moment, asked)
@@ -880,7 +899,7 @@
             moment += 300 * MS
     dispatcher.pull(made, moment + 10 * SECOND)
     sizes = {
-        "members": len(made.members),
+        "members": len(made.instances),
         "ring": len(made.ring),
         "groups": len(made.groups),
         "builds": len(made.builds),
@@ -889,7 +908,7 @@
         "notes": len(made.notes),
         "times": len(made.times),
         "taken": sum(map(len, made.taken.values())),
-        "out": sum(len(member.out) for member in made.members.values()),
+        "out": sum(len(member.out) for member in made.instances.values()),
     }
     assert sizes["members"] == sizes["ring"] == 30 and sizes["builds"] <= 2 and sizes["groups"] == 3
     assert sizes["wakes"] == sizes["due"] == sizes["notes"] == sizes["out"] == 0
@@ -900,5 +919,5 @@
     "balancers, least, most", [(1, 0, 0), (3, 20, 50), (40, 700, 975), (200, 1500, 2000)]
 )
 def test_the_more_balancers_start_together_the_longer_they_spread_their_first_call(balancers, least, most):
-    starts = [at.Start(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)]
+    starts = [at.StartSettings(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)]
     assert least <= max(Balancer(start).ask_at for start in starts) / MS <= most
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -18,7 +18,7 @@
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 WAIT = 20000 * MS
 
@@ -46,7 +46,7 @@
 
     def __init__(self, *servers, limits=()):
         settings = {**SETTINGS, "Limits": {**SETTINGS["Limits"], **dict(limits)}}
-        config = SimpleNamespace(start=started(settings, 7, now()), connections=64)
+        config = SimpleNamespace(start=start_from_settings(settings, 7, now()), connections=64)
         self.dispatcher = Dispatcher(config.start, Quiet(), Counters())
         counters = self.dispatcher.counters
         self.instances = self.dispatcher.instances = Instances(
@@ -58,7 +58,7 @@
             self.dispatcher.balancer,
             {request_class.number: request_class for request_class in config.start.request_classes},
         )
-        self.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
+        self.balancer.stage_reported(now(), 1, 0, at.RELEASED, 1.0, 0)
         self.asked, self.faulty = [], False
         for number, server in enumerate(servers):
             self.list(f"i{number}", server)
@@ -71,7 +71,7 @@
 
         def listed(moment):
             self.instances.listed(id, where, since)
-            self.balancer.listed(moment, [line], False, True)
+            self.balancer.list_received(moment, [line], False, True)
 
         self.dispatcher.tell(listed)
 
@@ -252,7 +252,7 @@
         return gives(words[1])
 
     made = world(*(InstanceServer(react).start() for _ in range(2)))
-    quick = made.balancer.members["i0"]
+    quick = made.balancer.instances["i0"]
 
     def chosen():
         quick.slowness, quick.group.slowness = 0.001, 0.004  # a quarter of the other's, far under a rest
@@ -349,7 +349,7 @@
     """Its system takes the connection and the whole command; then both are reset."""
     made = world(killed := Server())
     made.keep_time()
-    made.request_classes[1].memory = 10000 * MS
+    made.request_classes[1].repeat_window = 10000 * MS
     ask = made.ask(request_class=request_class)
     until(lambda: any(trip.written for trip in made.instances.trips.values()))
     made.list("i1", other := InstanceServer().start())
@@ -364,7 +364,9 @@
 def second(made, ask, id="i1"):
     """Decides on another attempt."""
     made.dispatcher.tell(
-        lambda moment: made.balancer.attempt(ask.request, made.balancer.members[id], moment, made.dispatcher)
+        lambda moment: made.balancer.attempt(
+            ask.request, made.balancer.instances[id], moment, made.dispatcher
+        )
     )
 
 
@@ -384,10 +386,10 @@
     elif by == "the client leaves":
         made.dispatcher.tell(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
-        ask.request.over = True  # so that nothing follows
+        ask.request.finished = True  # so that nothing follows
         made.dispatcher.tell(lambda moment: made.dispatcher.cancel(attempt))
     elif by == "a break":
-        ask.request.over = True
+        ask.request.finished = True
         (trip,) = made.instances.trips.values()
         trip.connection.sock.shutdown(socket.SHUT_RDWR)
     else:
@@ -428,7 +430,7 @@
     assert halt.reached.wait(60)
     monkeypatch.undo()
     new = InstanceServer().start()
-    made.balancer.stage_told(now(), 2, 0, at.RELEASED, 1.0, 0)
+    made.balancer.stage_reported(now(), 2, 0, at.RELEASED, 1.0, 0)
     made.list("i0", new, since=since, build=build)
     halt.opened.set()
     assert made.answered(ask) == b"$1\r\n0\r\n"
@@ -439,7 +441,7 @@
 
 def test_a_repeat_does_not_begin_past_the_time_for_which_repeats_are_dropped(world, monkeypatch):
     made = world(first := InstanceServer(lambda words: None).start())  # it may have run there
-    made.request_classes[1].memory = 10000 * MS
+    made.request_classes[1].repeat_window = 10000 * MS
     halt = Halt(monkeypatch, Connection, "connect", after=True)
     ask = made.ask(request_class=1)
     assert halt.reached.wait(60)
@@ -448,7 +450,7 @@
     again = Halt(monkeypatch, made.instances, "reach", after=True)
     halt.opened.set()
     assert again.reached.wait(60) and [attempt.end for attempt in ask.request.attempts] == [at.RESET, ""]
-    monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].at + 10000 * MS - 1)
+    monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].sent_at + 10000 * MS - 1)
     again.opened.set()
     made.ended()
     other.close()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -65,7 +65,7 @@
     with dispatcher.lock:
         # its watch stands: else the list would hold for some seconds only
         discovery.listed(configs.now(), *discovery.read(config.known), True, True)
-        dispatcher.balancer.stage_told(configs.now(), *config.news)
+        dispatcher.balancer.stage_reported(configs.now(), *config.news)
     threading.Thread(target=dispatcher.keep_time, daemon=True).start()
     gateway_server.open()
     thread = threading.Thread(target=gateway_server.run, daemon=True)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -26,7 +26,7 @@
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.platform import PlatformServer
 from lemonlead.standins.server import Server, until
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 SOON = 20  # a bound on waits that fails a test; no verdict depends on it where the code is right
 
@@ -48,13 +48,13 @@
         self.balancer = SimpleNamespace(listed=self.listed, list_failed=self.list_failed)
         self.balancer.vote_answered = lambda now, outcome: self.outcomes.append(outcome)
 
-    def listed(self, now, lines, whole, fresh):
+    def list_received(self, now, lines, whole, fresh):
         self.lists.append([row.id for row in lines])
 
     def list_failed(self, now, current):
         self.failures.append(now)
 
-    def stage_told(self, now, *news):
+    def stage_reported(self, now, *news):
         self.stages.append(news)
 
     def tell(self, happened, *values):
@@ -80,7 +80,7 @@
 def place(lists=None, platform=None):
     where = {"discovery": lists and address(lists.address)}
     where["platform"] = platform and address(platform.address)
-    return SimpleNamespace(start=started(SETTINGS, 7, NOW), zones={}, kinds={}, **where)
+    return SimpleNamespace(start=start_from_settings(SETTINGS, 7, NOW), zones={}, kinds={}, **where)
 
 
 def run(work):
@@ -314,7 +314,7 @@
 def test_a_vote_whose_answer_comes_byte_by_byte_is_unanswered_once_its_time_is_over(servers):
     server = servers(Drip(b"OK 1 0 trial 0.5 ", b"0"))
     made = Releases(place(platform=server), Dispatcher(), Quiet(), Counters())
-    assert made.cast(time.monotonic() + 0.2, (1, 0, at.ON)) == (at.UNANSWERED, None)
+    assert made.cast(time.monotonic() + 0.2, (1, 0, at.VERDICT_PROMOTE)) == (at.UNANSWERED, None)
     assert server.cut_off.wait(SOON)
 
 
@@ -339,7 +339,7 @@
     server, dispatcher = servers(PlatformServer()), Dispatcher()
     made = Releases(place(platform=server), dispatcher, Quiet(), Counters())
     server.state = "1 1 trial 0.5 5000"
-    trial, back = (1, 1, at.ON_TRIAL, 0.5, 5000 * MS), (1, 1, at.GOING_BACK, 0.0, 100 * MS)
+    trial, back = (1, 1, at.ON_TRIAL, 0.5, 5000 * MS), (1, 1, at.ROLLING_BACK, 0.0, 100 * MS)
     run(made.hear)
     until(lambda: dispatcher.stages == [trial], SOON)
 
@@ -352,7 +352,7 @@
     else:
         server.answer = lambda ballot: "OK 1 1 rolling_back 0 100"
     run(made.poll)
-    made.vote(1, 1, at.ON)
+    made.vote(1, 1, at.VERDICT_PROMOTE)
     until(lambda: "answered" in dispatcher.taken, SOON)
     assert dispatcher.stages == [trial, back] and dispatcher.outcomes == [at.COUNTED]
 
@@ -393,7 +393,7 @@
     dispatcher.gates["list_failed"] = once(late)
     made.move(address(new.address))
     until(lambda: dispatcher.taken == ["listed", "list_failed", "current"], SOON)
-    assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.members) == ["a"]
+    assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.instances) == ["a"]
     assert dispatcher.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
 
 
@@ -451,7 +451,9 @@
 
 
 def test_of_two_sighups_in_a_row_one_with_a_file_that_is_unfit_changes_nothing(tmp_path, monkeypatch):
-    at_first = SimpleNamespace(start=started(SETTINGS, 7, NOW), discovery=("h", 1), platform=("h", 2))
+    at_first = SimpleNamespace(
+        start=start_from_settings(SETTINGS, 7, NOW), discovery=("h", 1), platform=("h", 2)
+    )
     made, news = (one(at_first, Dispatcher(), Quiet(), Counters()) for one in (Discovery, Releases))
     monkeypatch.setenv("ROUTER_CONFIG", str(tmp_path / "config.json"))
     at_where = []
@@ -503,7 +505,7 @@
     )
     lines = [entry("a", server, state, build, since) for state, build, since in entries]
     made.told(json.dumps({"version": 2, "full": whole, "servers": lines}).encode(), made.source)
-    members = dispatcher.balancer.members
+    members = dispatcher.balancer.instances
     rows = {id: (one.build.number, one.started // 10**6) for id, one in members.items()}
     assert rows == ({"a": there} if there else {})
     assert pools == {"a": address(server.address) if there else None}
@@ -518,7 +520,7 @@
     made.upkeep.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
     dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
-    dispatcher.balancer.listed(NOW, [], False, True)
+    dispatcher.balancer.list_received(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
     server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -23,7 +23,7 @@
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.server import until
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 WORDS = [b"Q.DO", b"key", b"id", b"c=buy,d=900,t=acme", b"BODY"]
 
@@ -36,12 +36,12 @@
 
 
 def dispatcher():
-    config = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
+    config = SimpleNamespace(start=start_from_settings(SETTINGS, 7, now()), connections=8)
     made = Dispatcher(config.start, Quiet(), Counters())
     made.instances = Instances(config, made, ThreadPool(), Quiet(), made.counters)
     made.discovery = SimpleNamespace(ask=lambda: None)
-    made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
-    made.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
+    made.balancer.list_received(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
+    made.balancer.stage_reported(now(), 1, 0, at.RELEASED, 1.0, 0)
     made.balancer.next_tick = now() + 10**12
     return made
 
@@ -54,10 +54,10 @@
     connection.sock.close()
     connection.sock, connection.used = ours, now()
     asked = request(now=now())
-    attempt = at.Attempt(asked, 0, made.balancer.members["i0"], now())
+    attempt = at.Attempt(asked, 0, made.balancer.instances["i0"], now())
     asked.attempts.append(attempt)
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
-    made.balancer.members["i0"].out[attempt] = None
+    made.balancer.instances["i0"].out[attempt] = None
     under_way = made.instances.trips[attempt] = Trip(attempt, pool, WORDS, now() + left)
     pool.unused.append(connection)
     made.instances.open += 1
@@ -93,17 +93,17 @@
         (GOOD + GOOD, at.SUCCEEDED, False),
         (GOOD + b"\xf6", at.SUCCEEDED, False),
         (b"-BUSY\r\n$5", at.REJECTED, False),
-        (b"-ERR bad request\r\n", at.UNFIT, False),
-        (b"*1\r\n$-1\r\n", at.SPOILT, False),
-        (b"$1\r\nv\r\n", at.SPOILT, False),
-        (b":5\r\n", at.SPOILT, False),
-        (b"+OK\r\n", at.SPOILT, False),
-        (b"-\xf6\r\n", at.SPOILT, False),
-        (b"x\r\n", at.SPOILT, False),
-        (b"*3\r\n$-7\r\n", at.SPOILT, False),
-        (b"*3\r\n$3000000000\r\n", at.SPOILT, False),
-        (b"x" * 2000, at.SPOILT, False),
-        (b"*2\r\n$1\r\nv\r\n$-1\r\n", at.SPOILT, False),
+        (b"-ERR bad request\r\n", at.BAD_REQUEST, False),
+        (b"*1\r\n$-1\r\n", at.UNREADABLE, False),
+        (b"$1\r\nv\r\n", at.UNREADABLE, False),
+        (b":5\r\n", at.UNREADABLE, False),
+        (b"+OK\r\n", at.UNREADABLE, False),
+        (b"-\xf6\r\n", at.UNREADABLE, False),
+        (b"x\r\n", at.UNREADABLE, False),
+        (b"*3\r\n$-7\r\n", at.UNREADABLE, False),
+        (b"*3\r\n$3000000000\r\n", at.UNREADABLE, False),
+        (b"x" * 2000, at.UNREADABLE, False),
+        (b"*2\r\n$1\r\nv\r\n$-1\r\n", at.UNREADABLE, False),
         (b"*3\r\n$1\r\nv", at.RESET, False),
         (b"", at.RESET, False),
     ],
@@ -148,7 +148,7 @@
     if spoil == "over":
         del made.asks[asked]
     elif spoil == "drained":
-        made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.DRAINING, 1.0, 0)], False, True)
+        made.balancer.list_received(now(), [at.Instance("i0", 0, 0, 1, 0, at.DRAINING, 1.0, 0)], False, True)
     elif spoil == "late":
         asked.deadline = now()
     else:
@@ -184,7 +184,7 @@
     pool = under_way.pool
     under_way.connection = pool.unused.pop()
     stale, fresh = Connection(pool), Connection(pool)
-    stale.used, fresh.used = under_way.attempt.at - 1, under_way.attempt.at + 1
+    stale.used, fresh.used = under_way.attempt.sent_at - 1, under_way.attempt.sent_at + 1
     pool.unused.extend([stale, fresh])
     made.instances.open = 3
     made.instances.over(under_way, at.TIMED_OUT, None)
@@ -313,13 +313,15 @@
 )
 def test_a_list_that_cannot_be_read_in_full_changes_nothing(text):
     made = dispatcher()
-    config = SimpleNamespace(start=started(SETTINGS, 7, now()), discovery=None, zones={}, kinds={})
+    config = SimpleNamespace(
+        start=start_from_settings(SETTINGS, 7, now()), discovery=None, zones={}, kinds={}
+    )
     made.discovery = discovery = Discovery(config, made, Quiet(), made.counters)
     with pytest.raises(Malformed):
         discovery.told(text.encode(), None)
-    assert list(made.balancer.members) == ["i0"] and not made.instances.pools and discovery.version == -1
+    assert list(made.balancer.instances) == ["i0"] and not made.instances.pools and discovery.version == -1
     discovery.told(json.dumps({"version": 5, "full": True, "servers": [ENTRY]}).encode(), None)
-    assert list(made.balancer.members) == ["i1"] == list(made.instances.pools)
+    assert list(made.balancer.instances) == ["i1"] == list(made.instances.pools)
 
 
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -33,7 +33,7 @@
 from lemonlead.standins.nodes import Agent, Members, Node, Replicas
 from lemonlead.standins.server import until
 from lemonlead.standins.wires import Wires
-from lemonlead.told import started as started_by
+from lemonlead.start_settings import start_from_settings as started_by
 
 NAMES = ("i0", "i1", "i2")
 
@@ -401,14 +401,14 @@
         listed = [replace(line(id), zone=int(id[0] == "f")) for id in lines]
         known = listed, {id: (("127.0.0.1", 1), 0) for id in lines}
         self.discovery.listed(configs.now(), 1, *known, True, True)
-        self.dispatcher.balancer.stage_told(configs.now(), *where.news)
-        put = self.dispatcher.balancer.listed
-        self.dispatcher.balancer.listed = lambda *told: (self.lists.append(told), put(*told))
+        self.dispatcher.balancer.stage_reported(configs.now(), *where.news)
+        put = self.dispatcher.balancer.list_received
+        self.dispatcher.balancer.list_received = lambda *told: (self.lists.append(told), put(*told))
         self.follower.start(self.discovery, *known)
 
     def ready(self):
         with self.dispatcher.lock:
-            return sorted(self.dispatcher.balancer.members)
+            return sorted(self.dispatcher.balancer.instances)
 
     def count(self, name):
         return self.counters.read().get(name, 0)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -10,7 +10,7 @@
 from days import S, Day
 from helpers import NOW, Dispatcher, line, request_class
 from lemonlead import interface as at
-from lemonlead import members
+from lemonlead import instance_table
 from lemonlead.balance import (
     GOLDEN,
     MS,
@@ -24,12 +24,12 @@
     middle,
     recent,
 )
-from lemonlead.members import Members
+from lemonlead.instance_table import InstanceTable
 from lemonlead.planning import fleet, world
-from lemonlead.records import Build, Group, Member
+from lemonlead.records import Build, InstanceGroup, InstanceState
 
 
-class PlainMembers(dict):
+class PlainInstanceTable(dict):
     def keep_open(self, member, until):
         member.open_until = until
 
@@ -40,22 +40,28 @@
 
     def __init__(self, start):
         super().__init__(start)
-        self.members, self.ring, self.start_at = PlainMembers(), [], start.me * GOLDEN % 1.0
+        self.instances, self.ring, self.start_at = (
+            PlainInstanceTable(),
+            [],
+            start.balancer_index * GOLDEN % 1.0,
+        )
 
-    def listed(self, now, lines, whole, fresh):
+    def list_received(self, now, lines, whole, fresh):
         named = {row.id for row in lines}
         for row in lines:
-            old = self.members.get(row.id)
+            old = self.instances.get(row.id)
             if old is None or (old.build.number, old.started) != (row.build, row.started):
-                group = self.groups.setdefault((row.zone, row.kind), Group())
-                due = self.rng.random() * self.mean_work * max(len(self.members), len(lines))
-                self.members[row.id] = Member(row, self.builds[row.build], group, now, 3.0, self.work_in, due)
-                self.members[row.id].place = hashed(row.id)
-            self.members[row.id].ready = row.state == at.READY
-        kept = {id: m for id, m in self.members.items() if m.ready and (not whole or id in named)}
-        self.members = PlainMembers(kept)
+                group = self.groups.setdefault((row.zone, row.kind), InstanceGroup())
+                due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
+                self.instances[row.id] = InstanceState(
+                    row, self.builds[row.build], group, now, 3.0, self.work_in, due
+                )
+                self.instances[row.id].place = hashed(row.id)
+            self.instances[row.id].ready = row.state == at.READY
+        kept = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
+        self.instances = PlainInstanceTable(kept)
         self.ask_at = None if fresh else self.ask_at
-        ring = sorted(self.members.values(), key=lambda member: member.place)
+        ring = sorted(self.instances.values(), key=lambda member: member.place)
         cut = int(self.start_at * len(ring))
         self.ring = ring[cut:] + ring[:cut]
         self.see_trial()
@@ -70,7 +76,7 @@
         self.gap, self.last = self.gap + 0.05 * (now - self.last - self.gap), now
         self.rescues = min(self.rescues + RESCUES * (1 - self.pace * self.blind), 20.0)
         if self.trial is not None:
-            able = [(m, self.able(m, now) / (m.group.slowness or 1.0)) for m in self.members.values()]
+            able = [(m, self.able(m, now) / (m.group.slowness or 1.0)) for m in self.instances.values()]
             self.share = sum(can for m, can in able if m.build is self.trial) / sum(can for _, can in able)
             self.trial.credit = min(self.trial.credit + self.share, 2.0)
         self.due.append(request)
@@ -93,26 +99,28 @@
         return best or (None if whole else self.choose(request, now, True))
 
     def see_trial(self):
-        numbers = sorted({member.build.number for member in self.members.values()})
+        numbers = sorted({member.build.number for member in self.instances.values()})
         trial = self.builds[numbers[-1]] if numbers else None
-        trial = trial if trial and (self.on_trial(trial) if self.told else len(numbers) > 1) else None
+        trial = (
+            trial if trial and (self.on_trial(trial) if self.reported_build else len(numbers) > 1) else None
+        )
         phases = (at.ON_TRIAL, at.RELEASED)
-        judged = told if (told := self.told) and told.tried and told.phase in phases else None
+        judged = told if (told := self.reported_build) and told.tried and told.phase in phases else None
         if trial is not self.trial or judged is not self.judged:
             if trial is not None and trial is not self.trial:
                 trial.credit = self.rng.random()
             self.trial, self.judged, self.pair_at, self.pair = trial, judged, None, {}
-        self.look, number = True, min([self.told.number if self.told else 0, *numbers])
+        self.look, number = True, min([self.reported_build.number if self.reported_build else 0, *numbers])
         for old in [old for old in self.builds if old < number]:
             del self.builds[old]
-        kinds = {(member.kind, member.build is judged) for member in self.members.values()}
+        kinds = {(member.kind, member.build is judged) for member in self.instances.values()}
         self.like = {kind for kind, on in kinds if (kind, not on) in kinds}
 
     def tick(self, now):
         self.next_tick, self.look = now + TICK, True
         build = self.judged
         if self.pair_at is None:
-            starts = [member.started for member in self.members.values() if build in (None, member.build)]
+            starts = [member.started for member in self.instances.values() if build in (None, member.build)]
             self.pair_at = now if starts and max(starts) + WARM_UP <= now else None
         elif now - self.pair_at >= PAIR and self.news:
             self.news = False
@@ -136,13 +144,13 @@
 
 def state_of(made):
     """What later decisions go by, and shows the first one that would differ before it does."""
-    number = [build and build.number for build in (made.told, made.trial, made.judged)]
+    number = [build and build.number for build in (made.reported_build, made.trial, made.judged)]
     builds = {
         n: (build.credit, build.bad, build.doubt, len(build.pairs), build.flags)
         for n, build in made.builds.items()
     }
     return (
-        list(made.members),
+        list(made.instances),
         [member.id for member in made.ring],
         number,
         builds,
@@ -153,7 +161,7 @@
         list(made.groups),
         made.wake_at(),
         made.rng.getstate(),
-        [(m.cold_due, m.limit, m.slowness, m.shunned_until) for m in made.members.values()],
+        [(m.cold_due, m.limit, m.slowness, m.shunned_until) for m in made.instances.values()],
     )
 
 
@@ -166,7 +174,7 @@
 REQUEST_CLASSES = (
     (at.IDEMPOTENT, {}),
     (at.NON_IDEMPOTENT, {}),
-    (at.DEDUPLICATED, {"group": "zone", "memory": 3 * S}),
+    (at.DEDUPLICATED, {"repeat_scope": "zone", "repeat_window": 3 * S}),
 )
 ENDS = (at.SUCCEEDED,) * 9 + (
     at.ERRED,
@@ -176,17 +184,17 @@
     at.RESET,
     at.CANCELLED,
     at.NOT_SENT,
-    at.UNFIT,
+    at.BAD_REQUEST,
 )
 STATES = (at.READY,) * 5 + (at.DRAINING, at.GONE)
 
 
 def start_of(seed):
     chance = random.Random(seed)
-    return at.Start(
+    return at.StartSettings(
         now=NOW,
         seed=chance.getrandbits(64),
-        me=chance.randrange(300),
+        balancer_index=chance.randrange(300),
         balancers=chance.choice((1, 6, 200)),
         step=5 * MS,
         attempts_cap=4,
@@ -203,9 +211,9 @@
         release=at.Release(
             window=2000 * MS,
             free_attempts=chance.choice((2, 50)),
-            vote_life=4000 * MS,
+            vote_lifetime=4000 * MS,
             bake=1000 * MS,
-            answer_time=800 * MS,
+            vote_timeout=800 * MS,
             votes_per_s=100.0,
             caps=[0.1, 0.5, 1.0],
             steps=[0.1, 0.5, 1.0],
@@ -227,7 +235,7 @@
         starts = [start_of(seed) for _ in range(2)]
         self.request_classes = [start.request_classes for start in starts]
         self.both = Balancer(starts[0]), Plain(starts[1])
-        self.tell("listed", [self.row(id) for id in self.ids], True, True)
+        self.tell("list_received", [self.row(id) for id in self.ids], True, True)
 
     def tell(self, name, *values, each=None):
         """`each`: what each of the two is told, as requests and attempts are changed by theirs."""
@@ -264,18 +272,18 @@
             self.begin()
         elif what < 0.93:
             named = [self.chance.choice(self.ids) for _ in range(self.chance.choice((0, 1, 1, 1, 2, 9)))]
-            self.tell("listed", [self.row(id) for id in named], False, self.chance.random() < 0.9)
+            self.tell("list_received", [self.row(id) for id in named], False, self.chance.random() < 0.9)
         elif what < 0.95:
             named = self.chance.sample(self.ids, self.chance.randrange(self.most))
-            self.tell("listed", [self.row(id) for id in named], True, True)
+            self.tell("list_received", [self.row(id) for id in named], True, True)
         elif what < 0.98:
             self.build += self.chance.random() < 0.3
-            phase = self.chance.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.GOING_BACK))
+            phase = self.chance.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.ROLLING_BACK))
             told = max(self.build - self.chance.choice((0, 0, 0, 1)), 1)
             cap = self.chance.choice((0.1, 0.5, 1.0))
-            self.tell("stage_told", told, self.chance.randrange(3), phase, cap, 0)
+            self.tell("stage_reported", told, self.chance.randrange(3), phase, cap, 0)
         else:
-            wrong = "answer_wrong", self.chance.choice(self.ids)
+            wrong = "wrong_answer_reported", self.chance.choice(self.ids)
             self.tell(*self.chance.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong)))
 
     def ask(self, number):
@@ -325,7 +333,7 @@
 @pytest.mark.parametrize("seed, most", [(100, 20), (101, 60), (102, 200), (103, 400)])
 def test_each_decision_is_that_of_a_plain_list_where_places_are_equal(seed, most, monkeypatch):
     """A hash of 7 values: of one place, the order goes by who came first, also after changes."""
-    monkeypatch.setattr(members, "crc32", lambda data: crc32(data) % 7)
+    monkeypatch.setattr(instance_table, "crc32", lambda data: crc32(data) % 7)
     monkeypatch.setitem(globals(), "hashed", lambda id: crc32(repr(id).encode()) % 7)
     assert played(seed, most).compared > 300
 
@@ -390,9 +398,9 @@
 
 
 def filled(count):
-    kept, build = Members(0.3), Build(1, 1.0, 4, 200)
+    kept, build = InstanceTable(0.3), Build(1, 1.0, 4, 200)
     for n in range(count):
-        kept.put(Member(line(n), build, Group(), 0, 3.0, 0, 0))
+        kept.put(InstanceState(line(n), build, InstanceGroup(), 0, 3.0, 0, 0))
         kept[n].place = Looked(kept[n].place)
     kept.settle(())
     return kept, build
@@ -403,7 +411,7 @@
     Looked.count = 0
     for step in range(steps):
         kept.settle([step])
-        kept.put(Member(line(count + step), build, Group(), 0, 3.0, 0, 0))
+        kept.put(InstanceState(line(count + step), build, InstanceGroup(), 0, 3.0, 0, 0))
         kept.settle(())
         assert len(kept.ring) == len(build.ring) == len(build.starts) == build.kinds[0] == count
     return Looked.count / steps
@@ -418,7 +426,7 @@
 def test_only_as_many_are_found_round_the_ring_as_are_asked_for():
     kept, build = filled(4000)
     other = Build(2, 1.0, 4, 200)
-    kept.put(Member(line(4000), other, Group(), 0, 3.0, 0, 0))
+    kept.put(InstanceState(line(4000), other, InstanceGroup(), 0, 3.0, 0, 0))
     kept.settle(())
     for arc, size in ((kept.arc([build, other]), 4001), (kept.arc([build]), 4000), (kept.arc([other]), 1)):
         assert len(arc) == size == len(list(arc))
@@ -437,7 +445,7 @@
     arc = kept.arc([build])
     in_turn = [member for member in arc if member in (old, other, third)]
     assert arc.open(9) == in_turn and arc.open(10) == []
-    kept.put(Member(line(1), build, Group(), 0, 3.0, 0, 0))
+    kept.put(InstanceState(line(1), build, InstanceGroup(), 0, 3.0, 0, 0))
     kept.settle([2])
     assert kept.opened == {third}
     kept.keep_open(old, 20)  # an answer that came late
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -149,7 +149,7 @@
     "line, told",
     [
         ("OK 42 1 trial 0.28 310", (at.COUNTED, (42, 1, at.ON_TRIAL, 0.28, 310_000_000))),
-        ("OK 42 4 rolling_back 0 0.5", (at.COUNTED, (42, 4, at.GOING_BACK, 0.0, 500_000))),
+        ("OK 42 4 rolling_back 0 0.5", (at.COUNTED, (42, 4, at.ROLLING_BACK, 0.0, 500_000))),
         ("ERR Throttling", (at.OVER_ALLOWANCE, None)),
         ("ERR ConditionFailed", (at.MOOT, None)),
         ("ERR InternalFailure", (at.VOTE_ERRED, None)),
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -87,7 +87,7 @@
         self.day, self.waits = day, []
 
     def ended(self, attempt, end):
-        self.waits.append(self.day.now - attempt.at - attempt.request.work)
+        self.waits.append(self.day.now - attempt.sent_at - attempt.request.work)
 
 
 def test_a_machine_in_the_world_waits_as_the_closed_form_says(read):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,9 +25,9 @@
 REQUEST_CLASSES = {
     "fitment": request_class(0, at.IDEMPOTENT),
     "stock": request_class(1, at.IDEMPOTENT),
-    "reserve": request_class(2, at.DEDUPLICATED, memory=8 * S),
-    "zoned": request_class(3, at.DEDUPLICATED, group="zone", memory=8 * S),
-    "short": request_class(4, at.DEDUPLICATED, memory=2 * S),
+    "reserve": request_class(2, at.DEDUPLICATED, repeat_window=8 * S),
+    "zoned": request_class(3, at.DEDUPLICATED, repeat_scope="zone", repeat_window=8 * S),
+    "short": request_class(4, at.DEDUPLICATED, repeat_window=2 * S),
     "buy": request_class(5, at.NON_IDEMPOTENT),
     "stream": request_class(6, at.IDEMPOTENT, streamed=True),
 }
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -39,8 +39,8 @@
 
 
 def release(**more):
-    told = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_life=4 * SECOND, answer_time=800 * MS,
-                votes_per_s=100.0, bake=SECOND)  # fmt: skip
+    told = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_lifetime=4 * SECOND,
+                vote_timeout=800 * MS, votes_per_s=100.0, bake=SECOND)  # fmt: skip
     return at.Release(**{**told, **more})
 
 
@@ -73,7 +73,7 @@
             may_duplicate=True,
             may_cancel=True,
         )
-        start = at.Start(now=NOW, seed=seed, **{**told, **(start or {})})
+        start = at.StartSettings(now=NOW, seed=seed, **{**told, **(start or {})})
         self.config = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
         dispatcher = self.dispatcher = dispatchers.Dispatcher(
@@ -89,7 +89,7 @@
     def begin(self, lines, news):
         with self.dispatcher.lock:
             if news is not None:
-                self.dispatcher.balancer.stage_told(self.now, *news)
+                self.dispatcher.balancer.stage_reported(self.now, *news)
             self.service.begin(self.now, news)
         self.list(lines, True)
 
@@ -167,7 +167,7 @@
             self.dispatcher.discovery.put(now, *told, False, False)
 
     def platform(self, number, stage, phase, cap):
-        self.clocked(self.dispatcher.tell, self.dispatcher.stage_told, number, stage, phase, cap, 0)
+        self.clocked(self.dispatcher.tell, self.dispatcher.stage_reported, number, stage, phase, cap, 0)
 
     def ask(self, number):
         only, until = self.config.start.request_classes[0], self.now + 4 * SECOND
@@ -248,7 +248,7 @@
     ran = Gateway([*fleet(), line("e0", ELSEWHERE)]).hear(*records)
     ready = [id[0] for id, where in ran.pools.items() if where]
     assert sorted(ready) == sorted(
-        ran.dispatcher.balancer.members[id].id[0] for id in ran.dispatcher.balancer.members
+        ran.dispatcher.balancer.instances[id].id[0] for id in ran.dispatcher.balancer.instances
     )
     assert (ready.count("n"), ready.count("f")) == (near, far)
 
@@ -318,12 +318,12 @@
 
 def test_what_is_sent_there_after_a_whole_move_is_as_real_builds_are():
     ran = Gateway(fleet()).hear(record(share=900)).run(2).hear(record("done", 4, 1000, at=40)).run(2)
-    assert ran.dispatcher.balancer.told.number == 1
-    assert {member.build.number for member in ran.dispatcher.balancer.members.values()} == {1}
+    assert ran.dispatcher.balancer.reported_build.number == 1
+    assert {member.build.number for member in ran.dispatcher.balancer.instances.values()} == {1}
     assert all(ran.far(ran.now - SECOND))
 
 
-@pytest.mark.parametrize("end", (at.UNCONNECTED, at.RESET, at.SPOILT))
+@pytest.mark.parametrize("end", (at.UNCONNECTED, at.RESET, at.UNREADABLE))
 def test_a_far_side_that_loses_what_it_is_sent_is_left_and_voted_back(end):
     ran = Gateway(fleet(), works=working(end=end)).hear(record(share=500)).run(6)
     assert ran.verdicts() == ["back"] and not any(ran.far(ran.now - SECOND))
@@ -376,7 +376,7 @@
     ran.clocked(ran.list, [line("x0", zone, build=2)])
     moment = ran.now
     ran.run(2)
-    assert not any(ran.far(moment + 1)) and ran.dispatcher.balancer.told.number == 1
+    assert not any(ran.far(moment + 1)) and ran.dispatcher.balancer.reported_build.number == 1
     x = [moment for moment, id, _ in ran.attempts if id == "x0"]
     assert len(x) <= 2 + 0.1 * 400
     ran.clocked(ran.list, [line("x0", zone, build=2, state=at.GONE)])
@@ -391,10 +391,10 @@
 
 def test_without_a_platform_a_move_is_shifted_and_goes_back():
     ran = Gateway(fleet(), news=None).hear(record(share=500)).run(1)
-    assert any(ran.far()) and ran.dispatcher.balancer.told.number == FIRST + 7
+    assert any(ran.far()) and ran.dispatcher.balancer.reported_build.number == FIRST + 7
     ran.hear(record("going back", share=0, at=30)).run(0.1)
     moment = ran.now
-    assert not any(ran.run(1).far(moment)) and ran.dispatcher.balancer.told.number == 1
+    assert not any(ran.run(1).far(moment)) and ran.dispatcher.balancer.reported_build.number == 1
 
 
 # ---- whatever comes in whatever order
@@ -474,7 +474,7 @@
     ledger.acknowledged("g0", ledger.put("moves", "m", record(share=500)))
     assert [id[0] for id in ran.ready()] == ["f", "i"]
     ledger.acknowledged("g0", ledger.put("moves", "m", record("going back", 1, 0, at=30)))
-    assert ran.ready() == ["i0", "i1"] and ran.dispatcher.balancer.told.number == 1
+    assert ran.ready() == ["i0", "i1"] and ran.dispatcher.balancer.reported_build.number == 1
     ledger.acknowledged("g0", ledger.put("moves", "n", record(share=1000, epoch=40, at=41)))
     assert ran.ready() == ["f0", "f1"]
     ledger.forget()  # and one that starts anew, or lost the changes, has it from the whole state
@@ -484,13 +484,13 @@
 
 def test_a_vote_whose_answer_is_lost_is_told_again_under_the_same_id_and_counts_once(ledger, ran):
     ledger.acknowledged("g0", ledger.put("moves", "m", record(share=500)))
-    cast(ran, at.HOLD)
+    cast(ran, at.VERDICT_HOLD)
     for server in ledger.servers:
         server.wrong.append(lambda path, body: body and (ledger.command(json.loads(body)), None)[1])
-    cast(ran, at.ON)
+    cast(ran, at.VERDICT_PROMOTE)
     until(lambda: ran.count("shift votes counted") == 1, "the vote is counted")
-    cast(ran, at.ON)
-    cast(ran, at.BACK)
+    cast(ran, at.VERDICT_PROMOTE)
+    cast(ran, at.VERDICT_ROLL_BACK)
     until(lambda: ran.count("shift votes counted") == 2, "the other vote is counted")
     told = [(vote["move"], vote["epoch"], vote["stage"], vote["verdict"]) for vote in ledger.votes]
     assert told == [("m", 7, 1, "on"), ("m", 7, 1, "back")]
@@ -498,9 +498,9 @@
 
 def test_a_vote_on_a_stage_that_is_over_is_told_to_nobody(ledger, ran):
     ledger.acknowledged("g0", ledger.put("moves", "m", record(stage=2, share=500)))
-    cast(ran, at.BACK)
+    cast(ran, at.VERDICT_ROLL_BACK)
     ledger.acknowledged("g0", ledger.put("moves", "m", record("going back", 2, 0, at=30)))
-    cast(ran, at.BACK, stage=2)
+    cast(ran, at.VERDICT_ROLL_BACK, stage=2)
     ledger.acknowledged("g0", ledger.node("i0"))
     assert ledger.votes == []
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -35,7 +35,7 @@
 from lemonlead.standins.fleet import SETTINGS, gateway
 from lemonlead.standins.instances import InstanceServer, gives
 from lemonlead.standins.server import Server, until
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 # ---- what is told, and when
 
@@ -91,7 +91,7 @@
     """The driver of discovery at this address, where so many milliseconds are told for asking; what it tells
     of lists and of failures."""
     obligations = {**SETTINGS["Obligations"], "AskWithin": within}
-    start = started({**SETTINGS, "Obligations": obligations}, 7, NOW)
+    start = start_from_settings({**SETTINGS, "Obligations": obligations}, 7, NOW)
     config = SimpleNamespace(start=start, discovery=address(where), zones={}, kinds={})
     lists, failures = [], []
     dispatcher = SimpleNamespace(instances=SimpleNamespace(pools={}, listed=lambda *_: None))
@@ -170,7 +170,7 @@
     latest = 0
     for seed in range(100):
         made, dispatcher = balancer([line(1)], ask_for_list=True, seed=seed), Dispatcher()
-        made.listed(NOW, [], False, True)
+        made.list_received(NOW, [], False, True)
         made.list_failed(NOW, NOW)
         latest = max(latest, made.ask_at - NOW)
         assert ("watch",) in dispatcher.pull(made, made.ask_at)
@@ -190,8 +190,8 @@
     made, *_ = driver(within=within)
     longest = max(pauses(made.upkeep, True) + pauses(made.upkeep, False))
     assert 2.0 + longest + asks_anew() <= 4 * within / 1e3
-    rules = dict(now=NOW, balancers=200, ask_for_list=True, ask_within=within * MS)
-    firsts = [Balancer(at.Start(seed=seed, **rules)).ask_at for seed in range(200)]
+    rules = dict(now=NOW, balancers=200, ask_for_list=True, max_list_call_gap=within * MS)
+    firsts = [Balancer(at.StartSettings(seed=seed, **rules)).ask_at for seed in range(200)]
     assert max(firsts) <= NOW + within * MS // 2 and len(set(firsts)) > 100
 
 
@@ -450,7 +450,7 @@
     made = balancer([line(1)], request_classes=[on])
     asked = request(on=on)
     for end in ends:
-        sent(asked, made.members[1], end)
+        sent(asked, made.instances[1], end)
     made.give_up(asked, dispatcher)
     assert dispatcher.calls[0][0] == "reject"
 
@@ -458,7 +458,7 @@
 @pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
 def test_the_gateway_counts_what_it_answers_as_failed_and_never_sent(ends, counted):
     made = DispatcherOfGateway(
-        at.Start(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
+        at.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
     asked = request()
     asked.attempts = [at.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -12,11 +12,11 @@
 from lemonlead.balance import Balancer
 from lemonlead.gateway import upkeep
 from lemonlead.gateway.config import UNHEARD, now
-from lemonlead.records import Member
+from lemonlead.records import InstanceState
 from test_standing import driver
 
 pytestmark = pytest.mark.parallel
-TOLD = {"ask_for_list": True, "unheard_time": UNHEARD, "balancers": 100}
+TOLD = {"ask_for_list": True, "assumed_known_after": UNHEARD, "balancers": 100}
 
 
 def chosen(made, moment, id=9):
@@ -29,7 +29,7 @@
     """It answers a request sent at this moment, on a connection that has stood since then."""
     asked = request(100 + moment % 97, now=moment)
     attempt = sent(asked, member, at_time=moment)
-    attempt.since = since
+    attempt.connected_since = since
     made.attempt_ended(moment + 50 * MS, attempt, at.SUCCEEDED, 50 * MS, True, {})
 
 
@@ -43,32 +43,32 @@
 def test_what_has_answered_on_a_connection_from_before_is_all_that_gets_requests_once_nothing_was_heard():
     made = lost()
     assert chosen(made, NOW + 5400 * MS) in (1, 2, 3)
-    served(made, made.members[2], NOW + 4000 * MS, since=NOW - 1000 * MS)
+    served(made, made.instances[2], NOW + 4000 * MS, since=NOW - 1000 * MS)
     assert {chosen(made, NOW + 5600 * MS + n, n) for n in range(50)} == {2}
     assert chosen(made, NOW + 6400 * MS) == 2
     assert chosen(made, NOW + 6600 * MS) is None  # its drain may have been told 3 s before that answer
-    made.listed(NOW + 9700 * MS, [], False, True)  # a sign of life: the list is current
+    made.list_received(NOW + 9700 * MS, [], False, True)  # a sign of life: the list is current
     assert chosen(made, NOW + 9700 * MS) in (1, 2, 3)
 
 
 def test_an_answer_proves_nothing_of_a_drain_that_began_shortly_before_it():
     """The same, for one balancer: it drains at NOW, serves 2 s more, and counts as told from NOW + 6 s on."""
     made = lost([1])
-    served(made, made.members[1], NOW + 1900 * MS, since=NOW + 500 * MS)
+    served(made, made.instances[1], NOW + 1900 * MS, since=NOW + 500 * MS)
     assert all(chosen(made, NOW + at_ms * MS) is None for at_ms in range(6000, 9000, 50))
 
 
 def test_what_came_back_unheard_gets_none_until_its_return_counts_as_told_too():
     """An instance that went and came back under its name serves, but on a connection made since."""
     made = lost()
-    served(made, made.members[2], NOW + 4500 * MS, since=NOW + 4400 * MS)
+    served(made, made.instances[2], NOW + 4500 * MS, since=NOW + 4400 * MS)
     assert chosen(made, NOW + 5600 * MS) is None
-    served(made, made.members[2], NOW + 8000 * MS, since=NOW + 4400 * MS)
+    served(made, made.instances[2], NOW + 8000 * MS, since=NOW + 4400 * MS)
     assert chosen(made, NOW + 10_300 * MS) is None and chosen(made, NOW + 10_450 * MS) == 2
 
 
 def test_a_gap_between_connections_proves_nothing_of_the_time_before():
-    member = Member(line(1), None, None, 0, 1.0, 0, 0)
+    member = InstanceState(line(1), None, None, 0, 1.0, 0, 0)
     member.proved(10, 20)
     member.proved(15, 30)
     assert (member.up_from, member.up_to) == (10, 30) and member.up_since(10) == 30 and not member.up_since(9)
@@ -101,8 +101,8 @@
     """Milliseconds: of the last start on the list before ours, 0 for long ago; for how long the list holds"""
     for seed in range(30):
         rules = dict(request_classes=[request_class()], attempts_cap=1, **TOLD)
-        made = Balancer(at.Start(now=NOW, seed=seed, **rules))
-        made.listed(NOW, [line(1, started=NOW - started * MS if started else 0)], True, False)
+        made = Balancer(at.StartSettings(now=NOW, seed=seed, **rules))
+        made.list_received(NOW, [line(1, started=NOW - started * MS if started else 0)], True, False)
         assert made.ask_at <= NOW + holds * MS
         assert chosen(made, NOW + holds * MS) == 1 and chosen(made, NOW + (holds + 1) * MS) is None
 
@@ -184,10 +184,10 @@
         heapq.heappush(self.events, (self.now + delay, next(self.turns), happens, values))
 
     def start(self, number, first):
-        start = at.Start(
+        start = at.StartSettings(
             now=self.now,
             seed=number * 31 + first,
-            me=number,
+            balancer_index=number,
             attempts_cap=2,
             connect_time=250 * MS,
             idle_time=15_000 * MS,
@@ -200,9 +200,9 @@
         gateway.upkeep = upkeep.Upkeep(("127.0.0.1", 1), number, 0.05, 1.0, 10.0)
         gateway.upkeep.room.wait_for = lambda moving, seconds: setattr(gateway, "pause", seconds)
         lines = [line(id, started=0 if first else self.now - 9000 * MS) for id in self.ids]
-        gateway.made.listed(self.now, lines, True, False)
+        gateway.made.list_received(self.now, lines, True, False)
         if first:  # its watch ended as discovery went down
-            gateway.made.listed(self.now, [], False, True)
+            gateway.made.list_received(self.now, [], False, True)
             gateway.made.list_failed(self.now, self.now)
         self.turn(gateway)
         self.ask(gateway)
@@ -251,7 +251,7 @@
         if pool is None or id in self.gone and pool < NOW + ends <= self.now:
             pool = self.now
         if up:
-            gateway.pools[id] = attempt.since = pool
+            gateway.pools[id] = attempt.connected_since = pool
         self.after(80 * MS, self.ended, gateway, attempt, at.SUCCEEDED if up else at.UNCONNECTED)
 
     def ended(self, gateway, attempt, end):
@@ -273,7 +273,7 @@
         lines = [line(id, state=at.GONE) for id in self.gone]
         if self.now >= NOW + self.AGAIN:
             lines = [line(row.id, started=NOW + self.AGAIN) if row.id in self.back else row for row in lines]
-        gateway.made.listed(self.now, lines, False, True)
+        gateway.made.list_received(self.now, lines, False, True)
         self.turn(gateway)
 
     def failed(self, gateway):
