--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -82,7 +82,10 @@
         return True
     if asked.effect != at.DEDUPLICATED:
         return stamped
-    return WIDTHS[given.group] <= WIDTHS[asked.group] and given.memory <= asked.memory
+    return (
+        WIDTHS[given.repeat_scope] <= WIDTHS[asked.repeat_scope]
+        and given.repeat_window <= asked.repeat_window
+    )
 
 
 # ---- what an expression may be for requests of one request class, with or without an idempotency key
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -185,7 +185,7 @@
 
 def outcomes(slow=1.0, errs=0, count=20, machines=4, faulty=None):
     """`errs` of them erred, spread over the machines or all at the faulty one."""
-    made = list(balancer([line(n) for n in range(machines)]).members.values())
+    made = list(balancer([line(n) for n in range(machines)]).instances.values())
     seen = []
     for n in range(count):
         member = made[faulty] if faulty and n < errs else made[n % machines]
@@ -496,7 +496,7 @@
 @pytest.mark.parametrize("started, share", [((0, 0, 0), 0.0), ((0, 9, 9), 0.25)])
 def test_a_faulty_machine_is_left_out_unless_none_is_up_as_long(started, share):
     """A build that fails late fails on its oldest machine first: that is no faulty machine."""
-    members = list(balancer([line(n, started=NOW + up) for n, up in enumerate(started)]).members.values())
+    members = list(balancer([line(n, started=NOW + up) for n, up in enumerate(started)]).instances.values())
     for member, failed in zip(members, (6, 0, 0), strict=True):
         member.answered, member.failed = 20, failed
     seen = [(1.0, n % 4 == 0, members[0 if n % 4 == 0 else 1 + n % 2]) for n in range(24)]
@@ -748,7 +748,10 @@
 
 def fleet_of(balancers, instances):
     lines = [line(f"s-{n}") for n in range(instances)]
-    return [balancer(lines, balancers=balancers, me=n, idle_time=15 * SECOND) for n in range(balancers)]
+    return [
+        balancer(lines, balancers=balancers, balancer_index=n, idle_time=15 * SECOND)
+        for n in range(balancers)
+    ]
 
 
 @pytest.mark.parametrize("balancers, instances", [(40, 60), (192, 96), (200, 150)])
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -45,7 +45,7 @@
         self.lists, self.failures, self.stages, self.gates = [], [], [], {}
         self.outcomes, self.taken = [], []  # of votes; the names of all inputs, once they are taken
         self.instances = SimpleNamespace(pools={}, listed=lambda *_: None)
-        self.balancer = SimpleNamespace(listed=self.listed, list_failed=self.list_failed)
+        self.balancer = SimpleNamespace(list_received=self.list_received, list_failed=self.list_failed)
         self.balancer.vote_answered = lambda now, outcome: self.outcomes.append(outcome)
 
     def list_received(self, now, lines, whole, fresh):
