--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -6,7 +6,7 @@
 import time
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from . import http
 from .config import MAX_LIST_DELAY_NS, address, now
 from .sockets import readable
@@ -23,7 +23,7 @@
         self.list_requested = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(config.start.ask_within / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS)
+        crowded = min(config.start.max_list_call_gap / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS)
         self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, crowded)
         # Set once a list has come, or a watch has ended for another reason than too many callers.
         self.first_result = threading.Event()
@@ -148,7 +148,7 @@
                     int(cell),
                     state,
                     float(weight),
-                    in_ns(started),
+                    ms_to_ns(started),
                 )
             )
             where = None
@@ -175,7 +175,7 @@
         self.list_requested.clear()
         self.connection.reset_pause()
         self.first_result.set()
-        self.dispatcher.balancer.listed(now, [], False, True)
+        self.dispatcher.balancer.list_received(now, [], False, True)
 
     def publish(self, now, lines, addresses, whole, fresh):
         """The one way by which the balancer learns of instances. Under the dispatcher's lock."""
@@ -183,7 +183,7 @@
             self.dispatcher.instances.listed(id, None, 0)
         for id, (where, started) in addresses.items():
             self.dispatcher.instances.listed(id, where, started)
-        self.dispatcher.balancer.listed(now, lines, whole, fresh)
+        self.dispatcher.balancer.list_received(now, lines, whole, fresh)
         if fresh:
             self.first_result.set()
 
