--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from lemonlead.ledger.followers import MOST_FOLLOWERS
+from lemonlead.ledger.followers import MAX_FOLLOWERS
 from lemonlead.standins.members import until
 
 from . import bounds
@@ -144,8 +144,8 @@
             if self.asked.way == "follow"
             else self.asked.relays + (3 if self.asked.ledger == "members" else 1)
         )
-        if self.asked.way == "follow" and len(self.plan.gateways) + 1 > MOST_FOLLOWERS:
-            most = MOST_FOLLOWERS - len(self.plan.gateways) + self.asked.gateways - 1
+        if self.asked.way == "follow" and len(self.plan.gateways) + 1 > MAX_FOLLOWERS:
+            most = MAX_FOLLOWERS - len(self.plan.gateways) + self.asked.gateways - 1
             raise bounds.TooMuch(f"--gateways {self.asked.gateways}: at most {most} can follow in one run")
         memory = bounds.wanted_memory(self.plan, control, self.hollow_processes)
         descriptors = max(2 * self.asked.gateways // self.hollow_processes, 3 * self.asked.gateways)
--- a/lemonlead/distribution/told.py
+++ b/lemonlead/distribution/told.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from .. import settings
-from ..ledger.membership import MOST_SEATED
+from ..ledger.membership import MAX_MEMBERS
 from ..member.told import ALLOWED, address_fault, inside
 from .faults import Unfit
 
@@ -66,6 +66,6 @@
         elif path != "listen" and not address_fault(mine) and inside(address) != inside(mine):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
-    if not 0 < len(told["members"]) <= MOST_SEATED:
-        fault("members", f"{len(told['members'])} members", f"1 to {MOST_SEATED}")
+    if not 0 < len(told["members"]) <= MAX_MEMBERS:
+        fault("members", f"{len(told['members'])} members", f"1 to {MAX_MEMBERS}")
     return found
--- a/lemonlead/drains/ground.py
+++ b/lemonlead/drains/ground.py
@@ -3,7 +3,7 @@
 
 from dataclasses import dataclass
 
-from ..ledger.capacity import FAILED, SERVING, Load, Site, bears, up
+from ..ledger.capacity import FAILED, SERVING, Load, Site, up, usable_units
 from .faults import GangRuns, GroupShort, SiteShareTaken, SiteShort
 
 NO_LOAD, NO_SITE = Load(), Site()
@@ -44,7 +44,7 @@
         if load is not None:
             of.need += load.units
         if up(node):
-            of.bears += bears(node, moment, terms)
+            of.bears += usable_units(node, moment, terms)
             of.warm += node.units
             if node.warm > moment:
                 of.warm_at = min(of.warm_at or node.warm, node.warm)
@@ -99,7 +99,7 @@
         by_site.setdefault(nodes[name].site, []).append(name)
     for site in sorted(touched):
         of, here = found[site], by_site.get(site, ())
-        left = of.bears - sum(bears(nodes[name], moment, held.settings) for name in here)
+        left = of.bears - sum(usable_units(nodes[name], moment, held.settings) for name in here)
         if left < of.need:
             yield SiteShort(f"site {site} would bear {left} units, {of.need} are promised")
         if of.away + len(here) > of.most_away(held.settings) and of.permitted + len(here) > 1:
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -140,7 +140,7 @@
 
 def drain(draft, command):
     name, nodes, deadline = command.drain, command.nodes, command.deadline_ms
-    capacity.once(nodes)
+    capacity.check_distinct(nodes)
     for node in nodes:
         capacity.known_node(draft, node)
     feasible.refuse(draft, nodes, deadline, draft.wall_ms)
@@ -176,7 +176,7 @@
 
 def permit(draft, command):
     nodes, wants, permits = draft.part("nodes"), draft.part("wants"), draft.part("permits")
-    capacity.once(command.nodes)
+    capacity.check_distinct(command.nodes)
     for name in command.nodes:
         if name not in nodes or name not in wants:
             raise GroundGone(f"no drain wants node {name}")
--- a/lemonlead/ledger/capacity.py
+++ b/lemonlead/ledger/capacity.py
@@ -17,7 +17,7 @@
 Units = Annotated[int, Meta(ge=0, le=10**9)]
 Millis = Annotated[int, Meta(ge=0, le=10**14)]
 Names = Annotated[tuple[Name, ...], Meta(min_length=1, max_length=20_000)]
-MOST = 200_000  # records of one part; past it a command that makes one more is refused
+MAX_RECORDS_PER_PART = 200_000  # records of one part; past it a command that makes one more is refused
 
 COLD_STEPS = 4  # of the cold time: what a site's cold nodes do not bear is kept by these
 
@@ -106,7 +106,7 @@
     return node.state in (SERVING, CATCHING_UP) and not node.out
 
 
-def bears(node, moment, settings):
+def usable_units(node, moment, settings):
     """Units that it bears at this ledger moment: a cold one its share."""
     if not up(node):
         return 0
@@ -177,7 +177,7 @@
         draft.put("sites", node.site, replace(sums, units=units, pinned=sums.pinned + sign * load.units))
 
 
-def pin(draft, name, units, **fields):
+def change_load(draft, name, units, **fields):
     """`units` more (or fewer) held on this node; `fields` of its Load with it."""
     node, load = draft.get("nodes", name), draft.get("loads", name) or Load()
     after = replace(load, units=load.units + units, **fields)
@@ -194,7 +194,7 @@
     draft.put("sites", site, replace(sums, promised=sums.promised + units))
 
 
-def room(draft, part, key, most=MOST):
+def check_part_size(draft, part, key, most=MAX_RECORDS_PER_PART):
     """Refuses one record more than a part may hold."""
     if key not in draft.part(part) and len(draft.part(part)) >= most:
         raise Refused(f"{part} holds {most} already", "end what is no longer needed")
@@ -207,7 +207,7 @@
     return node
 
 
-def once(nodes):
+def check_distinct(nodes):
     if len(set(nodes)) != len(nodes):
         raise Senseless("a node is named twice")
 
@@ -259,7 +259,7 @@
 def node(draft, command):
     """Declares a node, serving and warm; or changes its units, not below what is promised on it and its
     site."""
-    room(draft, "nodes", command.node)
+    check_part_size(draft, "nodes", command.node)
     before = draft.get("nodes", command.node)
     if before is None:
         made = Node(command.site, command.units, SERVING, draft.index)
@@ -284,19 +284,21 @@
         raise Senseless("either nodes or site is wanted")
     if draft.get("reservations", reservation) is not None:
         raise Refused(f"reservation {reservation} stands already", "free it first, or take another name")
-    room(draft, "reservations", reservation)
+    check_part_size(draft, "reservations", reservation)
     if command.site is not None:
         take_site(draft, command.site, units)
     else:
-        once(command.nodes)
+        check_distinct(command.nodes)
         take_nodes(draft, command.nodes, units)
         for name in command.nodes:
             load = draft.get("loads", name)
-            pin(draft, name, 0, reservations=(load.reservations if load else 0) + 1)
-    keep(draft, reservation, Reservation(command.service, units, command.nodes or (), command.site or ""))
+            change_load(draft, name, 0, reservations=(load.reservations if load else 0) + 1)
+    add_reservation(
+        draft, reservation, Reservation(command.service, units, command.nodes or (), command.site or "")
+    )
 
 
-def keep(draft, name, held):
+def add_reservation(draft, name, held):
     """A new reservation, whose units were taken."""
     draft.put("reservations", name, held)
     services.add(draft, "reservations", name, (held.service,))
@@ -321,7 +323,7 @@
                 f"node {name} at {site} has {max(free, 0)} units free, {units} are asked",
                 "ask fewer, or name other nodes",
             )
-        pin(draft, name, units)
+        change_load(draft, name, units)
 
 
 def free(draft, command):
@@ -332,14 +334,14 @@
         raise Refused(
             f"reservation {command.reservation} is held by move {held.move}", "stop that move first"
         )
-    release(draft, command.reservation, held)
+    remove_reservation(draft, command.reservation, held)
 
 
-def release(draft, name, held):
+def remove_reservation(draft, name, held):
     """Ends a reservation that stands."""
     for one in held.nodes:
         load = draft.get("loads", one)
-        pin(draft, one, -held.units, reservations=load.reservations - 1)
+        change_load(draft, one, -held.units, reservations=load.reservations - 1)
     if held.site:
         promise(draft, held.site, -held.units)
     draft.drop("reservations", name)
@@ -350,11 +352,11 @@
     """A gang starts: all its nodes serve, none is to go before it ends."""
     if draft.get("gangs", command.gang) is not None:
         raise Refused(f"gang {command.gang} runs already", "end it first, or take another name")
-    for service in services.of_name(command.gang):
-        if move := services.of(draft, service).closed:
+    for service in services.services_of_name(command.gang):
+        if move := services.service_row(draft, service).closed:
             raise BeingMoved(f"move {move} of service {service} waits until no gang of it runs")
-    room(draft, "gangs", command.gang)
-    once(command.nodes)
+    check_part_size(draft, "gangs", command.gang)
+    check_distinct(command.nodes)
     for name in command.nodes:
         on = known_node(draft, name)
         if on.state != SERVING or on.out:
@@ -369,9 +371,9 @@
     take_nodes(draft, command.nodes, command.units)
     for name in command.nodes:
         load = draft.get("loads", name)
-        pin(draft, name, 0, gangs=((load.gangs if load else ()) + (command.gang,)))
+        change_load(draft, name, 0, gangs=((load.gangs if load else ()) + (command.gang,)))
     draft.put("gangs", command.gang, Gang(command.nodes, command.units, command.ends_ms))
-    services.add(draft, "gangs", command.gang, services.of_name(command.gang))
+    services.add(draft, "gangs", command.gang, services.services_of_name(command.gang))
 
 
 def gang_end(draft, command):
@@ -380,22 +382,22 @@
         raise Refused(f"no gang {command.gang}", "nothing is left to do")
     for name in ended.nodes:
         gangs = tuple(one for one in draft.get("loads", name).gangs if one != command.gang)
-        pin(draft, name, -ended.units, gangs=gangs)
+        change_load(draft, name, -ended.units, gangs=gangs)
     draft.drop("gangs", command.gang)
-    services.remove(draft, "gangs", command.gang, services.of_name(command.gang))
+    services.remove(draft, "gangs", command.gang, services.services_of_name(command.gang))
 
 
 def group(draft, command):
     """Declares a group or puts another in its place; not while a move takes the service's groups over
     member by member, which would put its own in place of this one."""
-    room(draft, "groups", command.group)
-    once(command.nodes)
+    check_part_size(draft, "groups", command.group)
+    check_distinct(command.nodes)
     if command.quorum > len(command.nodes):
         raise Senseless(f"a quorum of {command.quorum} among {len(command.nodes)} nodes")
     for name in command.nodes:
         known_node(draft, name)
-    for service in services.of_name(command.group):
-        if moves := services.of(draft, service).moves:
+    for service in services.services_of_name(command.group):
+        if moves := services.service_row(draft, service).moves:
             raise BeingMoved(f"service {service} is under way by move {moves[0]}")
     put_group(draft, command.group, Group(command.nodes, command.quorum))
 
@@ -405,21 +407,21 @@
     before = draft.get("groups", group)
     for name in before.nodes if before else ():
         load = draft.get("loads", name)
-        pin(draft, name, 0, groups=tuple(one for one in load.groups if one != group))
+        change_load(draft, name, 0, groups=tuple(one for one in load.groups if one != group))
     for name in after.nodes if after else ():
         load = draft.get("loads", name)
-        pin(draft, name, 0, groups=(load.groups if load else ()) + (group,))
+        change_load(draft, name, 0, groups=(load.groups if load else ()) + (group,))
     if before is None and after is not None:
-        services.add(draft, "groups", group, services.of_name(group))
+        services.add(draft, "groups", group, services.services_of_name(group))
     if before is not None and after is None:
-        services.remove(draft, "groups", group, services.of_name(group))
+        services.remove(draft, "groups", group, services.services_of_name(group))
     if after is None:
         draft.drop("groups", group)
     else:
         draft.put("groups", group, after)
 
 
-def caught_up(draft, group):
+def count_caught_up(draft, group):
     """How many of a group's replicas serve and are caught up."""
     nodes = draft.part("nodes")
     return sum(nodes[name].state == SERVING and not nodes[name].out for name in group.nodes)
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -20,12 +20,12 @@
 from .replica import Replica
 from .state import Command, State
 
-SNAPSHOT_EVERY = 4096  # entries applied since the last snapshot, or as many as that one has records
-MOST_BEHIND = 32_768  # entries, which a start has to go through; however many records there are
-MOST_LOG = 64 * 1024 * 1024  # bytes of entries, which are in memory; however few they are
-LONGEST_APART = 4  # times as many, while a peer is being sent the last one
-MOST_POLLS = 2000  # calls that wait for the next change; past it one is answered at once
-TURNED_DOWN = 1_000_000_000  # before a duty's command that the rules refused is proposed again
+SNAPSHOT_INTERVAL = 4096  # entries applied since the last snapshot, or as many as that one has records
+MAX_SNAPSHOT_INTERVAL = 32_768  # entries, which a start has to go through; however many records there are
+MAX_LOG_BYTES = 64 * 1024 * 1024  # bytes of entries, which are in memory; however few they are
+MAX_TRANSFER_FACTOR = 4  # times as many, while a peer is being sent the last one
+MAX_POLLS = 2000  # calls that wait for the next change; past it one is answered at once
+REFUSED_TASK_DELAY_NS = 1_000_000_000  # before a duty's command that the rules refused is proposed again
 
 
 class DispatcherHost(Protocol):
@@ -79,7 +79,7 @@
 
 
 class Dispatcher:
-    def __init__(self, config, kept, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_EVERY):
+    def __init__(self, config, kept, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_INTERVAL):
         self.config, self.ledger, self.state, self.leader_tasks = config, ledger, state, list(leader_tasks)
         self.replica = Replica(config, kept, now)
         self.wall_ms, self.now, self.snapshot_every = 0, now, snapshot_every
@@ -135,7 +135,7 @@
                 self.followers.polled(now, gateway, after, since)
             else:
                 self.count("polls of another stay")
-        if len(self.polls) >= MOST_POLLS:
+        if len(self.polls) >= MAX_POLLS:
             self.count("polls answered at once")
             return self.done.append(lambda door: self.answer_poll(Poll(now, after, ticket, parts), door))
         self.polls.wait(now, after, ticket, parts)
@@ -185,11 +185,11 @@
 
     def take_snapshot(self, door):
         applied = self.state.index - self.since
-        if self.snapshotting is not None or applied < self.snapshot_every and self.log_bytes < MOST_LOG:
+        if self.snapshotting is not None or applied < self.snapshot_every and self.log_bytes < MAX_LOG_BYTES:
             return False
-        due = max(self.snapshot_every, min(self.records, MOST_BEHIND))
-        apart = LONGEST_APART if self.replica.sends_snapshot() else 1
-        if applied < due * apart and self.log_bytes < MOST_LOG * apart:
+        due = max(self.snapshot_every, min(self.records, MAX_SNAPSHOT_INTERVAL))
+        apart = MAX_TRANSFER_FACTOR if self.replica.sends_snapshot() else 1
+        if applied < due * apart and self.log_bytes < MAX_LOG_BYTES * apart:
             return False
         self.log_bytes, self.records = 0, self.state.records
         members = self.replica.members_at(self.state.index)
@@ -252,7 +252,7 @@
                 self.proposing.pop(ticket.task, None)
             else:
                 self.count("duties refused")
-                self.proposing[ticket.task] = self.now + TURNED_DOWN
+                self.proposing[ticket.task] = self.now + REFUSED_TASK_DELAY_NS
 
     def refuse(self, ticket, outcome, leader):
         if isinstance(ticket, Read):
--- a/lemonlead/ledger/entries.py
+++ b/lemonlead/ledger/entries.py
@@ -8,12 +8,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .capacity import Name, room
+from .capacity import Name, check_part_size
 from .faults import Senseless
 from .state import Command
 
-MOST = 500_000  # entries of all scopes
-LONGEST_VALUE = 4096  # bytes of a value as JSON
+MAX_ENTRIES = 500_000  # entries of all scopes
+MAX_VALUE_BYTES = 4096  # bytes of a value as JSON
 
 Scope = Annotated[str, Meta(max_length=100, pattern=r"^([A-Za-z0-9][A-Za-z0-9_.:/-]*)?$")]
 ENCODE = msgspec.json.Encoder().encode
@@ -43,9 +43,9 @@
     if command.value is None:
         return draft.drop("entries", name)
     data = encoded(command.value)
-    if len(data) > LONGEST_VALUE:
-        raise Senseless(f"a value of {len(data)} bytes; {LONGEST_VALUE} are the most")
-    room(draft, "entries", name, MOST)
+    if len(data) > MAX_VALUE_BYTES:
+        raise Senseless(f"a value of {len(data)} bytes; {MAX_VALUE_BYTES} are the most")
+    check_part_size(draft, "entries", name, MAX_ENTRIES)
     before = draft.get("entries", name)
     if before is None or encoded(before.value) != data:
         draft.put("entries", name, EntryRow(command.value, draft.index))
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -9,11 +9,11 @@
 
 from msgspec import Meta, Struct
 
-from .capacity import MOST, Name, room
+from .capacity import MAX_RECORDS_PER_PART, Name, check_part_size
 from .faults import Refused
 from .state import Command
 
-MOST_FOLLOWERS = 1000
+MAX_FOLLOWERS = 1000
 MOST_SERVICES = 16  # of one gateway
 LOOK = 200_000_000  # between two looks at whose lease ran out
 NEVER = 1 << 62
@@ -47,9 +47,9 @@
 
 def follow(draft, command):
     if draft.get("followers", command.gateway) is None:
-        if len(draft.part("followers")) >= MOST_FOLLOWERS:
-            raise Refused(f"{MOST_FOLLOWERS} gateways follow already", "end some that are no longer needed")
-        room(draft, "followers", command.gateway)
+        if len(draft.part("followers")) >= MAX_FOLLOWERS:
+            raise Refused(f"{MAX_FOLLOWERS} gateways follow already", "end some that are no longer needed")
+        check_part_size(draft, "followers", command.gateway)
     draft.put("followers", command.gateway, Follower(draft.index, command.services))
 
 
@@ -139,4 +139,4 @@
         return self.again if self.dispatcher.state.part("followers") else NEVER
 
 
-__all__ = ["INNER", "KINDS", "MOST", "RULES", "Followers"]
+__all__ = ["INNER", "KINDS", "MAX_RECORDS_PER_PART", "RULES", "Followers"]
--- a/lemonlead/ledger/log.py
+++ b/lemonlead/ledger/log.py
@@ -8,7 +8,7 @@
 
 from .records import COMMAND, MEMBERS, NOTHING, ConfiguredMember, Write
 
-MOST_WRITES = 4  # out at a time; what comes meanwhile goes into the next as one (group commit)
+MAX_WRITES_IN_FLIGHT = 4  # out at a time; what comes meanwhile goes into the next as one (group commit)
 WEIGHT = 64  # bytes that an entry counts besides its data
 BIGGEST = 1 << 62  # indices, terms, moments: past it a message is garbled (SQLite's integers are signed)
 SEATS = msgspec.json.Decoder(dict[str, ConfiguredMember])
@@ -141,7 +141,9 @@
         """The next Write, or None."""
         base = self.base if self.base is not None and not any(write[3] for write in self.out) else None
         entries = self.base is None and log.last > self.submitted
-        if len(self.out) >= MOST_WRITES or not (self.marked or entries or base or self.cutting is not None):
+        if len(self.out) >= MAX_WRITES_IN_FLIGHT or not (
+            self.marked or entries or base or self.cutting is not None
+        ):
             return None
         self.number += 1
         write = Write(self.number, term, voted, self.cutting)
--- a/lemonlead/ledger/membership.py
+++ b/lemonlead/ledger/membership.py
@@ -16,7 +16,7 @@
 from .state import Command, LedgerSettings, MemberRow, State
 
 MOST_NAMES = 4096  # that were ever seated
-MOST_SEATED = 9
+MAX_MEMBERS = 9
 AWAIT = 500_000_000  # before the leader looks again whether a change of members is through
 
 Address = Annotated[str, Meta(max_length=200, pattern=r"^[0-9A-Za-z.-]+:[0-9]{1,5}$")]
@@ -57,8 +57,8 @@
     alone(draft)
     if len(draft.part("members")) >= MOST_NAMES:
         raise Refused(f"{MOST_NAMES} names were used up", "form another cluster and move the services")
-    if sum(not row.gone for row in draft.part("members").values()) >= MOST_SEATED:
-        raise Refused(f"{MOST_SEATED} members are the most", "remove one first")
+    if sum(not row.gone for row in draft.part("members").values()) >= MAX_MEMBERS:
+        raise Refused(f"{MAX_MEMBERS} members are the most", "remove one first")
     draft.put("seating", command.member, Wanted(command.address, command.folder))
 
 
--- a/lemonlead/ledger/polls.py
+++ b/lemonlead/ledger/polls.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-MOST_EVENTS = 20_000  # changes kept for whoever asks for what came after an index
+MAX_EVENTS = 20_000  # changes kept for whoever asks for what came after an index
 POLL = 2_000_000_000  # the longest that a call waits, nanoseconds
 
 
@@ -37,7 +37,7 @@
         self.held += len(changes)
         self.touched.update((part, index) for part, _ in changes)
         self.stirred = True
-        while self.held > MOST_EVENTS:
+        while self.held > MAX_EVENTS:
             self.earliest, changes = self.events.popleft()
             self.held -= len(changes)
 
--- a/lemonlead/ledger/services.py
+++ b/lemonlead/ledger/services.py
@@ -34,7 +34,7 @@
 NONE, EMPTY = Service(), Page()
 
 
-def of_name(name):
+def services_of_name(name):
     """The services that a group or gang of this name is of."""
     return [name[:at] for at, letter in enumerate(name) if letter == "/"] + [name]
 
@@ -51,7 +51,7 @@
 
 def change(draft, part, name, service, sign):
     key = f"{service} {crc32(name.encode()) % PAGES}"
-    page, row = draft.get("service_pages", key) or EMPTY, of(draft, service)
+    page, row = draft.get("service_pages", key) or EMPTY, service_row(draft, service)
     names = getattr(page, part)
     at = len(names) if sign > 0 else names.index(name)
     names = (*names, name) if sign > 0 else names[:at] + names[at + 1 :]
@@ -66,14 +66,14 @@
         draft.put(part, key, record, notify=False)
 
 
-def of(held, service):
+def service_row(held, service):
     """Its row; of a State or a Draft."""
     return held.part("services").get(service, NONE)
 
 
-def names(held, service, part):
+def record_names(held, service, part):
     """Its records' names in this part, sorted. As many pages are looked at at any size."""
-    if not getattr(of(held, service), part):
+    if not getattr(service_row(held, service), part):
         return []
     pages = held.part("service_pages")
     found = (pages.get(f"{service} {number}", EMPTY) for number in range(PAGES))
@@ -85,13 +85,13 @@
 
 def mark(draft, service, move, closed=False):
     """This move of it is under way; `closed`: it waits for the service's gangs."""
-    row = of(draft, service)
+    row = service_row(draft, service)
     moves = row.moves if move in row.moves else (*row.moves, move)
     put(draft, "services", service, replace(row, moves=moves, closed=move if closed else row.closed), NONE)
 
 
 def unmark(draft, service, move):
-    row = of(draft, service)
+    row = service_row(draft, service)
     moves = tuple(one for one in row.moves if one != move)
     closed = "" if row.closed == move else row.closed
     put(draft, "services", service, replace(row, moves=moves, closed=closed), NONE)
@@ -99,6 +99,6 @@
 
 def reopen(draft, service, move):
     """The move waits for gangs no more."""
-    row = of(draft, service)
+    row = service_row(draft, service)
     if row.closed == move:
         put(draft, "services", service, replace(row, closed=""), NONE)
--- a/lemonlead/ledger/state.py
+++ b/lemonlead/ledger/state.py
@@ -20,7 +20,7 @@
 from .faults import Fault, Refused, Senseless
 from .records import COMMAND, MEMBERS, ConfiguredMember, Entry
 
-LONGEST = 256 * 1024  # bytes of a command
+MAX_COMMAND_BYTES = 256 * 1024  # bytes of a command
 DEEPEST = 100  # objects and lists in each other
 MOST_ANSWERS = 200_000  # ids remembered; past it the leader takes no command until old ones run out
 PIECE = 500  # records in one piece of a snapshot
@@ -154,8 +154,8 @@
 
     def read(self, data, outside=False):
         """A command from its bytes; Senseless where it makes no sense. `outside`: it comes from a client."""
-        if len(data) > LONGEST:
-            raise Senseless(f"a command of {len(data)} bytes; {LONGEST} are the most")
+        if len(data) > MAX_COMMAND_BYTES:
+            raise Senseless(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
         if data.count(b"{") + data.count(b"[") > DEEPEST and deepest(data) > DEEPEST:
             raise Senseless(f"a command nested deeper than {DEEPEST}")
         try:
--- a/lemonlead/member/outside.py
+++ b/lemonlead/member/outside.py
@@ -12,7 +12,7 @@
 
 from ..ledger.faults import Senseless
 from ..ledger.records import CANDIDATE, FOLLOWER, LEADER, LEARNER, NOT_DONE, OUTSIDE, UNKNOWN
-from ..ledger.state import LONGEST
+from ..ledger.state import MAX_COMMAND_BYTES
 from . import peers, whole
 from .asking import HOP, REACHED
 from .forming import numeric
@@ -200,7 +200,7 @@
     # ---- calls of operators and gateways
 
     async def command(self, request):
-        data = await self.body(request, LONGEST)
+        data = await self.body(request, MAX_COMMAND_BYTES)
         host = self.host
         if HOP not in request.headers:
             data = await self.member.forming.filled_in(data)
--- a/lemonlead/member/told.py
+++ b/lemonlead/member/told.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from .. import settings
-from ..ledger.membership import MOST_SEATED
+from ..ledger.membership import MAX_MEMBERS
 from ..ledger.state import LedgerSettings
 from .faults import Unfit
 
@@ -120,20 +120,20 @@
                 self.fault(
                     "member", told["member"], f"{name}, which is listed at {address}", f"members.{name}"
                 )
-        if len(told["members"]) > MOST_SEATED:
+        if len(told["members"]) > MAX_MEMBERS:
             last = f"members.{list(told['members'])[-1]}"
-            self.fault(last, f"{len(told['members'])} members", f"{MOST_SEATED} at most")
+            self.fault(last, f"{len(told['members'])} members", f"{MAX_MEMBERS} at most")
 
     def others(self):
         told = self.told
         for at, (name, addresses) in enumerate(told["clusters"].items()):
             if name == told["cluster"]:
                 self.fault(f"clusters.{name}[0]", name, "other clusters than its own", "cluster")
-            if not 0 < len(addresses) <= MOST_SEATED:
+            if not 0 < len(addresses) <= MAX_MEMBERS:
                 self.fault(
                     f"clusters.{name}[0]",
                     f"{len(addresses)} addresses",
-                    f"1 to {MOST_SEATED} of cluster {name}",
+                    f"1 to {MAX_MEMBERS} of cluster {name}",
                 )
             if at == MOST_CLUSTERS:
                 self.fault(
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -193,20 +193,20 @@
     if len(draft.part("moving")) >= MOST_OPEN:
         raise Refused(f"{MOST_OPEN} moves are under way", "wait for the end of one")
     make_room(draft)
-    there = services.of(draft, command.service)
+    there = services.service_row(draft, command.service)
     if not there.reservations:
         raise NothingToMove(f"service {command.service} has no reservation here")
     between_runs(draft, command.service)
     if max(there.reservations, there.groups) > MOST_PIECES:
         raise too_many(command.service)
-    named = services.names(draft, command.service, "reservations")
+    named = services.record_names(draft, command.service, "reservations")
     for name in named:
         if holder := draft.get("reservations", name).move:
             raise MoveOpen(f"reservation {name} is held by move {holder}")
     rows = draft.part("groups")
     groups = tuple(
         Moved(name, rows[name].nodes, rows[name].quorum)
-        for name in services.names(draft, command.service, "groups")
+        for name in services.record_names(draft, command.service, "groups")
     )
     if sum(len(group.nodes) for group in groups) > MOST_PIECES:
         raise too_many(command.service)
@@ -222,8 +222,8 @@
 
 
 def between_runs(draft, service):
-    if services.of(draft, service).gangs:
-        first = services.names(draft, service, "gangs")[0]
+    if services.service_row(draft, service).gangs:
+        first = services.record_names(draft, service, "gangs")[0]
         raise GangRuns(f"gang {first} of service {service} runs")
 
 
@@ -363,7 +363,7 @@
     here = draft.get("groups", before.group) or Group((), 0)
     rest = leave_one(draft, here.nodes)
     left = Group(rest, 0)
-    if capacity.caught_up(draft, left) + command.serving < before.quorum:
+    if capacity.count_caught_up(draft, left) + command.serving < before.quorum:
         raise NotAwaited(f"group {before.group} would fall below its quorum of {before.quorum}")
     regroup(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
     put(draft, name, move, groups=tuple(groups))
@@ -378,7 +378,7 @@
 
 
 def regroup(draft, name, nodes, quorum):
-    capacity.room(draft, "groups", name)
+    capacity.check_part_size(draft, "groups", name)
     capacity.put_group(draft, name, Group(nodes, min(quorum, len(nodes))))
 
 
@@ -407,7 +407,7 @@
     """The destination keeps it for good: free here."""
     for one in move.reservations:
         if (held := draft.get("reservations", one)) is not None:
-            capacity.release(draft, one, held)
+            capacity.remove_reservation(draft, one, held)
     for group in move.groups:
         ungroup(draft, group.group)
     services.unmark(draft, move.service, name)
@@ -418,7 +418,7 @@
     """No gateway sends there any more (its leader saw to that), and each group has its quorum here."""
     for group in move.groups:
         here = draft.get("groups", group.group)
-        if group.over and here is not None and capacity.caught_up(draft, here) < here.quorum:
+        if group.over and here is not None and capacity.count_caught_up(draft, here) < here.quorum:
             raise NotAwaited(f"group {group.group} has not its quorum here")
     mark(draft, move.reservations, "")
     services.unmark(draft, move.service, name)
@@ -576,9 +576,9 @@
     for piece in sorted(command.pieces, key=lambda piece: (not piece.nodes, -piece.units, piece.reservation)):
         if draft.get("reservations", piece.reservation) is not None:
             raise NoRoomThere(f"reservation {piece.reservation} stands there already", "free it there")
-        capacity.room(draft, "reservations", piece.reservation)
+        capacity.check_part_size(draft, "reservations", piece.reservation)
         held = place(draft, command, piece)
-        capacity.keep(draft, piece.reservation, held)
+        capacity.add_reservation(draft, piece.reservation, held)
     groups = tuple(place_group(draft, piece) for piece in command.groups)
     hold = Hold(command.source, command.move, command.epoch, command.service, HELD, names, groups)
     draft.put("holds", command.key, replace(hold, at=draft.index))
@@ -609,7 +609,7 @@
         raise NoRoomThere(f"{piece.reservation}: {error.says}") from None
     for one in free:
         load = draft.get("loads", one)
-        capacity.pin(draft, one, 0, reservations=(load.reservations if load else 0) + 1)
+        capacity.change_load(draft, one, 0, reservations=(load.reservations if load else 0) + 1)
     return Reservation(command.service, piece.units, free, "", command.key)
 
 
@@ -691,7 +691,7 @@
         groups = tuple(over if group is placed else group for group in hold.groups)
         draft.put("holds", command.key, replace(hold, groups=groups, at=draft.index))
     here = draft.get("groups", command.group)
-    return {"state": hold.state, "serving": capacity.caught_up(draft, here) if here else 0}
+    return {"state": hold.state, "serving": capacity.count_caught_up(draft, here) if here else 0}
 
 
 def keep(draft, command):
@@ -732,7 +732,7 @@
     for name in hold.reservations:
         reservation = draft.get("reservations", name)
         if reservation is not None and reservation.move == key:
-            capacity.release(draft, name, reservation)
+            capacity.remove_reservation(draft, name, reservation)
     for group in hold.groups:
         if group.over:
             ungroup(draft, group.group)
--- a/lemonlead/planning/sizing.py
+++ b/lemonlead/planning/sizing.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from ..ledger.dispatcher import MOST_BEHIND
+from ..ledger.dispatcher import MAX_SNAPSHOT_INTERVAL
 from .targets import S
 
 CALM, RACK, ZONE, RESTART, CUT, CHANGE = CONDITIONS = ("calm", "rack", "zone", "restart", "cut", "change")
@@ -316,9 +316,9 @@
 
 
 def follower(targets):
-    """A snapshot comes after MOST_BEHIND entries, where there are as many records."""
+    """A snapshot comes after MAX_SNAPSHOT_INTERVAL entries, where there are as many records."""
     changes = joined(*happens(targets))
-    snapshots = times(changes, 1 / min(MOST_BEHIND, targets.records))
+    snapshots = times(changes, 1 / min(MAX_SNAPSHOT_INTERVAL, targets.records))
     yield Row("follower", "records: instances, routes, tenants", MEMORY, "member memory", targets.records)
     yield Row("follower", "commands", CPU, "member commands", each=True, times=changes, guessed=True)
     what = "entries, in, a message each at most; acknowledgements, out"
--- a/lemonlead/planning/wanted.py
+++ b/lemonlead/planning/wanted.py
@@ -4,8 +4,8 @@
 *Met* needs a run at full size; *not met* a figure, measured or worked out, that breaks what is wanted; all
 else is not known."""
 
-from ..ledger.capacity import MOST
-from ..ledger.followers import MOST_FOLLOWERS
+from ..ledger.capacity import MAX_RECORDS_PER_PART
+from ..ledger.followers import MAX_FOLLOWERS
 from . import sizing
 from .sizing import BYTES, CALM, CPU, MEMORY, RESTART, SECONDS, whose
 from .targets import S
@@ -124,13 +124,13 @@
     it.row(
         "gateways",
         f"{t.gateways:,}",
-        f"{MOST_FOLLOWERS:,} follow a ledger at most (a bound of its state); the leader spends "
-        f"{it.cost('leader told over HTTP', MOST_FOLLOWERS)} on a change told to as many",
+        f"{MAX_FOLLOWERS:,} follow a ledger at most (a bound of its state); the leader spends "
+        f"{it.cost('leader told over HTTP', MAX_FOLLOWERS)} on a change told to as many",
         f"{number(t.subscribers)} at each of {t.machines_left} machines: "
         f"{it.cost('relay subscribers memory', t.subscribers)} there",
         "relay subscribers memory",
         "relays between members and gateways",
-        otherwise=NOT_TODAY if t.gateways > MOST_FOLLOWERS else NOT_KNOWN,
+        otherwise=NOT_TODAY if t.gateways > MAX_FOLLOWERS else NOT_KNOWN,
     )
     few = t.instances * t.share
     it.row(
@@ -191,12 +191,12 @@
         f"{t.tenants:,}",
         f"a gateway that heard of all: {it.cost('tenants memory', t.tenants)}, and each look at a request of "
         f"one that alone waits {it.cost('tenants waiting request', t.tenants)} of a core; a part of the "
-        f"ledger holds {MOST:,}",
+        f"ledger holds {MAX_RECORDS_PER_PART:,}",
         f"{number(few)} of its services: {it.cost('tenants memory', few)}, "
         f"{it.cost('tenants waiting request', few)}",
         "tenants memory, waiting request",
         "scoped state; a part of the ledger that holds more",
-        otherwise=NOT_TODAY if t.tenants > MOST else NOT_KNOWN,
+        otherwise=NOT_TODAY if t.tenants > MAX_RECORDS_PER_PART else NOT_KNOWN,
     )
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -118,7 +118,7 @@
 
 
 def test_a_call_for_parts_after_what_is_kept_no_more_gets_the_whole_at_once(monkeypatch):
-    monkeypatch.setattr(polls, "MOST_EVENTS", 1)
+    monkeypatch.setattr(polls, "MAX_EVENTS", 1)
     world = World()
     at = world.dispatcher.state.index
     for name in ("a", "b", "c"):
@@ -128,7 +128,7 @@
 
 
 def test_a_poll_past_the_bound_is_answered_at_once(monkeypatch):
-    monkeypatch.setattr("lemonlead.ledger.dispatcher.MOST_POLLS", 2)
+    monkeypatch.setattr("lemonlead.ledger.dispatcher.MAX_POLLS", 2)
     world = World()
     at = world.dispatcher.state.index
     assert [world.poll(ticket, at) for ticket in "ab"] == [None, None]
@@ -150,7 +150,7 @@
     assert 2 <= sum(what == "snapshot" for what, _ in world.door.asked) <= 5
 
 
-@pytest.mark.parametrize("bound, value", [("MOST_BEHIND", 8), ("MOST_LOG", 900)])
+@pytest.mark.parametrize("bound, value", [("MAX_SNAPSHOT_INTERVAL", 8), ("MAX_LOG_BYTES", 900)])
 def test_the_log_stays_short_however_large_the_state(monkeypatch, bound, value):
     monkeypatch.setattr(f"lemonlead.ledger.dispatcher.{bound}", value)
     world, longest, since = World(snapshot_every=5), 0, 0
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -679,7 +679,7 @@
     elif broken == "gang":
         monkeypatch.setattr(ground, "gang_objections", lambda *some: ())
     elif broken == "cold":
-        monkeypatch.setattr(ground, "bears", lambda node, moment, terms: node.units)
+        monkeypatch.setattr(ground, "usable_units", lambda node, moment, terms: node.units)
     elif broken == "recalled":
         monkeypatch.setattr(rules, "take_back", lambda draft, name, held: rules.go(draft, name))
     made = world(8, pace=(300, 400))
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -102,8 +102,8 @@
     now = having(*FLEET, report("a", "failed"), report("a", "serving"))
     row = now.part("nodes")["a"]
     assert row.warm == now.moment + now.settings.cold
-    assert capacity.bears(row, now.moment, now.settings) == 5
-    assert capacity.bears(row, row.warm, now.settings) == 10
+    assert capacity.usable_units(row, now.moment, now.settings) == 5
+    assert capacity.usable_units(row, row.warm, now.settings) == 10
 
 
 @pytest.mark.parametrize("out, later, free", [("", 0, 20), ("d", 0, 5), ("d", 6_250_000_000, 10)])
@@ -242,7 +242,7 @@
         draft = state.Transaction(now, entry(now, b""))
         for site in now.part("sites"):
             rows = [row for row in now.part("nodes").values() if row.site == site and capacity.up(row)]
-            cold = sum(row.units - capacity.bears(row, now.moment, now.settings) for row in rows)
+            cold = sum(row.units - capacity.usable_units(row, now.moment, now.settings) for row in rows)
             assert capacity.not_borne(draft, site) >= cold
         if command["kind"] == "report":
             short = bool(promises.over(parts))
@@ -369,7 +369,7 @@
     (put({}, scope="two words"), "scope"), (put({}, key="two words"), "key"), (put({}, key=""), "key"),
     (put({}, scope="s" * 101), "scope"), (put([]), "value"), (put("text"), "value"), (put(7), "value"),
     ({"kind": "entry", "scope": "s", "key": "k"}, "value"),
-    (put({"a": "x" * entries.LONGEST_VALUE}), f"{entries.LONGEST_VALUE} are the most"),
+    (put({"a": "x" * entries.MAX_VALUE_BYTES}), f"{entries.MAX_VALUE_BYTES} are the most"),
     (put({"a": [[]] * 3, "b": {}}, more=1), "more"),
 ])  # fmt: skip
 def test_an_entry_that_makes_no_sense_changes_nothing(command, says):
@@ -394,7 +394,7 @@
 
 
 def test_no_more_entries_than_the_most_are_taken_and_one_that_is_there_may_change(monkeypatch):
-    monkeypatch.setattr(entries, "MOST", 2)
+    monkeypatch.setattr(entries, "MAX_ENTRIES", 2)
     full = having(put({}), put({}, key="i1"))
     after, applied = told(full, **put({}, scope=""))
     assert applied.code == 409 and "entries holds 2" in str(applied.body) and after.parts == full.parts
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -528,7 +528,7 @@
 
 def takes_too_much(draft, command):
     for piece in command.pieces:
-        capacity.keep(
+        capacity.add_reservation(
             draft,
             piece.reservation,
             capacity.Reservation(command.service, piece.units, (), "ebene", command.key),
@@ -572,7 +572,7 @@
     rules.forward(draft, command)
     if move.step == "shifting" and move.share == 1000:
         for one in move.reservations:
-            capacity.release(draft, one, draft.get("reservations", one))
+            capacity.remove_reservation(draft, one, draft.get("reservations", one))
 
 
 def hands_over_unasked(draft, command):
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -26,7 +26,7 @@
 
 from lemonlead.ledger import records as r
 from lemonlead.ledger.leader import one_apart
-from lemonlead.ledger.log import MOST_WRITES, Log
+from lemonlead.ledger.log import MAX_WRITES_IN_FLIGHT, Log
 from lemonlead.ledger.replica import Replica
 
 LONG = int(os.environ.get("LEMONLEAD_LONG", "1"))  # times as many examples and schedules, by chance
@@ -337,11 +337,15 @@
 def test_what_is_committed_is_not_applied_before_the_disk_was_given_it():
     """Else a snapshot of that state would get to the disk before the entries that it stands for."""
     replica, host = made(), Host()
-    for index in range(1, MOST_WRITES + 1):
+    for index in range(1, MAX_WRITES_IN_FLIGHT + 1):
         heard(replica, append((index, 1), terms=[1]), host=host, sync=False)
-    last = MOST_WRITES + 2
+    last = MAX_WRITES_IN_FLIGHT + 2
     heard(replica, append((last - 1, 1), terms=[1], committed=last), host=host, sync=False)
-    assert (len(host.writes), replica.committed, host.applied[-1].index) == (MOST_WRITES, last, last - 1)
+    assert (len(host.writes), replica.committed, host.applied[-1].index) == (
+        MAX_WRITES_IN_FLIGHT,
+        last,
+        last - 1,
+    )
     replica.written(NOW, 1)
     host.pull(replica, NOW, sync=False)
     assert host.writes[-1].entries[-1].index == host.applied[-1].index == last
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -248,7 +248,7 @@
 
 def test_entries_applied_before_the_disk_was_given_them_are_caught(monkeypatch):
     """One Write out at a time, so that entries often wait for the one before."""
-    monkeypatch.setattr(log, "MOST_WRITES", 1)
+    monkeypatch.setattr(log, "MAX_WRITES_IN_FLIGHT", 1)
     assert play(draw(4)).broken is None
     rightly = Replica.commit
 
