--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -23,7 +23,9 @@
         self.list_requested = threading.Event()
         self.version = -1
         # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(config.start.max_list_call_gap / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS)
+        crowded = min(
+            config.start.max_list_call_gap / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS
+        )
         self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, crowded)
         # Set once a list has come, or a watch has ended for another reason than too many callers.
         self.first_result = threading.Event()
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -218,7 +218,9 @@
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
                 # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.sent_at]
+                ended += [
+                    (old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.sent_at
+                ]
                 pool.unused = [old for old in pool.unused if old.used >= in_flight.attempt.sent_at]
             in_flight.attempt.connection_free_at = 0 if pool is None else pool.connection_free_at()
         for connection, reason in ended:
