--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -9,7 +9,7 @@
 
 from ..gateway import http
 from ..gateway.config import address, now
-from ..gateway.upkeep import CONNECTS, REASONS, read_until
+from ..gateway.managed_connection import CONNECT_TIMEOUT_SECONDS, END_REASONS, read_until
 from .faults import Unusable
 from .instance_records import InstanceRecords
 from .records import ALL_GATEWAYS, describe_value
@@ -105,7 +105,7 @@
         except TimeoutError:
             return "silent"
         except OSError as error:
-            return REASONS.get(type(error), "unreachable")
+            return END_REASONS.get(type(error), "unreachable")
         except Exception as error:  # the next stream depends on the thread
             self.counters.add("relay faults")
             return f"fault {type(error).__name__}: {error}"
@@ -114,7 +114,7 @@
         """Runs one stream to its end and returns why it ended."""
         self.stream_socket = connect(address(request.address))
         post(self.stream_socket, request, "/v1/subscribe")
-        answer, heard = http.Answer(), time.monotonic()
+        answer, heard = http.Response(), time.monotonic()
         while not self.stopping:
             if (line := answer.next()) is http.MORE:
                 if answer.status not in (0, 200):
@@ -196,7 +196,7 @@
     def post_acknowledgement(self, request):
         """Sends an acknowledgement on the open connection and reads the response."""
         post(self.ack_socket, request, "/v1/acknowledge")
-        answer, until = http.Answer(), time.monotonic() + ANSWER_SECONDS
+        answer, until = http.Response(), time.monotonic() + ANSWER_SECONDS
         while (line := answer.next()) is not http.END:
             if line is http.MORE:
                 read_until(self.ack_socket, until)
@@ -257,7 +257,7 @@
     """Returns a socket connected to this address."""
     sock = socket.socket()
     try:
-        sock.settimeout(CONNECTS)
+        sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         sock.connect(where)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
--- a/lemonlead/distribution/instance_records.py
+++ b/lemonlead/distribution/instance_records.py
@@ -5,7 +5,7 @@
 
 from ..following.merge import Merge
 from ..following.responses import LedgerUpdate
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 
 INSTANCE = "instance/"  # prefix of a record's key; the instance's id follows
 STATES = {"up": {}, "draining": {"out": "relay"}, "removed": {"state": "drained"}}
@@ -24,7 +24,7 @@
         raise ValueError(f"{key}.state: {state!r}; expected one of {', '.join(STATES)}"[:200])
     if type(started) is not int or started < 0:
         raise ValueError(f"{key}.started_ms: {started!r}; expected milliseconds, a whole number"[:200])
-    return {**STATES[state], "warm": in_ns(started) + cold if started else 0}
+    return {**STATES[state], "warm": ms_to_ns(started) + cold if started else 0}
 
 
 class InstanceRecords:
@@ -63,7 +63,7 @@
             changed_nodes.append(("nodes", id, node))
         if changed_nodes:
             before = self.update_count
-            self.dispatcher.tell(self.apply, changed_nodes)
+            self.dispatcher.handle(self.apply, changed_nodes)
             if self.update_count == before:
                 raise RuntimeError("the balancer could not be told")
         return refused
@@ -73,5 +73,5 @@
         because `subscriber.py` drops them, so each change counts as the newest."""
         lines, addresses = self.merge.apply_update(now, LedgerUpdate(0, changed_nodes, ledger_time=now))
         if lines:
-            self.discovery.put(now, lines, addresses, False, False)
+            self.discovery.publish(now, lines, addresses, False, False)
         self.update_count += 1
--- a/lemonlead/distribution/member_polling.py
+++ b/lemonlead/distribution/member_polling.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..ledger.waits import Waits
+from ..ledger.backoff import Backoff
 
 MS = 1_000_000
 # Waits after failures: a random time between half of the current bound and the whole of it.
@@ -38,7 +38,7 @@
         random waits."""
         self.members, self.order = dict(members), sorted(members)
         random.Random(seed).shuffle(self.order)
-        self.backoff = Waits(seed, MIN_BACKOFF_NS, MAX_BACKOFF_NS)
+        self.backoff = Backoff(seed, MIN_BACKOFF_NS, MAX_BACKOFF_NS)
         self.member_turn = 0  # counts through `order`
         self.not_before = now
         self.applied_index = 0  # the store has everything up to this index
--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from .. import settings
-from ..ledger.seating import MOST_SEATED
+from ..ledger.membership import MAX_MEMBERS
 from ..member.told import ALLOWED, address_fault, inside
 from .faults import Unfit
 
@@ -73,6 +73,6 @@
         elif path != "listen" and not address_fault(own_address) and inside(address) != inside(own_address):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
-    if not 0 < len(fields["members"]) <= MOST_SEATED:
-        fault("members", f"{len(fields['members'])} members", f"1 to {MOST_SEATED}")
+    if not 0 < len(fields["members"]) <= MAX_MEMBERS:
+        fault("members", f"{len(fields['members'])} members", f"1 to {MAX_MEMBERS}")
     return found
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -9,7 +9,7 @@
 from .merge import Merge
 from .move_routing import MoveRouting
 
-WORDS = {at.ON: "on", at.BACK: "back"}  # the ledger knows no vote to hold
+WORDS = {at.VERDICT_PROMOTE: "on", at.VERDICT_ROLL_BACK: "back"}  # the ledger knows no vote to hold
 
 
 def checked(told, config):
@@ -72,7 +72,7 @@
     def shown(self, now, whole=False, again=False):
         """What of the list the balancer is to be told; of builds it is told here."""
         if (stage := self.routing.stage(now, again)) is not None:
-            self.dispatcher.balancer.stage_told(now, *stage)
+            self.dispatcher.balancer.stage_reported(now, *stage)
         self.say()
         if self.routing.far_lost_at is not None:
             self.tell_ledger((*self.routing.far_lost_at, "back"), False)
@@ -87,7 +87,7 @@
         more |= {"share": routing.share(), "waits": routing.waits()}
         if more != self.logged:
             self.logged = more
-            self.dispatcher.chores.append((self.tell, more))
+            self.dispatcher.deferred_actions.append((self.tell, more))
 
     def tell(self, more):
         self.log.info("shift", **more)
@@ -97,13 +97,13 @@
 
     # ---- the platform's side
 
-    def stage_told(self, now, *news):
+    def stage_reported(self, now, *news):
         self.routing.platform_told(now, *news)
         self.put(now, self.shown(now, again=True))
 
     def put(self, now, told):
         if told[0]:
-            self.dispatcher.discovery.put(now, *told, False, False)
+            self.dispatcher.discovery.publish(now, *told, False, False)
 
     def ended(self, now, attempt, end):
         self.counters.add(
@@ -121,11 +121,11 @@
         cast = self.routing.vote(build, stage)
         if cast is None:
             return self.dispatcher.releases.vote(build, stage, verdict)
-        held = verdict not in WORDS or verdict == at.ON and self.routing.doubtful()
+        held = verdict not in WORDS or verdict == at.VERDICT_PROMOTE and self.routing.doubtful()
         outcome = at.COUNTED if held else self.tell_ledger((*cast, WORDS[verdict]), True)
         if outcome is not None:
-            self.dispatcher.chores.append(
-                (self.dispatcher.tell, self.dispatcher.balancer.vote_answered, outcome)
+            self.dispatcher.deferred_actions.append(
+                (self.dispatcher.handle, self.dispatcher.balancer.vote_answered, outcome)
             )
 
     def tell_ledger(self, vote, asked):
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -9,11 +9,11 @@
 
 from msgspec import Meta, Struct
 
-from .capacity import MOST, Name, room
+from .capacity import MAX_RECORDS_PER_PART, Name, check_part_size
 from .faults import Refused
 from .state import Command
 
-MOST_FOLLOWERS = 1000
+MAX_FOLLOWERS = 1000
 MOST_SERVICES = 16  # of one gateway
 LOOK = 200_000_000  # between two looks at whose lease ran out
 NEVER = 1 << 62
@@ -47,9 +47,9 @@
 
 def follow(draft, command):
     if draft.get("followers", command.gateway) is None:
-        if len(draft.part("followers")) >= MOST_FOLLOWERS:
-            raise Refused(f"{MOST_FOLLOWERS} gateways follow already", "end some that are no longer needed")
-        room(draft, "followers", command.gateway)
+        if len(draft.part("followers")) >= MAX_FOLLOWERS:
+            raise Refused(f"{MAX_FOLLOWERS} gateways follow already", "end some that are no longer needed")
+        check_part_size(draft, "followers", command.gateway)
     draft.put("followers", command.gateway, Follower(draft.index, command.services))
 
 
@@ -76,7 +76,7 @@
         # name: (moment last heard, index that it has obeyed up to, `since` of the stay that it is true of)
         self.heard = {}
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.heard = {}
 
     def polled(self, now, name, after, since=None):
@@ -100,14 +100,14 @@
     def waited_for(self, now, state, index):
         """The followers that could still act on the state before this entry: sorted names. One counts
         until it has obeyed the entry, or its lease and grace have run out since it was last heard."""
-        patience = state.terms.lease + state.terms.grace
+        patience = state.settings.lease + state.settings.grace
         self.look(now, state.part("followers"))
         heard = sorted(self.heard.items())
         return [name for name, (moment, after, _) in heard if after < index and now - moment < patience]
 
     def next(self, now, state):
         """The command that drops one whose lease and grace ran out, or None."""
-        patience = state.terms.lease + state.terms.grace
+        patience = state.settings.lease + state.settings.grace
         self.look(now, state.part("followers"))
         for name, (moment, _, since) in sorted(self.heard.items()):
             if now - moment >= patience:
@@ -121,7 +121,7 @@
     def __init__(self, dispatcher):
         self.dispatcher, self.again = dispatcher, 0
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.again = 0
 
     def next(self, now, wall_ms, state, followers):
@@ -139,4 +139,4 @@
         return self.again if self.dispatcher.state.part("followers") else NEVER
 
 
-__all__ = ["INNER", "KINDS", "MOST", "RULES", "Followers"]
+__all__ = ["INNER", "KINDS", "MAX_RECORDS_PER_PART", "RULES", "Followers"]
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -1,14 +1,14 @@
 """The ledger as this program has it: the rules, records and duties of each package that takes part."""
 
 from ..drains import rules as drains
-from ..drains.duty import Drains
-from ..ledger import capacity, entries, followers, seating
+from ..drains.leader_task import DrainTask
+from ..ledger import capacity, entries, followers, membership
 from ..ledger.state import Ledger
 from ..moves import rules as moves
-from ..moves.steps import Moving
+from ..moves.steps import MoveTask
 
-MODULES = (capacity, entries, followers, seating, drains, moves)  # RULES, KINDS; some INNER
-SHOWN = {"drains": drains.shown}  # parts that are asked for in another form than they are kept in
+MODULES = (capacity, entries, followers, membership, drains, moves)  # RULES, KINDS; some INNER
+SHOWN = {"drains": drains.describe_drains}  # parts that are asked for in another form than they are kept in
 
 
 def ledger():
@@ -23,10 +23,10 @@
 def duties(dispatcher, cluster, clusters, seed):
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
     return [
-        seating.Seating(dispatcher),
+        membership.Membership(dispatcher),
         followers.Forgetting(dispatcher),
-        Drains(),
-        Moving(cluster, clusters, seed),
+        DrainTask(),
+        MoveTask(cluster, clusters, seed),
     ]
 
 
