--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -7,7 +7,7 @@
 from lemonlead.balance import Balancer
 from lemonlead.following import responses
 from lemonlead.following.ledger_polling import EVENTS
-from lemonlead.following.driver import SILENCE, Follower
+from lemonlead.following.driver import READ_TIMEOUT_SECONDS, Follower
 from lemonlead.gateway import http
 from lemonlead.gateway.config import EPOCH
 from lemonlead.standins.fleet import SETTINGS
@@ -75,7 +75,7 @@
             self.hang_up()
             self.stream = self.process.wire(self, "call", ask.address)
         self.stream.ask(ask.method, ask.path, ask.body)
-        self.process.later(now() + int(SILENCE * S), self, "silent", self.calls)
+        self.process.later(now() + int(READ_TIMEOUT_SECONDS * S), self, "silent", self.calls)
 
     def ended(self, reason, call=0):
         """A call, or its connection, came to nothing. `call`: which one; 0: whichever is under way."""
--- a/lemonlead/distribution/instance_records.py
+++ b/lemonlead/distribution/instance_records.py
@@ -65,7 +65,7 @@
             before = self.update_count
             self.dispatcher.handle(self.apply, changed_nodes)
             if self.update_count == before:
-                raise RuntimeError("the balancer could not be told")
+                raise RuntimeError("the balancer could not be updated")
         return refused
 
     def apply(self, now, changed_nodes):
--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -56,7 +56,7 @@
     """Returns a member's response, checked. Raises Unreadable when it isn't one. `check` is the CRC-32 of the
     body in hexadecimal, if the member sent one; `after` is the index after which changes were requested."""
     if check is not None and check != f"{zlib.crc32(body):08x}":
-        raise Unreadable("the answer is not what its check says")
+        raise Unreadable("the response doesn't match its checksum")
     try:
         with uncollected():
             response = EVENTS_DECODER.decode(body)
--- a/lemonlead/distribution/records.py
+++ b/lemonlead/distribution/records.py
@@ -106,7 +106,7 @@
         tail = CHECK_TAIL.search(data)
         start = data.rfind(b',"check":')
         if tail is None or int(tail[1], 16) != zlib.crc32(data[:start]):
-            raise Unreadable("a line that is not what its check says")
+            raise Unreadable("a line that doesn't match its checksum")
     return line
 
 
@@ -158,15 +158,15 @@
     """Returns the body of a call as a Subscription or an Acknowledgement. Raises Senseless when it is
     invalid."""
     try:
-        told = msgspec.json.decode(body, type=kind)
+        message = msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
         raise Senseless(f"body: {str(error)[:200]}") from None
-    check_gateway_name(told.gateway, "gateway")
+    check_gateway_name(message.gateway, "gateway")
     if kind is Subscription:
-        check_gateway_name(told.region, "region")
-        check_scope_indexes(told.scopes)
+        check_gateway_name(message.region, "region")
+        check_scope_indexes(message.scopes)
     else:
-        check_scope_indexes(told.complete, "complete")
-    if len(told.cluster) > 100 or len(told.stay) > 100:
+        check_scope_indexes(message.complete, "complete")
+    if len(message.cluster) > 100 or len(message.stay) > 100:
         raise Senseless("cluster, stay: expected at most 100 characters each")
-    return told
+    return message
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -217,9 +217,9 @@
         """Raises NotNow when no stream can begin now. A gateway that already has a stream may always replace
         it."""
         if not self.store.index:
-            raise NoState("this relay has heard nothing of the ledger yet")
+            raise NoState("this relay has no state of the ledger yet")
         if self.was_cut_off:
-            raise NoState("this relay hears the ledger no more")
+            raise NoState("this relay is cut off from the ledger")
         if len(self.streams) >= self.settings.bounds.subscribers and gateway not in self.streams:
             raise TooMany(f"{self.settings.bounds.subscribers} gateways are subscribed")
 
@@ -246,7 +246,7 @@
     def open_stream(self, subscription, transport):
         """Registers a stream and ends an earlier one of the same gateway."""
         if transport is None:
-            raise NotNow(f"{subscription.gateway} has gone")
+            raise NotNow(f"{subscription.gateway} closed its connection")
         now, store = self.clock(), self.store
         scopes = (
             subscription.scopes
@@ -316,7 +316,7 @@
             now, acknowledgement.gateway, complete, refuses, acknowledgement.stay
         ):
             raise NotSubscribed(
-                f"{acknowledgement.gateway} has another stay here, or was silent for too long"
+                f"{acknowledgement.gateway} has another subscription here, or was silent for too long"
             )
         self.counts["acknowledged"] += 1
         return json_response(200, {})
--- a/lemonlead/distribution/subscriber.py
+++ b/lemonlead/distribution/subscriber.py
@@ -131,7 +131,7 @@
         None)]; the caller puts it in force before it calls `next`. Raises Unreadable, and then nothing was
         changed."""
         if self.relay is None:
-            raise Unreadable("a line, and no stream stands")
+            raise Unreadable("a line, but there is no stream")
         if not data.strip():
             self.line_received(now)
             return []
@@ -330,7 +330,7 @@
         kinds = (line.cluster is not None, line.snapshot is not None)
         tells = line.changes is not None or line.complete is not None
         if sum(kinds) + tells != 1 or (line.at is None) == kinds[0]:
-            raise Unreadable("a line of no kind, or of several")
+            raise Unreadable("a line that is of no kind, or of several")
         if line.n is not None and line.n != self.line_count + 1:
             raise Unreadable(f"line {line.n}; expected {self.line_count + 1}")
         if kinds[0]:
@@ -349,11 +349,11 @@
         once = set()
         for scope, key, _, _ in line.changes or ():
             if not KEY.fullmatch(key) or (scope, key) in once:
-                raise Unreadable(f"scope {scope!r}: key {describe_value(key)} is none, or told twice")
+                raise Unreadable(f"scope {scope!r}: key {describe_value(key)} is invalid, or sent twice")
             once.add((scope, key))
         for scope in line.complete or ():
             if scope not in self.snapshots and self.is_from_other_cluster(scope):
-                raise Unreadable(f"scope {scope!r} of another cluster is complete, and was not told")
+                raise Unreadable(f"scope {scope!r} of another cluster is complete, but was not sent")
         return line
 
     def set_stream_cluster(self, cluster):
@@ -368,7 +368,10 @@
         """Returns whether the gateway may leave its own cluster for this one, which the current relay
         names."""
         self.other_clusters[self.relay] = cluster
-        relays, telling = set(self.relays), [told for told in self.other_clusters.values() if told == cluster]
+        relays, telling = (
+            set(self.relays),
+            [other for other in self.other_clusters.values() if other == cluster],
+        )
         return len(self.tried_relays) == len(relays) and 2 * len(telling) >= len(relays)
 
     def is_from_other_cluster(self, scope):
@@ -431,11 +434,11 @@
                     del self.refused[scope, key]
         held = self.records[scope]
         early, self.ahead[scope] = self.ahead[scope], {}
-        for key, told_by in early.items():
+        for key, sent_by in early.items():
             if key in held and held[key][0] > index:
-                self.ahead[scope][key] = told_by
+                self.ahead[scope][key] = sent_by
             elif (
-                key in held and told_by != self.subscription_count
+                key in held and sent_by != self.subscription_count
             ):  # removed since: otherwise this stream would have sent it
                 self.put_in_force(changes, scope, key, index, None)
         if self.complete[scope] < index:
--- a/lemonlead/following/faults.py
+++ b/lemonlead/following/faults.py
@@ -4,11 +4,11 @@
 
 
 class Unusable(faults.Unusable):
-    """The settings name a gateway or a member that cannot be (exit 2)."""
+    """The settings name a gateway or a member that can't exist (exit code 2)."""
 
     do = "correct `follow` in the file that LEMONLEAD_SETTINGS names"
 
 
 class Unreadable(ValueError):
-    """What a member answered breaks its protocol, or is past a limit. Ends the call; another member is
-    asked."""
+    """A member's response breaks the protocol or exceeds a limit. The call ends and another member is
+    called."""
--- a/lemonlead/following/move_routing.py
+++ b/lemonlead/following/move_routing.py
@@ -1,9 +1,9 @@
-"""Which side of a move takes a service's requests, and how the one balancer is shown it. Decisions alone: no
-I/O, no clock; inputs only update what is known.
+"""Decides which side of a move gets a service's requests, and how this is shown to the balancer. Decisions
+only: no I/O, no clock; inputs only update the state.
 
-The far side's instances are listed as a build on trial, of a made-up number above all real ones, and the
-stage's share is told as its cap: the cap, the pairs and the votes that builds have are then the move's too.
-While a real build is on trial the move waits: the far side gets nothing until that trial is over."""
+The far side's instances are shown as a build on trial, with a made-up number above all real ones, and the
+stage's share as its cap. So the balancer's caps, pairs and votes for builds apply to the move too. While a
+real build is on trial the move waits: the far side gets no requests until that trial has ended."""
 
 from collections import deque
 from dataclasses import replace
@@ -23,35 +23,41 @@
     UNCONNECTED,
 )
 
-SHIFTING, ALL = "shifting", 1000  # a record's step; thousandths
-FIRST_FAR_BUILD = 1 << 40  # a far side's build is this plus the move's epoch
-ENDS_IN_VIEW = 8  # last ends in view of each side
-LOST_ENDS = (UNCONNECTED, RESET, TIMED_OUT, UNREADABLE, CANCELLED)  # ends that pairs of builds may not count
+SHIFTING = "shifting"  # a move's step
+ALL_THOUSANDTHS = 1000  # the share that sends all requests to the far side
+FIRST_FAR_BUILD = 1 << 40  # the far side is shown as a build of this number plus the move's epoch
+ENDS_IN_VIEW = 8  # last attempts of each side that are considered
+# Ends of attempts that a comparison of builds doesn't count.
+LOST_ENDS = (UNCONNECTED, RESET, TIMED_OUT, UNREADABLE, CANCELLED)
 
 
 class MoveRouting:
-    """`service`: whose requests they are; `far`: other clusters' names to the zones of their instances."""
+    """`service` is the service whose requests are routed; `far` maps the names of other clusters to the zones
+    of their instances."""
 
     def __init__(self, service, far):
         self.service, self.far = service, {name: frozenset(zones) for name, zones in far.items()}
-        self.abroad = frozenset().union(*self.far.values())
-        self.lines, self.addresses = {}, {}  # by id, as discovery and the ledger's word on nodes have them
-        self.shown = {}  # by id: (line, address) as the balancer was last told
-        self.name, self.move = "", None  # the newest record of the service
-        self.first = FIRST_FAR_BUILD  # lowest number of a far side's build, for the cluster that is followed
-        self.past = False  # whether `move` comes from a cluster that was followed before
-        self.news, self.began = None, 0  # the platform's, but for its age; when its stage began
-        self.told = None  # what the balancer was last told, likewise
+        self.far_zones = frozenset().union(*self.far.values())
+        self.lines, self.addresses = {}, {}  # by id, as merged from discovery and the ledger
+        self.shown_list = {}  # by id: the (line, address) that the balancer has
+        self.move_name = ""
+        self.move = None  # the newest record of the service's moves
+        self.first_far_build = FIRST_FAR_BUILD  # lowest far build number for the followed cluster
+        self.is_past_move = False  # whether `move` comes from a cluster that was followed before
+        self.platform_state = None  # (build, stage, phase, cap) as the platform reported it
+        self.stage_began = 0  # when that stage began
+        self.shown_stage = None  # (build, stage, phase, cap) that the balancer has
         # Whether each of the last attempts was lost, by whether it went to the far side.
-        self.ends = {False: deque(maxlen=ENDS_IN_VIEW), True: deque(maxlen=ENDS_IN_VIEW)}
-        self.far_lost_at = None  # the epoch and stage at which the far side lost most of what it was sent
-        self.known = None  # the last vote that the ledger took: (epoch, stage, verdict)
-        self.trial = None  # whether a real build is on trial, None until it is looked at again
+        self.recent_ends = {False: deque(maxlen=ENDS_IN_VIEW), True: deque(maxlen=ENDS_IN_VIEW)}
+        self.far_lost_at = None  # (epoch, stage) at which the far side lost most attempts
+        self.counted_vote = None  # the last vote that the ledger counted: (epoch, stage, verdict)
+        self.build_on_trial = None  # whether a real build is on trial; None: not evaluated
 
     # ---- inputs
 
     def listed(self, lines, addresses, whole):
-        self.trial = None
+        """Takes merged lines and addresses: all of them (`whole`), or changes."""
+        self.build_on_trial = None
         if whole:
             self.lines, self.addresses = {}, {}
         for line in lines:
@@ -62,121 +68,142 @@
                 self.lines[line.id], self.addresses[line.id] = line, addresses[line.id]
 
     def apply_changes(self, changes):
-        """(part, key, record) of the ledger. The newest move of the service counts, and of its record the
-        newest word; one that is gone changes nothing."""
+        """Takes changes of the ledger, (part, key, record). Of the service's moves the newest counts, and of
+        a move its newest record; the removal of a record changes nothing."""
         for part, key, move in changes:
             if part != "moves" or move is None or move["service"] != self.service:
                 continue
             newer = self.move is None or (move["epoch"], move["at"]) >= (self.move["epoch"], self.move["at"])
-            if newer or self.past:
-                before, self.trial = self.told_of(), None
-                self.name, self.move, self.past = key, move, False
-                if self.told_of() != before:
+            if newer or self.is_past_move:
+                before, self.build_on_trial = self.current_stage(), None
+                self.move_name, self.move, self.is_past_move = key, move, False
+                if self.current_stage() != before:
                     self.far_lost_at = None
-                    self.ends[True].clear()
-
-    def anew(self):
-        """Another cluster is followed from now on, whose entries count from 1 again. Requests go on as they
-        did until it has a move of the service."""
-        self.past, self.known, self.first = True, None, self.first + FIRST_FAR_BUILD
+                    self.recent_ends[True].clear()
+
+    def cluster_changed(self):
+        """Records that another cluster is followed, whose entries count from 1 again. Requests are routed as
+        before until that cluster has a move of the service."""
+        self.is_past_move, self.counted_vote, self.first_far_build = (
+            True,
+            None,
+            self.first_far_build + FIRST_FAR_BUILD,
+        )
 
-    def platform_told(self, now, number, stage, phase, cap, age):
-        if self.news is None or (stage, phase, number) != (self.news[1], self.news[2], self.news[0]):
-            self.began = now - age
-        self.news, self.trial = (number, stage, phase, cap), None
+    def platform_changed(self, now, number, stage, phase, cap, age):
+        """Takes the state of the newest build as the platform reports it. `age` is how long ago its stage
+        began, in nanoseconds."""
+        if self.platform_state is None or (stage, phase, number) != (
+            self.platform_state[1],
+            self.platform_state[2],
+            self.platform_state[0],
+        ):
+            self.stage_began = now - age
+        self.platform_state, self.build_on_trial = (number, stage, phase, cap), None
 
     def attempt_ended(self, zone, end):
-        """An attempt to an instance of this zone has ended. Builds are not judged by what the path loses; but
-        a far side that can't be reached would hold the move, and what is sent there, for ever."""
-        far = zone in self.abroad
-        self.ends[far].append(end in LOST_ENDS)
-        near, ours = self.ends[False], self.ends[True]
-        most = len(ours) == ENDS_IN_VIEW and 2 * sum(ours) > ENDS_IN_VIEW and 0 < self.share() < ALL
+        """Takes the end of an attempt in this zone. Losses on the path aren't counted when builds are judged,
+        but a far side that can't be reached would hold up the move, and what is sent there, forever."""
+        far = zone in self.far_zones
+        self.recent_ends[far].append(end in LOST_ENDS)
+        near, ours = self.recent_ends[False], self.recent_ends[True]
+        most = (
+            len(ours) == ENDS_IN_VIEW and 2 * sum(ours) > ENDS_IN_VIEW and 0 < self.share() < ALL_THOUSANDTHS
+        )
         if far and most and 2 * sum(near) * ENDS_IN_VIEW <= sum(ours) * len(near):
-            self.far_lost_at = self.told_of()
+            self.far_lost_at = self.current_stage()
 
-    def doubtful(self):
-        """Whether most of what was sent there was lost: a stage on which nothing was heard is not passed."""
-        return 2 * sum(self.ends[True]) > len(self.ends[True])
+    def mostly_lost(self):
+        """Returns whether most attempts on the far side were lost. Such a stage must not be passed, because
+        too little is known of it."""
+        return 2 * sum(self.recent_ends[True]) > len(self.recent_ends[True])
 
-    def voted(self, vote):
-        """The ledger has it."""
-        self.known = vote
+    def vote_counted(self, vote):
+        """Records that the ledger counted this vote."""
+        self.counted_vote = vote
 
-    # ---- what follows from it
+    # ---- decisions
 
-    def told_of(self):
+    def current_stage(self):
+        """Returns the epoch and stage of the current move, None if there is none."""
         return (self.move["epoch"], self.move["stage"]) if self.move else None
 
     def share(self):
-        """Thousandths of the requests that go to the far side: of the record, or none while that waits."""
-        return self.move["share"] if self.move is not None and not self.waits() else 0
+        """Returns the thousandths of the requests that go to the far side: those of the move's record, or 0
+        while it waits."""
+        return self.move["share"] if self.move is not None and not self.wait_reason() else 0
 
-    def waits(self):
-        """Why nothing goes there although the record has it so; an empty text where it does."""
+    def wait_reason(self):
+        """Returns why the far side gets no requests although the move's record gives it a share; an empty
+        text if it gets them."""
         move = self.move
         if move is None or not move["share"]:
             return ""
         if move["to"] not in self.far:
             return "no zone is told"
-        if move["share"] == ALL:
+        if move["share"] == ALL_THOUSANDTHS:
             return ""
         if self.far_lost_at is not None:
             return "lost there"
-        if self.trial is None:
-            self.trial = self.on_trial()
-        return "a build is on trial" if self.trial else ""
+        if self.build_on_trial is None:
+            self.build_on_trial = self.any_build_on_trial()
+        return "a build is on trial" if self.build_on_trial else ""
 
-    def shifts(self):
-        """Whether the balancer judges a far side now."""
-        return self.told is not None and self.told[0] >= FIRST_FAR_BUILD
+    def is_shifting(self):
+        """Returns whether the balancer now judges a far side."""
+        return self.shown_stage is not None and self.shown_stage[0] >= FIRST_FAR_BUILD
 
-    def on_trial(self):
-        """Whether a real build is, here or there."""
+    def any_build_on_trial(self):
+        """Returns whether a real build is on trial on either side."""
         zones = self.far[self.move["to"]]
         ready = {
             line.build for line in self.lines.values()
-            if line.state == READY and (line.zone in zones or line.zone not in self.abroad)
+            if line.state == READY and (line.zone in zones or line.zone not in self.far_zones)
         }  # fmt: skip
-        if self.news is None:
+        if self.platform_state is None:
             return len(ready) > 1
-        number, _, phase, _ = self.news
+        number, _, phase, _ = self.platform_state
         return phase in (ON_TRIAL, ROLLING_BACK) or any(
             build > number or build == number and phase != RELEASED for build in ready
         )
 
-    def in_use(self, share):
-        """Ids of those that may take requests, and of these the far ones. Only as many of each side as its
-        share is due, so that one in use is as busy there as here; but no near one busier than without the
-        move. The same at every gateway."""
+    def instances_in_use(self, share):
+        """Returns the ids of the near and of the far instances that may take requests. Each side uses only as
+        many as its share requires, so that an instance in use is as busy on either side, but no near instance
+        gets busier than without the move. All gateways choose the same instances."""
         if not share:
-            near = (line.id for line in self.lines.values() if line.zone not in self.abroad)
+            near = (line.id for line in self.lines.values() if line.zone not in self.far_zones)
             return frozenset(near), frozenset()
         zones = self.far[self.move["to"]]
         ready = sorted(
             (line for line in self.lines.values() if line.state == READY),
             key=lambda line: crc32(repr(line.id).encode()),
         )
-        near = [line.id for line in ready if line.zone not in self.abroad]
+        near = [line.id for line in ready if line.zone not in self.far_zones]
         far = [line.id for line in ready if line.zone in zones]
         there = far[: instances_for_share(len(far), share)]
-        here = max(instances_for_share(len(near), ALL - share), len(near) - len(there)) if share < ALL else 0
+        here = (
+            max(instances_for_share(len(near), ALL_THOUSANDTHS - share), len(near) - len(there))
+            if share < ALL_THOUSANDTHS
+            else 0
+        )
         return frozenset(near[:here]), frozenset(there)
 
-    def changes(self, whole):
-        """Lines and addresses as the balancer is to be told them: all, or what differs from before."""
+    def list_changes(self, whole):
+        """Returns the lines and addresses for the balancer: all of them (`whole`), or those that differ from
+        what it has."""
         share = self.share()
-        here, there = self.in_use(share)
+        here, there = self.instances_in_use(share)
         shown = {}
         for id, line in self.lines.items():
             address = self.addresses[id]
             if line.state == READY and id not in here and id not in there:
                 line, address = replace(line, state=DRAINING), (None, line.started)
-            elif id in there and share < ALL:
-                line = replace(line, build=self.first + self.move["epoch"])
+            elif id in there and share < ALL_THOUSANDTHS:
+                line = replace(line, build=self.first_far_build + self.move["epoch"])
             shown[id] = line, address
-        old, self.shown = self.shown, shown
-        new = {id: told for id, told in shown.items() if whole or told != old.get(id)}
+        old, self.shown_list = self.shown_list, shown
+        new = {id: entry for id, entry in shown.items() if whole or entry != old.get(id)}
         lines = [line for line, _ in new.values()]
         addresses = {id: address for id, (_, address) in new.items()}
         for id in [id for id in old if id not in shown and not whole]:
@@ -184,34 +211,40 @@
             addresses[id] = None, old[id][0].started
         return lines, addresses
 
-    def stage(self, now, again=False):
-        """What the balancer is to be told of builds, as the platform would, or None. `again`: though it was
-        told the same before."""
+    def stage_to_show(self, now, again=False):
+        """Returns what the balancer is to receive about builds, in the form of the platform's reports, or
+        None if it has that already. With `again` a repeated report of the platform is passed on too."""
         share, age = self.share(), 0
-        if 0 < share < ALL:
-            told = self.first + self.move["epoch"], self.move["stage"], ON_TRIAL, share / ALL
-        elif self.news is not None:
-            told, age = self.news, now - self.began
-        elif self.told is not None:  # the platform tells nothing: what is listed is the released build
+        if 0 < share < ALL_THOUSANDTHS:
+            stage = (
+                self.first_far_build + self.move["epoch"],
+                self.move["stage"],
+                ON_TRIAL,
+                share / ALL_THOUSANDTHS,
+            )
+        elif self.platform_state is not None:
+            stage, age = self.platform_state, now - self.stage_began
+        elif self.shown_stage is not None:  # no platform: the listed build is the released one
             builds = {line.build for line in self.lines.values()}
-            told = max(builds, default=0), 0, RELEASED, 1.0
+            stage = max(builds, default=0), 0, RELEASED, 1.0
         else:
             return None
-        if told == self.told and not (again and told == self.news):
+        if stage == self.shown_stage and not (again and stage == self.platform_state):
             return None
-        self.told = told
-        return *told, max(age, 0)
+        self.shown_stage = stage
+        return *stage, max(age, 0)
 
-    def vote(self, build, stage):
-        """The epoch and stage that a vote on this build is of, or None where it is on a real one."""
-        return (build - self.first, stage) if build >= FIRST_FAR_BUILD else None
+    def vote_target(self, build, stage):
+        """Returns the epoch and stage that a vote on this build is about, or None if it is about a real
+        build."""
+        return (build - self.first_far_build, stage) if build >= FIRST_FAR_BUILD else None
 
-    def stands(self, epoch, stage):
-        """Whether a vote on this still counts."""
-        shifting = self.move is not None and self.move["step"] == SHIFTING and not self.past
-        return shifting and self.told_of() == (epoch, stage)
+    def is_current_stage(self, epoch, stage):
+        """Returns whether a vote on this epoch and stage still counts."""
+        shifting = self.move is not None and self.move["step"] == SHIFTING and not self.is_past_move
+        return shifting and self.current_stage() == (epoch, stage)
 
 
 def instances_for_share(count, share):
-    """Of so many instances, how many take requests at this share: at least one."""
-    return max(-(-count * share // ALL), 1) if count and share else 0
+    """Returns how many of `count` instances take requests at this share: at least one."""
+    return max(-(-count * share // ALL_THOUSANDTHS), 1) if count and share else 0
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1019,7 +1019,7 @@
     with pytest.raises(Unreadable, match="cluster c was left for d"):
         follows(one, now)
     follows(one, now, "d", 4)
-    with pytest.raises(Unreadable, match="was not told"):
+    with pytest.raises(Unreadable, match="was not sent"):
         one.receive_line(now, line(complete={"b": 4}))
     assert one.receive_line(now, line(changes=[["b", "x", 4, OUT]])) == []
     one.receive_line(now, line(snapshot="b"))
@@ -1159,7 +1159,7 @@
         with pytest.raises(Unreadable, match="before the one that names"):
             one.receive_line(now, data)
     one.stream_ended(now, "unreadable")
-    with pytest.raises(Unreadable, match="no stream stands"):
+    with pytest.raises(Unreadable, match="there is no stream"):
         follows(one, now)
 
 
--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -200,7 +200,7 @@
     made.put([("other", "instance/i1", {"state": "up"})])
     refused = made.put([("s", key, record), ("s", "instance/i2", {"state": "draining"})])
     assert [row[:2] for row in refused] == [("s", key)] and says in refused[0][2]
-    assert made.merge.words["i2"].out and made.merge.merged_line("i0").state == at.READY
+    assert made.merge.nodes["i2"].out and made.merge.merged_line("i0").state == at.READY
 
 
 def test_a_balancer_that_cannot_be_told_is_an_error_and_no_record_in_force():
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -302,8 +302,8 @@
         waits.append(made.not_before - moment)
         moment = made.not_before
     assert set(tried[:3]) == {"m1", "m2", "m3"} and tried[:3] == tried[3:6]
-    assert all(polling.LONGEST / 2 <= wait <= polling.LONGEST for wait in waits[7:])
-    assert all(wait <= polling.SHORTEST << n for n, wait in enumerate(waits))
+    assert all(polling.MAX_BACKOFF_NS / 2 <= wait <= polling.MAX_BACKOFF_NS for wait in waits[7:])
+    assert all(wait <= polling.MIN_BACKOFF_NS << n for n, wait in enumerate(waits))
     assert len(set(waits)) == len(waits)
 
 
@@ -313,7 +313,7 @@
     while made.next(NOW) is not None:
         made.failed(NOW, "m1" if made.member != "m1" else "m2")
         at_once += 1
-    assert at_once == polling.PASSES + 1 and made.counts["passes"] == polling.PASSES
+    assert at_once == polling.MAX_REDIRECTS + 1 and made.counts["passes"] == polling.MAX_REDIRECTS
 
 
 def test_a_leader_that_is_told_of_is_asked_itself_but_not_one_that_does_not_answer():
@@ -323,7 +323,7 @@
     assert made.member != first
     made.update_applied(NOW, 5, first)
     assert made.member != first
-    made.update_applied(NOW + polling.SHUNNED, 6, first)
+    made.update_applied(NOW + polling.UNRESPONSIVE_NS, 6, first)
     assert made.member == first
 
 
@@ -339,7 +339,7 @@
     made = new_polling()
     made.follow_refused(NOW)
     assert made.next(NOW).kind == STATE
-    assert made.next(NOW + polling.REFUSED).kind == FOLLOW
+    assert made.next(NOW + polling.FOLLOW_RETRY_NS).kind == FOLLOW
 
 
 def test_at_the_end_it_asks_not_to_be_waited_for_and_then_nothing_more():
@@ -370,7 +370,7 @@
     for number in range(100):
         made.member_changed(f"n{number}", f"h:{number}")
     made.member_changed("m1", None)
-    assert len(made.members) == polling.MOST_MEMBERS and made.members["m1"] == "h:1"
+    assert len(made.members) == polling.MAX_MEMBERS and made.members["m1"] == "h:1"
     made.failed(NOW)
     assert made.next(made.not_before).member == "n0"
 
@@ -605,7 +605,7 @@
 @pytest.mark.parametrize("told", [{}, {"m1": "localhost:1"}, {"m1": "127.0.0.1"}, {"m1": "127.0.0.1:0"}])
 def test_members_that_cannot_be_are_one_error(told):
     with pytest.raises(Unusable) as error:
-        driver.checked({"members": told}, "g0")
+        driver.check_settings({"members": told}, "g0")
     assert "follow" in error.value.do
 
 
@@ -636,7 +636,9 @@
     )
     said = merge.merged_line("i0")
     assert (said.state, said.started) == ((at.READY, NOW) if heeded else (at.DRAINING, 0))
-    assert (late is None, merge.cluster, merge.at) == ((True, "c2", 2) if heeded else (False, "c1", 10))
+    assert (late is None, merge.cluster, merge.applied_index) == (
+        (True, "c2", 2) if heeded else (False, "c1", 10)
+    )
 
 
 class Alone:
@@ -664,7 +666,7 @@
         self.moment = max(self.moment, polling.not_before)
         ask = polling.next(self.moment)
         if ask.kind == EVENTS:
-            assert (polling.cluster, polling.applied_index) == (merge.cluster, merge.at)
+            assert (polling.cluster, polling.applied_index) == (merge.cluster, merge.applied_index)
         some = [told for what, told in self.given if what == (ask.kind, ask.part)]
         some = [told for told in some if told[1]["cluster_id"] != polling.cluster]
         if late is not None and some:
@@ -673,15 +675,15 @@
             self.answer = json.loads(json.dumps(self.ledger.answer(ask.path, ask.body, wait=0)))
             self.given.append(((ask.kind, ask.part), self.answer))
             self.seen()
-        before = merge.cluster, merge.at
+        before = merge.cluster, merge.applied_index
         self.follower.make_call(ask)
-        assert (len(merge.cluster), merge.at) >= (len(before[0]), before[1])
-        assert merge.at < 0 or merge.permits == self.truth[merge.cluster, merge.at]
+        assert (len(merge.cluster), merge.applied_index) >= (len(before[0]), before[1])
+        assert merge.applied_index < 0 or merge.permits == self.truth[merge.cluster, merge.applied_index]
         assert not self.follower.counters.read().get("ledger faults")
 
     def settles(self):
         def settled():
-            known = self.follower.merge.cluster, self.follower.merge.at
+            known = self.follower.merge.cluster, self.follower.merge.applied_index
             return known == (self.ledger.id, self.ledger.at) == (self.follower.polling.cluster, self.polled())
 
         for _ in range(12):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -624,7 +624,7 @@
 def test_a_far_side_that_cannot_be_is_one_error(far, more):
     config = SimpleNamespace(zones=ZONES, start=SimpleNamespace(release=release(**more)))
     with pytest.raises(Unusable) as error:
-        services.checked({"service": "search", "far": far}, config)
+        services.check_settings({"service": "search", "far": far}, config)
     assert "follow" in error.value.do
 
 
