--- a/tests/test_distribution_drivers.py
+++ b/tests/test_distribution_drivers.py
@@ -1,4 +1,5 @@
-"""What the distribution's drivers lean on: whom a relay asks, what it reads, what a gateway can use."""
+"""The drivers of the distribution: which member a relay polls, what it parses, and which records and settings
+a gateway can use."""
 
 import json
 import subprocess
@@ -8,11 +9,10 @@
 import pytest
 from helpers import MS, NOW
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from lemonlead import interface as at
-from lemonlead.distribution import member_polling as polling
-from lemonlead.distribution import driver, instance_records, ledger_source
+from lemonlead.distribution import driver, instance_records, ledger_source, member_polling
 from lemonlead.distribution.member_polling import MemberPolling
 from lemonlead.distribution.faults import Unreadable, Unusable
 from lemonlead.ledger.entries import EntryRow
@@ -25,87 +25,89 @@
     return MemberPolling(NOW, MEMBERS, 7)
 
 
-# ---- whom a relay asks
+# ---- member polling
 
 
-def test_it_stays_with_a_member_that_answers_and_asks_for_what_comes_after_what_it_has():
-    made = new_polling()
-    first = made.next(NOW)
+def test_relay_stays_with_a_responding_member():
+    polling = new_polling()
+    first = polling.next(NOW)
     assert first.path == "/v1/events?after=0&parts=entries" and first.address == MEMBERS[first.member]
-    assert made.accept_response(NOW, "c1", 9, "m1")
-    made.state_applied(9)
-    again = made.next(NOW)
+    assert polling.accept_response(NOW, "c1", 9, "m1")
+    polling.state_applied(9)
+    again = polling.next(NOW)
     assert (again.member, again.path) == (first.member, "/v1/events?after=9&parts=entries")
 
 
-def test_after_failures_members_are_tried_in_turn_with_waits_that_grow_and_are_bounded():
-    made, now, asked, waits = new_polling(), NOW, [], []
+def test_failed_members_are_tried_in_turn_with_bounded_waits():
+    polling, now, members_called, waits = new_polling(), NOW, [], []
     for _ in range(12):
-        asked.append(made.next(now).member)
-        made.failed(now)
-        assert made.next(now) is None
-        waits.append(made.wake_at() - now)
-        now = made.wake_at()
-    assert asked[:3] * 4 == asked and set(asked) == set(MEMBERS)
+        members_called.append(polling.next(now).member)
+        polling.failed(now)
+        assert polling.next(now) is None
+        waits.append(polling.wake_at() - now)
+        now = polling.wake_at()
+    assert members_called[:3] * 4 == members_called and set(members_called) == set(MEMBERS)
     assert (
-        waits[0] <= polling.MIN_BACKOFF_NS
-        and polling.MAX_BACKOFF_NS // 2 <= waits[-1] <= polling.MAX_BACKOFF_NS
+        waits[0] <= member_polling.MIN_BACKOFF_NS
+        and member_polling.MAX_BACKOFF_NS // 2 <= waits[-1] <= member_polling.MAX_BACKOFF_NS
     )
-    assert made.accept_response(now, "c1", 9, "m1")
-    made.failed(now)
-    assert made.wake_at() - now <= polling.MIN_BACKOFF_NS
+    assert polling.accept_response(now, "c1", 9, "m1")
+    polling.failed(now)
+    assert polling.wake_at() - now <= member_polling.MIN_BACKOFF_NS
 
 
-def test_a_member_that_asks_for_a_pause_gets_one_of_bounded_length():
-    made = new_polling()
-    made.failed(NOW, 500 * MS)
-    first = made.wake_at()
-    made.failed(NOW, 100 * SECOND)
-    assert (first, made.wake_at()) == (NOW + 500 * MS, NOW + polling.MAX_BACKOFF_NS)
+def test_requested_pause_is_bounded():
+    polling = new_polling()
+    polling.failed(NOW, 500 * MS)
+    first = polling.wake_at()
+    polling.failed(NOW, 100 * SECOND)
+    assert (first, polling.wake_at()) == (NOW + 500 * MS, NOW + member_polling.MAX_BACKOFF_NS)
 
 
 @pytest.mark.parametrize("at, leader, taken", [(8, "m1", False), (9, "", True), (9, "m1", True)])
-def test_one_that_lags_or_knows_no_leader_is_left_and_what_it_tells_is_heeded_unless_old(at, leader, taken):
-    """Against a member that is cut off from the others: its word is true and stands still."""
-    made = new_polling()
-    assert made.accept_response(NOW, "c1", 9, "m1")
-    made.state_applied(9)
-    member = made.next(NOW).member
-    assert made.accept_response(NOW + MS, "c1", at, leader) == taken
-    left = made.wake_at() > NOW + MS
+def test_lagging_or_leaderless_member_is_left(at, leader, taken):
+    """A member that is cut off from the others returns true but old state."""
+    polling = new_polling()
+    assert polling.accept_response(NOW, "c1", 9, "m1")
+    polling.state_applied(9)
+    member = polling.next(NOW).member
+    assert polling.accept_response(NOW + MS, "c1", at, leader) == taken
+    left = polling.wake_at() > NOW + MS
     assert left == (not taken or not leader)
-    assert (made.next(max(made.wake_at(), NOW + MS)).member != member) == left
+    assert (polling.next(max(polling.wake_at(), NOW + MS)).member != member) == left
 
 
-def test_a_cluster_formed_anew_is_asked_for_all_and_the_one_before_counts_no_more():
-    made = new_polling()
-    assert made.accept_response(NOW, "c1", 9, "m1")
-    made.state_applied(9)
-    assert not made.accept_response(NOW, "c2", 3, "m1")
-    assert made.next(NOW).path == "/v1/events?after=0&parts=entries"
-    assert made.accept_response(NOW, "c2", 3, "m1") and not made.accept_response(NOW, "c1", 12, "m1")
-    assert made.counts["anew"] == 1 and made.counts["older"] == 1
+def test_new_cluster_is_requested_whole_and_the_old_one_ignored():
+    polling = new_polling()
+    assert polling.accept_response(NOW, "c1", 9, "m1")
+    polling.state_applied(9)
+    assert not polling.accept_response(NOW, "c2", 3, "m1")
+    assert polling.next(NOW).path == "/v1/events?after=0&parts=entries"
+    assert polling.accept_response(NOW, "c2", 3, "m1") and not polling.accept_response(NOW, "c1", 12, "m1")
+    assert polling.counts["anew"] == 1 and polling.counts["older"] == 1
 
 
-def test_a_relay_is_lost_once_no_member_that_knows_a_leader_was_heard_for_too_long():
-    made = new_polling()
-    assert not made.is_cut_off(NOW + polling.CUT_OFF_NS - 1) and made.is_cut_off(NOW + polling.CUT_OFF_NS)
-    assert made.accept_response(NOW + polling.CUT_OFF_NS, "c1", 9, "m1") and not made.is_cut_off(
-        NOW + polling.CUT_OFF_NS
+def test_relay_is_cut_off_without_a_member_that_knows_a_leader():
+    polling = new_polling()
+    assert not polling.is_cut_off(NOW + member_polling.CUT_OFF_NS - 1) and polling.is_cut_off(
+        NOW + member_polling.CUT_OFF_NS
     )
-    assert made.accept_response(NOW + 2 * polling.CUT_OFF_NS, "c1", 9, "") and made.is_cut_off(
-        NOW + 2 * polling.CUT_OFF_NS
+    assert polling.accept_response(NOW + member_polling.CUT_OFF_NS, "c1", 9, "m1") and not polling.is_cut_off(
+        NOW + member_polling.CUT_OFF_NS
+    )
+    assert polling.accept_response(NOW + 2 * member_polling.CUT_OFF_NS, "c1", 9, "") and polling.is_cut_off(
+        NOW + 2 * member_polling.CUT_OFF_NS
     )
 
 
-# ---- what a relay reads
+# ---- responses of members
 
 
 def body(**fields):
     return json.dumps({"cluster_id": "c1", "at": 9, "leader": "m1", **fields}).encode()
 
 
-def changed(index, *rows):
+def event_of(index, *rows):
     return {"index": index, "changes": [{"part": "entries", "key": key, "record": row} for key, row in rows]}
 
 
@@ -114,60 +116,65 @@
 
 @pytest.mark.parametrize("after, fields, state", [
     (0, {"whole": {"entries": {"s k": ROW}}}, {"s": {"k": (5, {"a": 1})}}), (4, {"whole": {}}, {}),
-    (0, {"events": [changed(5, ("s k", ROW))]}, {"s": {"k": (5, {"a": 1})}}), (0, {"events": []}, {}),
-    (4, {"events": [changed(5, ("s k", ROW))]}, None),
+    (0, {"events": [event_of(5, ("s k", ROW))]}, {"s": {"k": (5, {"a": 1})}}), (0, {"events": []}, {}),
+    (4, {"events": [event_of(5, ("s k", ROW))]}, None),
 ])  # fmt: skip
-def test_what_is_the_whole_state_is_known_as_such(after, fields, state):
+def test_whole_states_are_recognized(after, fields, state):
     assert ledger_source.parse_state(body(**fields), None, after)[1] == state
 
 
-def test_changes_and_whole_states_are_read_by_scope_and_key():
-    told = ledger_source.parse_response(body(events=[changed(5, ("s k", ROW), (" all", None))]), None, 4)
-    assert ledger_source.entry_changes(told.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
-    told = ledger_source.parse_response(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
-    assert ledger_source.group_by_scope(told.whole["entries"]) == {
+def test_changes_and_whole_states_are_grouped_by_scope_and_key():
+    response = ledger_source.parse_response(body(events=[event_of(5, ("s k", ROW), (" all", None))]), None, 4)
+    assert ledger_source.entry_changes(response.events[0]) == [("s", "k", {"a": 1}), ("", "all", None)]
+    response = ledger_source.parse_response(body(whole={"entries": {"s k": ROW, " all": ROW}}), None, 4)
+    assert ledger_source.group_by_scope(response.whole["entries"]) == {
         "s": {"k": (5, {"a": 1})},
         "": {"all": (5, {"a": 1})},
     }
 
 
-def test_all_changes_that_there_ever_were_make_the_whole_state():
-    events = [changed(3, ("s k", {**ROW, "since": 3})), changed(4, ("s j", ROW)), changed(5, ("s k", ROW))]
-    told = ledger_source.parse_response(body(events=[*events, changed(9, ("s j", None))]), None, 0)
-    assert ledger_source.fold_events(told.events) == {"s k": EntryRow({"a": 1}, 5)}
+def test_all_changes_since_the_first_make_the_whole_state():
+    events = [
+        event_of(3, ("s k", {**ROW, "since": 3})),
+        event_of(4, ("s j", ROW)),
+        event_of(5, ("s k", ROW)),
+    ]
+    response = ledger_source.parse_response(body(events=[*events, event_of(9, ("s j", None))]), None, 0)
+    assert ledger_source.fold_events(response.events) == {"s k": EntryRow({"a": 1}, 5)}
 
 
 @pytest.mark.parametrize("data, check", [
     (b"", None), (b"[]", None), (b"[" * 100_000, None), (body(), None), (body(events=[], whole={}), None),
     (body(events=[], cluster_id=""), None), (body(events=[], at=-1), None), (body(events=[]), "00000000"),
-    (body(events=[changed(4)]), None), (body(events=[changed(10)]), None), (body(events=[], at="9"), None),
-    (body(events=[changed(6), changed(6)]), None), (body(events=[changed(5, ("s k", {"value": 3}))]), None),
+    (body(events=[event_of(4)]), None), (body(events=[event_of(10)]), None), (body(events=[], at="9"), None),
+    (body(events=[event_of(6), event_of(6)]), None),
+    (body(events=[event_of(5, ("s k", {"value": 3}))]), None),
     (body(whole={"entries": {"s k": {"value": [], "since": 1}}}), None),
 ])  # fmt: skip
-def test_answers_that_cannot_be_read_are_one_error(data, check):
+def test_unreadable_responses_are_one_error(data, check):
     with pytest.raises(Unreadable):
         ledger_source.parse_response(data, check, 4)
 
 
 @settings(max_examples=200, deadline=None)
-@given(some.data())
-def test_no_answer_however_spoilt_raises_anything_else(data):
-    made = bytearray(body(events=[changed(5, ("s k", ROW))]))
-    for where in data.draw(some.lists(some.integers(0, len(made) - 1), max_size=4)):
-        made[where] = data.draw(some.integers(0, 255))
-    made = bytes(made[: data.draw(some.integers(0, len(made)))])
+@given(st.data())
+def test_garbled_response_raises_nothing_else(data):
+    garbled = bytearray(body(events=[event_of(5, ("s k", ROW))]))
+    for where in data.draw(st.lists(st.integers(0, len(garbled) - 1), max_size=4)):
+        garbled[where] = data.draw(st.integers(0, 255))
+    garbled = bytes(garbled[: data.draw(st.integers(0, len(garbled)))])
     try:
-        told = ledger_source.parse_response(
-            made, data.draw(some.sampled_from([None, f"{zlib.crc32(made):08x}"])), 4
+        response = ledger_source.parse_response(
+            garbled, data.draw(st.sampled_from([None, f"{zlib.crc32(garbled):08x}"])), 4
         )
-        for event in told.events or ():
+        for event in response.events or ():
             ledger_source.entry_changes(event)
     except Unreadable:
         return
-    assert told.at >= 0
+    assert response.at >= 0
 
 
-# ---- what a gateway can use
+# ---- instance records
 
 
 @pytest.mark.parametrize("record, state, started", [
@@ -176,15 +183,15 @@
     ({"state": "up", "started_ms": NOW // MS}, at.READY, NOW),
     ({"state": "up", "started_ms": 1}, at.READY, 0),
 ])  # fmt: skip
-def test_a_record_of_an_instance_is_heeded_beside_discoverys_line(record, state, started):
-    made, told = instance_records.InstanceRecords(Door(), 1000 * MS), []
-    made.begin(Discovery(told), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
-    assert made.put([("s", "instance/i1", {"state": "draining"}), ("s", "instance/i0", record)]) == []
-    found = {one.id: (one.state, one.started) for one in told}
+def test_instance_records_are_merged_with_discovery(record, state, started):
+    records, published = instance_records.InstanceRecords(DispatcherStub(), 1000 * MS), []
+    records.begin(DiscoveryStub(published), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
+    assert records.put([("s", "instance/i1", {"state": "draining"}), ("s", "instance/i0", record)]) == []
+    found = {one.id: (one.state, one.started) for one in published}
     assert found["i1"] == (at.DRAINING, 0)
     assert found.get("i0", (at.READY, 0)) == (state, started)
-    made.put([("s", "instance/i0", {"state": "up"})])
-    assert made.merge.merged_line("i0").state == at.READY
+    records.put([("s", "instance/i0", {"state": "up"})])
+    assert records.merge.merged_line("i0").state == at.READY
 
 
 @pytest.mark.parametrize("key, record, says", [
@@ -194,77 +201,82 @@
     ("instance/i0", {"state": "up", "started_ms": True}, "True"),
     ("instance/i1", {"state": "up"}, "scope 'other' has it"),
 ])  # fmt: skip
-def test_a_record_that_cannot_be_used_is_refused_and_the_others_of_its_line_are_not(key, record, says):
-    made, told = instance_records.InstanceRecords(Door(), 0), []
-    made.begin(Discovery(told), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
-    made.put([("other", "instance/i1", {"state": "up"})])
-    refused = made.put([("s", key, record), ("s", "instance/i2", {"state": "draining"})])
+def test_unusable_record_is_refused_alone(key, record, says):
+    records, published = instance_records.InstanceRecords(DispatcherStub(), 0), []
+    records.begin(DiscoveryStub(published), [line("i0"), line("i1")], {"i0": (1, 0), "i1": (1, 0)})
+    records.put([("other", "instance/i1", {"state": "up"})])
+    refused = records.put([("s", key, record), ("s", "instance/i2", {"state": "draining"})])
     assert [row[:2] for row in refused] == [("s", key)] and says in refused[0][2]
-    assert made.merge.nodes["i2"].out and made.merge.merged_line("i0").state == at.READY
+    assert records.merge.nodes["i2"].out and records.merge.merged_line("i0").state == at.READY
 
 
-def test_a_balancer_that_cannot_be_told_is_an_error_and_no_record_in_force():
-    made = instance_records.InstanceRecords(Door(deaf=True), 0)
+def test_failed_balancer_update_is_an_error():
+    records = instance_records.InstanceRecords(DispatcherStub(fails=True), 0)
     with pytest.raises(RuntimeError):
-        made.put([("s", "instance/i0", {"state": "draining"})])
+        records.put([("s", "instance/i0", {"state": "draining"})])
 
 
 def line(id):
     return at.Instance(id, 0, 0, 1, 0, at.READY, 1.0, 0)
 
 
-class Door:
-    """A dispatcher that has only `handle`."""
+class DispatcherStub:
+    """A dispatcher of which only `handle` is called."""
 
-    def __init__(self, deaf=False):
-        self.deaf = deaf
+    def __init__(self, fails=False):
+        self.fails = fails
 
     def handle(self, happened, *values):
-        if not self.deaf:
+        if not self.fails:
             happened(NOW, *values)
 
 
-class Discovery:
-    def __init__(self, told):
-        self.told, self.merge = told, None
+class DiscoveryStub:
+    def __init__(self, published):
+        self.published, self.merge = published, None
 
     def publish(self, now, lines, addresses, whole, fresh):
-        self.told += lines
+        self.published += lines
 
 
-# ---- a gateway's settings
+# ---- settings of a gateway
 
 RELAYS = {"r1": {"region": "north", "address": "127.0.0.1:7"}}
 GOOD = {"region": "north", "scopes": ["svc-1"], "relays": RELAYS}
 
 
-def test_a_gateway_has_the_scope_that_all_need_beside_its_own():
-    made = driver.subscriber_from_settings(GOOD, "g0")
-    assert list(made.complete) == ["", "svc-1"] and made.relays == [("r1", "north", "127.0.0.1:7")]
-    assert made.name == "g0" and driver.subscriber_from_settings({**GOOD, "name": "own"}, "g0").name == "own"
+def test_gateway_subscribes_to_the_common_scope():
+    subscriber = driver.subscriber_from_settings(GOOD, "g0")
+    assert list(subscriber.complete) == ["", "svc-1"] and subscriber.relays == [
+        ("r1", "north", "127.0.0.1:7")
+    ]
+    assert (
+        subscriber.name == "g0"
+        and driver.subscriber_from_settings({**GOOD, "name": "own"}, "g0").name == "own"
+    )
 
 
-@pytest.mark.parametrize("more, says", [
+@pytest.mark.parametrize("changed, says", [
     ({"scopes": ["a", "a"]}, "distribution.scopes"), ({"scopes": ["a b"]}, "a b"), ({"relays": {}}, "relays"),
     ({"scopes": [""]}, "distribution.scopes"), ({"name": "g 0"}, "g 0"),
     ({"relays": {"r1": {"region": "n", "address": "localhost:1"}}}, "distribution.relays.r1"),
     ({"relays": {"r1": {"region": "n", "address": "127.0.0.1:0"}}}, "distribution.relays.r1"),
 ])  # fmt: skip
-def test_settings_that_make_no_sense_are_one_error(more, says):
+def test_invalid_settings_are_one_error(changed, says):
     with pytest.raises(Unusable, match=says):
-        driver.subscriber_from_settings({**GOOD, **more}, "g0")
+        driver.subscriber_from_settings({**GOOD, **changed}, "g0")
 
 
-def test_one_that_follows_and_names_relays_is_told_to_choose():
+def test_follow_and_distribution_together_are_refused():
     with pytest.raises(Unusable, match="expected one of them"):
         driver.GatewayDriver(None, GOOD, {"members": {}}, None, None, None)
 
 
-def test_the_driver_imports_no_library_but_the_one_that_reads_lines():
+def test_driver_imports_only_msgspec():
     code = (
         "import sys, lemonlead.distribution.driver\n"
         "heavy = ('msgspec', 'aiohttp', 'immutables', 'sqlite3', 'lark', 'structlog')\n"
         "print([name for name in heavy if name in sys.modules])"
     )
-    ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert ran.stdout.strip() == "['msgspec']"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert process.stdout.strip() == "['msgspec']"
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -1,5 +1,5 @@
-"""Members, relays and subscribers as whole programs on loopback: what is committed reaches gateways, through
-what fails between them."""
+"""Members, relays and subscribers as programs on loopback: committed entries reach gateways in spite of
+failures between them."""
 
 import contextlib
 import json
@@ -11,14 +11,14 @@
 
 import pytest
 
-from lemonlead.distribution import relay as relays
+from lemonlead.distribution import relay as relay_program
 from lemonlead.standins.fleet import gateway
 from lemonlead.standins.instances import InstanceServer
 from lemonlead.standins.members import Cluster, until
 from lemonlead.standins.relays import LocalRelay, Relays, Subscribing
 from lemonlead.standins.wires import home, spare
 
-SIGN = b"\r\n1\r\n\n\r\n"  # an empty line, as a chunk after another
+SIGN_OF_LIFE = b"\r\n1\r\n\n\r\n"  # an empty line as a chunk of its own
 UP, DRAINING = {"state": "up"}, {"state": "draining"}
 
 
@@ -36,16 +36,18 @@
 
 
 def put(cluster, scope, key, value):
-    """The index at which it was committed."""
+    """Commits an entry and returns its index."""
     id = f"put/{next(cluster.numbers)}"
-    code, told = cluster.done(id=id, kind="entry", scope=scope, key=key, value=value)
-    assert code == 200, told
-    return told["at"]
+    code, answer = cluster.done(id=id, kind="entry", scope=scope, key=key, value=value)
+    assert code == 200, answer
+    return answer["at"]
 
 
-def forced(relays, name, scope, index):
-    """What the relay tells once it may tell it."""
-    return until(lambda: (told := relays.ask(name, "GET", force(scope, index)))[0] == 200 and told[1], "told")
+def in_force_report(relays, name, scope, index):
+    """Returns the relay's report on a scope, once it has one."""
+    return until(
+        lambda: (answer := relays.ask(name, "GET", force(scope, index)))[0] == 200 and answer[1], "told"
+    )
 
 
 def force(scope, index):
@@ -55,7 +57,7 @@
 # ---- programs
 
 
-def test_members_tell_entries_by_scope_and_key_with_the_index_that_made_them(cluster):
+def test_members_return_entries_with_their_index(cluster):
     index = put(cluster, "svc-0", "k", {"a": 1})
     put(cluster, "", "k", {"b": 2})
     put(cluster, "svc-0", "gone", {})
@@ -66,182 +68,185 @@
         assert "svc-0 gone" not in rows
         bad = cluster.command(name, id="bad", kind="entry", scope="s", key="k k", value={})
         assert bad[0] == 400 and bad[1]["error"]["type"] == "Senseless"
-    code, told = cluster.ask(cluster.wait_leader(), "GET", f"/v1/events?after={index - 1}&parts=entries")
-    changes = [(change["key"], change["record"]) for event in told["events"] for change in event["changes"]]
+    code, answer = cluster.ask(cluster.wait_leader(), "GET", f"/v1/events?after={index - 1}&parts=entries")
+    changes = [(change["key"], change["record"]) for event in answer["events"] for change in event["changes"]]
     assert code == 200 and changes[0] == ("svc-0 k", {"value": {"a": 1}, "since": index})
     assert changes[-1] == ("svc-0 gone", None)
 
 
-def test_what_is_committed_reaches_whoever_has_its_scope_and_is_known_to_be_in_force(cluster, tmp_path):
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-1"]) as one:
+def test_committed_entry_is_in_force_where_its_scope_is_subscribed(cluster, tmp_path):
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-1"]) as gateway:
         put(cluster, "svc-1", "i0", UP)
         put(cluster, "svc-2", "i0", UP)
-        one.has("svc-1", "i0", UP)
+        gateway.has("svc-1", "i0", UP)
         index = put(cluster, "svc-1", "i0", DRAINING)
         put(cluster, "", "rules", {"version": 3})
-        one.has("svc-1", "i0", DRAINING)
-        one.has("", "rules", {"version": 3})
+        gateway.has("svc-1", "i0", DRAINING)
+        gateway.has("", "rules", {"version": 3})
         wanted = {"everywhere": True, "behind": [], "refused": [], "counted": 1, "regions": {}}
-        until(lambda: forced(some, "r1", "svc-1", index) == wanted, "in force everywhere")
+        until(lambda: in_force_report(relays, "r1", "svc-1", index) == wanted, "in force everywhere")
         put(cluster, "svc-1", "i0", None)
-        one.has("svc-1", "i0", None)
-        assert {scope for scope, _, _ in one.changes} == {"", "svc-1"}
+        gateway.has("svc-1", "i0", None)
+        assert {scope for scope, _, _ in gateway.changes} == {"", "svc-1"}
 
 
-def test_a_record_that_a_gateway_cannot_use_is_told_by_name(cluster, tmp_path):
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-3"]) as one:
+def test_unusable_record_is_reported_by_name(cluster, tmp_path):
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-3"]) as gateway:
         put(cluster, "svc-3", "route", {"to": 1})
-        one.has("svc-3", "route", {"to": 1})
-        one.unfit.add("route")
+        gateway.has("svc-3", "route", {"to": 1})
+        gateway.unfit.add("route")
         index = put(cluster, "svc-3", "route", {"to": "nowhere"})
         refused = [["a", "route", "route: unfit"]]
         wanted = {"everywhere": False, "refused": refused, "counted": 1, "regions": {"north": 1}}
-        until(lambda: forced(some, "r1", "svc-3", index).items() >= wanted.items(), "told by name")
-        assert one.values["svc-3", "route"] == {"to": 1}
-        assert one.subscriber.records["svc-3"]["route"][1] == {"to": 1}
+        until(lambda: in_force_report(relays, "r1", "svc-3", index).items() >= wanted.items(), "told by name")
+        assert gateway.values["svc-3", "route"] == {"to": 1}
+        assert gateway.subscriber.records["svc-3"]["route"][1] == {"to": 1}
 
 
-def test_a_fault_while_a_line_is_put_in_force_is_a_refusal_and_the_next_line_counts(cluster, tmp_path):
-    """Also of a record that was to be dropped: it is still there."""
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-10"]) as one:
+def test_fault_while_applying_is_a_refusal_and_the_next_line_counts(cluster, tmp_path):
+    """The same holds for a removal: the record that was to be dropped is still there."""
+    with (
+        Relays(tmp_path, cluster, {"r1": "north"}) as relays,
+        subscribing(relays, "a", ["svc-10"]) as gateway,
+    ):
         put(cluster, "svc-10", "i0", UP)
-        one.has("svc-10", "i0", UP)
-        one.faulty = True
+        gateway.has("svc-10", "i0", UP)
+        gateway.faulty = True
         index = put(cluster, "svc-10", "i0", None)
         wanted = [["a", "i0", "fault ZeroDivisionError: division by zero"]]
-        until(lambda: forced(some, "r1", "svc-10", index)["refused"] == wanted, "told by name")
-        assert one.subscriber.records["svc-10"]["i0"][1] == UP
-        one.faulty = False
+        until(lambda: in_force_report(relays, "r1", "svc-10", index)["refused"] == wanted, "told by name")
+        assert gateway.subscriber.records["svc-10"]["i0"][1] == UP
+        gateway.faulty = False
         index = put(cluster, "svc-10", "i0", DRAINING)
-        one.has("svc-10", "i0", DRAINING)
+        gateway.has("svc-10", "i0", DRAINING)
         wanted = {"everywhere": True, "counted": 1}
-        until(lambda: forced(some, "r1", "svc-10", index).items() >= wanted.items(), "in force")
+        until(lambda: in_force_report(relays, "r1", "svc-10", index).items() >= wanted.items(), "in force")
 
 
-def test_a_drain_overtakes_what_waits_for_its_turn(cluster, tmp_path):
-    """The budget is spent by the first 10 KB; what is left of the snapshot would take minutes."""
+def test_drain_overtakes_a_waiting_snapshot(cluster, tmp_path):
+    """The first 10 KB spend the budget; the rest of the snapshot would take minutes."""
     for number in range(120):
         put(cluster, "bulk", f"k{number}", {"text": "x" * 150})
     put(cluster, "svc-4", "i0", UP)
     scopes = ["bulk", "svc-4"]
     slow = Relays(tmp_path, cluster, {"r1": "north"}, rate=100, burst=10_240, more="lease: 5m\n")
-    with slow as some, some_gateways(some, "a", scopes) as one:
-        until(lambda: any(scope == "bulk" for scope, _ in one.values), "the first of the snapshot")
+    with slow as relays, subscribing(relays, "a", scopes) as gateway:
+        until(lambda: any(scope == "bulk" for scope, _ in gateway.values), "the first of the snapshot")
         put(cluster, "svc-4", "i0", DRAINING)
-        one.has("svc-4", "i0", DRAINING)
-        assert one.subscriber.complete["bulk"] == 0
-        assert 0 < len([scope for scope, _ in one.values if scope == "bulk"]) < 120
+        gateway.has("svc-4", "i0", DRAINING)
+        assert gateway.subscriber.complete["bulk"] == 0
+        assert 0 < len([scope for scope, _ in gateway.values if scope == "bulk"]) < 120
 
 
-def test_a_gateway_whose_relay_is_killed_goes_to_another_and_misses_nothing(cluster, tmp_path):
-    with Relays(tmp_path, cluster, {"r1": "north", "r2": "south"}) as some:
+def test_gateway_of_a_killed_relay_continues_at_another(cluster, tmp_path):
+    with Relays(tmp_path, cluster, {"r1": "north", "r2": "south"}) as relays:
         put(cluster, "svc-5", "i0", UP)
         put(cluster, "svc-5", "i1", UP)
-        with some_gateways(some, "a", ["svc-5"]) as one:
-            one.has("svc-5", "i1", UP)
-            assert one.subscriber.relay[0] == "r1"
-            some.kill("r1")
+        with subscribing(relays, "a", ["svc-5"]) as gateway:
+            gateway.has("svc-5", "i1", UP)
+            assert gateway.subscriber.relay[0] == "r1"
+            relays.kill("r1")
             put(cluster, "svc-5", "i0", None)
             index = put(cluster, "svc-5", "i1", DRAINING)
-            one.has("svc-5", "i1", DRAINING)
-            one.has("svc-5", "i0", None)
-            assert one.subscriber.relay[0] == "r2"
+            gateway.has("svc-5", "i1", DRAINING)
+            gateway.has("svc-5", "i0", None)
+            assert gateway.subscriber.relay[0] == "r2"
             wanted = {"everywhere": True, "counted": 1}
-            until(lambda: forced(some, "r2", "svc-5", index).items() >= wanted.items(), "in force")
-        assert [record for _, key, record in one.changes if key == "i1"] == [UP, DRAINING]
+            until(lambda: in_force_report(relays, "r2", "svc-5", index).items() >= wanted.items(), "in force")
+        assert [record for _, key, record in gateway.changes if key == "i1"] == [UP, DRAINING]
 
 
-def test_a_relay_that_is_started_anew_tells_what_went_meanwhile(cluster, tmp_path):
+def test_restarted_relay_sends_what_was_removed_meanwhile(cluster, tmp_path):
     put(cluster, "svc-6", "i0", UP)
     put(cluster, "svc-6", "i1", UP)
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-6"]) as one:
-        one.has("svc-6", "i1", UP)
-        some.kill("r1")
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-6"]) as gateway:
+        gateway.has("svc-6", "i1", UP)
+        relays.kill("r1")
         put(cluster, "svc-6", "i0", None)
-        some.start("r1")
-        one.has("svc-6", "i0", None)
-        one.has("svc-6", "i1", UP)
-        assert ("svc-6", "i1", None) not in one.changes
+        relays.start("r1")
+        gateway.has("svc-6", "i0", None)
+        gateway.has("svc-6", "i1", UP)
+        assert ("svc-6", "i1", None) not in gateway.changes
 
 
-def test_a_relay_goes_to_another_member_where_the_one_it_asks_is_killed(cluster, tmp_path):
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-7"]) as one:
+def test_relay_of_a_killed_member_continues_at_another(cluster, tmp_path):
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-7"]) as gateway:
         put(cluster, "svc-7", "i0", UP)
-        one.has("svc-7", "i0", UP)
+        gateway.has("svc-7", "i0", UP)
         leader = cluster.wait_leader()
         cluster.kill(leader)
         put(cluster, "svc-7", "i0", DRAINING)
-        one.has("svc-7", "i0", DRAINING)
+        gateway.has("svc-7", "i0", DRAINING)
         cluster.start(leader)
         wanted = [UP, DRAINING]
-        for name in cluster.forming:  # whichever it asks now is among them
+        for name in cluster.forming:  # one of them is the member that the relay polls
             cluster.kill(name)
             wanted.append({"state": "up", "after": name})
             put(cluster, "svc-7", "i0", wanted[-1])
-            one.has("svc-7", "i0", wanted[-1])
+            gateway.has("svc-7", "i0", wanted[-1])
             cluster.start(name)
             cluster.healthy()
-        assert [record for _, key, record in one.changes if key == "i0"] == wanted
+        assert [record for _, key, record in gateway.changes if key == "i0"] == wanted
 
 
-def test_sigterm_ends_a_relay_with_0_and_its_gateways_hear_of_it(cluster, tmp_path):
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some, some_gateways(some, "a", ["svc-8"]) as one:
-        until(lambda: one.subscriber.counts["lines"] > 0, "a stream")
-        assert some.stop("r1") == 0
-        until(lambda: one.subscriber.counts["failures"] > 0, "the stream ended")
-        assert "event=stopped" in some.said("r1")
+def test_sigterm_stops_a_relay_with_0_and_ends_its_streams(cluster, tmp_path):
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-8"]) as gateway:
+        until(lambda: gateway.subscriber.counts["lines"] > 0, "a stream")
+        assert relays.stop("r1") == 0
+        until(lambda: gateway.subscriber.counts["failures"] > 0, "the stream ended")
+        assert "event=stopped" in relays.said("r1")
 
 
-def some_gateways(some, name, scopes):
-    return Subscribing(name, "north", ["", *scopes], some.named())
+def subscribing(relays, name, scopes):
+    return Subscribing(name, "north", ["", *scopes], relays.named())
 
 
-INSTANCES = """distribution: {{
+GATEWAY_SETTINGS = """distribution: {{
 \tname: "g0", region: "north", scopes: ["svc-9"], wait: 10s
 \trelays: r1: {{region: "north", address: "{}"}}
 }}
 """
 
 
-def test_a_gateway_sends_nothing_new_where_a_record_drains_also_after_it_was_killed(cluster, tmp_path):
-    """Killed and started under its name, it is another: it counts with what it then has in force."""
+def test_draining_instance_gets_no_requests_also_after_a_restart(cluster, tmp_path):
+    """A gateway that is killed and started again under its name counts with what it then has in force."""
     put(cluster, "svc-9", "instance/i0", UP)
     put(cluster, "svc-9", "instance/i1", UP)
     put(cluster, "svc-9", "other", {})
-    with Relays(tmp_path, cluster, {"r1": "north"}) as some:
-        settings = INSTANCES.format(some.addresses["r1"])
+    with Relays(tmp_path, cluster, {"r1": "north"}) as relays:
+        settings = GATEWAY_SETTINGS.format(relays.addresses["r1"])
         for boot in range(2):
             index = put(cluster, "svc-9", "instance/i1", {"state": "up", "boot": boot})
             servers = [InstanceServer().start() for _ in range(2)]
-            with gateway(tmp_path, *servers, follow=settings) as ran:
-                until(lambda at=index: in_force(some, "svc-9", at), "in force")
+            with gateway(tmp_path, *servers, follow=settings) as running:
+                until(lambda at=index: in_force(relays, "svc-9", at), "in force")
                 index = put(cluster, "svc-9", "instance/i0", {"state": "draining", "boot": boot})
-                until(lambda at=index: in_force(some, "svc-9", at), "in force")
-                before, client = asked(servers[0]), ran.client()
+                until(lambda at=index: in_force(relays, "svc-9", at), "in force")
+                before, client = requests_received(servers[0]), running.client()
                 for _ in range(20):
                     assert client.ask().read() is not None
-                assert asked(servers[0]) == before and asked(servers[1]) >= 20
-                until(lambda at=index: refuses(some, at) == [["g0", "other"]], "told by name")
+                assert requests_received(servers[0]) == before and requests_received(servers[1]) >= 20
+                until(lambda at=index: refused_records(relays, at) == [["g0", "other"]], "told by name")
 
 
-def refuses(some, index):
-    return [row[:2] for row in forced(some, "r1", "svc-9", index)["refused"]]
+def refused_records(relays, index):
+    return [row[:2] for row in in_force_report(relays, "r1", "svc-9", index)["refused"]]
 
 
-def asked(server):
+def requests_received(server):
     return sum(words[0] == b"Q.ASK" for words in server.got)
 
 
-def in_force(some, scope, index):
-    """Whether one is counted and nobody is behind."""
-    told = forced(some, "r1", scope, index)
-    return told["counted"] and not told["behind"]
+def in_force(relays, scope, index):
+    """Returns whether a gateway is counted and none is behind."""
+    answer = in_force_report(relays, "r1", scope, index)
+    return answer["counted"] and not answer["behind"]
 
 
 # ---- settings
 
 
-SETTINGS = """relay: "r1"
+RELAY_SETTINGS = """relay: "r1"
 region: "north"
 listen: "{}"
 members: {{g1: "127.0.0.1:7101"}}
@@ -256,45 +261,46 @@
     ({"127.0.0.1:7101": "10.0.0.1:7101"}, "loopback"), ({"relay:": "relais:"}, "relais"),
     ({"budget": "bounds: subscribers: 0\nbudget"}, "bounds.subscribers"),
 ])  # fmt: skip
-def test_settings_that_cannot_be_used_end_a_relay_with_2_and_one_line(tmp_path, capsys, text, says):
-    settings = SETTINGS.format(spare(home()))
+def test_invalid_relay_settings_end_with_2_and_one_line(tmp_path, capsys, text, says):
+    settings = RELAY_SETTINGS.format(spare(home()))
     for old, new in text.items():
         assert old in settings
         settings = settings.replace(old, new)
     (tmp_path / "r.cue").write_text(settings)
-    code = relays.main(str(tmp_path / "r.cue"))
+    code = relay_program.main(str(tmp_path / "r.cue"))
     said = capsys.readouterr()
     assert code == 2 and said.out == "" and len(said.err.strip().splitlines()) == 1 and says in said.err
 
 
-def test_an_address_that_is_taken_ends_a_relay_with_2(tmp_path, capsys):
+def test_address_in_use_ends_with_2(tmp_path, capsys):
     with socket.create_server((home(), 0)) as taken:
-        (tmp_path / "r.cue").write_text(SETTINGS.format("{}:{}".format(*taken.getsockname())))
-        assert relays.main(str(tmp_path / "r.cue")) == 2
+        (tmp_path / "r.cue").write_text(RELAY_SETTINGS.format("{}:{}".format(*taken.getsockname())))
+        assert relay_program.main(str(tmp_path / "r.cue")) == 2
     assert "free" in capsys.readouterr().err
 
 
-def test_the_example_can_be_used():
+def test_example_settings_are_valid():
     from lemonlead.distribution import relay_settings
 
     found = relay_settings.read("deploy/cluster/r1.cue")
     assert found.relay == "r1" and len(found.members) == 3
 
 
-# ---- a relay in this process: orders that programs would not meet each time
+# ---- a relay in this process, for orders of events that programs rarely produce
 
 
 def snapshot(count, size=100, scope="svc-1"):
     return {scope: {f"k{n}": (n + 1, {"text": "x" * size, "n": n}) for n in range(count)}}
 
 
-def test_a_gateway_started_anew_in_the_middle_of_a_snapshot_counts_with_what_it_says_itself():
-    """The process before it is held while it puts the first line of the snapshot in force, and its last word,
-    that all is, comes after another has subscribed under its name: it is turned away, as not the other's. Its
-    word is sent by the test: its driver finds its stream ended first, or not, by chance."""
+def test_restarted_gateway_counts_with_its_own_acknowledgements():
+    """The first process is held while it puts the first line of the snapshot in force. Its acknowledgement
+    that everything is in force comes after another process has subscribed under its name, and has to be
+    refused. The test sends that acknowledgement itself, because the driver may or may not notice first that
+    its stream has ended."""
     with LocalRelay() as relay:
         relay.replace("c1", 500, snapshot(500))
-        relay.later(60 * 10**9)  # it knows its gateways for long enough
+        relay.later(60 * 10**9)  # it has run longer than lease and grace
         relays = [("r1", "north", relay.address)]
         with Subscribing("g0", "north", ["svc-1"], relays, 1, False) as old:
             old.held.clear()
@@ -305,36 +311,37 @@
                 new.driver.start()
                 until(new.entered.is_set, "the other's first line")
                 late = {"gateway": "g0", "cluster": "c1", "complete": {"svc-1": 500}}
-                code, told = relay.ask(
+                code, answer = relay.ask(
                     "POST", "/v1/acknowledge", {**late, "stay": old.subscriber.subscription_id()}
                 )
-                assert (code, told["error"]["type"]) == (404, "NotSubscribed")
+                assert (code, answer["error"]["type"]) == (404, "NotSubscribed")
                 old.held.set()
-                code, told = relay.ask("GET", force("svc-1", 500))
-                assert (code, told["everywhere"], told["counted"]) == (200, False, 1)
+                code, answer = relay.ask("GET", force("svc-1", 500))
+                assert (code, answer["everywhere"], answer["counted"]) == (200, False, 1)
                 old.driver.leave()
                 new.held.set()
                 until(lambda: relay.ask("GET", force("svc-1", 500))[1]["everywhere"], "in force")
                 assert len(new.values) == 500
 
 
-def test_a_gateway_that_its_relay_has_forgotten_subscribes_anew():
-    """Its relay drops it while its stream stands, as it does with one that was silent for too long. Before,
-    it was told 404 to all that it acknowledged and went on: what it had in force was known no more."""
+def test_gateway_forgotten_by_its_relay_subscribes_again():
+    """The relay drops a gateway while its stream stands, as it does after too long a silence. A gateway that
+    went on with that stream would get 404 for each acknowledgement, and what it has in force would no longer
+    be known."""
     with LocalRelay() as relay:
         relay.replace("c1", 5, snapshot(5))
         relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as one:
+        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts")
             relay.do(relay.relay.acknowledgements.drop, "g0")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts again")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["everywhere"], "in force")
-            assert one.subscriber.counts["streams"] == 2
+            assert gateway.subscriber.counts["streams"] == 2
 
 
 @contextlib.contextmanager
-def raw(relay, gateway, room=4096):
-    """A socket that has asked for svc-1 and reads nothing unless the test does."""
+def raw_stream(relay, gateway, room=4096):
+    """A socket that has subscribed to svc-1 and reads only when the test does."""
     data = json.dumps(subscription(gateway)).encode()
     host, _, port = relay.address.rpartition(":")
     with socket.socket() as sock:
@@ -347,45 +354,46 @@
         yield sock
 
 
-def test_whoever_does_not_read_holds_a_few_bytes_and_then_hears_what_is_newest():
+def test_slow_reader_holds_few_bytes_and_gets_the_newest():
     with LocalRelay(waiting=8192) as relay:
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
-        with raw(relay, "slow") as slow:
+        with raw_stream(relay, "slow") as slow:
             with Subscribing("fast", "north", ["svc-1"], [("r1", "north", relay.address)]) as fast:
                 for index in range(2, 402):
                     relay.apply(index, ("svc-1", "k", {"n": index, "text": "x" * 4000}))
                     fast.has("svc-1", "k", {"n": index, "text": "x" * 4000})
-                told = relay.relay.streams["slow"].outbox.counts["bytes"]
-                assert told < 50_000 < 400 * 4000 < relay.relay.counts["bytes"]
+                answer = relay.relay.streams["slow"].outbox.counts["bytes"]
+                assert answer < 50_000 < 400 * 4000 < relay.relay.counts["bytes"]
             read = b""
             while b'"n":401,' not in read:
-                assert (some := slow.recv(65536))
-                read += some
+                assert (chunk := slow.recv(65536))
+                read += chunk
         seen = [int(n) for n in re.findall(rb'\{"n":(\d+),"text"', read)]
         assert seen == sorted(seen) and seen[-1] == 401 and len(seen) < 50
 
 
-def test_a_relay_whose_budget_for_a_gateway_is_spent_still_gives_signs_of_life():
-    """Else the gateway takes the stream for dead, and a new one has the whole budget again."""
+def test_relay_without_budget_sends_signs_of_life():
+    """Without them the gateway would end the stream as dead, and a new one would get the whole budget
+    again."""
     with LocalRelay(rate=100, burst=10_240) as relay:
         relay.replace("c1", 500, snapshot(500))
-        with raw(relay, "g0") as sock:
+        with raw_stream(relay, "g0") as sock:
             read, end = b"", time.monotonic() + 30
-            while SIGN not in read and time.monotonic() < end:
+            while SIGN_OF_LIFE not in read and time.monotonic() < end:
                 read += sock.recv(65536)
-            assert SIGN in read
+            assert SIGN_OF_LIFE in read
 
 
-def test_one_more_than_the_most_is_sent_elsewhere_and_one_in_its_own_place_is_not():
+def test_subscriber_limit_rejects_others_but_not_a_replacement():
     with LocalRelay(subscribers=1) as relay:
         assert relay.ask("GET", "/readyz")[0] == 503
         assert relay.ask("POST", "/v1/subscribe", subscription("g0"))[0] == 503
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         relays = [("r1", "north", relay.address)]
-        with Subscribing("g0", "north", ["svc-1"], relays) as one:
-            one.has("svc-1", "k", {"n": 1})
-            code, told = relay.ask("POST", "/v1/subscribe", subscription("g1"))
-            assert (code, told["error"]["type"]) == (503, "TooMany") and told["retry_ms"] > 0
+        with Subscribing("g0", "north", ["svc-1"], relays) as gateway:
+            gateway.has("svc-1", "k", {"n": 1})
+            code, answer = relay.ask("POST", "/v1/subscribe", subscription("g1"))
+            assert (code, answer["error"]["type"]) == (503, "TooMany") and answer["retry_ms"] > 0
             with Subscribing("g0", "north", ["svc-1"], relays, 2) as other:
                 other.has("svc-1", "k", {"n": 1})
                 assert relay.relay.counts["superseded"] >= 1
@@ -395,7 +403,7 @@
     return {"gateway": gateway, "region": "north", "cluster": "", "scopes": {"svc-1": 0}, **fields}
 
 
-BAD = [
+INVALID_CALLS = [
     ("POST", "/v1/subscribe", {}, 400), ("POST", "/v1/subscribe", subscription("g 0"), 400),
     ("POST", "/v1/subscribe", subscription("g0", scopes={"a b": 0}), 400),
     ("POST", "/v1/subscribe", subscription("g0", scopes={"a": -1}), 400),
@@ -409,78 +417,82 @@
 ]  # fmt: skip
 
 
-def test_calls_that_make_no_sense_are_told_so_and_change_nothing():
+def test_invalid_calls_are_refused_and_change_nothing():
     with LocalRelay() as relay:
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         relay.later(60 * 10**9)
-        for method, path, body, wanted in BAD:
-            code, told = relay.ask(method, path, body)
-            assert code == wanted, (path, body, told)
-            assert told["error"]["type"] and told["error"]["says"] and told["error"]["do"]
+        for method, path, body, wanted in INVALID_CALLS:
+            code, answer = relay.ask(method, path, body)
+            assert code == wanted, (path, body, answer)
+            assert answer["error"]["type"] and answer["error"]["says"] and answer["error"]["do"]
         assert not relay.relay.streams and not relay.relay.acknowledgements.subscribers
         assert not relay.relay.streams_by_scope
 
 
-def test_a_relay_that_was_just_started_does_not_say_that_all_is_in_force():
+def test_relay_just_started_does_not_report_in_force():
     with LocalRelay() as relay:
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
-        code, told = relay.ask("GET", force("svc-1", 1))
-        assert (code, told["error"]["type"]) == (503, "TooYoung")
+        code, answer = relay.ask("GET", force("svc-1", 1))
+        assert (code, answer["error"]["type"]) == (503, "TooYoung")
         relay.later(60 * 10**9)
         assert relay.ask("GET", force("svc-1", 1))[1]["everywhere"]
 
 
-def test_what_a_scope_was_as_of_an_index_is_in_force_where_its_last_change_before_that_is():
+def test_index_after_the_last_change_of_a_scope_is_in_force():
     with LocalRelay() as relay:
         relay.replace("c1", 9, {"svc-1": {"k": (9, {"n": 9})}})
         relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as one:
-            one.has("svc-1", "k", {"n": 9})
+        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
+            gateway.has("svc-1", "k", {"n": 9})
             until(lambda: relay.ask("GET", force("svc-1", 9))[1]["everywhere"], "in force")
             relay.apply(10, ("svc-2", "k", {}))
-            until(lambda: one.subscriber.complete["svc-1"] == 10, "told that nothing changed")
+            until(lambda: gateway.subscriber.complete["svc-1"] == 10, "told that nothing changed")
             relay.apply(11, ("svc-2", "k", {"n": 11}))
             assert relay.ask("GET", force("svc-1", 11))[1]["everywhere"]
-            assert not relay.ask("GET", force("svc-1", 12))[1]["everywhere"]  # not known here yet
+            assert not relay.ask("GET", force("svc-1", 12))[1][
+                "everywhere"
+            ]  # the relay doesn't have this index yet
 
 
-def test_a_relay_that_hears_its_source_no_more_sends_its_gateways_elsewhere_until_it_does():
+def test_relay_cut_off_from_its_source_ends_its_streams():
     with LocalRelay() as first, LocalRelay() as second:
         for relay in (first, second):
             relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         relays = [("r1", "north", first.address), ("r2", "south", second.address)]
-        with Subscribing("g0", "north", ["svc-1"], relays) as one:
-            one.has("svc-1", "k", {"n": 1})
+        with Subscribing("g0", "north", ["svc-1"], relays) as gateway:
+            gateway.has("svc-1", "k", {"n": 1})
             first.is_lost = True
             second.apply(2, ("svc-1", "k", {"n": 2}))
-            one.has("svc-1", "k", {"n": 2})
+            gateway.has("svc-1", "k", {"n": 2})
             assert first.ask("GET", "/readyz")[0] == 503
             first.is_lost = False
             until(lambda: first.ask("GET", "/readyz")[0] == 200, "back")
 
 
-def test_a_ledger_formed_anew_takes_the_place_of_the_one_before_and_nothing_of_it_counts():
+def test_new_cluster_replaces_the_previous_one():
     with LocalRelay() as relay:
         relay.replace("c1", 9, {"svc-1": {"a": (1, {"n": 1}), "b": (9, {"n": 9})}})
         relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as one:
-            one.has("svc-1", "b", {"n": 9})
+        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
+            gateway.has("svc-1", "b", {"n": 9})
             until(lambda: relay.ask("GET", force("svc-1", 9))[1]["everywhere"], "in force")
-            one.held.clear()
+            gateway.held.clear()
             relay.replace("c2", 3, {"svc-1": {"a": (3, {"n": 3})}})
             assert relay.ask("GET", force("svc-1", 3))[1]["everywhere"] is False
-            one.held.set()
-            one.has("svc-1", "a", {"n": 3})
-            one.has("svc-1", "b", None)
+            gateway.held.set()
+            gateway.has("svc-1", "a", {"n": 3})
+            gateway.has("svc-1", "b", None)
             until(lambda: relay.ask("GET", force("svc-1", 3))[1]["everywhere"], "in force")
 
 
-OFF = """import sys
+MODULES_OF_A_GATEWAY = """import sys
 import lemonlead.gateway.__main__
 print([name for name in sys.modules if name.startswith(("lemonlead.distribution", "msgspec", "aiohttp"))])
 """
 
 
-def test_a_gateway_that_names_no_relays_imports_nothing_of_it():
-    ran = subprocess.run([sys.executable, "-c", OFF], capture_output=True, text=True, check=True)
-    assert ran.stdout.strip() == "[]"
+def test_gateway_without_relays_does_not_import_distribution():
+    running = subprocess.run(
+        [sys.executable, "-c", MODULES_OF_A_GATEWAY], capture_output=True, text=True, check=True
+    )
+    assert running.stdout.strip() == "[]"
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -39,7 +39,7 @@
 # ---- the world by itself
 
 
-def test_a_log_tells_what_was_as_of_an_index():
+def test_log_returns_state_as_of_an_index():
     log = Log("c")
     assert log.commit("s", "a", {"state": "ready"}) == 1
     log.commit("s", "a", None)
@@ -56,7 +56,7 @@
     assert log.since(3) is None and len(log.since(log.index - KEPT)) == KEPT
 
 
-def test_a_wave_drains_most_of_a_zone():
+def test_wave_drains_most_of_a_zone():
     log = Log("c")
     changes = Changes(log, 1)
     before = log.index
@@ -87,7 +87,7 @@
         self.world.run(self.world.now + seconds * links.SECOND)
 
 
-def test_a_stream_keeps_its_order_and_a_cut_holds_it():
+def test_stream_keeps_order_and_a_cut_delays_it():
     wire = Wire()
     for data in (b"1", b"2"):
         wire.stream.send(data)
@@ -102,7 +102,7 @@
     assert wire.got == [b"1", b"2", b"3"] and wire.over == ["over"] and not wire.lost
 
 
-def test_a_stream_whose_reader_is_gone_or_cut_off_for_long_is_lost():
+def test_stream_with_a_gone_or_cut_off_reader_is_lost():
     wire = Wire()
     wire.links.cut([("r", "g")])
     wire.stream.send(b"1")
@@ -114,7 +114,7 @@
     assert wire.lost == [wire.stream]
 
 
-def test_a_reader_that_stands_still_fills_the_window():
+def test_stopped_reader_fills_the_window():
     wire = Wire()
     wire.reads = False
     while not wire.stream.full:
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("how", [links.garbled, links.endless, links.short])
-def test_what_is_spoiled_differs_and_stays_one_line(how):
+def test_spoiled_line_differs_and_stays_one_line(how):
     chance = random.Random(1)
     line = b'{"changes":[["s","a",3,{"state":"ready"}]],"complete":{"s":3}}\n'
     for _ in range(200):
@@ -135,7 +135,7 @@
         assert made != line and made.endswith(b"\n") and made.count(b"\n") == 1
 
 
-def test_nonsense_is_nonsense_to_whoever_reads_it():
+def test_nonsense_names_no_committed_record():
     """None of it names a record that was ever committed, so that no gateway may be moved by it."""
     for line in links.NONSENSE:
         try:
@@ -145,7 +145,7 @@
         assert "stamp" not in json.dumps(told)
 
 
-def test_sizes_are_counted_deep_and_once():
+def test_sizes_are_counted_deeply_and_once():
     class Holds:
         __slots__ = ("a", "b")
 
@@ -164,18 +164,18 @@
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
-def test_each_trouble_by_itself_breaks_nothing(kind):
+def test_each_fault_alone_breaks_nothing(kind):
     _, least, most = KINDS[kind]
     length = (least + most) // 2
     troubles = tuple(Trouble(at, kind, whom, length, at) for at, whom in ((500, 0), (7000, 1), (12000, 0)))
     stands(Schedule(KINDS[kind][0], 3, troubles))
 
 
-def test_a_schedule_plays_the_same_again():
+def test_schedule_replays_identically():
     assert play(draw(3)).counts == play(draw(3)).counts
 
 
-def test_the_command_plays_and_tells(capsys):
+def test_command_plays_and_reports(capsys):
     assert distribution.main(["--faults", "sunshine"]) == 2
     assert distribution.one((4, ["kill"]))[2] is None
     distribution.report(1, {"trouble: kill": 2}, 0.5)
@@ -409,7 +409,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_put_in_on_purpose_is_caught(fault):
+def test_injected_fault_is_caught(fault):
     judge, put_in, kinds, first = (*FAULTS[fault], 0)[:4]
     seen = set()
     for seed in range(first, first + MOST):
@@ -421,13 +421,13 @@
     pytest.fail(f"{judge} saw nothing in {MOST} schedules; others: {seen}")
 
 
-def test_drains_that_wait_for_their_turn_are_caught(monkeypatch):
+def test_drains_that_wait_in_line_are_caught(monkeypatch):
     """Behind all that a snapshot of a large scope tells."""
     monkeypatch.setattr(outbox, "LEVELS", outbox.LEVELS[::-1])
     assert any(breaks(draw(seed, ["both", "wave", "leader"]), "Drains") for seed in range(MOST))
 
 
-def test_a_fault_is_shrunk_to_a_schedule_that_plays_again():
+def test_broken_schedule_shrinks_and_replays():
     judge, put_in, kinds = FAULTS["mixes clusters"]
     drawn = (draw(seed, kinds) for seed in range(MOST))
     schedule = next(one for one in drawn if breaks(one, judge, **put_in))
@@ -437,5 +437,5 @@
     assert breaks(again, judge, **put_in) and not breaks(again, judge)
 
 
-def test_a_relay_of_another_cluster_takes_no_gateway_over_while_others_cant_be_reached():
+def test_stray_cluster_takes_no_gateway_while_others_are_unreachable():
     stands(*(draw(seed, ["impostor", "region", "all_relays", "cut_out"]) for seed in (8, 16, 18)))
