--- a/lemonlead/gateway/__init__.py
+++ b/lemonlead/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the balancer on real sockets, with threads and parsers of its own."""
+"""The gateway: runs the balancer on real sockets, with its own threads and protocol parsers."""
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonlead.gateway`: one gateway, as its environment and configuration say."""
+"""`python -m lemonlead.gateway`: runs one gateway, as its environment and configuration file say."""
 
 import errno
 import os
@@ -8,7 +8,7 @@
 import time
 import traceback
 
-from . import lines
+from . import logfmt
 from . import config as configs
 from .clients import Server
 from .counters import Counters
@@ -18,32 +18,33 @@
 from .releases import Releases
 from .thread_pool import ThreadPool
 
-STACK = 256 * 1024
-# Seconds after which a thread that waits for the interpreter has it taken from another. One whose turn has
-# not come by then goes to the end of the queue; no thread of ours computes so long between two system calls.
-SWITCH_INTERVAL = 0.05
-FIRST_LIST = 2.0  # seconds for which the first list is waited for at most, where lists are pushed
-TAKEN = 5.0  # seconds for which our address is waited for, while a process before us still listens there
-LINGER = 0.5  # seconds after SIGTERM in which connections still come
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this many seconds where it is
-# longer, and 0.7 s; a request that came in the last of these must have its answer by then.
-COUNTED = 3.0
-LAST = 0.2  # seconds in which the last answers go out
-TICK = 0.02  # seconds between looks, while it starts or stops, for what it waits for
-ENDS = {signal.SIGTERM, signal.SIGINT}
-SIGNALS = ENDS | {signal.SIGUSR1, signal.SIGHUP}
+THREAD_STACK_BYTES = 256 * 1024
+# The time after which a waiting thread forces another to release the interpreter. A thread that was forced
+# goes to the end of the queue. None of our threads computes for this long between two system calls.
+SWITCH_INTERVAL_SECONDS = 0.05
+FIRST_LIST_SECONDS = 2.0  # the longest wait for the first list at the start, if lists are pushed
+ADDRESS_WAIT_SECONDS = 5.0  # the longest wait for our address while another process listens there
+LINGER_SECONDS = 0.5  # after SIGTERM, connections are accepted for this long
+# SIGKILL comes 0.7 s plus the longest deadline after SIGTERM at the earliest. A longer deadline than this
+# counts as this. A request that arrives in the last of these seconds must have its response by then.
+MAX_COUNTED_DEADLINE_SECONDS = 3.0
+LAST_RESPONSES_SECONDS = 0.2  # the time for sending the last responses
+POLL_SECONDS = 0.02  # between checks while the process starts or stops
+END_SIGNALS = {signal.SIGTERM, signal.SIGINT}
+SIGNALS = END_SIGNALS | {signal.SIGUSR1, signal.SIGHUP}
 
 
 def main():
+    """Runs a gateway until it is told to stop. Returns the exit status; 2 for a start that is impossible."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    threading.stack_size(STACK)
-    sys.setswitchinterval(SWITCH_INTERVAL)
+    threading.stack_size(THREAD_STACK_BYTES)
+    sys.setswitchinterval(SWITCH_INTERVAL_SECONDS)
     try:
         config = configs.read()
-    except configs.Unfit as error:
+    except configs.InvalidConfig as error:
         print(f"lemonlead.gateway: the configuration cannot be used: {error}", file=sys.stderr)
         return 2
-    log, counters, thread_pool = lines.opened(gateway=config.name), Counters(), ThreadPool()
+    log, counters, thread_pool = logfmt.open_log(gateway=config.name), Counters(), ThreadPool()
     dispatcher = Dispatcher(config.start, log, counters)
     dispatcher.instances = Instances(config, dispatcher, thread_pool, log, counters)
     dispatcher.discovery = discovery = Discovery(config, dispatcher, log, counters)
@@ -54,95 +55,96 @@
         print(f"lemonlead.gateway: cannot listen at {config.listen}: {error}", file=sys.stderr)
         return 2
     try:
-        known = discovery.read(config.known)
+        known = discovery.parse_update(config.known)
     except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError) as error:
         reason = f"known is no list as discovery gives it: {type(error).__name__}: {error}"[:200]
         print(f"lemonlead.gateway: the configuration cannot be used: {reason}", file=sys.stderr)
         return 2
-    config.known = None  # it may be large, and tells no more
+    config.known = None  # frees it, since it may be large
     with dispatcher.lock:
         discovery.listed(configs.now(), *known, True, False)
         if config.news is not None:
             dispatcher.balancer.stage_told(configs.now(), *config.news)
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
-        from . import sorting  # what it needs is not imported while no rules are asked for
+        from . import request_rules  # imported only if there are rules, because of its dependencies
 
-        server.sorting = sorting.Sorting(config, path, dispatcher, log, counters)
-        if (reason := server.sorting.load(configs.now())) is not None:
+        server.request_rules = request_rules.RequestRules(config, path, dispatcher, log, counters)
+        if (reason := server.request_rules.load(configs.now())) is not None:
             print(f"lemonlead.gateway: the rules cannot be used: {reason}", file=sys.stderr)
             return 2
     try:
-        follower = followed(config, server.sorting, dispatcher, log, counters)
-    except configs.Unfit as error:
+        follower = create_follower(config, server.request_rules, dispatcher, log, counters)
+    except configs.InvalidConfig as error:
         print(f"lemonlead.gateway: no ledger can be followed: {error}", file=sys.stderr)
         return 2
     if follower is not None:
         follower.start(discovery, known[1], known[2])
     count, known = len(known[1]), None
-    changed = threading.Event()
+    reload_requested = threading.Event()
     threads = [
-        dispatcher.keep_time,
+        dispatcher.run_timer,
         discovery.run,
-        lambda: reread(changed, server, discovery, releases, dispatcher, log),
+        lambda: reload_on_request(reload_requested, server, discovery, releases, dispatcher, log),
     ]
-    threads += [releases.hear, releases.poll] if config.platform else []
+    threads += [releases.run_news, releases.run_votes] if config.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
-    if config.pushed:  # no request goes by the list of before our start, unless discovery cannot be reached
+    if config.pushed:  # no request is served by the list from before the start, if discovery can be reached
         discovery.request_list()
-        until = time.monotonic() + FIRST_LIST
-        while not (ending() or discovery.first_result.wait(TICK)) and time.monotonic() < until:
+        until = time.monotonic() + FIRST_LIST_SECONDS
+        while not (is_ending() or discovery.first_result.wait(POLL_SECONDS)) and time.monotonic() < until:
             pass
     try:
-        # nobody was let in: what came from now on might find no end before SIGKILL
-        if not opened(server, log):
-            return ended(dispatcher, log, follower, time.monotonic())
+        # If the process must end already, no client is accepted: requests that arrive now might not be
+        # answered before SIGKILL.
+        if not open_server(server, log):
+            return finish(dispatcher, log, follower, time.monotonic())
     except OSError as error:
         print(f"lemonlead.gateway: cannot listen at {config.listen}: {error}", file=sys.stderr)
         return 2
     threading.Thread(target=server.run, daemon=True).start()
     host, port = server.listener.getsockname()
     log.info("serving", listen=host, port=port, instances=count)
-    while (asked := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
-        if asked == signal.SIGUSR1:
-            log.info("counters", **figures(dispatcher, follower))
-            if server.sorting is not None:
-                server.sorting.tell()
+    while (received := signal.sigwait(SIGNALS)) in (signal.SIGUSR1, signal.SIGHUP):
+        if received == signal.SIGUSR1:
+            log.info("counters", **read_counters(dispatcher, follower))
+            if server.request_rules is not None:
+                server.request_rules.log_counts()
         else:
-            changed.set()
+            reload_requested.set()
     return stop(server, dispatcher, log, follower)
 
 
-def followed(config, sorting, dispatcher, log, counters):
-    """What follows a ledger, by its members or by relays, as the settings say; None where they name neither.
-    Unfit where it can't be. Nothing of it is imported while it is off."""
-    if sorting is None or sorting.follow is None and sorting.distribution is None:
+def create_follower(config, request_rules, dispatcher, log, counters):
+    """Returns the driver that follows a ledger, through its members or through relays, or None if the
+    settings name neither. Raises InvalidConfig. Its modules are imported only if it is used."""
+    if request_rules is None or request_rules.follow is None and request_rules.distribution is None:
         return None
     from ..ledger.faults import Unusable
 
     try:
-        if sorting.distribution is None:
+        if request_rules.distribution is None:
             from ..following.driver import Follower
 
-            return Follower(config, sorting.follow, dispatcher, log, counters)
+            return Follower(config, request_rules.follow, dispatcher, log, counters)
         from ..distribution.driver import Gateway
 
-        return Gateway(config, sorting.distribution, sorting.follow, dispatcher, log, counters)
+        return Gateway(config, request_rules.distribution, request_rules.follow, dispatcher, log, counters)
     except Unusable as error:
-        raise configs.Unfit(f"{error}; {error.do}") from None
+        raise configs.InvalidConfig(f"{error}; {error.do}") from None
 
 
-def ending():
-    """Whether the signal has come that ends the process; it is still there to be taken."""
-    return not ENDS.isdisjoint(signal.sigpending())
+def is_ending():
+    """Returns whether a signal is pending that ends the process. Leaves it pending."""
+    return not END_SIGNALS.isdisjoint(signal.sigpending())
 
 
-def opened(server, log):
-    """Whether it listens; not if the process is to end before it can. A process before us under our address
-    goes on listening for 1.5 s after SIGTERM at most. Raises OSError where the address is not to be had, also
-    after TAKEN."""
+def open_server(server, log):
+    """Opens the listener. Returns False if the process is to end before that is possible. An earlier process
+    at our address keeps listening for up to 1.5 s after its SIGTERM. Raises OSError if the address cannot be
+    used, or is still in use after ADDRESS_WAIT_SECONDS."""
     until = None
-    while not ending():
+    while not is_ending():
         try:
             server.open()
             return True
@@ -150,77 +152,82 @@
             if error.errno != errno.EADDRINUSE or until is not None and time.monotonic() > until:
                 raise
         if until is None:
-            until = time.monotonic() + TAKEN
+            until = time.monotonic() + ADDRESS_WAIT_SECONDS
             log.info("address taken")
-        time.sleep(TICK)
+        time.sleep(POLL_SECONDS)
     return False
 
 
-def reread(changed, server, discovery, releases, dispatcher, log):
-    """The thread that reads anew after SIGHUP: a large set of rules takes a while, and SIGTERM must not wait
-    for it."""
+def reload_on_request(reload_requested, server, discovery, releases, dispatcher, log):
+    """Reads the configuration and the rules again after each SIGHUP, on a thread of its own: a large rule set
+    takes a while, and SIGTERM must not wait for it."""
     while True:
-        changed.wait()
-        changed.clear()
+        reload_requested.wait()
+        reload_requested.clear()
         try:
-            move(discovery, releases, log)
-            if server.sorting is not None:
-                server.sorting.load(configs.now())
-        except Exception:  # the next SIGHUP depends on the thread
+            change_addresses(discovery, releases, log)
+            if server.request_rules is not None:
+                server.request_rules.load(configs.now())
+        except Exception:  # the thread must survive to handle the next SIGHUP
             dispatcher.fault(traceback.format_exc())
 
 
-def move(discovery, releases, log):
-    """To discovery and the platform where the configuration now has them; all else goes on as it is."""
+def change_addresses(discovery, releases, log):
+    """Moves discovery and the platform to the addresses in the current configuration file."""
     try:
         to, platform = configs.read_again()
-    except configs.Unfit as error:
+    except configs.InvalidConfig as error:
         return log.warning("configuration unfit", reason=str(error))
-    discovery.move(to)
+    discovery.change_address(to)
     if platform is not None:
         releases.connection.change_address(platform)
     log.info("configuration read", discovery=to, platform=platform)
 
 
-def figures(dispatcher, follower):
+def read_counters(dispatcher, follower):
+    """Returns all counters by their names in log lines."""
     with dispatcher.lock:
-        counted = {**dispatcher.counters.read(), "open": len(dispatcher.pending_requests)}
-        counted |= follower.figures() if follower is not None else {}
-    return {name.replace(" ", "_").replace(":", ""): count for name, count in counted.items()}
+        counts = {**dispatcher.counters.read(), "open": len(dispatcher.pending_requests)}
+        counts |= follower.figures() if follower is not None else {}
+    return {name.replace(" ", "_").replace(":", ""): count for name, count in counts.items()}
 
 
 def stop(server, dispatcher, log, follower):
-    """Serves what still comes, then closes connections between requests and ends what was taken; last of all
-    it tells the ledger that it sends no more. What came by the end of LINGER has until its deadline. What
-    came later, on a connection that stood between requests at no moment, has until SIGKILL could come. The
-    process ends LINGER, the longest deadline and LAST after SIGTERM at the latest, but for what the ledger
-    takes."""
+    """Serves what still arrives, then closes idle connections and finishes the accepted requests. At the end
+    the follower tells the ledger that this gateway sends no more. A request that arrives by the end of
+    LINGER_SECONDS has until its deadline. A later one, on a connection that was never idle, has until the
+    earliest time of SIGKILL. The process ends LINGER_SECONDS, the longest deadline and LAST_RESPONSES_SECONDS
+    after SIGTERM at the latest, besides the time that the ledger takes."""
     log.info("stopping", open=len(dispatcher.pending_requests))
-    longest = max((told.deadline for told in server.config.start.request_classes), default=0) / 1e9
-    closing = time.monotonic() + LINGER
-    soon, until = closing + min(longest, COUNTED), closing + longest
-    time.sleep(LINGER)
+    longest = (
+        max((request_class.deadline for request_class in server.config.start.request_classes), default=0)
+        / 1e9
+    )
+    closing = time.monotonic() + LINGER_SECONDS
+    soon, until = closing + min(longest, MAX_COUNTED_DEADLINE_SECONDS), closing + longest
+    time.sleep(LINGER_SECONDS)
     late = configs.now()
     server.close()
     while server.close_idle() or not server.closed.is_set() or dispatcher.pending_requests:
-        if (moment := time.monotonic()) >= until + LAST:
+        if (time_now := time.monotonic()) >= until + LAST_RESPONSES_SECONDS:
             break
-        if moment >= soon:
-            server.hurry(late if moment < until else 0)
-        time.sleep(TICK)
-    return ended(dispatcher, log, follower, until + LAST)
+        if time_now >= soon:
+            server.finish_late_requests(late if time_now < until else 0)
+        time.sleep(POLL_SECONDS)
+    return finish(dispatcher, log, follower, until + LAST_RESPONSES_SECONDS)
 
 
-def ended(dispatcher, log, follower, until):
+def finish(dispatcher, log, follower, until):
     if follower is not None:
         follower.leave(until)
-    log.info("stopped", **figures(dispatcher, follower))
+    log.info("stopped", **read_counters(dispatcher, follower))
     return 0
 
 
 def run():
-    """The whole process. Where threads are left it ends at once: were the interpreter taken down while one
-    writes a log line, it would find the stream's lock held by a thread that never goes on, and abort."""
+    """Runs the gateway and ends the process. If threads are left, it ends without finalizing the interpreter:
+    a thread that is writing a log line would never release the stream's lock, and finalization would
+    abort."""
     code = main()
     if threading.active_count() > 1:
         os._exit(code)
--- a/lemonlead/gateway/buffer.py
+++ b/lemonlead/gateway/buffer.py
@@ -1,27 +1,27 @@
-"""The bytes that a connection has brought and that are not used yet."""
+"""A buffer for the bytes that a connection has received and its parser has not used yet."""
 
-KEPT = 8192  # bytes that a buffer keeps once it is empty, so that one large command does not cost for good
+RETAINED_BYTES = 8192  # an empty buffer shrinks to this, so that one large command takes no memory for good
 
 
 class Malformed(ValueError):
-    """What was read breaks its protocol, or is past a limit."""
+    """The input breaks its protocol or exceeds a limit."""
 
 
 class Buffer:
-    """One a connection. It grows as it needs to and is compacted in place."""
+    """A buffer of one connection. It grows as needed and is compacted in place."""
 
     def __init__(self, size=2048):
         self.data = bytearray(size)
-        self.start = self.end = 0  # what is not used yet
+        self.start = self.end = 0  # the range of the unused bytes
 
     def __len__(self):
         return self.end - self.start
 
-    def room(self):
-        """Where the next bytes go; `filled` then tells how many came."""
+    def free_space(self):
+        """Returns a view of the space for the next bytes. After writing there, call `filled`."""
         if self.start == self.end:
             self.start = self.end = 0
-            del self.data[KEPT:]
+            del self.data[RETAINED_BYTES:]
         if self.end == len(self.data):
             if 2 * self.start >= len(self.data):
                 self.data[: len(self)] = self.data[self.start : self.end]
@@ -34,32 +34,33 @@
         self.end += count
 
     def fill(self, read_into):
-        """Has the next bytes written by a call such as a socket's `recv_into`; how many came."""
-        with self.room() as room:
-            count = read_into(room)
+        """Calls a function such as a socket's `recv_into` with the free space. Returns its byte count."""
+        with self.free_space() as space:
+            count = read_into(space)
         self.filled(count)
         return count
 
     def add(self, data):
         while data:
-            with self.room() as room:
-                count = min(len(room), len(data))
-                room[:count] = data[:count]
+            with self.free_space() as space:
+                count = min(len(space), len(data))
+                space[:count] = data[:count]
             self.filled(count)
             data = data[count:]
 
     def take(self, count):
-        """The next `count` bytes, or None while fewer are there."""
+        """Removes and returns the next `count` bytes. Returns None if there are fewer."""
         if len(self) < count:
             return None
         self.start += count
         return bytes(self.data[self.start - count : self.start])
 
-    def line(self, longest):
-        """The next line without its CRLF, None while it is not whole; Malformed if it is too long."""
+    def line(self, max_length):
+        """Removes and returns the next line without its CRLF. Returns None until it is complete. Raises
+        Malformed if it is longer than `max_length` bytes."""
         at = self.data.find(b"\r\n", self.start, self.end)
-        if (len(self) if at < 0 else at - self.start) > longest:
-            raise Malformed(f"a line of over {longest} bytes")
+        if (len(self) if at < 0 else at - self.start) > max_length:
+            raise Malformed(f"a line of over {max_length} bytes")
         if at < 0:
             return None
         line = bytes(self.data[self.start : at])
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -1,4 +1,4 @@
-"""Clients: a thread for each connection reads its commands; each answer goes out in its command's turn."""
+"""Client connections: one thread reads each connection, and responses go out in the order of the commands."""
 
 import contextlib
 import math
@@ -16,59 +16,81 @@
 from .config import now
 from .sockets import hung_up, seconds, unread_for
 
-MOST_ASKS, MOST_UNSENT = 64, 1 << 18  # unanswered commands, unsent bytes; past them no more is read
-SLOWEST = 5  # seconds for which a client may take none of its answers
-KNOCKS = 0.1  # seconds for which a new connection is waited for at a time
-EXTRA = 8  # connections past the bound, whose requests are rejected
-LOOK = 0.25  # seconds without a byte after which a connection is looked at
-PART = 0.9  # seconds from a connection's start to its first command; from a command's first byte to its last
-# Seconds between requests after which a connection ends: some clients ask once and hold it. The shorter ones
-# hold from half the bound on.
-REST, SHORT_REST = 2.0, 0.25
-# Seconds without a request after which a connection may make room: where none ever came, at the bound, past
-# the extra ones. Its next request may be on its way, the more likely the sooner after the last answer.
-MUTE, UNUSED, HARDLY_USED = 0.1, 0.5, 0.05
-# Of a client that sent what cannot be read: for so long requests from before it are waited for; so many bytes
-# are still taken, for so long, that the error reaches it.
-PATIENCE, DREGS, DREGS_TIME = 0.5, 1 << 18, 0.2
-GLANCE = 0.05  # seconds between looks, while nothing more is read of a client, whether it has gone
-REST_OF_IT = 0.01  # seconds between looks for it on a connection whose reading side we have ended
-PENALTY, MOST_PENALTY = 0.1, 1.0  # seconds before more is read after a command that makes no sense; they grow
-LARGE = 8192  # bytes past which a command counts against the room for all
-LEFT, RESET = "client closed", "reset"  # why a connection ends that the client ended, in order or not
-WORDS = {b"Q.ASK": (4,), b"Q.DO": (4, 5)}  # how many words a request has
-LONGEST_ID, LONGEST_KEY = 128, 1024
+# Of one client; past either limit nothing more is read from it.
+MAX_PENDING_REQUESTS = 64
+MAX_UNSENT_BYTES = 1 << 18
+SEND_TIMEOUT_SECONDS = 5  # a client that takes none of its responses for this long is disconnected
+ACCEPT_TIMEOUT_SECONDS = 0.1
+MAX_EXTRA_CLIENTS = 8  # connections past the limit, whose requests are rejected
+READ_TIMEOUT_SECONDS = 0.25  # after this long without a byte, a connection is checked for idleness
+# From a connection's start to its first command, and from a command's first byte to its last.
+MAX_COMMAND_SECONDS = 0.9
+# An idle connection is closed after this time, because some clients send one request and then hold their
+# connection. The shorter time holds once half the limit is in use.
+MAX_IDLE_SECONDS = 2.0
+MAX_IDLE_SECONDS_CROWDED = 0.25
+# The time without a request after which a connection may be closed to make room: one that never sent a valid
+# request, any other at the limit, and any other past the extra connections. The next request may be on its
+# way, and more probably so soon after the last response.
+MIN_IDLE_SECONDS_SUSPECT = 0.1
+MIN_IDLE_SECONDS = 0.5
+MIN_IDLE_SECONDS_FULL = 0.05
+# After malformed input: how long earlier requests are waited for, and how many bytes are still read, for how
+# long, so that the client receives the error.
+ERROR_WAIT_SECONDS = 0.5
+MAX_DISCARDED_BYTES = 1 << 18
+MAX_DISCARD_SECONDS = 0.2
+HANGUP_CHECK_SECONDS = 0.05  # between checks for a hangup while nothing is read from the client
+PARTIAL_COMMAND_POLL_SECONDS = 0.01  # between reads of a partial command after our SHUT_RD
+# The delay before more is read after an invalid command; it grows with each one.
+PENALTY_SECONDS = 0.1
+MAX_PENALTY_SECONDS = 1.0
+LARGE_COMMAND_BYTES = 8192  # a longer command counts against the memory limit of all clients
+# The reasons of a connection that the client ended, with FIN or with RST.
+CLIENT_CLOSED = "client closed"
+RESET = "reset"
+WORD_COUNTS = {b"Q.ASK": (4,), b"Q.DO": (4, 5)}  # the allowed number of words by command
+MAX_ID_LENGTH = 128
+MAX_KEY_LENGTH = 1024
 NUMBER = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
 
 
 class PendingRequest:
-    """One command of a client's, and its answer once there is one."""
+    """One command of a client, and its response once there is one."""
 
-    __slots__ = ("client", "words", "answer", "request", "weight")
+    __slots__ = ("client", "words", "answer", "request", "counted_bytes")
 
     def __init__(self, client, words, answer=None, request=None):
-        self.client, self.words, self.answer, self.request = client, words, answer, request
-        self.weight = 0  # its bytes, where they are counted against the room for all
+        self.client = client
+        self.words = words
+        self.answer = answer
+        self.request = request
+        self.counted_bytes = 0  # its size, if it counts against the memory limit of all clients
 
 
 class Client:
-    """One client's connection. `room` guards its asks, what is unsent, and why it ends. Its own thread alone
-    reads and closes it: others ask that thread to, so that what has come by then is answered first."""
+    """One client connection. `condition` guards its pending requests, its unsent bytes and the reason of its
+    end. Only the connection's own thread reads and closes it. Other threads ask that thread to, so that
+    everything received by then is still answered."""
 
     def __init__(self, sock, server, extra):
-        self.sock, self.server, self.extra = sock, server, extra
+        self.sock = sock
+        self.server = server
+        self.extra = extra  # it was accepted past the limit
         self.reader = resp.Reader(commands=True)
-        self.room = threading.Condition()
-        self.pending_requests = deque()  # not yet answered in full, in their order
+        self.condition = threading.Condition()
+        self.pending_requests = deque()  # those without a sent response, in order
         self.unsent = bytearray()
-        self.writing = False  # a thread writes out what the client did not take at once
-        self.reason = None  # why we end it
-        self.last = False  # no more is read
-        self.broken = False  # nothing more can be written
-        self.since = time.monotonic()  # when it last got an answer
-        self.part_since = None  # when what there is of a command was first seen
-        self.asked, self.faults, self.weight = False, 0, 0  # a whole command came; senseless ones; its buffer
-        self.answered = False  # it got an answer, and is no new connection any more
+        self.writing = False  # another thread sends what the client did not take at once
+        self.reason = None  # why the gateway ends the connection
+        self.reading_stopped = False
+        self.broken = False  # nothing more can be sent
+        self.since = time.monotonic()  # when bytes of a response were last sent or queued
+        self.partial_since = None  # when the current partial command was first seen
+        self.has_sent_command = False  # a whole command has arrived
+        self.faults = 0  # invalid commands
+        self.counted_bytes = 0  # the size of the read buffer, if it counts against the memory limit
+        self.answered = False  # it has had a response, so it is no longer a new connection
 
     def run(self):
         reason = "fault"
@@ -77,7 +99,7 @@
         except resp.Malformed as error:
             reason = "malformed"
             with contextlib.suppress(OSError):
-                self.turn_away(error)
+                self.reject_malformed(error)
         except OSError:
             reason = RESET
         except Exception:
@@ -86,158 +108,179 @@
             self.close(reason)
 
     def read(self):
+        """Reads and handles commands until the connection ends. Returns the reason of the end."""
         while True:
-            if self.last:
-                with self.room:
-                    self.room.wait_for(lambda: not (self.pending_requests or self.unsent) or self.broken)
+            if self.reading_stopped:
+                with self.condition:
+                    self.condition.wait_for(lambda: not (self.pending_requests or self.unsent) or self.broken)
                 return self.reason
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
-            except BlockingIOError:  # none for as long as LOOK
-                self.rests()
+            except BlockingIOError:  # nothing arrived within READ_TIMEOUT_SECONDS
+                self.end_if_idle()
             else:
-                if not count and (self.reason is None or self.broken or self.done()):
-                    return self.reason or LEFT
-                if not count:  # we end it, and it had asked before it could know
-                    with self.room:
-                        self.wait(lambda: not (self.pending_requests or self.unsent))
+                if not count and (self.reason is None or self.broken or self.is_done()):
+                    return self.reason or CLIENT_CLOSED
+                if not count:  # the gateway ends the connection, and the client sent before it could know
+                    with self.condition:
+                        self.wait_until(lambda: not (self.pending_requests or self.unsent))
                     if not self.reader.empty():
-                        time.sleep(REST_OF_IT)  # the other half of a command is on its way
+                        time.sleep(PARTIAL_COMMAND_POLL_SECONDS)  # the rest of a command is on its way
             while (words := self.reader.next()) is not resp.MORE:
-                with self.room:
-                    if self.gone():  # while it waited to be accepted or read
-                        return LEFT
-                self.part_since = None
-                self.take(words)
-            self.weigh()
-
-    def done(self):
-        """Whether nothing is left to answer: what it asked by halves is no request yet, but will be."""
-        with self.room:
+                with self.condition:
+                    if self.has_hung_up():  # while the connection or the command waited
+                        return CLIENT_CLOSED
+                self.partial_since = None
+                self.handle_command(words)
+            self.check_partial_command()
+
+    def is_done(self):
+        """Returns whether nothing is left to answer. A partial command counts as left, since its rest will
+        arrive."""
+        with self.condition:
             return not (self.pending_requests or self.unsent) and self.reader.empty()
 
-    def rests(self):
-        """Ends it if it has stood between requests, or without the first, for too long; what has come by then
-        is read first. Clients may have a bound of their own, and those that hold theirs for good keep out all
-        others, long before there is no room here. It could end some that are used again: they come anew."""
-        rest = REST if len(self.server.clients) < self.server.most // 2 else SHORT_REST
-        with self.room:
-            rested = time.monotonic() - self.since >= (rest if self.asked else PART)
-            if rested and not (self.pending_requests or self.unsent) and self.reader.empty():
-                self.stop_reading("rest" if self.asked else "silent")
-
-    def weigh(self):
-        """Guards against halves of commands that never end, and against many large ones at once. What came
-        while we were held up is read before a half counts as late: a command's length is bounded."""
+    def end_if_idle(self):
+        """Ends the connection if it has been idle, or without a first command, for too long. What has arrived
+        by then is read first. Clients may have a connection limit of their own, and those that hold idle
+        connections lock out the others long before our limit is reached. A connection that would have been
+        used again may be closed; its client reconnects."""
+        max_idle = (
+            MAX_IDLE_SECONDS
+            if len(self.server.clients) < self.server.max_clients // 2
+            else MAX_IDLE_SECONDS_CROWDED
+        )
+        with self.condition:
+            is_expired = time.monotonic() - self.since >= (
+                max_idle if self.has_sent_command else MAX_COMMAND_SECONDS
+            )
+            if is_expired and not (self.pending_requests or self.unsent) and self.reader.empty():
+                self.stop_reading("rest" if self.has_sent_command else "silent")
+
+    def check_partial_command(self):
+        """Raises Malformed for a partial command that takes too long, and for one that would exceed the
+        memory limit of all clients. Bytes that arrived while this thread was delayed are read before the
+        command counts as late; this ends, because a command's length is limited."""
         if self.reader.empty():
-            self.part_since = None
-        elif self.part_since is None:
-            self.part_since = time.monotonic()
-        elif time.monotonic() - self.part_since > PART and not self.unread():
+            self.partial_since = None
+        elif self.partial_since is None:
+            self.partial_since = time.monotonic()
+        elif time.monotonic() - self.partial_since > MAX_COMMAND_SECONDS and not self.has_unread_bytes():
             raise resp.Malformed("half a command")
-        size = len(self.reader.buffer.data) if len(self.reader.buffer) else 0  # an empty one is cut
-        size = size if size > LARGE else 0
-        if size != self.weight:
-            if not self.server.weigh(size - self.weight):
+        size = len(self.reader.buffer.data) if len(self.reader.buffer) else 0  # an empty buffer shrinks
+        size = size if size > LARGE_COMMAND_BYTES else 0
+        if size != self.counted_bytes:
+            if not self.server.reserve_bytes(size - self.counted_bytes):
                 raise resp.Malformed("no room for so large a command")
-            self.weight = size
+            self.counted_bytes = size
 
-    def take(self, words):
-        # Its client counts from when it sent it, so its time goes on while it waits to be accepted or read.
+    def handle_command(self, words):
+        # The client's timeout runs from when it sent the command, also while that waits to be read.
         unread = unread_for(self.sock)
         arrived, name = now() - unread, words[0].upper()
-        self.asked = True
+        self.has_sent_command = True
         if name == b"PING":
-            return self.put(PendingRequest(self, (), b"+PONG\r\n"))
+            return self.enqueue(PendingRequest(self, (), b"+PONG\r\n"))
         try:
-            request = self.server.request(arrived, name, words)
+            request = self.server.parse_request(arrived, name, words)
         except (ValueError, KeyError) as error:
             text = f"{type(error).__name__}: {error}"[:100]
-            self.put(PendingRequest(self, (), resp.error(f"ERR no request: {text}")))
-            return self.fault()
-        ask, size = PendingRequest(self, words, None, request), sum(map(len, words))
-        self.put(ask)
-        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.crowded()
+            self.enqueue(PendingRequest(self, (), resp.error(f"ERR no request: {text}")))
+            return self.penalize()
+        pending, size = PendingRequest(self, words, None, request), sum(map(len, words))
+        self.enqueue(pending)
+        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.is_over_bound()
         if is_stale(unread, request.deadline - request.arrived):
             turned_away = True
             self.server.counters.add("stale requests")
-        if size > LARGE and self.server.weigh(size):
-            ask.weight = size
-        elif size > LARGE:
+        if size > LARGE_COMMAND_BYTES and self.server.reserve_bytes(size):
+            pending.counted_bytes = size
+        elif size > LARGE_COMMAND_BYTES:
             turned_away = True
         dispatcher.handle(
-            dispatcher.request_turned_away if turned_away else dispatcher.request_arrived, ask, request
+            dispatcher.request_turned_away if turned_away else dispatcher.request_arrived, pending, request
         )
-        if ask.answer is dispatcher.TWICE:
-            self.fault()
+        if pending.answer is dispatcher.DUPLICATE_ID_ERROR:
+            self.penalize()
 
-    def fault(self):
-        """The error is on its way; what such a client sends next, maybe at full speed, can wait."""
+    def penalize(self):
+        """Delays the reading of more commands after an invalid one, whose error response is queued already.
+        Such a client may send at full speed."""
         self.server.counters.add("bad requests")
         self.faults += 1
-        with self.room:  # not once it stops: what came behind it may have no time left then
-            self.wait(lambda: self.server.stopping, min(self.faults * PENALTY, MOST_PENALTY))
-
-    def wait(self, ready, length=math.inf):
-        """Waits, with `room` held, until it is ready or the connection broken, for so many seconds at most.
-        Guards against a client that goes while its thread reads nothing more: then its end shows here alone,
-        and what it asked would still be sent on."""
-        until = time.monotonic() + length
+        with self.condition:  # no delay while stopping: later commands may have no time left
+            self.wait_until(
+                lambda: self.server.stopping, min(self.faults * PENALTY_SECONDS, MAX_PENALTY_SECONDS)
+            )
+
+    def wait_until(self, ready, timeout=math.inf):
+        """Waits, with `condition` held, until `ready()` is true or the connection is broken, for at most
+        `timeout` seconds. A client that hangs up while its thread reads nothing is noticed only here; its
+        requests would otherwise still be sent to instances."""
+        until = time.monotonic() + timeout
         while not (self.broken or ready()) and (left := until - time.monotonic()) > 0:
-            self.room.wait(min(left, GLANCE))
-            if self.gone():
-                self.end(LEFT)
+            self.condition.wait(min(left, HANGUP_CHECK_SECONDS))
+            if self.has_hung_up():
+                self.end(CLIENT_CLOSED)
 
-    def gone(self):
-        """Whether its client has gone, as far as can be seen. With `room` held, as our own SHUT_RD counts."""
+    def has_hung_up(self):
+        """Returns whether the client has hung up, as far as the kernel shows. Called with `condition` held,
+        because our own SHUT_RD changes what it shows."""
         return hung_up(self.sock, read_side_ended=bool(self.reason))
 
-    def put(self, ask):
-        """Queues a command once there is room; OSError where its client can get no answer any more."""
-        with self.room:
-            self.wait(lambda: len(self.pending_requests) < MOST_ASKS and len(self.unsent) <= MOST_UNSENT)
+    def enqueue(self, pending):
+        """Queues a command once there is room. Raises OSError if the client can receive no response."""
+        with self.condition:
+            self.wait_until(
+                lambda: len(self.pending_requests) < MAX_PENDING_REQUESTS
+                and len(self.unsent) <= MAX_UNSENT_BYTES
+            )
             if self.broken:
                 raise ConnectionResetError
-            self.pending_requests.append(ask)
-        if ask.answer is not None:
+            self.pending_requests.append(pending)
+        if pending.answer is not None:
             self.flush()
 
-    def turn_away(self, error):
-        """What cannot be read gets an error, soon though earlier requests wait; then the connection ends."""
-        with self.room:
-            self.wait(lambda: not self.pending_requests, PATIENCE)
+    def reject_malformed(self, error):
+        """Answers malformed input with an error, soon even if earlier requests wait, and ends the
+        connection."""
+        with self.condition:
+            self.wait_until(lambda: not self.pending_requests, ERROR_WAIT_SECONDS)
             if self.broken:
                 return
-            requests = self.unanswered()
+            requests = self.unanswered_requests()
         if requests:
-            self.server.dispatcher.handle(self.server.dispatcher.cut_short, requests)
-        self.put(PendingRequest(self, (), resp.error(f"ERR {error}")))
-        with self.room, contextlib.suppress(OSError):
-            self.wait(lambda: not (self.pending_requests or self.writing), SLOWEST)
+            self.server.dispatcher.handle(self.server.dispatcher.abort_requests, requests)
+        self.enqueue(PendingRequest(self, (), resp.error(f"ERR {error}")))
+        with self.condition, contextlib.suppress(OSError):
+            self.wait_until(lambda: not (self.pending_requests or self.writing), SEND_TIMEOUT_SECONDS)
             self.sock.shutdown(socket.SHUT_WR)
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(DREGS_TIME / 2))
-        # Closed with bytes unread, the connection would be reset, and the error might not be read.
-        left, until = DREGS, time.monotonic() + DREGS_TIME
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(MAX_DISCARD_SECONDS / 2))
+        # A close with unread bytes would reset the connection, and the client might not read the error.
+        left, until = MAX_DISCARDED_BYTES, time.monotonic() + MAX_DISCARD_SECONDS
         with contextlib.suppress(OSError):
             while left > 0 and time.monotonic() < until and (data := self.sock.recv(65536)):
                 left -= len(data)
 
-    def unanswered(self):
-        return [ask.request for ask in self.pending_requests if ask.request and ask.answer is None]
-
-    def doubtful(self):
-        return not self.asked or self.faults > 0
-
-    def idle(self):
-        """Whether it stands between requests, as far as can be seen from outside."""
-        since = self.part_since  # once: its thread may end the part meanwhile
-        part = since is not None and time.monotonic() - since < PART
-        return not (self.pending_requests or self.unsent or part or self.reason)
-
-    def leave(self, reason):
-        """Has its thread close it if it stands between requests; what has come by now is read first."""
-        with self.room:
-            if self.idle():
+    def unanswered_requests(self):
+        return [
+            pending.request for pending in self.pending_requests if pending.request and pending.answer is None
+        ]
+
+    def is_suspect(self):
+        """Returns whether the client has sent no command at all, or an invalid one."""
+        return not self.has_sent_command or self.faults > 0
+
+    def is_idle(self):
+        """Returns whether the connection is between requests, as far as another thread can see."""
+        since = self.partial_since  # read once, because the client's thread may reset it meanwhile
+        has_partial = since is not None and time.monotonic() - since < MAX_COMMAND_SECONDS
+        return not (self.pending_requests or self.unsent or has_partial or self.reason)
+
+    def close_when_idle(self, reason):
+        """Makes the client's thread close the connection if it is idle. What has arrived is read first."""
+        with self.condition:
+            if self.is_idle():
                 self.stop_reading(reason)
 
     def stop_reading(self, reason):
@@ -246,110 +289,117 @@
             self.sock.shutdown(socket.SHUT_RD)
 
     def flush(self):
-        """Writes what is next to be answered; what the client does not take at once goes by a thread."""
-        with self.room:
+        """Sends the responses that are next in order. A thread of the pool sends what the client does not
+        take at once."""
+        with self.condition:
             while self.pending_requests and self.pending_requests[0].answer is not None:
-                ask = self.pending_requests.popleft()
-                self.unsent += ask.answer
+                pending = self.pending_requests.popleft()
+                self.unsent += pending.answer
                 self.answered = True
-                if ask.weight:
-                    self.server.weigh(-ask.weight)
+                if pending.counted_bytes:
+                    self.server.reserve_bytes(-pending.counted_bytes)
             self.since = time.monotonic()
             if self.unsent and not self.writing:
                 with contextlib.suppress(OSError):
                     del self.unsent[: self.sock.send(self.unsent, socket.MSG_DONTWAIT)]
                 if self.unsent and not self.broken:
                     self.write_later()
-            self.room.notify_all()
+            self.condition.notify_all()
         if self.server.stopping:
-            self.leave("stopping")
+            self.close_when_idle("stopping")
 
     def write_later(self):
         try:
             self.writing = True
-            self.server.thread_pool.submit(self.drain)
+            self.server.thread_pool.submit(self.write_unsent)
         except RuntimeError:
             self.writing = False
             self.end("no thread")
 
-    def drain(self):
-        """Writes out all that is unsent, for as long as the client takes some of it now and then."""
+    def write_unsent(self):
+        """Sends all unsent bytes, unless the client takes none of them for SEND_TIMEOUT_SECONDS."""
         while True:
-            with self.room:
+            with self.condition:
                 data = bytes(self.unsent[:65536])
                 if not data or self.broken:
                     self.writing = False
-                    return self.room.notify_all()
+                    return self.condition.notify_all()
             try:
-                sent = self.sock.send(data)  # waits for SLOWEST at most
+                sent = self.sock.send(data)  # blocks for SEND_TIMEOUT_SECONDS at most
             except BlockingIOError:
                 self.end("slow reader")
             except OSError:
                 self.end(RESET)
             else:
-                with self.room:
+                with self.condition:
                     del self.unsent[:sent]
                     self.since = time.monotonic()
-                    self.room.notify_all()
+                    self.condition.notify_all()
 
     def end(self, reason):
-        """Ends the connection from our side at once; its own thread then notices, and closes it."""
-        with self.room, contextlib.suppress(OSError):
+        """Shuts the connection down at once. Its own thread then notices, and closes it."""
+        with self.condition, contextlib.suppress(OSError):
             self.reason, self.broken = self.reason or reason, True
-            self.room.notify_all()
+            self.condition.notify_all()
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def in_vain(self):
-        """Whether some of a request has come and nothing was answered, though it is a new connection."""
-        return not self.answered and (self.asked or not self.reader.empty() or self.unread())
+    def ended_unserved(self):
+        """Returns whether this is a new connection that sent at least part of a request and got no
+        response."""
+        return not self.answered and (
+            self.has_sent_command or not self.reader.empty() or self.has_unread_bytes()
+        )
 
-    def unread(self):
-        """Whether bytes have come that were not read."""
+    def has_unread_bytes(self):
+        """Returns whether bytes have arrived that are not read yet."""
         with contextlib.suppress(OSError):
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         return False
 
     def close(self, reason):
         self.end(reason)
-        if not {reason, self.reason} & {LEFT, RESET} and self.in_vain():
+        if not {reason, self.reason} & {CLIENT_CLOSED, RESET} and self.ended_unserved():
             self.server.counters.add("new connections ended in vain")
-        with self.room:
+        with self.condition:
             while self.writing:
-                self.room.wait()
-            requests = self.unanswered()
-            self.weight += sum(ask.weight for ask in self.pending_requests)
+                self.condition.wait()
+            requests = self.unanswered_requests()
+            self.counted_bytes += sum(pending.counted_bytes for pending in self.pending_requests)
             self.pending_requests.clear()
             self.sock.close()
-        self.server.weigh(-self.weight)
+        self.server.reserve_bytes(-self.counted_bytes)
         if requests:
             self.server.dispatcher.handle(self.server.dispatcher.client_left, requests)
-        self.server.gone(self)
+        self.server.client_ended(self)
 
 
 class Server:
-    """Listens, and keeps the clients' connections within their bound."""
+    """Listens for clients, and keeps their connections within the configured limit."""
 
     def __init__(self, config, dispatcher, thread_pool, log, counters):
-        self.config, self.dispatcher, self.thread_pool, self.log, self.counters = (
-            config,
-            dispatcher,
-            thread_pool,
-            log,
-            counters,
-        )
-        self.most, self.stopping, self.closing = config.connections // 2, False, False
+        self.config = config
+        self.dispatcher = dispatcher
+        self.thread_pool = thread_pool
+        self.log = log
+        self.counters = counters
+        self.max_clients = config.connections // 2
+        self.stopping = False
+        self.closing = False
         self.closed = threading.Event()
-        self.clients, self.room = set(), threading.Condition()
-        self.resting, self.resting_until = deque(), 0.0  # clients that may make room, as of not long ago
-        self.held, self.most_held = 0, config.memory // 8  # bytes of large commands, of all clients
-        self.sorting = None  # rules over requests, where they are switched on
+        self.clients, self.condition = set(), threading.Condition()
+        # Candidates for closing, found at most MIN_IDLE_SECONDS_SUSPECT ago.
+        self.idle_clients, self.idle_clients_until = deque(), 0.0
+        self.large_command_bytes = 0  # of all clients
+        self.max_large_command_bytes = config.memory // 8
+        self.request_rules = None  # set if LEMONLEAD_SETTINGS names a file
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(KNOCKS))
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(ACCEPT_TIMEOUT_SECONDS))
         self.bound = False
 
     def open(self):
-        """Raises OSError where another process listens at the address, or it is none of ours."""
+        """Binds and listens. Raises OSError if another process listens at the address, or if this machine
+        does not have it."""
         if not self.bound:
             self.listener.bind(self.config.listen)
             self.bound = True
@@ -366,7 +416,7 @@
             try:
                 self.listener.setblocking(not self.closing)
                 sock, _ = self.listener.accept()
-            except BlockingIOError:  # none came for as long as KNOCKS
+            except BlockingIOError:  # none within ACCEPT_TIMEOUT_SECONDS
                 if self.closing:
                     return
                 continue
@@ -378,142 +428,149 @@
                 continue
             try:
                 self.admit(sock)
-            except OSError:  # it was reset before it was looked at
+            except OSError:  # it was reset before the checks
                 sock.close()
 
     def admit(self, sock):
-        """Where all within the bound have a request, those of a few extra ones are rejected at once: what
-        waited to be accepted would be late, and was begun nowhere. It could reject what would have found
-        room a moment later. Those whose client gave up meanwhile cost no more than this look: else, once
-        clients wait for too long, all that is done is done for those that have gone."""
+        """Accepts one connection. If all connections within the limit have a request, the requests of a few
+        extra connections are rejected at once: they would be late after a wait, and no attempt has begun.
+        This can reject a request that would have found room a little later. A client that has hung up
+        costs no more than this check. Otherwise, once clients wait for too long, all work would be done
+        for clients that have gone."""
         if hung_up(sock):
             self.counters.add("clients gone unaccepted")
             return sock.close()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, seconds(SLOWEST))
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(LOOK))
-        client = Client(sock, self, extra=not self.made_room())
-        with self.room:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, seconds(SEND_TIMEOUT_SECONDS))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(READ_TIMEOUT_SECONDS))
+        client = Client(sock, self, extra=not self.make_room())
+        with self.condition:
             self.clients.add(client)
         self.counters.add("clients accepted")
-        self.hire(client, time.monotonic() + PART)
+        self.start_client(client, time.monotonic() + MAX_COMMAND_SECONDS)
 
-    def hire(self, client, until):
-        """A thread for it; where none is to be had for so long, it is closed. What comes next waits to be
-        accepted meanwhile."""
+    def start_client(self, client, until):
+        """Starts the client's thread, and closes the connection if the system gives none by `until`. Later
+        connections wait to be accepted meanwhile."""
         while True:
             try:
                 return self.thread_pool.submit(client.run)
             except RuntimeError:
                 if time.monotonic() > until:
                     return client.close("no thread")
-            time.sleep(HARDLY_USED)
-
-    def made_room(self):
-        """Whether there is room within the bound; past the extra clients it waits until one is gone. Those
-        that never asked, or ask what makes no sense, make room before the usual ones."""
-        while (count := len(self.clients)) >= self.most:
-            full = count >= self.most + EXTRA
-            if client := self.longest_idle(HARDLY_USED if full else UNUSED):
-                client.leave("made room")
+            time.sleep(MIN_IDLE_SECONDS_FULL)
+
+    def make_room(self):
+        """Returns whether there is room within the limit, and closes an idle connection if there is none.
+        Past the extra connections it waits until one has ended. Suspect clients go before the others."""
+        while (count := len(self.clients)) >= self.max_clients:
+            full = count >= self.max_clients + MAX_EXTRA_CLIENTS
+            if client := self.pick_idle_client(MIN_IDLE_SECONDS_FULL if full else MIN_IDLE_SECONDS):
+                client.close_when_idle("made room")
             if not full:
                 return client is not None
-            with self.room:
-                self.room.wait(HARDLY_USED)
+            with self.condition:
+                self.condition.wait(MIN_IDLE_SECONDS_FULL)
         return True
 
-    def longest_idle(self, rest):
-        """The client that is to make room, if one has had no request for so many seconds. All are looked at
-        only once those found before are used up, or were found too long ago."""
-        moment = time.monotonic()
-        if not self.resting or moment > self.resting_until:
-            with self.room:
+    def pick_idle_client(self, min_idle):
+        """Returns the client to close, or None if none has been idle for `min_idle` seconds. All clients are
+        searched only when the earlier candidates are used up or too old."""
+        time_now = time.monotonic()
+        if not self.idle_clients or time_now > self.idle_clients_until:
+            with self.condition:
                 clients = list(self.clients)
-            idle = [client for client in clients if client.idle()]
-            idle.sort(key=lambda client: (not client.doubtful(), client.since))
-            self.resting, self.resting_until = deque(idle), moment + MUTE
-        while self.resting:
-            client = self.resting.popleft()
-            length = MUTE if client.doubtful() else rest
-            if client.since < moment - length and client.idle():
+            idle = [client for client in clients if client.is_idle()]
+            idle.sort(key=lambda client: (not client.is_suspect(), client.since))
+            self.idle_clients, self.idle_clients_until = deque(idle), time_now + MIN_IDLE_SECONDS_SUSPECT
+        while self.idle_clients:
+            client = self.idle_clients.popleft()
+            needed = MIN_IDLE_SECONDS_SUSPECT if client.is_suspect() else min_idle
+            if client.since < time_now - needed and client.is_idle():
                 return client
         return None
 
-    def crowded(self):
-        """Whether more clients than the bound wait for answers. Guards against places held for nothing: those
-        that say nothing must not have requests past the bound rejected."""
-        with self.room:
-            return sum(bool(client.pending_requests) for client in self.clients) > self.most
-
-    def weigh(self, size):
-        """Counts so many bytes more; False, and not counted, if that would be too many."""
-        with self.room:
-            if size > 0 and self.held + size > self.most_held:
+    def is_over_bound(self):
+        """Returns whether more clients than the limit wait for responses. Idle connections must not cause the
+        rejection of requests on extra connections."""
+        with self.condition:
+            return sum(bool(client.pending_requests) for client in self.clients) > self.max_clients
+
+    def reserve_bytes(self, size):
+        """Counts `size` more bytes of large commands; a negative size releases them. Returns False and counts
+        nothing if that would exceed the limit."""
+        with self.condition:
+            if size > 0 and self.large_command_bytes + size > self.max_large_command_bytes:
                 return False
-            self.held += size
+            self.large_command_bytes += size
             return True
 
-    def gone(self, client):
-        """Last of all that its thread does, so that the bound on clients bounds threads."""
+    def client_ended(self, client):
+        """The last step of a client's thread, so that the limit on clients also limits threads."""
         self.counters.add(f"clients ended: {client.reason}")
         self.log.info("client ended", reason=client.reason)
-        with self.room:
+        with self.condition:
             self.clients.discard(client)
-            self.room.notify_all()
+            self.condition.notify_all()
 
     def close(self):
-        """Once none waits to be accepted, as one that does may have asked already. Connections are ended as
-        they are answered from now on, which also makes room for those."""
+        """Closes the listener once no connection waits to be accepted, because a waiting one may have sent a
+        request already. From now on connections end after their responses, which also makes room for the
+        waiting ones."""
         self.closing = self.stopping = True
-        self.closed.wait(10 * KNOCKS)  # some may go on coming
+        self.closed.wait(10 * ACCEPT_TIMEOUT_SECONDS)  # new connections may keep arriving
         self.listener.close()
 
     def close_idle(self):
-        """Ends the clients' connections as they stand between requests, whether any are left. One that never
-        asked is given a moment, as it was made to ask."""
-        with self.room:
+        """Ends the idle connections, and returns whether there were any connections. One that has sent no
+        command yet is given MIN_IDLE_SECONDS_SUSPECT, since it was probably opened to send one."""
+        with self.condition:
             clients = list(self.clients)
-        asking = time.monotonic() - MUTE
+        new_since = time.monotonic() - MIN_IDLE_SECONDS_SUSPECT
         for client in clients:
-            if client.asked or client.since < asking:
-                client.leave("stopping")
+            if client.has_sent_command or client.since < new_since:
+                client.close_when_idle("stopping")
         return bool(clients)
 
-    def hurry(self, since):
-        """Has each request that came after `since` answered now, with those before it on its connection, from
-        which no more is read. Guards against clients whose connection stands between requests at no moment:
-        what SIGKILL finds unanswered there would be lost. It gives up what might have been served."""
-        with self.room:
+    def finish_late_requests(self, since):
+        """Answers each request that arrived after `since` at once, together with the earlier ones on the same
+        connection, and stops reading there. A connection that is never idle would otherwise still have
+        unanswered requests at SIGKILL. Some of the aborted requests might have been served."""
+        with self.condition:
             clients = list(self.clients)
         for client in clients:
-            with client.room, contextlib.suppress(OSError):
-                requests = client.unanswered()
+            with client.condition, contextlib.suppress(OSError):
+                requests = client.unanswered_requests()
                 if not any(request.arrived > since for request in requests):
                     continue
-                client.last, client.reason = True, client.reason or "stopping"
+                client.reading_stopped, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
-            self.dispatcher.handle(self.dispatcher.cut_short, requests)
+            self.dispatcher.handle(self.dispatcher.abort_requests, requests)
 
-    def request(self, arrived, name, words):
-        """A request from `Q.ASK key id extras` or `Q.DO key id extras [body]`; raises where it is no
-        sense."""
-        if len(words) not in WORDS.get(name, ()):
+    def parse_request(self, arrived, name, words):
+        """Returns the request of `Q.ASK key id extras` or `Q.DO key id extras [body]`. Raises ValueError or
+        KeyError if it is invalid. `arrived`: nanoseconds."""
+        if len(words) not in WORD_COUNTS.get(name, ()):
             raise ValueError("no such command")
         key, id, extras = words[1], words[2], words[3].decode()
-        said = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
-        if len(said) < len(pairs) or not 0 < len(id) <= LONGEST_ID or len(key) > LONGEST_KEY:
+        fields = dict(pairs := [pair.split("=", 1) for pair in extras.split(",")])
+        if len(fields) < len(pairs) or not 0 < len(id) <= MAX_ID_LENGTH or len(key) > MAX_KEY_LENGTH:
             raise ValueError("a name twice, or an id or key out of bounds")
-        request_class, hint = self.config.request_classes[said["c"]], said.get("h", "0")
-        if not NUMBER.fullmatch(said["d"]) or not NUMBER.fullmatch(hint) or not (wait := float(said["d"])):
+        request_class, hint = self.config.request_classes[fields["c"]], fields.get("h", "0")
+        if (
+            not NUMBER.fullmatch(fields["d"])
+            or not NUMBER.fullmatch(hint)
+            or not (wait := float(fields["d"]))
+        ):
             raise ValueError("a wait or a hint that is no number")
-        if request_class.effect == at.DEDUPLICATED and not 0 < len(said["k"]) <= LONGEST_ID:
+        if request_class.effect == at.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
             raise ValueError("an idempotency key out of bounds")
         if (request_class.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this request class goes by the other command")
-        tenant = self.config.tenants.get(said.get("t"), -1)
+        tenant = self.config.tenants.get(fields.get("t"), -1)
         deadline = arrived + in_ns(wait)
-        work, repeat = int(float(hint) * 1e3), said.get("r") == "1"
+        work, repeat = int(float(hint) * 1e3), fields.get("r") == "1"
         request = at.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
-        if self.sorting is not None:
-            self.sorting.sort(arrived, request, words, said)
+        if self.request_rules is not None:
+            self.request_rules.apply(arrived, request, words, fields)
         return request
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -1,4 +1,4 @@
-"""Where a gateway runs and what it is told there: its environment and the configuration."""
+"""The configuration of a gateway, from its environment and its configuration file."""
 
 import contextlib
 import json
@@ -12,21 +12,23 @@
 from ..told import EFFECTS, Nonsense, Told, shown, started
 from .platform import PHASES
 
-EPOCH = time.time_ns() - time.monotonic_ns()  # all machines read one clock: instances' start times are on it
+# Nanoseconds between the monotonic and the wall clock at the process's start. The start times of instances
+# are on the wall clock, which is synchronized between the machines.
+EPOCH = time.time_ns() - time.monotonic_ns()
 
-MAX_LIST_DELAY_NS = (
-    6_000_000_000  # nanoseconds after which what discovery has counts as told, whether it came or not
-)
-SPARE = 24  # descriptors kept for all that is no connection of a client's or to an instance
+# The time after which the balancer is assumed to have what discovery has, whether it was received or not.
+MAX_LIST_DELAY_NS = 6_000_000_000
+RESERVED_DESCRIPTORS = 24  # for everything but the connections to clients and instances
 
 
 def now():
-    """Nanoseconds that never go back, counted as the machines' clocks were at our start."""
+    """Returns the time in nanoseconds. It never goes back, and is the wall-clock time as of the process's
+    start."""
     return time.monotonic_ns() + EPOCH
 
 
-class Unfit(Exception):
-    """The configuration is missing or cannot be read."""
+class InvalidConfig(Exception):
+    """The configuration is missing or cannot be used. The message is one line."""
 
 
 @dataclass
@@ -36,45 +38,46 @@
     discovery: tuple
     platform: tuple | None
     connections: int  # descriptors for clients and instances, half for each
-    memory: int  # bytes that it may take
+    memory: int  # the memory limit in bytes
     start: at.Start
     request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
     kinds: dict
-    known: dict  # the list of instances as last had
+    known: dict  # the last list of instances before the start
     news: tuple | None  # the state of the newest build
-    pushed: bool  # what discovery has counts as told from the first moment on
+    pushed: bool  # whether the balancer is assumed to have discovery's list from the start on
 
 
 def address(text):
-    """An IPv4 address and a port. A name is none: nothing here looks names up, as that could wait."""
+    """Returns the host and port of an IPv4 address and port. Host names are refused, because nothing here
+    looks names up: that could block. Raises ValueError."""
     host, _, port = text.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
         if not (port.isascii() and port.isdecimal() and len(port) < 6 and int(port) < 65536):
             raise ValueError
-    except (OSError, ValueError):  # a text with a zero byte is a ValueError, and so are letters beyond ASCII
+    except (OSError, ValueError):  # `inet_pton` raises ValueError for a zero byte or non-ASCII characters
         raise ValueError(f"no address: {shown(text)}") from None
     return host, int(port)
 
 
-def address_of(told, key, given=None):
-    """The one in this object, or the one given in its place."""
-    text = given or told.text(key)
+def address_of(settings, key, override=None):
+    """Returns the address under this key, or `override` if there is one."""
+    text = override or settings.text(key)
     try:
         return address(text)
     except ValueError:
-        told.unfit(key, text, "an IPv4 address and a port, as 10.0.0.4:6379")
+        settings.unfit(key, text, "an IPv4 address and a port, as 10.0.0.4:6379")
 
 
-def numbered(names):
+def index_by_name(names):
     return {name: number for number, name in enumerate(names)}
 
 
-def names_of(told, key):
-    """The names that the entries of this list have, in its order."""
-    names = [entry.text("Name") for entry in told.parts(key)]
+def names_of(settings, key):
+    """Returns the names of the entries of this list, in order. They must be unique."""
+    names = [entry.text("Name") for entry in settings.parts(key)]
     for name, count in Counter(names).items():
         if count > 1:
             raise Nonsense(f"settings.{key} names {shown(name)} twice; expected a name of its own for each")
@@ -82,28 +85,29 @@
 
 
 @contextlib.contextmanager
-def unfit():
-    """Whatever makes the configuration one that cannot be used is said in one way, on one line."""
+def config_errors():
+    """Turns any error that makes the configuration unusable into InvalidConfig, with a message on one
+    line."""
     try:
         yield
     except RecursionError:
-        raise Unfit("it is nested too deep; expected a JSON object") from None
+        raise InvalidConfig("it is nested too deep; expected a JSON object") from None
     except KeyError as error:
-        raise Unfit(f"{error} is missing") from None
+        raise InvalidConfig(f"{error} is missing") from None
     except (OSError, ValueError) as error:
-        raise Unfit(" ".join(str(error).split())[:200]) from None
+        raise InvalidConfig(" ".join(str(error).split())[:200]) from None
 
 
 def load(environment):
-    """The configuration as the file has it, with no more checked than that it is an object."""
+    """Reads the configuration file. Checks only that it is a JSON object."""
     path = environment["ROUTER_CONFIG"]
     with open(path, encoding="utf-8") as file:
         try:
             return Told(json.load(file), "")
         except Nonsense as error:
-            raise Unfit(f"{path}{error}"[:200]) from None
+            raise InvalidConfig(f"{path}{error}"[:200]) from None
         except ValueError as error:
-            raise Unfit(f"{path} is no JSON: {error}"[:200]) from None
+            raise InvalidConfig(f"{path} is no JSON: {error}"[:200]) from None
 
 
 def platform_of(api):
@@ -111,7 +115,8 @@
 
 
 def news_of(api):
-    """The state of the newest build, or None where there is no news of any."""
+    """Returns the state of the newest build, or None if there is none: build, stage, phase, cap, and age in
+    nanoseconds."""
     if api.values.get("news") is None:
         return None
     news = api.part("news")
@@ -120,24 +125,31 @@
     return build, stage, phase, float(news.number("exposure", None, 0, 1)), news.time("old_ms", None)
 
 
-def optional(config, key):
-    """A part of the configuration that may be left out, or be null."""
+def optional_part(config, key):
+    """Returns a part of the configuration that may be missing or null."""
     return Told({}, key) if config.values.get(key) is None else config.part(key)
 
 
 def limits_of(config):
-    """Descriptors for clients and instances, half for each; bytes."""
-    limits = optional(config, "limits")
-    return limits.count("sockets", 1024, SPARE + 2) - SPARE, int(limits.number("memory_mb", 192, 1) * 2**20)
+    """Returns the number of descriptors for clients and instances, half for each, and the memory in bytes."""
+    limits = optional_part(config, "limits")
+    return limits.count("sockets", 1024, RESERVED_DESCRIPTORS + 2) - RESERVED_DESCRIPTORS, int(
+        limits.number("memory_mb", 192, 1) * 2**20
+    )
 
 
 def settings_of(config, seed):
-    """What the balancer is told, the names of request classes and of tenants, and the settings as they
-    stand."""
-    told = config.part("settings")
-    for request_class in told.parts("Lanes"):
+    """Returns the balancer's start settings, the names of the request classes and of the tenants, and the
+    settings as they stand in the file."""
+    settings = config.part("settings")
+    for request_class in settings.parts("Lanes"):
         request_class.one_of("Effect", EFFECTS, "at_most_once")
-    return started(told.values, seed, now()), names_of(told, "Lanes"), names_of(told, "Projects"), told
+    return (
+        started(settings.values, seed, now()),
+        names_of(settings, "Lanes"),
+        names_of(settings, "Projects"),
+        settings,
+    )
 
 
 def seed_of(config):
@@ -148,15 +160,16 @@
 
 
 def read(environment=os.environ):
-    with unfit():
+    """Returns the Config. Raises InvalidConfig."""
+    with config_errors():
         config = load(environment)
         if "settings" not in config.values:
             raise Nonsense("settings is missing; expected an object")
-        start, request_classes, tenants, told = settings_of(config, seed_of(config))
-        start.ask_for_list = True  # on sockets the list comes to those alone that ask for it
-        pushed = told.values.get("Discovery") != "ask"
+        start, request_classes, tenants, settings = settings_of(config, seed_of(config))
+        start.ask_for_list = True  # on sockets, discovery sends the list only to those that ask for it
+        pushed = settings.values.get("Discovery") != "ask"
         start.unheard_time = 0 if pushed else MAX_LIST_DELAY_NS
-        api, known = optional(config, "release_api"), optional(config, "known")
+        api, known = optional_part(config, "release_api"), optional_part(config, "known")
         connections, memory = limits_of(config)
         return Config(
             name=environment.get("ROUTER_NAME") or config.text("name"),
@@ -167,9 +180,9 @@
             memory=memory,
             start=start,
             request_classes=dict(zip(request_classes, start.request_classes, strict=True)),
-            tenants=numbered(tenants),
-            zones=numbered(told.names("Areas")),
-            kinds=numbered(told.names("Skus")),
+            tenants=index_by_name(tenants),
+            zones=index_by_name(settings.names("Areas")),
+            kinds=index_by_name(settings.names("Skus")),
             known=known.values or {"version": 0, "full": True, "servers": []},
             news=news_of(api),
             pushed=pushed,
@@ -177,11 +190,12 @@
 
 
 def read_again(environment=os.environ):
-    """Where discovery and the platform are by the configuration as it is now. The environment is that of the
-    start, so here the file wins; its list and news are no newer than what was told since, and are left. The
-    settings and limits bind from the next start on, but where they make no sense nothing is changed."""
-    with unfit():
+    """Returns the addresses of discovery and of the platform in the current file. The environment is that of
+    the process's start, so the file overrides it here. The file's list and news are ignored, because they are
+    no newer than what was received since. The settings and limits take effect at the next start, but if they
+    are invalid, InvalidConfig is raised and nothing changes."""
+    with config_errors():
         config = load(environment)
         settings_of(config, 0)
         limits_of(config)
-        return address_of(config, "discovery"), platform_of(optional(config, "release_api"))
+        return address_of(config, "discovery"), platform_of(optional_part(config, "release_api"))
--- a/lemonlead/gateway/counters.py
+++ b/lemonlead/gateway/counters.py
@@ -1,10 +1,12 @@
-"""What the gateway took in, sent and answered, counted."""
+"""Counters of a process by name, for its log."""
 
 import threading
 from collections import Counter
 
 
 class Counters:
+    """Counters that any thread may change."""
+
     def __init__(self):
         self.lock = threading.Lock()
         self.counts = Counter()
@@ -14,5 +16,6 @@
             self.counts[name] += count
 
     def read(self):
+        """Returns a copy of all counts, sorted by name."""
         with self.lock:
             return dict(sorted(self.counts.items()))
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a thread keeps a watch on the list, and opens a new one when the balancer asks for it."""
+"""The discovery client: a thread watches the list of instances and reopens the watch when it is asked to."""
 
 import json
 import math
@@ -9,12 +9,14 @@
 from ..told import in_ns
 from . import http
 from .config import MAX_LIST_DELAY_NS, address, now
-from .sockets import readable
 from .managed_connection import MAX_CROWDED_PAUSE_SECONDS, ManagedConnection, read_until
+from .sockets import readable
 
-MOVED = 4_000_000_000  # nanoseconds after a move by which what discovery has counts as told
-LOOK = 0.05  # seconds between looks whether news lie unread, for those that wait for them to be told
-SILENCE = 4.5  # seconds without a whole line or list after which a watch is dead; one comes every 2 s
+# The time after a change of address from which the balancer is assumed to have the new service's list.
+MAX_LIST_DELAY_AFTER_MOVE_NS = 4_000_000_000
+UNREAD_CHECK_SECONDS = 0.05  # between checks for unread updates while an attempt waits for them
+# A watch without a whole line or list for this long is dead; the service sends a line every 2 s.
+SILENCE_TIMEOUT_SECONDS = 4.5
 
 
 class Discovery:
@@ -22,24 +24,29 @@
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.list_requested = threading.Event()
         self.version = -1
-        # On top of the balancer's own pause. A call that failed holds it to its list for four times this.
-        crowded = min(config.start.ask_within / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS)
-        self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, crowded)
-        # Set once a list has come, or a watch has ended for another reason than too many callers.
+        # The pause comes on top of the balancer's own. A failed call binds the balancer to its list for four
+        # times this long.
+        max_crowded_pause = min(
+            config.start.ask_within / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS
+        )
+        self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, max_crowded_pause)
+        # Set once a list has arrived, or a watch has ended for another reason than too many callers.
         self.first_result = threading.Event()
-        self.source = config.discovery  # whose list was last taken, or known to be ours
-        # as of when the list here holds all that discovery has, or discovery was out of reach; 0: not known
+        self.source = config.discovery  # the address of the service whose versions we know
+        # The time, in nanoseconds, as of which our list has all that discovery has, or discovery was out of
+        # reach; 0 if unknown.
         self.current_as_of, self.watch_started = 0, False
-        self.merge = None  # with what a ledger says, where one is followed
-        # The watch while it stands, and whether what it brought is being told: attempts wait for that.
-        self.read_all, self.watched_sock, self.telling = threading.Condition(), None, False
-        dispatcher.news = self
+        self.merge = None  # merges the list with the ledger's, if a ledger is followed
+        # The socket of the open watch, and whether something read from it is not processed yet. Attempts wait
+        # for that.
+        self.processed, self.watch_socket, self.processing = threading.Condition(), None, False
+        dispatcher.list_source = self
 
     def request_list(self):
         self.list_requested.set()
 
-    def move(self, to):
-        if self.connection.change_address(to):
+    def change_address(self, address):
+        if self.connection.change_address(address):
             self.list_requested.set()
 
     def run(self):
@@ -49,83 +56,92 @@
                 self.list_requested.wait()
             self.list_requested.clear()
             reason, detail = self.connection.run(self.watch)
-            self.read_up_to(None)
+            self.mark_processed(None)
             self.counters.add(f"watches ended: {reason}")
             self.log.info("watch ended", reason=reason, detail=detail, version=self.version)
-            if reason != "unavailable":  # else it has a list, which counts
+            if reason != "unavailable":  # a service with too many callers has a list, which counts
                 self.first_result.set()
             if reason == "moved":
-                self.current_as_of = min(self.current_as_of, now() + MOVED - MAX_LIST_DELAY_NS)
+                self.current_as_of = min(
+                    self.current_as_of, now() + MAX_LIST_DELAY_AFTER_MOVE_NS - MAX_LIST_DELAY_NS
+                )
             elif reason in ("refused", "unreachable") or self.watch_started and reason in ("closed", "reset"):
-                self.current_as_of = now()  # what it has from now on is not told yet
-            # before the pause, in which the list ages already
+                self.current_as_of = now()  # what the service learns from now on has not been sent to us
+            # Reported before the pause, during which the list already ages.
             self.dispatcher.handle(self.dispatcher.balancer.list_failed, self.current_as_of)
             self.connection.pause_before_retry(crowded=reason == "unavailable")
 
     def watch(self):
-        self.watch_started = False  # it has begun to tell us what changes
-        sock, source = self.connection.connect(SILENCE)
+        """Opens a watch and processes its updates until it ends. Returns the reason of the end."""
+        self.watch_started = False  # whether the service has begun to send changes
+        sock, source = self.connection.connect(SILENCE_TIMEOUT_SECONDS)
         query = f"/api/targets?stream=1&index={self.version}"
         sock.sendall(f"GET {query} HTTP/1.1\r\nHost: {source[0]}:{source[1]}\r\n\r\n".encode())
-        answer, objects, begun = http.Response(), http.JsonObjects(), time.monotonic()
+        response, objects, begun = http.Response(), http.JsonObjects(), time.monotonic()
         while True:
-            while (line := answer.next()) is http.MORE and answer.status in (0, 200):
-                self.read_up_to(sock)
-                readable(sock, begun + SILENCE - time.monotonic())
-                read_until(sock, begun + SILENCE)
-                self.telling = True  # before it is read: from then on it does not lie on the socket any more
-                if not answer.buffer.fill(sock.recv_into):
+            while (line := response.next()) is http.MORE and response.status in (0, 200):
+                self.mark_processed(sock)
+                readable(sock, begun + SILENCE_TIMEOUT_SECONDS - time.monotonic())
+                read_until(sock, begun + SILENCE_TIMEOUT_SECONDS)
+                self.processing = True  # set before the read, after which the bytes are not on the socket
+                if not response.buffer.fill(sock.recv_into):
                     return "closed"
-            if answer.status != 200:
-                return "unavailable"  # before the rest of it, which may be long in coming
+            if response.status != 200:
+                return "unavailable"  # without waiting for the body, which may take long
             if line is http.END:
                 return "over"
             if text := objects.add(line):
                 self.watch_started = True
                 self.process_update(text, source)
             elif not (self.watch_started or line or objects.lines):
-                self.watch_started = True  # a sign of life first: nothing has changed, so our list is current
-                self.source = source  # also at a new address: who did not know our version would tell all
-                self.dispatcher.handle(self.current)
+                # The first line is a keepalive: nothing has changed, so our list is current. This holds at a
+                # new address too: a service that did not know our version would send its whole list.
+                self.watch_started = True
+                self.source = source
+                self.dispatcher.handle(self.list_is_current)
             if self.watch_started:
                 self.current_as_of = now()
-            if not objects.lines:  # else half an object, and then signs of life alone
+            if not objects.lines:  # keepalives within an unfinished object do not count
                 begun = time.monotonic()
 
-    def read_up_to(self, sock):
-        """All that the watch has brought was told; `sock`: where more may lie, None once it has ended."""
-        with self.read_all:
-            self.watched_sock, self.telling = sock, False
-            self.read_all.notify_all()
-
-    def wait_until_told(self, until):
-        """Waits while news of the list lie unread here, up to this moment at most: what drains counts as told
-        when it was written, however long this process takes to read it."""
-        while self.has_untold() and (left := until - now()) > 0:
-            with self.read_all:
-                self.read_all.wait(min(left / 1e9, LOOK))
-
-    def has_untold(self):
-        """Looked at by each attempt, so under no lock: a thread that looks would hold it for a whole turn."""
-        sock = self.watched_sock
-        return self.telling or sock is not None and readable(sock)
+    def mark_processed(self, sock):
+        """Notes that all that was read from the watch is processed. `sock`: the watch's socket, where more
+        may have arrived, or None if the watch has ended."""
+        with self.processed:
+            self.watch_socket, self.processing = sock, False
+            self.processed.notify_all()
+
+    def wait_until_processed(self, until):
+        """Waits while updates of the list are unprocessed, at most until this time in nanoseconds. A drain
+        counts as announced when discovery has written it, no matter how long this process takes to read
+        it."""
+        while self.has_unprocessed() and (left := until - now()) > 0:
+            with self.processed:
+                self.processed.wait(min(left / 1e9, UNREAD_CHECK_SECONDS))
+
+    def has_unprocessed(self):
+        """Returns whether updates are unread or unprocessed. Every attempt calls this, so it takes no lock: a
+        waiting thread would hold it for a whole time slice of the interpreter."""
+        sock = self.watch_socket
+        return self.processing or sock is not None and readable(sock)
 
     def process_update(self, text, source):
         try:
             update = json.loads(text)
-            version, lines, addresses = self.read(update)
-            whole, update = bool(update.get("full")), None  # it may be large, and tells no more
+            version, lines, addresses = self.parse_update(update)
+            whole, update = bool(update.get("full")), None  # frees it, since it may be large
         except (ValueError, TypeError, KeyError, AttributeError, ArithmeticError, RecursionError) as error:
             raise http.Malformed(f"no list: {type(error).__name__}: {error}") from None
         if whole and source != self.source:
-            self.version = -1  # another service may count anew, and its whole list needs no earlier one
+            self.version = -1  # another service may number its versions differently
         self.source = source
         self.dispatcher.handle(self.listed, version, lines, addresses, whole, True)
         self.connection.reset_pause()
 
-    def read(self, update):
-        """The version, the lines of the list and the instances' addresses from an object of discovery's. Its
-        entries are taken out one by one: a whole list is large, and need not be there twice."""
+    def parse_update(self, update):
+        """Returns the version, the lines of the list, and the instances' addresses and start times of one of
+        discovery's objects. Empties the object's list of entries, because a whole list is large and need not
+        be in memory twice. Raises ValueError, TypeError, KeyError, AttributeError or ArithmeticError."""
         states = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
         lines, addresses, ports = [], {}, {}
         entries, update["servers"] = [*update["servers"]], None
@@ -151,16 +167,17 @@
                     in_ns(started),
                 )
             )
-            where = None
+            instance_address = None
             if state == at.READY:
                 host, port = address(entry["addr"])
-                where = host, ports.setdefault(port, port)  # most have one port: it need be there but once
-            addresses[id] = where, lines[-1].started
+                # Most instances have the same port, so they share one int object.
+                instance_address = host, ports.setdefault(port, port)
+            addresses[id] = instance_address, lines[-1].started
         return int(number(update["version"], -1)), lines, addresses
 
     def listed(self, now, version, lines, addresses, whole, fresh):
-        """Under the dispatcher's lock. A version that is not newer tells nothing but that discovery
-        answers."""
+        """Takes a list or the changes of one, under the dispatcher's lock. A version that is not newer shows
+        only that discovery answers."""
         self.list_requested.clear()
         if version <= self.version:
             lines, addresses, whole = [], {}, False
@@ -170,26 +187,28 @@
         self.counters.add("lists told")
         self.publish(now, lines, addresses, whole, fresh)
 
-    def current(self, now):
-        """Under the dispatcher's lock. The list as it is here is the one that discovery has."""
+    def list_is_current(self, now):
+        """Notes, under the dispatcher's lock, that our list is the one that discovery has."""
         self.list_requested.clear()
         self.connection.reset_pause()
         self.first_result.set()
         self.dispatcher.balancer.listed(now, [], False, True)
 
     def publish(self, now, lines, addresses, whole, fresh):
-        """The one way by which the balancer learns of instances. Under the dispatcher's lock."""
+        """Passes changes of the list on to the connection pools and the balancer, which learns of instances
+        in no other way. Called under the dispatcher's lock."""
         for id in [id for id in self.dispatcher.instances.pools if id not in addresses] if whole else ():
             self.dispatcher.instances.listed(id, None, 0)
-        for id, (where, started) in addresses.items():
-            self.dispatcher.instances.listed(id, where, started)
+        for id, (instance_address, started) in addresses.items():
+            self.dispatcher.instances.listed(id, instance_address, started)
         self.dispatcher.balancer.listed(now, lines, whole, fresh)
         if fresh:
             self.first_result.set()
 
 
 def number(value, otherwise):
-    """It, or what stands for null; an error where it is no finite number that is not negative."""
+    """Returns the value, or `otherwise` for None. Raises ValueError for anything but a finite, non-negative
+    number."""
     if value is None:
         return otherwise
     if type(value) not in (int, float) or not 0 <= value < math.inf:
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one balancer under one lock. Whoever has read something tells it here; what it decides is passed on."""
+"""Runs the one balancer under one lock: passes it the events of all threads and carries out its decisions."""
 
 import threading
 import traceback
@@ -9,131 +9,140 @@
 from . import resp
 from .config import now
 
-MOST_FAULTS = 8  # of one turn, and one for each open request: then the rest waits for the next
-AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
-UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of attempts of which no instance has had all
+# Of one event, besides one for each open request; after that many the rest waits for the next event.
+MAX_FAULTS = 8
+MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS  # the timer does not ask again sooner than this
+# The ends of attempts of which no instance received the whole request.
+UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)
 
 
 class Dispatcher:
-    """The balancer's door. Nothing blocks under the lock: what might is put into `chores`, which whoever held
-    the lock does once it is free. What is told and what is decided on it share one moment, as the interface
-    asks: a balancer knows by it that a request has just come."""
+    """The host of the balancer. Nothing blocks under the lock. Actions that might block go into
+    `deferred_actions`, which the thread that held the lock carries out after it has released it. An event and
+    the decisions on it share one timestamp, as the interface requires: the balancer recognizes a new request
+    by it."""
 
-    TWICE = resp.error("ERR no request: its id is that of an open one")
+    DUPLICATE_ID_ERROR = resp.error("ERR no request: its id is that of an open one")
 
     def __init__(self, start, log, counters):
         self.lock = threading.Condition()
         self.log_line, self.counters = log, counters
         self.balancer = Balancer(start)
-        self.ids = set()  # those of the requests below
-        self.pending_requests = {}  # the requests that want an answer: by request, the client's command
+        self.ids = set()  # of the requests in `pending_requests`
+        self.pending_requests = {}  # unanswered ones: request to PendingRequest
         self.deferred_actions = []
         self.instances = self.discovery = self.releases = None  # the drivers, set before the first call
-        self.news = None  # the driver that tells of the list: no attempt begins while it has not told all
-        self.service = None  # between the platform and the balancer, where a service's moves are followed
-        self.wake = 0  # when the timer is to ask again
+        self.list_source = None  # the driver of the list; no attempt begins while it has unprocessed updates
+        self.service = None  # follows the moves of a service; stands between the platform and the balancer
+        self.wakeup_at = 0  # nanoseconds; when the timer asks the balancer again
 
     # ---- for the drivers
 
     def handle(self, happened, *values):
-        """An input of the balancer's or of this dispatcher's, then all that is decided on it."""
+        """Passes an event to the balancer or to this dispatcher, and carries out all decisions that follow.
+        `happened`: a function of the time in nanoseconds and of `values`."""
         with self.lock:
-            deferred_actions = self.turn(happened, *values)
+            deferred_actions = self.process_event(happened, *values)
         for action, *values in deferred_actions:
             try:
                 action(*values)
-            except Exception:  # the chores after it are other requests'
+            except Exception:  # the later actions belong to other requests
                 self.fault(traceback.format_exc())
 
-    def turn(self, happened, *values):
-        moment, faults = now(), MOST_FAULTS + len(self.pending_requests)
-        self.guarded(happened, moment, *values)
-        # A decision takes what it is about off its list first, so after a fault the others are still made.
-        while (more := self.guarded(self.balancer.decide, moment, self)) or more is None and faults > 0:
+    def process_event(self, happened, *values):
+        time_now, faults = now(), MAX_FAULTS + len(self.pending_requests)
+        self.call_guarded(happened, time_now, *values)
+        # A decision takes its subject off its list first, so after a fault the others are still made.
+        while (
+            (more := self.call_guarded(self.balancer.decide, time_now, self)) or more is None and faults > 0
+        ):
             faults -= more is None
-        wake = self.guarded(self.balancer.wake_at) or 0
-        if wake <= moment:
-            wake = moment + AFTER_FAULT
-        if wake < self.wake:
+        wakeup_at = self.call_guarded(self.balancer.wake_at) or 0
+        if wakeup_at <= time_now:
+            wakeup_at = time_now + MIN_WAKEUP_NS_AFTER_FAULT
+        if wakeup_at < self.wakeup_at:
             self.lock.notify()
-        self.wake = wake
+        self.wakeup_at = wakeup_at
         deferred_actions, self.deferred_actions = self.deferred_actions, []
         return deferred_actions
 
-    def guarded(self, call, *values):
-        """What it gives, None after a fault: no input may end the thread that brought it."""
+    def call_guarded(self, call, *values):
+        """Returns the call's result, or None after an exception. No event may end the thread that reports
+        it."""
         try:
             return call(*values)
         except Exception:
             self.deferred_actions.append((self.fault, traceback.format_exc()))
             return None
 
-    def keep_time(self):
-        """The timer's thread: asks again when the balancer said, though nothing happened."""
+    def run_timer(self):
+        """The timer's thread: asks the balancer for decisions at the times that it set."""
         while True:
             with self.lock:
-                while (wait := self.wake - now()) > 0:
+                while (wait := self.wakeup_at - now()) > 0:
                     self.lock.wait(min(wait / 1e9, 60.0))
-            self.handle(lambda moment: None)
+            self.handle(lambda time_now: None)
 
     def fault(self, text):
         self.counters.add("faults")
         self.log_line.error("fault", reason=text)
 
-    def request_arrived(self, moment, ask, request):
-        if not self.taken(ask, request):
+    def request_arrived(self, time_now, pending, request):
+        if not self.register(pending, request):
             return
-        request.arrived = moment
-        self.balancer.request_arrived(moment, request)
+        request.arrived = time_now
+        self.balancer.request_arrived(time_now, request)
 
-    def request_turned_away(self, moment, ask, request):
-        """It came past the bound on clients: it is given up as the balancer gives up any."""
-        if self.taken(ask, request):
+    def request_turned_away(self, time_now, pending, request):
+        """Has a request rejected without an attempt, as the balancer gives up any other."""
+        if self.register(pending, request):
             self.balancer.give_up(request, self)
 
-    def cut_short(self, moment, requests):
-        """Their connection is to end: those that still want an answer get their last one."""
+    def abort_requests(self, time_now, requests):
+        """Gives up those of the requests that are unanswered, because their connection is about to end."""
         for request in requests:
             if request in self.pending_requests:
                 self.balancer.give_up(request, self)
 
-    def taken(self, ask, request):
-        """Whether it is: an id that another open request has would make two answers of one."""
+    def register(self, pending, request):
+        """Adds a request to the unanswered ones. Returns False, and answers it with an error, if another open
+        request has its id: one response would then be taken for two."""
         if request.id in self.ids:
-            ask.answer = self.TWICE
-            self.deferred_actions.append((ask.client.flush,))
+            pending.answer = self.DUPLICATE_ID_ERROR
+            self.deferred_actions.append((pending.client.flush,))
             return False
-        self.pending_requests[request] = ask
+        self.pending_requests[request] = pending
         self.ids.add(request.id)
         self.count("taken", request)
         return True
 
-    def client_left(self, moment, requests):
+    def client_left(self, time_now, requests):
         for request in requests:
             if self.pending_requests.pop(request, None) is not None:
                 self.ids.discard(request.id)
                 self.count("left", request)
-                self.drop(request)
-                self.balancer.request_left(moment, request)
+                self.drop_unwritten(request)
+                self.balancer.request_left(time_now, request)
 
-    def attempt_ended(self, moment, attempt, end, value):
+    def attempt_ended(self, time_now, attempt, end, value):
         if end == at.SUCCEEDED and attempt.request in self.pending_requests:
             self.answer(attempt.request, "succeeded", resp.bulk(value))
         self.counters.add(f"attempts {end}")
         if self.service is not None:
-            self.service.ended(moment, attempt, end)
-        took = moment - attempt.at if attempt.took is None else attempt.took
+            self.service.ended(time_now, attempt, end)
+        took = time_now - attempt.at if attempt.took is None else attempt.took
         over = attempt.request not in self.pending_requests
-        self.balancer.attempt_ended(moment, attempt, end, took, over, {})
+        self.balancer.attempt_ended(time_now, attempt, end, took, over, {})
 
-    def stage_told(self, moment, *news):
-        """The platform's news of the newest build."""
-        (self.service or self.balancer).stage_told(moment, *news)
+    def stage_told(self, time_now, *release_state):
+        """Reports the state of the newest build, as the platform sent it."""
+        (self.service or self.balancer).stage_told(time_now, *release_state)
 
     def may_begin(self, attempt):
-        """The moment by which its last byte has to be written; 0 if it may not begin."""
-        if self.news is not None:
-            self.news.wait_until_told(attempt.request.deadline)
+        """Returns the time, in nanoseconds, by which the attempt's last byte must be written, or 0 if the
+        attempt may not begin. Waits until the updates of the list that have arrived are processed."""
+        if self.list_source is not None:
+            self.list_source.wait_until_processed(attempt.request.deadline)
         with self.lock:
             return self.balancer.may_begin(now(), attempt) if attempt.request in self.pending_requests else 0
 
@@ -141,20 +150,21 @@
         self.counters.add(what)
         self.counters.add(f"{what} request class {request.request_class.number}")
 
-    # ---- the door
+    # ---- called by the balancer
 
     def answer(self, request, ending, data):
-        ask = self.pending_requests.pop(request)
+        pending = self.pending_requests.pop(request)
         self.ids.discard(request.id)
         self.count(ending, request)
-        # before the answer can go out, so that no attempt of it is written whole after that
-        self.drop(request)
-        ask.answer = data
-        self.deferred_actions.append((ask.client.flush,))
+        # Before the response can be sent, so that no attempt is written in full after it.
+        self.drop_unwritten(request)
+        pending.answer = data
+        self.deferred_actions.append((pending.client.flush,))
 
-    def drop(self, request):
+    def drop_unwritten(self, request):
+        """Stops the request's attempts that are not written in full."""
         if any(not attempt.end for attempt in request.attempts):
-            self.instances.drop(request.attempts)
+            self.instances.drop_unwritten(request.attempts)
 
     def attempt(self, request, instance_id, time_out):
         self.counters.add("attempts")
--- a/lemonlead/gateway/http.py
+++ b/lemonlead/gateway/http.py
@@ -1,29 +1,35 @@
-"""One answer of HTTP/1.1: a state machine that is fed bytes and gives the lines of its body; and one that is
-fed such lines and gives the text of each JSON object in them, which may be indented, once it is whole."""
+"""Parsers for HTTP/1.1 responses: one is fed bytes and returns the lines of the body, the other is fed such
+lines and returns the text of each JSON object in them, which may span several lines."""
 
 import re
 
 from .buffer import Buffer, Malformed
 
-LONGEST_LINE, MOST_HEADERS, LONGEST_CHUNK, LONGEST_BODY_LINE = 8192, 100, 1 << 22, 1 << 22
-MORE, END = object(), object()  # no whole line yet; the body is over
-# The next bracket, after what is none: other letters, strings (whole, as JSON writes them: none goes on in
-# the next line) and quotes that none ends. Found one by one: a whole list has many, and is large itself.
+MAX_LINE_BYTES = 8192
+MAX_HEADERS = 100
+MAX_CHUNK_BYTES = 1 << 22
+MAX_BODY_LINE_BYTES = 1 << 22
+# What `Response.next` returns: no whole line yet; the body is over.
+MORE, END = object(), object()
+# The next bracket, after anything that is none: other characters, whole JSON strings (JSON strings never span
+# lines) and quotes without an end. Brackets are found one by one because a whole list is large and has many.
 BRACKET = re.compile(rb'(?:[^"{}\[\]]++|"(?:[^"\\]++|\\.)*+"|")*+([{}\[\]]?)')
 
 
 class Response:
-    """Bytes go into `buffer`; `next` gives each line of the body once it is whole, then END."""
+    """Parses one response. Bytes go into `buffer`; `next` returns the body's lines. `state` is the method
+    that parses the next element, or None at the end of the body."""
 
     def __init__(self):
         self.buffer = Buffer()
         self.status = 0
         self.headers = {}
         self.state = self.status_line
-        self.remaining = None  # bytes of the chunk or of the whole body still to come; None: until the end
-        self.text = bytearray()  # of the body, up to where its last whole line ends
+        self.remaining = None  # bytes left of the chunk or the body; None: it lasts until the connection ends
+        self.text = bytearray()  # the part of the body that was not returned yet
 
     def next(self):
+        """Returns the next line of the body, MORE if it is not complete, or END. Raises Malformed."""
         try:
             while True:
                 cut = self.text.find(b"\n")
@@ -31,7 +37,7 @@
                     line = bytes(self.text[:cut]).rstrip(b"\r")
                     del self.text[: cut + 1]
                     return line
-                if len(self.text) > LONGEST_BODY_LINE:
+                if len(self.text) > MAX_BODY_LINE_BYTES:
                     raise Malformed("a line of the body is too long")
                 if self.state is None:
                     line = bytes(self.text)
@@ -39,11 +45,13 @@
                     return line or END
                 if not self.state():
                     return MORE
-        except ValueError as error:  # a number that is none, or Malformed as it is
+        except ValueError as error:  # an invalid number, or Malformed itself
             raise Malformed(str(error)) from None
 
+    # The methods below return False if more bytes are needed.
+
     def status_line(self):
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return False
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
@@ -52,11 +60,11 @@
         return True
 
     def header(self):
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return False
         if line:
             name, colon, value = line.partition(b":")
-            if not colon or len(self.headers) >= MOST_HEADERS:
+            if not colon or len(self.headers) >= MAX_HEADERS:
                 raise Malformed("a header without a colon, or too many of them")
             self.headers[name.strip().lower()] = value.strip()
         elif b"chunked" in self.headers.get(b"transfer-encoding", b"").lower():
@@ -69,10 +77,10 @@
         return True
 
     def chunk_size(self):
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return False
         self.remaining = int(line.split(b";")[0], 16)
-        if not 0 <= self.remaining <= LONGEST_CHUNK:
+        if not 0 <= self.remaining <= MAX_CHUNK_BYTES:
             raise Malformed(f"a chunk of {self.remaining} bytes")
         self.state = self.body if self.remaining else self.trailer
         return True
@@ -88,7 +96,7 @@
         return count > 0
 
     def chunk_end(self):
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return False
         if line:
             raise Malformed("a chunk longer than it says")
@@ -96,7 +104,7 @@
         return True
 
     def trailer(self):
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return False
         if not line:
             self.state = None
@@ -104,19 +112,20 @@
 
 
 class JsonObjects:
-    """Lines go into `add`, which gives the text of an object with its last line, and nothing before."""
+    """Joins lines to JSON objects, by counting brackets."""
 
     def __init__(self):
-        self.lines, self.size, self.depth = [], 0, 0  # of the object that is begun; brackets that stand open
+        self.lines, self.size, self.depth = [], 0, 0  # of the unfinished object; `depth`: open brackets
 
     def add(self, line):
+        """Returns the text of an object with its last line, and no bytes before. Raises Malformed."""
         if not line.strip():
             return b""
         found = (match[1] for match in BRACKET.finditer(line))
         self.depth += sum((c in (b"{", b"[")) - (c in (b"}", b"]")) for c in found)
         self.lines.append(line)
         self.size += len(line)
-        if self.size > LONGEST_BODY_LINE:
+        if self.size > MAX_BODY_LINE_BYTES:
             raise Malformed("an object of the body is too long")
         if self.depth > 0:
             return b""
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -1,4 +1,6 @@
-"""Instances: a thread for each attempt, one request a connection at a time, connections kept for the next."""
+"""Connections to instances: a thread for each attempt, and a pool of unused connections for each instance.
+
+A connection carries one request at a time. All times are nanoseconds."""
 
 import contextlib
 import socket
@@ -13,37 +15,42 @@
 from .config import now
 from .sockets import unread_for
 
-IDLE_SHARE = 0.9  # an unused connection is closed after this part of the time told, before the instance does
-# A connection is not used again for so long after its last answer: a second one may come milliseconds late,
-# and one that came between the last look and the next answer would be taken for that. It costs a request
-# that finds no other so much time; a new connection would cost the instance more.
-SETTLE = 10 * NS
-# The endings of attempts that brought a whole answer.
+# An unused connection is closed after this share of the configured idle time, before the instance closes it.
+IDLE_SHARE = 0.9
+# A connection is not used again for this long after its last response. A second response may arrive some
+# milliseconds late, and one that arrived after the last check would be taken for the response to the next
+# request. A request that finds no other connection waits for this time; a new connection would cost the
+# instance more.
+REUSE_DELAY_NS = 10 * NS
+# The ends of attempts that received a whole response.
 ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.UNFIT)
 
 
 class Connection:
+    """One connection to an instance. Methods with `until` raise TimeoutError once that time has passed."""
+
     def __init__(self, pool):
         self.pool, self.sock = pool, socket.socket()
         self.reader = resp.Reader()
-        self.used = now()  # when its last answer came or, before the first, when it was begun
-        self.made = 0  # when it had come up
+        self.idle_since = now()  # the time of the last response; before the first one, of the creation
+        self.connected_at = 0
 
     def connect(self, until):
-        self.sock.settimeout(left(until) / 1e9)
+        self.sock.settimeout(time_left(until) / 1e9)
         self.sock.connect(self.pool.address)
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.made = now()
+        self.connected_at = now()
 
-    def settle(self):
-        """Waits until it has rested, and says whether it had to."""
-        if (wait := self.used + SETTLE - now()) > 0:
+    def wait_until_reusable(self):
+        """Waits until REUSE_DELAY_NS after the last response. Returns whether it had to wait."""
+        if (wait := self.idle_since + REUSE_DELAY_NS - now()) > 0:
             time.sleep(wait / 1e9)
         return wait > 0
 
-    def quiet(self):
-        """Whether nothing has come while it was unused: neither its end nor an answer that nobody awaits."""
+    def is_quiet(self):
+        """Returns whether nothing arrived while the connection was unused: neither its end nor a response
+        that nobody waits for."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -53,17 +60,17 @@
         return False
 
     def write(self, data, until):
-        """At once where the socket has room, as it has for most commands."""
+        """Sends all of `data`; at once if the socket's buffer has room, as it has for most commands."""
         with contextlib.suppress(BlockingIOError):
             data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
         while data:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, limit(until))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, socket_timeout(until))
             data = data[self.sock.send(data) :]
 
     def read(self, until):
-        """The next whole value; raises TimeoutError, OSError or Malformed."""
+        """Returns the next whole value. Raises TimeoutError, OSError or Malformed."""
         while (value := self.reader.next()) is resp.MORE:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, limit(until))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, socket_timeout(until))
             try:
                 count = self.reader.buffer.fill(self.sock.recv_into)
             except BlockingIOError:
@@ -73,19 +80,19 @@
         return value
 
 
-def left(until):
+def time_left(until):
     if (wait := until - now()) <= 0:
         raise TimeoutError
     return wait
 
 
-def limit(until):
-    """The time left, as the socket takes it: nothing at all would be no limit."""
-    return struct.pack("ll", *divmod(max(left(until) // 1000, 1), 1_000_000))
+def socket_timeout(until):
+    """Returns the time left as a `struct timeval`. It is at least 1 us, because zero would mean no limit."""
+    return struct.pack("ll", *divmod(max(time_left(until) // 1000, 1), 1_000_000))
 
 
 class Pool:
-    """One instance since its last start: its address and unused connections, the longest unused first."""
+    """One instance since its last start: its address and its unused connections, the longest unused first."""
 
     __slots__ = "address", "started", "unused", "closed"
 
@@ -93,113 +100,119 @@
         self.address, self.started, self.closed = address, started, False
 
     def __getattr__(self, name):
-        """`unused`: made when first looked at, as few of many instances are."""
+        """Creates `unused` at the first access, because most instances never need it."""
         if name != "unused":
             raise AttributeError(name)
-        self.unused = []  # which takes a tenth of a deque, and there are few in each
+        self.unused = []  # a list takes a tenth of a deque's memory, and each pool has few connections
         return self.unused
 
-    def longest_unused(self):
-        """It is out of the pool then; None where there is none."""
+    def pop_longest_unused(self):
+        """Removes and returns a connection, or returns None if there is none."""
         return self.unused.pop(0) if self.unused else None
 
-    def rested_at(self):
-        """The moment from which the one longest unused may be used again; 0 where there is none."""
-        return self.unused[0].used + SETTLE if self.unused else 0
+    def reusable_at(self):
+        """Returns the time from which the longest unused connection may be used again; 0 if there is none."""
+        return self.unused[0].idle_since + REUSE_DELAY_NS if self.unused else 0
 
 
 class AttemptInFlight:
-    """One attempt under way."""
+    """One attempt and its connection. `until`: the time at which it times out."""
 
     def __init__(self, attempt, pool, words, until):
         self.attempt, self.pool, self.words, self.until = attempt, pool, words, until
         self.connection, self.cancelled = None, False
-        self.begun = self.written = False  # from its first byte on, from its last
+        # Whether its first byte may have been written, and whether its last byte has been.
+        self.begun = self.written = False
 
 
 class Instances:
-    """`lock` guards pools, trips and the count of connections; where both are held, it is taken second."""
+    """The pools of all instances and the attempts in flight. `lock` guards both and the number of open
+    connections. A thread that needs the dispatcher's lock too takes that one first."""
 
     def __init__(self, config, dispatcher, thread_pool, log, counters):
         self.dispatcher, self.thread_pool, self.log, self.counters = dispatcher, thread_pool, log, counters
         self.idle_time = int(config.start.idle_time * IDLE_SHARE)
         self.connect_time = config.start.connect_time
-        self.most, self.open = config.connections // 2, 0  # connections that stand or are being made
+        self.max_connections, self.open = config.connections // 2, 0  # `open`: those being made count too
         self.lock = threading.Lock()
         self.pools, self.attempts_in_flight = {}, {}  # by the instance's id; by attempt
-        self.reached = set()  # the pools to which a connection was begun
+        self.used_pools = set()  # the pools for which a connection was ever begun
 
     # ---- under the dispatcher's lock
 
     def listed(self, id, address, started):
-        """Without an address it drains or is gone. Unused connections to what it was before are closed."""
+        """Updates one instance; `address` is None if it drains or is gone. The unused connections of an
+        instance that restarted or moved are closed."""
         with self.lock:
             old = self.pools.get(id)
             if old is not None and (old.address, old.started) != (address, started):
                 del self.pools[id]
-                self.reached.discard(old)
-                old.closed = True  # nothing new begins there
-                self.dispatcher.deferred_actions.append((self.clear, old))
+                self.used_pools.discard(old)
+                old.closed = True  # no attempt begins there any more
+                self.dispatcher.deferred_actions.append((self.close_unused, old))
             if address is not None and id not in self.pools:
                 self.pools[id] = Pool(address, started)
 
     def prepare(self, attempt, id, words, until):
-        """An attempt to be started. It has the connection longest unused, if there is one, so that what is
-        left is what the next one finds."""
+        """Returns a new attempt in flight. It takes the longest unused connection now, if there is one, so
+        that the next decision sees only what is left."""
         in_flight = AttemptInFlight(attempt, self.pools.get(id), words, until)
         with self.lock:
             self.attempts_in_flight[attempt] = in_flight
             if in_flight.pool is not None:
-                in_flight.connection = in_flight.pool.longest_unused()
-                attempt.rested_at = in_flight.pool.rested_at()
+                in_flight.connection = in_flight.pool.pop_longest_unused()
+                attempt.rested_at = in_flight.pool.reusable_at()
         return in_flight
 
-    def drop(self, attempts):
-        """Their request is over: of those that are not written whole the last byte is written no more."""
+    def drop_unwritten(self, attempts):
+        """Stops those attempts of an answered request that are not written in full, before their last
+        byte."""
         with self.lock:
             for in_flight in filter(None, map(self.attempts_in_flight.get, attempts)):
                 if not in_flight.written:
-                    self.shut(in_flight)
+                    self.abort(in_flight)
 
-    # ---- not under it
+    # ---- without the dispatcher's lock
 
-    def clear(self, pool):
+    def close_unused(self, pool):
         with self.lock:
             unused, pool.unused = pool.unused, []
         for connection in unused:
-            self.end(connection, "instance gone")
+            self.close(connection, "instance gone")
 
     def start(self, in_flight):
         try:
-            self.thread_pool.submit(self.carry, in_flight)
-        except RuntimeError:  # no thread to be had
-            self.over(in_flight, at.NOT_SENT, None)
+            self.thread_pool.submit(self.run, in_flight)
+        except RuntimeError:  # the system gives no thread
+            self.finish(in_flight, at.NOT_SENT, None)
 
     def cancel(self, attempt):
         with self.lock:
             if (in_flight := self.attempts_in_flight.get(attempt)) is not None:
-                self.shut(in_flight)
+                self.abort(in_flight)
 
-    def shut(self, in_flight):
+    def abort(self, in_flight):
         in_flight.cancelled = True
         if in_flight.begun:
             with contextlib.suppress(OSError):
                 in_flight.connection.sock.shutdown(socket.SHUT_RDWR)
 
-    def carry(self, in_flight):
-        """Neither the time until a thread took it up nor that for which its answer lay unread counts as its
-        instance's: short of its own processor, a gateway would take all instances for slow."""
-        taken_up = now()
+    def run(self, in_flight):
+        """Runs an attempt on a thread of the pool. Its reported duration leaves out the wait for the thread
+        and the time for which the response lay unread. Otherwise a gateway that lacks processor time would
+        take all instances for slow."""
+        started_at = now()
         try:
-            end, value = self.outcome(in_flight)
-        except Exception:  # an attempt always ends, and what may have run is never said not to have
+            end, value = self.execute(in_flight)
+        except Exception:  # an attempt always ends, and one that may have run never ends as not sent
             self.dispatcher.fault(traceback.format_exc())
             end, value = (at.RESET if in_flight.begun else at.UNCONNECTED), None
         unread = unread_for(in_flight.connection.sock) if end in ANSWERED else 0
-        in_flight.attempt.took = max(now() - taken_up - unread, 0)
-        self.over(in_flight, end, value)
+        in_flight.attempt.took = max(now() - started_at - unread, 0)
+        self.finish(in_flight, end, value)
 
-    def over(self, in_flight, end, value):
+    def finish(self, in_flight, end, value):
+        """Returns the attempt's connection to its pool or closes it, and reports the end."""
         connection, pool, ended = in_flight.connection, in_flight.pool, []
         with self.lock:
             del self.attempts_in_flight[in_flight.attempt]
@@ -207,56 +220,61 @@
             keep = clean and not (in_flight.begun and in_flight.cancelled)
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
-                if end == at.NOT_SENT:  # the instance's clock goes on: so does ours
+                if end == at.NOT_SENT:  # the instance's idle timer was not reset, so ours is not either
                     pool.unused.insert(0, connection)
                 else:
-                    connection.used = now()
+                    connection.idle_since = now()
                     pool.unused.append(connection)
             elif connection is not None:
-                # More than an answer, or half of one, would be taken for the next request's.
+                # Bytes after the response would be taken for the response to the next request.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
-                # Guards against a machine that vanished: its open connections stay silent also once it is
-                # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.at]
-                pool.unused = [old for old in pool.unused if old.used >= in_flight.attempt.at]
-            in_flight.attempt.rested_at = 0 if pool is None else pool.rested_at()
+                # A machine that vanished leaves open connections that stay silent even after it is back.
+                # For a machine that is only slow, this may close good connections, at the cost of a new
+                # connection each.
+                ended += [
+                    (old, "instance silent") for old in pool.unused if old.idle_since < in_flight.attempt.at
+                ]
+                pool.unused = [old for old in pool.unused if old.idle_since >= in_flight.attempt.at]
+            in_flight.attempt.rested_at = 0 if pool is None else pool.reusable_at()
         for connection, reason in ended:
-            self.end(connection, reason)
+            self.close(connection, reason)
         self.dispatcher.handle(self.dispatcher.attempt_ended, in_flight.attempt, end, value)
 
-    def outcome(self, in_flight):
-        """How the attempt ended, and the value if it succeeded."""
+    def execute(self, in_flight):
+        """Returns how the attempt ended, and the value if it succeeded."""
         try:
             while True:
-                if (made := self.reach(in_flight)) is False and in_flight.connection.settle():
+                if (made := self.get_connection(in_flight)) is False and (
+                    in_flight.connection.wait_until_reusable()
+                ):
                     self.counters.add("connections rested")
                 by = (
                     0 if made is None or in_flight.cancelled else self.dispatcher.may_begin(in_flight.attempt)
                 )
                 if not by:
                     return at.NOT_SENT, None
-                # Looked at last of all: what comes unasked would be taken for this request's answer, and on a
-                # connection that has ended nothing of this attempt has been written.
-                if made or in_flight.connection.quiet():
+                # The last check before writing. Unexpected bytes would be taken for this request's response,
+                # and if the connection has ended, nothing of this attempt has been written.
+                if made or in_flight.connection.is_quiet():
                     break
-                self.end(in_flight.connection, "instance closed")
+                self.close(in_flight.connection, "instance closed")
                 in_flight.connection = None
             with self.lock:
                 if in_flight.cancelled or in_flight.pool.closed:
                     return at.NOT_SENT, None
                 in_flight.begun = True
-            in_flight.attempt.since = in_flight.connection.made
+            in_flight.attempt.since = in_flight.connection.connected_at
             wait = max((in_flight.until - now()) // NS, 1)
             in_flight.connection.write(
-                resp.command(passed_on(in_flight.words, wait)), min(in_flight.until, by)
+                resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, by)
             )
         except OSError:
             return (at.NOT_SENT if in_flight.begun and in_flight.cancelled else at.UNCONNECTED), None
         with self.lock:
             in_flight.written = True
             if in_flight.cancelled:
-                self.shut(in_flight)
+                self.abort(in_flight)
         try:
             value = in_flight.connection.read(in_flight.until)
         except TimeoutError:
@@ -265,31 +283,33 @@
             return at.SPOILT, None
         except OSError:
             return at.CANCELLED if in_flight.cancelled else at.RESET, None
-        return ending(value)
+        return classify_response(value)
 
-    def reach(self, in_flight):
-        """Has the connection longest unused, or makes one, and says whether it did; None where there is no
-        room for one. The longest unused is the least likely to bring more than it should."""
+    def get_connection(self, in_flight):
+        """Gives the attempt the longest unused connection, or makes a new one. Returns whether it is new, or
+        None if the limit allows none. The longest unused one is the least likely to bring a late response."""
         pool, ended = in_flight.pool, []
         if pool is None:
             return None
         with self.lock:
-            in_flight.connection = in_flight.connection or pool.longest_unused()
-            while in_flight.connection is not None and in_flight.connection.used + self.idle_time < now():
+            in_flight.connection = in_flight.connection or pool.pop_longest_unused()
+            while (
+                in_flight.connection is not None and in_flight.connection.idle_since + self.idle_time < now()
+            ):
                 ended.append(in_flight.connection)
-                in_flight.connection = pool.longest_unused()
+                in_flight.connection = pool.pop_longest_unused()
         for connection in ended:
-            self.end(connection, "unused")
+            self.close(connection, "unused")
         if in_flight.connection is not None:
             return False
         if not self.make_room():
             return None
         with self.lock:
             if not pool.closed:
-                self.reached.add(pool)
+                self.used_pools.add(pool)
         try:
             in_flight.connection = Connection(pool)
-        except (OSError, MemoryError):  # no descriptor or no room to be had
+        except (OSError, MemoryError):  # no descriptor or no memory is left
             with self.lock:
                 self.open -= 1
             return None
@@ -298,20 +318,21 @@
         return True
 
     def make_room(self):
-        """Counts one connection more; at the bound the one that is longest unused goes. False if none is."""
+        """Counts one more connection. At the limit it closes the one that is longest unused; returns False if
+        there is none."""
         with self.lock:
             self.open += 1
-            if self.open <= self.most:
+            if self.open <= self.max_connections:
                 return True
-            unused = [pool.unused for pool in self.reached if pool.unused]
+            unused = [pool.unused for pool in self.used_pools if pool.unused]
             if not unused:
                 self.open -= 1
                 return False
-            oldest = min(unused, key=lambda connections: connections[0].used).pop(0)
-        self.end(oldest, "made room")
+            oldest = min(unused, key=lambda connections: connections[0].idle_since).pop(0)
+        self.close(oldest, "made room")
         return True
 
-    def end(self, connection, reason):
+    def close(self, connection, reason):
         connection.sock.close()
         with self.lock:
             self.open -= 1
@@ -319,9 +340,10 @@
         self.log.info("connection ended", instance=connection.pool.address[0], reason=reason)
 
 
-def ending(value):
-    """How an attempt ended by the whole value that came back, and the request's answer if it succeeded. What
-    the protocol does not list is spoilt, but for a load report, which may be anything that can be read."""
+def classify_response(value):
+    """Returns how an attempt ended by the whole value that was received, and the request's result if it
+    succeeded. A value that the protocol does not list ends as SPOILT; only the load report may be any value
+    that can be parsed."""
     if type(value) is list and len(value) == 3 and type(value[0]) is bytes and value[1] is None:
         return at.SUCCEEDED, value[0]
     if isinstance(value, resp.Fault):
@@ -330,11 +352,12 @@
         if value.split(b" ")[0] == b"BUSY":
             return at.REJECTED, None
         if value.startswith(b"ERR ") or value == b"SYNTAX":
-            return at.UNFIT, None  # another error that can be read speaks of the command
+            return at.UNFIT, None  # any other error is about the command
     return at.SPOILT, None
 
 
-def passed_on(words, wait):
-    """The client's command as an instance gets it: as it came, but for the wait in `d`."""
+def forwarded_words(words, wait):
+    """Returns the client's command as the instance receives it: unchanged but for the timeout in `d`, which
+    is `wait` milliseconds."""
     extras = [b"d=%d" % wait if pair.startswith(b"d=") else pair for pair in words[3].split(b",")]
     return [*words[:3], b",".join(extras), *words[4:]]
--- a/lemonlead/gateway/managed_connection.py
+++ b/lemonlead/gateway/managed_connection.py
@@ -1,4 +1,4 @@
-"""What keeps up a connection that the gateway cannot do without: where to, why it ended, how long to wait."""
+"""A connection that the gateway keeps open: it is reopened after a pause, and its address can change."""
 
 import contextlib
 import random
@@ -6,40 +6,45 @@
 import threading
 import time
 
-MAX_CROWDED_PAUSE_SECONDS = 16.0  # seconds: the longest pause after one that had too many callers
-MIN_CROWDED_PAUSE_SECONDS = (
-    2.0  # seconds: the shortest; less, and all that wait in vain fill its queue again at once
-)
-CONNECT_TIMEOUT_SECONDS = (
-    1.0  # seconds; what has not come up by then is tried anew, to be early once it can be reached
-)
-END_REASONS = {ConnectionRefusedError: "refused", ConnectionResetError: "reset", BrokenPipeError: "reset"}
+MAX_CROWDED_PAUSE_SECONDS = 16.0  # after a server that had too many callers
+# The first pause after such a server. After a shorter one, all callers that waited in vain would fill the
+# server's queue again at once.
+MIN_CROWDED_PAUSE_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0  # short, so that a server that becomes reachable is found soon
+# The reason codes of connections that ended with these errors.
+END_REASONS = {
+    ConnectionRefusedError: "refused",
+    ConnectionResetError: "reset",
+    BrokenPipeError: "reset",
+}
 
 
 def read_until(sock, until):
-    """Bounds the socket's next read by this moment of `time.monotonic`; TimeoutError once it has come. Guards
-    against a peer that sends bytes but nothing whole: each of them would count as a sign of life."""
+    """Limits the socket's next read to this time of `time.monotonic`. Raises TimeoutError if it has passed.
+    Without a limit over all reads, a peer that sends single bytes but nothing whole would seem alive."""
     if (left := until - time.monotonic()) <= 0:
         raise TimeoutError
     sock.settimeout(left)
 
 
 class ManagedConnection:
-    """One such connection at a time. The pause before the next grows with each failure and is spread by
-    chance; a new address ends both the connection and the pause."""
+    """Holds one connection at a time. The pause before the next one grows with each failure and is
+    randomized. A new address ends both the connection and the pause. All times are seconds."""
 
-    def __init__(self, address, seed, min_pause, max_pause, crowded=MAX_CROWDED_PAUSE_SECONDS):
+    def __init__(self, address, seed, min_pause, max_pause, max_crowded_pause=MAX_CROWDED_PAUSE_SECONDS):
         self.address, self.random = address, random.Random(seed)
         self.min_pause, self.max_pause, self.pause = min_pause, max_pause, min_pause
-        self.max_crowded_pause = max(crowded, max_pause)
-        self.condition = threading.Condition()  # guards the address, the socket, and whether it is to move
+        self.max_crowded_pause = max(max_crowded_pause, max_pause)
+        self.condition = threading.Condition()  # guards the address, the socket and `address_changed`
         self.sock, self.address_changed = None, False
 
     def connect(self, silence):
-        """A socket to the address as it is now, on which a silence of so many seconds is an error, and that
-        address. OSError if it was to move meanwhile: what is not connected yet can't be shut down."""
+        """Returns a socket connected to the current address, with a read timeout of `silence`, and that
+        address. Raises OSError also if the address changed meanwhile: a socket that is not connected yet
+        cannot be shut down by `change_address`."""
         with self.condition:
-            self.address_changed, address = False, self.address  # first: without a socket, `wait` is to pause
+            # Reset before the socket is made: if that fails, `pause_before_retry` must pause.
+            self.address_changed, address = False, self.address
             self.sock = socket.socket()
         self.sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         self.sock.connect(address)
@@ -50,17 +55,17 @@
         return self.sock, address
 
     def run(self, work):
-        """Has `work` make a connection and use it until it ends; the reason as a code, and what else is to be
-        said of it."""
+        """Calls `work`, which connects and uses the connection until it ends. Returns the reason of the end
+        as a code, and details."""
         try:
             reason, detail = work(), ""
-        except ValueError as error:  # the parsers' Malformed among them
+        except ValueError as error:  # includes the parsers' Malformed
             reason, detail = "malformed", str(error)
         except TimeoutError:
             reason, detail = "silent", ""
         except OSError as error:
             reason, detail = END_REASONS.get(type(error), "unreachable"), str(error)
-        except Exception as error:  # the next connection depends on the thread
+        except Exception as error:  # the thread must survive to open the next connection
             reason, detail = "fault", f"{type(error).__name__}: {error}"
         with self.condition:
             if self.sock is not None:
@@ -72,7 +77,8 @@
         self.pause = self.min_pause
 
     def change_address(self, address):
-        """To a new address at once; False if it is the old one."""
+        """Ends the connection or the pause, so that the new address is used at once. Returns False if the
+        address is the same as before."""
         with self.condition:
             if address == self.address:
                 return False
@@ -84,9 +90,12 @@
             return True
 
     def pause_before_retry(self, crowded=False):
-        """`crowded`: the other side had too many callers. What waits there in vain takes the place of what
-        would be served, so that all must come less often until each gets through; it learns later then."""
-        with self.condition:  # all of it: what the old address did is to lengthen no pause at a new one
+        """Waits before the next connection. `crowded`: the server had too many callers. A caller that waits
+        there in vain takes the place of one that would be served, so all callers must come less often until
+        each gets through. The price is that updates arrive later."""
+        # The lock is held throughout, because a failure at the old address must not lengthen the pause at a
+        # new one.
+        with self.condition:
             if crowded and not self.address_changed:
                 self.pause = max(self.pause, min(MIN_CROWDED_PAUSE_SECONDS, self.max_crowded_pause))
             if not self.condition.wait_for(
--- a/lemonlead/gateway/platform.py
+++ b/lemonlead/gateway/platform.py
@@ -1,10 +1,10 @@
-"""The platform's lines: a state machine that is fed bytes and gives each line's words, and what they tell."""
+"""The platform's line protocol: a parser that is fed bytes and returns lines, and what the lines mean."""
 
 from .. import interface as at
 from ..told import in_ns
 from .buffer import Buffer, Malformed
 
-LONGEST_LINE = 8192
+MAX_LINE_BYTES = 8192
 PHASES = {
     "trial": at.ON_TRIAL,
     "rolling_back": at.GOING_BACK,
@@ -16,38 +16,42 @@
 
 
 class Reader:
+    """Parses lines of words. Bytes go into `buffer`."""
+
     def __init__(self):
         self.buffer = Buffer()
 
     def next(self):
-        """The words of the next line, or None while it is not whole."""
+        """Returns the words of the next line, or None until it is complete. Raises Malformed."""
         try:
-            line = self.buffer.line(LONGEST_LINE)
+            line = self.buffer.line(MAX_LINE_BYTES)
             return None if line is None else line.decode("ascii").split()
         except ValueError as error:
             raise Malformed(str(error)) from None
 
 
-def ballot(build, stage, verdict):
+def vote_line(build, stage, verdict):
     return f"BALLOT {build} {stage} {VERDICTS[verdict]}\r\n".encode()
 
 
-def stage(words):
-    """Build, stage, phase, cap and age, as `stage_told` takes them, from five words."""
+def parse_stage(words):
+    """Returns build, stage, phase, cap and age in nanoseconds, as `stage_told` takes them, from five words.
+    Raises Malformed."""
     try:
         build, stage, phase, cap, age = words
-        told = int(build), int(stage), PHASES[phase], float(cap), in_ns(float(age))
-        if told[0] < 0 or told[1] < 0 or not 0 <= told[3] <= 1 or told[4] < 0:
+        state = int(build), int(stage), PHASES[phase], float(cap), in_ns(float(age))
+        if state[0] < 0 or state[1] < 0 or not 0 <= state[3] <= 1 or state[4] < 0:
             raise ValueError
     except (ValueError, KeyError, TypeError):
         raise Malformed(f"no state of a build: {words}"[:200]) from None
-    return told
+    return state
 
 
-def answer(words):
-    """What became of a vote, and the news that the answer carries or None."""
+def parse_vote_response(words):
+    """Returns the outcome of a vote, and the state of the build that the response carries or None. Raises
+    Malformed."""
     if words[:1] == ["OK"]:
-        return at.COUNTED, stage(words[1:])
+        return at.COUNTED, parse_stage(words[1:])
     if words[:1] == ["ERR"]:
         return REFUSALS.get(" ".join(words[1:2]), at.VOTE_ERRED), None
     raise Malformed("no answer to a vote")
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -1,4 +1,4 @@
-"""The platform: one thread hears its news, another casts the votes and hears what became of them."""
+"""The platform client: one thread receives news of the newest build, another sends votes."""
 
 import queue
 import socket
@@ -9,7 +9,8 @@
 from . import platform
 from .managed_connection import ManagedConnection, read_until
 
-SILENCE = 3.5  # seconds without a whole sign of life after which news are cut off; one comes each second
+# News without a whole line for this long are cut off; the platform sends a line each second.
+SILENCE_TIMEOUT_SECONDS = 3.5
 
 
 class Releases:
@@ -18,76 +19,82 @@
         self.answer_time = config.start.release.answer_time / 1e9
         self.votes = queue.SimpleQueue()
         self.connection = ManagedConnection(config.platform, config.start.seed, 0.1, 2.0)
-        # nanoseconds: since when the state of the last news stands; under the dispatcher's lock
-        self.began = 0
+        # The time, in nanoseconds, since which the state of the last news holds; under the dispatcher's lock.
+        self.state_since = 0
 
     def vote(self, *vote):
         self.votes.put((time.monotonic() + self.answer_time, vote))
 
     # ---- news
 
-    def hear(self):
+    def run_news(self):
         while True:
-            reason, detail = self.connection.run(self.listen)
+            reason, detail = self.connection.run(self.receive_news)
             self.counters.add(f"news ended: {reason}")
             self.log.info("news ended", reason=reason, detail=detail)
             self.connection.pause_before_retry()
 
-    def listen(self):
-        (sock, _), reader = self.connection.connect(SILENCE), platform.Reader()
+    def receive_news(self):
+        (sock, _), reader = self.connection.connect(SILENCE_TIMEOUT_SECONDS), platform.Reader()
         sock.sendall(b"NOTIFY\r\n")
-        while (words := self.words(sock, reader, time.monotonic() + SILENCE)) is not None:
+        while (
+            words := self.read_words(sock, reader, time.monotonic() + SILENCE_TIMEOUT_SECONDS)
+        ) is not None:
             if words[:2] == ["*", "stage"]:
                 self.counters.add("news told")
-                self.dispatcher.handle(self.told, *platform.stage(words[2:]))
+                self.dispatcher.handle(self.news_received, *platform.parse_stage(words[2:]))
                 self.connection.reset_pause()
             elif words not in (["*"], ["OK"]):
                 raise platform.Malformed("no news: " + " ".join(words)[:100])
         return "closed"
 
-    def words(self, sock, reader, until):
+    def read_words(self, sock, reader, until):
+        """Returns the words of the next line, or None at the end of the connection. Raises TimeoutError at
+        `until`, a time of `time.monotonic`."""
         while (words := reader.next()) is None:
             read_until(sock, until)
             if not reader.buffer.fill(sock.recv_into):
                 return None
         return words
 
-    def told(self, now, *news):
-        self.began = now - news[-1]
+    def news_received(self, now, *news):
+        self.state_since = now - news[-1]
         self.dispatcher.stage_told(now, *news)
 
     # ---- votes
 
-    def poll(self):
+    def run_votes(self):
         while True:
             until, vote = self.votes.get()
             try:
-                outcome, news = self.cast(until, vote)
-            except Exception:  # votes depend on this thread
+                outcome, news = self.send_vote(until, vote)
+            except Exception:  # the thread must survive to send the next vote
                 self.dispatcher.fault(traceback.format_exc())
                 outcome, news = at.UNANSWERED, None
             self.counters.add(f"votes {outcome}")
             build, stage, verdict = vote
             self.log.info("vote", build=build, stage=stage, verdict=platform.VERDICTS[verdict], ended=outcome)
-            self.dispatcher.handle(self.answered, outcome, news)
+            self.dispatcher.handle(self.vote_answered, outcome, news)
 
-    def cast(self, until, vote):
+    def send_vote(self, until, vote):
+        """Returns the outcome of the vote, and the state of the build in the response or None."""
         with socket.socket() as sock:
             try:
                 sock.settimeout(max(until - time.monotonic(), 0.001))
                 sock.connect(self.connection.address)
-                sock.sendall(platform.ballot(*vote))
+                sock.sendall(platform.vote_line(*vote))
             except OSError:
-                return at.VOTE_ERRED, None  # not carried out
+                return at.VOTE_ERRED, None  # it was not counted
             try:
-                words = self.words(sock, platform.Reader(), until)
-                return platform.answer(words) if words is not None else (at.UNANSWERED, None)
+                words = self.read_words(sock, platform.Reader(), until)
+                return platform.parse_vote_response(words) if words is not None else (at.UNANSWERED, None)
             except (OSError, platform.Malformed):
-                return at.UNANSWERED, None  # it may have been carried out
+                return at.UNANSWERED, None  # it may have been counted
 
-    def answered(self, now, outcome, news):
-        """Guards against an answer that later news overtook on their own connection: the cap and phase from
-        before would stand until the next news. An answer's state that is older than theirs is left."""
+    def vote_answered(self, now, outcome, news):
+        """Reports the outcome of a vote, and the state of the build that came with it. A state that is older
+        than the last news is ignored: later news may arrive first, on their own connection, and the earlier
+        cap and phase would then hold until the next news."""
         self.dispatcher.balancer.vote_answered(now, outcome)
-        if news is not None and now - news[-1] >= self.began:
+        if news is not None and now - news[-1] >= self.state_since:
             self.dispatcher.stage_told(now, *news)
--- a/lemonlead/gateway/resp.py
+++ b/lemonlead/gateway/resp.py
@@ -1,10 +1,13 @@
-"""RESP2: a state machine that is fed bytes and gives whole values, and the few forms that are written."""
+"""RESP2: a parser that is fed bytes and returns whole values, and writers for the few forms that are sent."""
 
 from .buffer import Buffer, Malformed
 
-LONGEST_LINE, LONGEST_BULK, MOST_ITEMS, DEEPEST = 1024, 64 * 1024, 64, 4
-LONGEST_COMMAND = LONGEST_BULK + 4096  # bytes of all its strings
-MORE = object()  # no whole value yet
+MAX_LINE_BYTES = 1024
+MAX_BULK_BYTES = 64 * 1024
+MAX_ITEMS = 64
+MAX_DEPTH = 4
+MAX_COMMAND_BYTES = MAX_BULK_BYTES + 4096  # of all its strings
+MORE = object()  # what `Reader.next` returns until a value is complete
 
 
 class Status(bytes):
@@ -16,17 +19,18 @@
 
 
 class Reader:
-    """Bytes go into `buffer`; `next` gives each value once it is whole. From clients only commands are taken:
-    arrays of bulk strings."""
+    """Parses values. Bytes go into `buffer`; `next` returns the values. With `commands`, only arrays of bulk
+    strings are accepted, as clients send them."""
 
     def __init__(self, commands=False):
         self.buffer = Buffer()
         self.commands = commands
-        self.open = []  # arrays begun: what they hold so far, and how many items they want
-        self.bulk = None  # the length of the bulk string that is awaited
-        self.size = 0  # of the strings of the array that is open
+        self.open = []  # the unfinished arrays: (items so far, number of items)
+        self.bulk = None  # the length of the bulk string that comes next; None if none does
+        self.size = 0  # bytes of the strings of the unfinished array
 
     def next(self):
+        """Returns the next value, or MORE until it is complete. Raises Malformed."""
         while True:
             value = self.line() if self.bulk is None else self.string()
             while value is not MORE and value is not None and self.open:
@@ -37,7 +41,7 @@
                 return None if value is NULL else value
 
     def empty(self):
-        """Whether it stands between values, with nothing of the next."""
+        """Returns whether the parser is between values and has no byte of the next one."""
         return not len(self.buffer) and not self.open and self.bulk is None
 
     def string(self):
@@ -50,8 +54,8 @@
         return data[:-2]
 
     def line(self):
-        """A value that is one line; None where more belongs to it."""
-        if (line := self.buffer.line(LONGEST_LINE)) is None:
+        """Parses one line. Returns its value, MORE, or None if the value continues after the line."""
+        if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return MORE
         kind, rest = line[:1], line[1:]
         if self.commands and kind != (b"$" if self.open else b"*"):
@@ -67,11 +71,11 @@
             return NULL
         if kind == b"$":
             self.size += number
-            if not 0 <= number <= LONGEST_BULK or self.commands and self.size > LONGEST_COMMAND:
+            if not 0 <= number <= MAX_BULK_BYTES or self.commands and self.size > MAX_COMMAND_BYTES:
                 raise Malformed(f"a bulk string of {number} bytes")
             self.bulk = number
             return None
-        if not self.commands <= number <= MOST_ITEMS or len(self.open) >= DEEPEST:
+        if not self.commands <= number <= MAX_ITEMS or len(self.open) >= MAX_DEPTH:
             raise Malformed(f"an array of {number} items at depth {len(self.open)}")
         self.size = 0
         if number == 0:
@@ -80,7 +84,7 @@
         return None
 
 
-NULL = object()  # stands for null inside the machine, where None means that a value goes on
+NULL = object()  # a null inside the parser, where None means that the value continues
 
 
 def command(words):
--- a/lemonlead/gateway/sockets.py
+++ b/lemonlead/gateway/sockets.py
@@ -1,21 +1,24 @@
-"""What the operating system tells of a connection, and time limits as it takes them."""
+"""What Linux reports about a connection, and socket timeouts in the kernel's format."""
 
 import contextlib
 import select
 import socket
 import struct
 
-# Linux's `struct tcp_info`: where it has the milliseconds since the last data came, and its length with it.
-# They are counted in ticks of its timer, of ten milliseconds at most.
-LAST_DATA_RECEIVED, INFO_LENGTH = 52, 56
-# Where it has the connection's state; closed; ended by the other side.
-STATE, CLOSE, CLOSE_WAIT = 0, 7, 8
-COARSEST_TICK_MS = 10
+# Linux's `struct tcp_info`: the offset of the milliseconds since the last data arrived, and the length needed
+# to include it.
+LAST_DATA_RECEIVED_OFFSET = 52
+INFO_LENGTH = 56
+# The offset of the TCP state, and two of its values.
+STATE_OFFSET = 0
+CLOSE = 7
+CLOSE_WAIT = 8
+MAX_KERNEL_TICK_MS = 10  # the kernel counts the milliseconds above in ticks of at most this length
 NS_PER_MS = 1_000_000
 
 
 def connection_info(sock):
-    """The kernel's `struct tcp_info` as bytes; empty where it does not tell."""
+    """Returns the kernel's `struct tcp_info` as bytes, or no bytes if it does not provide it in full."""
     with contextlib.suppress(OSError):
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_LENGTH)
         return info if len(info) == INFO_LENGTH else b""
@@ -23,36 +26,36 @@
 
 
 def unread_for(sock):
-    """Nanoseconds for which what was read last had lain unread, as far as is known: 0 where the system does
-    not tell, or where it is less than its clock can tell apart. Never more than it was."""
+    """Returns how long the data read last had lain unread, in nanoseconds. The result is a lower bound: 0 if
+    the kernel does not provide it, or if the time is within one tick of its clock."""
     if not (info := connection_info(sock)):
         return 0
-    (since_data_ms,) = struct.unpack_from("=I", info, LAST_DATA_RECEIVED)
-    return max(since_data_ms - COARSEST_TICK_MS, 0) * NS_PER_MS
+    (since_data_ms,) = struct.unpack_from("=I", info, LAST_DATA_RECEIVED_OFFSET)
+    return max(since_data_ms - MAX_KERNEL_TICK_MS, 0) * NS_PER_MS
 
 
 def hung_up(sock, read_side_ended=False):
-    """Whether the other side has ended its connection; unlike by `recv`, also where unread bytes lie before
-    the end. Once we ended our reading side, which looks the same to `poll`, a reset shows all the same, an
-    end in order where the kernel tells of a connection's state."""
-    ends = select.poll()
-    ends.register(sock, 0 if read_side_ended else select.POLLRDHUP)
-    if ends.poll(0):
+    """Returns whether the peer has closed the connection. Unlike `recv`, this also works while unread bytes
+    come before the end. `read_side_ended`: we have called shutdown(SHUT_RD), which looks like the peer's FIN
+    to `poll`. A reset is still seen then, and a FIN if the kernel provides the connection's state."""
+    poller = select.poll()
+    poller.register(sock, 0 if read_side_ended else select.POLLRDHUP)
+    if poller.poll(0):
         return True
     info = connection_info(sock) if read_side_ended else b""
-    return bool(info) and info[STATE] in (CLOSE, CLOSE_WAIT)
+    return bool(info) and info[STATE_OFFSET] in (CLOSE, CLOSE_WAIT)
 
 
 def readable(sock, wait=0.0):
-    """Whether something lies unread there, its end included; waits for it for so many seconds at most. Not on
-    a socket that is closed meanwhile."""
+    """Returns whether the socket has unread data or has reached its end. Waits for that for at most `wait`
+    seconds. Returns False for a socket that another thread closes meanwhile."""
     with contextlib.suppress(ValueError, OSError):
-        news = select.poll()
-        news.register(sock, select.POLLIN)
-        return bool(news.poll(max(wait, 0.0) * 1e3))
+        poller = select.poll()
+        poller.register(sock, select.POLLIN)
+        return bool(poller.poll(max(wait, 0.0) * 1e3))
     return False
 
 
 def seconds(length):
-    """A time limit as a socket takes it."""
+    """Returns a timeout in seconds as a `struct timeval`."""
     return struct.pack("ll", int(length), int(length % 1 * 1e6))
--- a/lemonlead/gateway/thread_pool.py
+++ b/lemonlead/gateway/thread_pool.py
@@ -1,51 +1,52 @@
-"""Threads that each do one piece of work after the other, kept a while for the next."""
+"""A pool of threads that grows without limit and reuses idle threads."""
 
 import threading
 
-KEPT = 1.0  # seconds without work after which a thread ends
+IDLE_TIMEOUT_SECONDS = 1.0  # a thread that is idle for this long ends
 
 
 class Worker:
-    """One thread of a thread pool: what it is to do next, and the lock that it waits on until there is
-    some."""
+    """One thread of the pool: its next task, and the lock that it waits on until there is one."""
 
     def __init__(self):
-        self.work, self.ready = None, threading.Lock()
+        self.task, self.ready = None, threading.Lock()
         self.ready.acquire()
 
 
 class ThreadPool:
-    """A piece of work goes to a thread that waits, or to a new one; it waits for none that is at work. The
-    last to wait is the first to get some, so that those past the usual need end, with what they hold."""
+    """A task goes to an idle thread or to a new one; it never waits for a busy thread. The thread that became
+    idle last gets the next task, so that threads beyond the usual need end and free their memory."""
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.free = []  # those that wait, the longest first
+        self.idle_workers = []  # the longest idle first
 
-    def submit(self, *work):
-        """Has a thread do it; RuntimeError if the system gives none."""
+    def submit(self, *task):
+        """Runs a task, given as a function and its arguments. Raises RuntimeError if the system gives no
+        thread."""
         with self.lock:
-            worker = self.free.pop() if self.free else None
+            worker = self.idle_workers.pop() if self.idle_workers else None
         if worker is None:
-            threading.Thread(target=self.serve, args=work, daemon=True).start()
+            threading.Thread(target=self.run_worker, args=task, daemon=True).start()
         else:
-            worker.work = work
+            worker.task = task
             worker.ready.release()
 
-    def serve(self, *work):
+    def run_worker(self, *task):
         worker = Worker()
-        while work:
-            work[0](*work[1:])
-            worker.work = work = None  # what it was about is not kept while it waits
+        while task:
+            task[0](*task[1:])
+            worker.task = task = None  # frees the task's objects while the thread is idle
             with self.lock:
-                self.free.append(worker)
-            work = self.next(worker)
+                self.idle_workers.append(worker)
+            task = self.next_task(worker)
 
-    def next(self, worker):
-        if not worker.ready.acquire(timeout=KEPT):
+    def next_task(self, worker):
+        """Waits for the worker's next task. Returns None if the thread is to end."""
+        if not worker.ready.acquire(timeout=IDLE_TIMEOUT_SECONDS):
             with self.lock:
-                if worker in self.free:
-                    self.free.remove(worker)
+                if worker in self.idle_workers:
+                    self.idle_workers.remove(worker)
                     return None
-            worker.ready.acquire()  # some is on its way
-        return worker.work
+            worker.ready.acquire()  # `submit` has taken the worker, so a task is about to come
+        return worker.task
--- a/lemonlead/matching/__init__.py
+++ b/lemonlead/matching/__init__.py
@@ -7,4 +7,4 @@
 
 Nothing here but `load` reads a file, nothing a socket or a clock, and nothing sends or answers: what a rule
 gives is a request class, a key, a tenant and labels, and what it may never do is kept in `rules`. The
-gateway's way in is `lemonlead/gateway/sorting.py`."""
+gateway's way in is `lemonlead/gateway/request_rules.py`."""
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -55,7 +55,7 @@
 
 
 def refused(folder, config):
-    with pytest.raises(configs.Unfit) as caught:
+    with pytest.raises(configs.InvalidConfig) as caught:
         read(folder, config)
     text = str(caught.value)
     assert "\n" not in text and len(text) <= 200
@@ -222,14 +222,14 @@
 def test_what_is_no_configuration_at_all_is_refused(tmp_path, text, said):
     path = tmp_path / "config.json"
     path.write_bytes(text.encode(errors="surrogatepass"))
-    with pytest.raises(configs.Unfit, match=said) as caught:
+    with pytest.raises(configs.InvalidConfig, match=said) as caught:
         configs.read({"ROUTER_CONFIG": str(path)})
     assert "\n" not in str(caught.value)
 
 
 def test_a_file_that_cannot_be_read_or_is_not_named_is_refused(tmp_path):
     for environment in ({}, {"ROUTER_CONFIG": str(tmp_path)}, {"ROUTER_CONFIG": str(tmp_path / "none")}):
-        with pytest.raises(configs.Unfit, match="ROUTER_CONFIG|directory"):
+        with pytest.raises(configs.InvalidConfig, match="ROUTER_CONFIG|directory"):
             configs.read(environment)
 
 
@@ -243,7 +243,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     for name, key in (("ROUTER_LISTEN", "listen"), ("ROUTER_DISCOVERY", "discovery")):
-        with pytest.raises(configs.Unfit, match=f"{key} is 'here:80'; expected an IPv4 address"):
+        with pytest.raises(configs.InvalidConfig, match=f"{key} is 'here:80'; expected an IPv4 address"):
             configs.read({"ROUTER_CONFIG": str(path), name: "here:80"})
 
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -54,7 +54,7 @@
         self.instances = self.dispatcher.instances = Instances(
             config, self.dispatcher, ThreadPool(), Quiet(), counters
         )
-        self.dispatcher.discovery = SimpleNamespace(ask=lambda: None)
+        self.dispatcher.discovery = SimpleNamespace(request_list=lambda: None)
         self.dispatcher.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
         self.balancer, self.request_classes = (
             self.dispatcher.balancer,
@@ -94,7 +94,7 @@
         return ask
 
     def keep_time(self):
-        threading.Thread(target=self.dispatcher.keep_time, daemon=True).start()
+        threading.Thread(target=self.dispatcher.run_timer, daemon=True).start()
 
     def answered(self, ask):
         until(lambda: ask.answers)
@@ -152,8 +152,8 @@
     assert made.answered(made.ask()) == b"$1\r\n0\r\n"
     made.ended()
     ((connection,),) = [made.unused()]
-    answered = connection.used
-    halt = Halt(monkeypatch, made.instances, "reach", after=True)
+    answered = connection.idle_since
+    halt = Halt(monkeypatch, made.instances, "get_connection", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
     made.dispatcher.handle(made.dispatcher.client_left, [given_up.request])
@@ -161,7 +161,7 @@
     monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
     halt.opened.set()
     made.ended()
-    assert made.unused() == [connection] and connection.used == answered
+    assert made.unused() == [connection] and connection.idle_since == answered
     monkeypatch.setattr(instances, "now", lambda: late + MS)
     made.ask()
     until(lambda: len(server.got) == 2)
@@ -171,7 +171,7 @@
 def test_a_new_connection_is_unused_from_before_the_instance_could_count(world, monkeypatch):
     made = world(server := InstanceServer().start())
     begun = now()
-    halt = Halt(monkeypatch, made.instances, "reach", after=True)
+    halt = Halt(monkeypatch, made.instances, "get_connection", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
     until(lambda: server.connections)
@@ -180,7 +180,7 @@
     halt.opened.set()
     made.ended()
     (connection,) = made.unused()
-    assert begun < connection.used < accepted and not server.got
+    assert begun < connection.idle_since < accepted and not server.got
 
 
 def arrived(sock):
@@ -208,7 +208,7 @@
         second_answer()  # after the last look, unless it came while the connection rested
         write(self, data, until)
 
-    monkeypatch.setattr(instances, "now", lambda: connection.used)  # the next request is there at once
+    monkeypatch.setattr(instances, "now", lambda: connection.idle_since)  # the next request is there at once
     sleeps = SimpleNamespace(sleep=lambda seconds: second_answer())
     monkeypatch.setattr(instances, "time", sleeps, raising=False)
     monkeypatch.setattr(Connection, "write", written)
@@ -223,7 +223,7 @@
     made.answered(made.ask())
     made.ended()
     (connection,) = made.unused()
-    monkeypatch.setattr(instances, "now", lambda: connection.used + rested * MS)
+    monkeypatch.setattr(instances, "now", lambda: connection.idle_since + rested * MS)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
     made.answered(made.ask())
     assert slept == [wait / 1e3] * (wait > 0)
@@ -238,7 +238,7 @@
     (connection,) = made.unused(first.instance.id)
     first.instance.slowness, first.instance.group.slowness = 0.001, 0.002  # half of the other's, under a rest
     for module in (dispatcher, instances):
-        monkeypatch.setattr(module, "now", lambda: connection.used + rested * MS)
+        monkeypatch.setattr(module, "now", lambda: connection.idle_since + rested * MS)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
     made.answered(ask := made.ask())
     (second,) = ask.request.attempts
@@ -265,9 +265,9 @@
     made.ended()
     open_.clear()
     rested, resting = made.unused()
-    resting.used = rested.used + 10 * MS
+    resting.idle_since = rested.idle_since + 10 * MS
     for module in (dispatcher, instances):
-        monkeypatch.setattr(module, "now", lambda: resting.used)
+        monkeypatch.setattr(module, "now", lambda: resting.idle_since)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
     assert [chosen(), chosen()] == ["i0", "i1"]
     assert made.unused() == [resting] and not slept
@@ -374,8 +374,8 @@
 def test_what_is_given_up_while_it_is_written_is_never_written_whole(world, narrow, monkeypatch, by):
     made = world(server := Slow().start(), limits={"AttemptsCap": 2}.items())
     if by == "the deadline":
-        limit = instances.limit
-        monkeypatch.setattr(instances, "limit", lambda until: limit(now() + 50 * MS))
+        limit = instances.socket_timeout
+        monkeypatch.setattr(instances, "socket_timeout", lambda until: limit(now() + 50 * MS))
     ask = stuck(made, server)
     (attempt,) = ask.request.attempts
     if by == "an answer":
@@ -400,7 +400,7 @@
     assert not made.unused() and made.instances.open == (by == "an answer")
 
 
-@pytest.mark.parametrize("at_point", ["may_begin", "passed_on"])
+@pytest.mark.parametrize("at_point", ["may_begin", "forwarded_words"])
 def test_an_attempt_is_not_written_once_its_request_has_the_answer(world, monkeypatch, at_point):
     made = world(server := InstanceServer().start())
     owner = made.dispatcher if at_point == "may_begin" else instances
@@ -447,7 +447,7 @@
     assert halt.reached.wait(60)
     monkeypatch.undo()
     made.list("i1", other := InstanceServer().start())
-    again = Halt(monkeypatch, made.instances, "reach", after=True)
+    again = Halt(monkeypatch, made.instances, "get_connection", after=True)
     halt.opened.set()
     assert again.reached.wait(60) and [attempt.end for attempt in ask.request.attempts] == [at.RESET, ""]
     monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].at + 10000 * MS - 1)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -64,9 +64,9 @@
     gateway_server = Server(config, dispatcher, thread_pool, log, counters)
     with dispatcher.lock:
         # its watch stands: else the list would hold for some seconds only
-        discovery.listed(configs.now(), *discovery.read(config.known), True, True)
+        discovery.listed(configs.now(), *discovery.parse_update(config.known), True, True)
         dispatcher.balancer.stage_told(configs.now(), *config.news)
-    threading.Thread(target=dispatcher.keep_time, daemon=True).start()
+    threading.Thread(target=dispatcher.run_timer, daemon=True).start()
     gateway_server.open()
     thread = threading.Thread(target=gateway_server.run, daemon=True)
     thread.start()
@@ -79,7 +79,7 @@
 
     def ours(client):
         theirs = client.sock.getsockname()
-        with gateway_server.room:
+        with gateway_server.condition:
             for one in gateway_server.clients:
                 with contextlib.suppress(OSError):  # its own has ended
                     if one.sock.getpeername() == theirs:
@@ -90,7 +90,7 @@
 
     def tell(*entries):
         whole = {"version": 2, "full": False, "servers": list(entries)}
-        dispatcher.handle(discovery.listed, *discovery.read(whole), False, True)
+        dispatcher.handle(discovery.listed, *discovery.parse_update(whole), False, True)
 
     try:
         yield SimpleNamespace(
@@ -179,8 +179,8 @@
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        monkeypatch.setattr(type(ours), "part_since", Ending(time.monotonic()), raising=False)
-        assert ours.idle() is False
+        monkeypatch.setattr(type(ours), "partial_since", Ending(time.monotonic()), raising=False)
+        assert ours.is_idle() is False
         monkeypatch.undo()
         assert client.ask().read() == b"aa"
 
@@ -205,7 +205,7 @@
             assert client.read() == b"PONG"
             client.sock.close()
         until(lambda: not ran.gateway_server.clients)
-        assert ran.gateway_server.held == 0
+        assert ran.gateway_server.large_command_bytes == 0
 
 
 def buys(client, id, size=60_000):
@@ -222,7 +222,9 @@
         until(lambda: server.got)
         assert buys(other, b"id1").read().startswith(b"ERR no request: its id")
         # less their buffers
-        one = ran.gateway_server.held - sum(theirs.weight for theirs in ran.gateway_server.clients)
+        one = ran.gateway_server.large_command_bytes - sum(
+            theirs.counted_bytes for theirs in ran.gateway_server.clients
+        )
         assert 60_000 < one < 61_000
         if answered:
             server.go.set()
@@ -230,7 +232,7 @@
         end(other)
         end(client)
         until(lambda: not ran.gateway_server.clients)
-        assert ran.gateway_server.held == 0
+        assert ran.gateway_server.large_command_bytes == 0
 
 
 @pytest.mark.parametrize(
@@ -243,7 +245,7 @@
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         client = ran.client()
-        assert ran.gateway_server.weigh(others := ran.gateway_server.most_held - room)
+        assert ran.gateway_server.reserve_bytes(others := ran.gateway_server.max_large_command_bytes - room)
         paused = Paused(ran.ours(client))
         buys(client, b"id1", size)
         until(lambda: len(paused.sock.recv(1 << 17, socket.MSG_PEEK)) > size)  # so each read fills its buffer
@@ -251,7 +253,7 @@
         answer = client.read()
         assert answer == b"key" if fits else answer.startswith(b"BUSY") and not server.got
         assert client.write(resp.command([b"PING"])).read() == b"PONG"  # its connection stays
-        assert ran.gateway_server.held == others
+        assert ran.gateway_server.large_command_bytes == others
 
 
 # ---- a client that goes, with its thread held and what it asked not yet sent on
@@ -278,19 +280,19 @@
 @ENDS
 def test_the_end_of_a_client_is_seen_though_it_asked_more_than_is_read(waiting, end):
     client = waiting.client()
-    for _ in range(clients.MOST_ASKS + 9):
+    for _ in range(clients.MAX_PENDING_REQUESTS + 9):
         client.ask(wait=400_000)
-    until(lambda: waiting.count("taken") == clients.MOST_ASKS)
+    until(lambda: waiting.count("taken") == clients.MAX_PENDING_REQUESTS)
     end(client)
-    assert left_at_once(waiting, clients.MOST_ASKS)
+    assert left_at_once(waiting, clients.MAX_PENDING_REQUESTS)
 
 
 def test_the_end_of_a_client_is_looked_for_in_time_while_nothing_more_is_read(waiting):
     """An attempt that begins over 0.1 s after the end is a break; half of that is for the way."""
     client, lengths = waiting.client(), []
     ours = waiting.ours(client)
-    wait, ours.room.wait = ours.room.wait, lambda length: lengths.append(length) or wait(length)
-    for _ in range(clients.MOST_ASKS + 1):
+    wait, ours.condition.wait = ours.condition.wait, lambda length: lengths.append(length) or wait(length)
+    for _ in range(clients.MAX_PENDING_REQUESTS + 1):
         client.ask(wait=400_000)
     until(lambda: lengths)
     assert 0 < max(lengths) <= 0.05
@@ -298,8 +300,8 @@
 
 @ENDS
 def test_the_end_of_a_client_is_seen_while_it_is_made_to_wait_for_nonsense(waiting, end, monkeypatch):
-    monkeypatch.setattr(clients, "PENALTY", 60)
-    monkeypatch.setattr(clients, "MOST_PENALTY", 60)
+    monkeypatch.setattr(clients, "PENALTY_SECONDS", 60)
+    monkeypatch.setattr(clients, "MAX_PENALTY_SECONDS", 60)
     client = waiting.client().ask(wait=400_000).write(resp.command([b"NONSENSE"])).ask()
     until(lambda: waiting.count("bad requests"))
     end(client)
@@ -308,7 +310,7 @@
 
 @ENDS
 def test_the_end_of_a_client_is_seen_while_it_is_turned_away(waiting, end, monkeypatch):
-    monkeypatch.setattr(clients, "PATIENCE", 60)
+    monkeypatch.setattr(clients, "ERROR_WAIT_SECONDS", 60)
     client = waiting.client().ask(wait=400_000).write(b"noise\r\n")
     until(lambda: waiting.count("taken") and not len(waiting.ours(client).reader.buffer))
     end(client)
@@ -316,17 +318,17 @@
 
 
 @ENDS
-@pytest.mark.parametrize("where", ["start", "reach"])
+@pytest.mark.parametrize("where", ["start", "get_connection"])
 def test_what_waits_for_a_thread_or_a_connection_when_its_client_goes_is_not_sent(
     tmp_path, monkeypatch, where, end
 ):
     real, met, go, server = getattr(Instances, where), threading.Event(), threading.Event(), Held()
 
     def held(instances, trip):
-        made = real(instances, trip) if where == "reach" else None  # the connection stands
+        made = real(instances, trip) if where == "get_connection" else None  # the connection stands
         met.set()
         assert go.wait(60)
-        return made if where == "reach" else real(instances, trip)
+        return made if where == "get_connection" else real(instances, trip)
 
     with gateway(tmp_path, server.start()) as ran:
         monkeypatch.setattr(Instances, where, held)
@@ -368,7 +370,7 @@
     server, met, go = InstanceServer().start(), threading.Event(), threading.Event()
     owner, name = {
         "accepted": (Server, "admit"),
-        "given a thread": (ThreadPool, "do"),
+        "given a thread": (ThreadPool, "submit"),
         "read": (clients.Client, "read"),
     }[where]
     real = getattr(owner, name)
@@ -403,8 +405,8 @@
         return admit(*given)
 
     with gateway(tmp_path, InstanceServer().start()) as ran:
-        hire = ran.gateway_server.hire
-        ran.gateway_server.hire = lambda *given: hired.append(given) or hire(*given)
+        hire = ran.gateway_server.start_client
+        ran.gateway_server.start_client = lambda *given: hired.append(given) or hire(*given)
         monkeypatch.setattr(Server, "admit", held)
         port = ran.gateway_server.listener.getsockname()[1]
         for _ in range(9):
@@ -444,11 +446,11 @@
     client = waiting.client()
     ours = waiting.ours(client)
     paused = Paused(ours)
-    ours.leave("made room")
+    ours.close_when_idle("made room")
     client.ask(wait=400_000)
     paused.come()
     paused.go.set()
-    until(lambda: waiting.count("taken") and ours.room._waiters)
+    until(lambda: waiting.count("taken") and ours.condition._waiters)
     return client
 
 
@@ -473,7 +475,7 @@
         client = ran.client()
         ours = ran.ours(client)
         paused = Paused(ours)
-        ours.leave("made room")
+        ours.close_when_idle("made room")
         client.ask(b"left")
         paused.come()
         end(client)
@@ -489,7 +491,7 @@
         client = ran.client()
         ours = ran.ours(client)
         paused = Paused(ours)
-        ours.leave(reason)
+        ours.close_when_idle(reason)
         client.ask().ask(b"bb")
         paused.come()
         paused.go.set()
@@ -500,7 +502,7 @@
 def test_what_comes_just_as_its_connection_has_rested_for_long_is_answered(
     tmp_path, monkeypatch, asked, reason
 ):
-    rests, written = clients.Client.rests, threading.Event()
+    rests, written = clients.Client.end_if_idle, threading.Event()
 
     def decided(ours):
         ended = rests(ours)
@@ -514,7 +516,7 @@
         client = ran.client()
         if asked:
             assert client.ask().read() == b"aa"
-        monkeypatch.setattr(clients.Client, "rests", decided)
+        monkeypatch.setattr(clients.Client, "end_if_idle", decided)
         ours = ran.ours(client)
         ours.since = time.monotonic() - 60
         assert client.read() == b"late" and client.read() is None and ours.reason == reason
@@ -534,7 +536,7 @@
     with gateway(tmp_path, server) as ran:
         client = ran.client()
         assert client.ask(b"first").read() == b"first"
-        ran.ours(client).leave("made room")
+        ran.ours(client).close_when_idle("made room")
         with contextlib.suppress(ConnectionResetError):
             assert client.read() is None
         assert ran.client().ask(b"anew").read() == b"anew"
@@ -551,7 +553,7 @@
         data = resp.command([b"Q.DO", b"long", b"id", b"c=buy,t=acme,d=20000", body])
         client.write(data if whole else data[:-1])
         until(lambda: len(ours.sock.recv(1 << 17, socket.MSG_PEEK)) >= len(data) - 1)
-        monkeypatch.setattr(clients, "PART", -1)  # all that is not whole at once is late
+        monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", -1)  # all that is not whole at once is late
         paused.go.set()
         if whole:
             assert client.read() == b"long" and server.got[0][4] == body
@@ -565,12 +567,12 @@
 @pytest.mark.parametrize("cut", [1, 9, len(COMMAND) - 1])
 def test_the_time_of_a_request_that_comes_in_pieces_counts_from_its_last(tmp_path, monkeypatch, cut):
     ahead, server = [], InstanceServer().start()
-    monkeypatch.setattr(clients, "PART", 60)
+    monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", 60)
     for module in (clients, dispatchers, instances):
         monkeypatch.setattr(module, "now", lambda: configs.now() + sum(ahead))
     with gateway(tmp_path, server) as ran:
         client = ran.client().write(COMMAND[:cut])
-        until(lambda: ran.ours(client).part_since is not None)  # it is read
+        until(lambda: ran.ours(client).partial_since is not None)  # it is read
         ahead.append(60_000_000_000)  # longer than its client waits
         assert client.write(COMMAND[cut:]).read() == b"key"
         told = int(server.got[0][3].split(b"d=")[1])
@@ -759,10 +761,10 @@
 
 
 def test_an_answer_that_comes_as_its_connection_is_turned_away_is_the_only_one(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "PATIENCE", 0)
+    monkeypatch.setattr(clients, "ERROR_WAIT_SECONDS", 0)
     server = Held()
     with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
-        late = Late(monkeypatch, ran.dispatcher, "cut_short")
+        late = Late(monkeypatch, ran.dispatcher, "abort_requests")
         client = ran.client().ask(request_class="buy").write(b"noise\r\n")
         assert late.met.wait(60)
         server.go.set()
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -19,7 +19,7 @@
 import pytest
 from lemonlead.gateway import __main__ as gateways
 from lemonlead.gateway import clients, resp
-from lemonlead.gateway.clients import MUTE, Client, Server as GatewayServer
+from lemonlead.gateway.clients import MIN_IDLE_SECONDS_SUSPECT, Client, Server as GatewayServer
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins import fleet
@@ -37,7 +37,7 @@
 from lemonlead.gateway.clients import Server as GatewayServer
 
 stopped, writing = threading.Event(), threading.Event()
-gone = GatewayServer.gone
+gone = GatewayServer.client_ended
 
 class Out(io.RawIOBase):
     def writable(self):
@@ -53,7 +53,7 @@
         return len(data)
 
 def log_late(gateway_server, client):
-    with gateway_server.room:
+    with gateway_server.condition:
         gateway_server.clients.discard(client)
     stopped.wait()
     gone(gateway_server, client)
@@ -61,7 +61,7 @@
 def after(leave):
     return lambda code: writing.wait() and leave(code)
 
-GatewayServer.gone, sys.exit, os._exit = log_late, after(sys.exit), after(os._exit)
+GatewayServer.client_ended, sys.exit, os._exit = log_late, after(sys.exit), after(os._exit)
 sys.stdout = io.TextIOWrapper(io.BufferedWriter(Out()))
 """
 
@@ -89,7 +89,7 @@
 from lemonlead.gateway.clients import Server as GatewayServer
 
 looks, accepted = threading.Semaphore(0), threading.Event()
-made_room, close_idle, close = GatewayServer.made_room, GatewayServer.close_idle, GatewayServer.close
+made_room, close_idle, close = GatewayServer.make_room, GatewayServer.close_idle, GatewayServer.close
 
 def late(gateway_server):
     accepted.set()
@@ -105,7 +105,7 @@
     accepted.wait()
     close(gateway_server)
 
-GatewayServer.made_room, GatewayServer.close_idle, GatewayServer.close = late, look, closing
+GatewayServer.make_room, GatewayServer.close_idle, GatewayServer.close = late, look, closing
 """
 
 
@@ -144,7 +144,7 @@
 import select
 from lemonlead.gateway.clients import Client
 
-leave = Client.leave
+leave = Client.close_when_idle
 
 def late(client, reason):
     while client.answered and client.reason is None and not client.pending_requests:
@@ -152,7 +152,7 @@
             break
     leave(client, reason)
 
-Client.leave = late
+Client.close_when_idle = late
 """
 
 
@@ -221,13 +221,16 @@
 
 
 @pytest.mark.parametrize(
-    "asked, before, stays", [(False, 0.0, True), (False, MUTE, False), (True, 0.0, False)]
+    "asked, before, stays", [(False, 0.0, True), (False, MIN_IDLE_SECONDS_SUSPECT, False), (True, 0.0, False)]
 )
 def test_a_new_connection_is_given_a_moment_for_its_first_request(asked, before, stays):
     ours, theirs = socket.socketpair()
-    gateway_server = SimpleNamespace(clients=set(), room=threading.Condition())
+    gateway_server = SimpleNamespace(clients=set(), condition=threading.Condition())
     client = Client(ours, gateway_server, False)
-    client.asked, client.since = asked, time.monotonic() + (-before if before else 60)  # no time runs out
+    client.has_sent_command, client.since = (
+        asked,
+        time.monotonic() + (-before if before else 60),
+    )  # no time runs out
     gateway_server.clients.add(client)
     assert GatewayServer.close_idle(gateway_server) and (client.reason is None) is stays
     for sock in (ours, theirs):
@@ -254,16 +257,18 @@
         close=lambda: None,
         close_idle=lambda: True,
         closed=threading.Event(),
-        hurry=lambda since: seen.append((clock.at, since / 1e9)),
+        finish_late_requests=lambda since: seen.append((clock.at, since / 1e9)),
     )
     dispatcher = SimpleNamespace(lock=threading.Lock(), pending_requests={}, counters=Counters())
     assert gateways.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
     moments = [at for at, _ in seen]
-    assert moments[0] == pytest.approx(hurries, abs=2 * gateways.TICK)
-    assert min(at for at, since in seen if since == 0) == pytest.approx(all_of_it, abs=2 * gateways.TICK)
-    assert {since for _, since in seen} - {0} == ({gateways.LINGER} if all_of_it > hurries else set())
-    assert clock.at == pytest.approx(ends, abs=2 * gateways.TICK)
-    assert moments[0] + gateways.LAST <= 0.7 + min(longest, 3.0) + gateways.TICK
+    assert moments[0] == pytest.approx(hurries, abs=2 * gateways.POLL_SECONDS)
+    assert min(at for at, since in seen if since == 0) == pytest.approx(
+        all_of_it, abs=2 * gateways.POLL_SECONDS
+    )
+    assert {since for _, since in seen} - {0} == ({gateways.LINGER_SECONDS} if all_of_it > hurries else set())
+    assert clock.at == pytest.approx(ends, abs=2 * gateways.POLL_SECONDS)
+    assert moments[0] + gateways.LAST_RESPONSES_SECONDS <= 0.7 + min(longest, 3.0) + gateways.POLL_SECONDS
 
 
 # ---- SIGHUP
@@ -323,9 +328,9 @@
         config = SimpleNamespace(connections=8, memory=16000, listen=listen)
         gateway_server = GatewayServer(config, None, None, None, Counters())
         with pytest.raises(OSError):
-            gateways.opened(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
+            gateways.open_server(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
         gateway_server.listener.close()
-    assert (sum(slept) >= gateways.TAKEN) is waits and bool(slept) is waits
+    assert (sum(slept) >= gateways.ADDRESS_WAIT_SECONDS) is waits and bool(slept) is waits
 
 
 def test_the_next_process_serves_while_the_one_before_it_ends(tmp_path):
@@ -397,18 +402,18 @@
 def thread_pool_that_fails(times):
     thread_pool, left = ThreadPool(), [None] * times
 
-    def do(*work):
+    def submit(*work):
         if left:
             left.pop()
             raise RuntimeError("can't start new thread")
-        ThreadPool.do(thread_pool, *work)
+        ThreadPool.submit(thread_pool, *work)
 
-    return SimpleNamespace(do=do, left=left)
+    return SimpleNamespace(submit=submit, left=left)
 
 
 @pytest.mark.parametrize("times, served", [(3, True), (1000, False)])
 def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
-    monkeypatch.setattr(clients, "PART", 0.9 if served else 0.0)
+    monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", 0.9 if served else 0.0)
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
     thread_pool, told = thread_pool_that_fails(times), []
     gateway_server = GatewayServer(
@@ -449,7 +454,7 @@
     assert set(few) == set(many) and many["clients ended: client closed"] == 205
     gateway_server.close()
     until(lambda: threading.active_count() <= before)
-    assert gateway_server.closed.is_set() and gateway_server.held == 0
+    assert gateway_server.closed.is_set() and gateway_server.large_command_bytes == 0
 
 
 # ---- signals before the gateway waits for them
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -136,7 +136,7 @@
 def test_a_watch_that_was_being_opened_at_sighup_does_not_go_on_at_the_old_address(servers, sockets):
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
     made, dispatcher = watch(old)
-    sockets.before = once(lambda: made.move(address(new.address)))
+    sockets.before = once(lambda: made.change_address(address(new.address)))
     new.tell(entry("new", new), full=True)
     run(made.run)
     until(lambda: dispatcher.lists == [["new"]], SOON)
@@ -149,7 +149,7 @@
     dispatcher = Dispatcher()
     made = Releases(place(platform=old), dispatcher, Quiet(), Counters())
     sockets.before = once(lambda: made.connection.change_address(address(new.address)))
-    run(made.hear)
+    run(made.run_news)
     until(lambda: dispatcher.stages == [(2, 0, at.ON_TRIAL, 0.5, 0)], SOON)
     assert not old.asked and made.counters.read() == {"news told": 1, "news ended: moved": 1}
 
@@ -157,7 +157,10 @@
 def test_sighup_there_and_back_while_a_watch_is_opened_ends_at_the_first_address(servers, sockets):
     first, second = servers(DiscoveryServer()), servers(DiscoveryServer())
     made, dispatcher = watch(first)
-    there_and_back = [lambda: made.move(address(first.address)), lambda: made.move(address(second.address))]
+    there_and_back = [
+        lambda: made.change_address(address(first.address)),
+        lambda: made.change_address(address(second.address)),
+    ]
     sockets.before = lambda: there_and_back.pop()() if there_and_back else None
     first.tell(entry("a", first), full=True)
     run(made.run)
@@ -178,7 +181,7 @@
             return super().__enter__()
 
     def move():
-        run(lambda: made.move(address(new.address)))
+        run(lambda: made.change_address(address(new.address)))
         assert moving.wait(SOON)
 
     def shut():
@@ -204,7 +207,7 @@
     new.tell(entry("new", new), full=True)  # one service at two addresses: its versions go on
     run(made.run)
     assert read.wait(SOON)
-    made.move(address(new.address))
+    made.change_address(address(new.address))
     moved.set()
     until(lambda: dispatcher.lists == [["old"], ["new"]], SOON)  # no one asks anew
 
@@ -295,7 +298,7 @@
     ids=["status", "header", "body", "chunk size", "chunk extension", "chunk", "after a sign of life"],
 )
 def test_bytes_that_never_make_a_line_do_not_keep_a_watch_alive(head, byte, servers, monkeypatch):
-    monkeypatch.setattr(discovery, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = servers(Drip(head, byte))
     made, dispatcher = watch(server)
     run(made.run)
@@ -305,10 +308,10 @@
 
 @pytest.mark.parametrize("head", [b"", b"OK\r\n", b"OK\r\n*\r\n* stage 1 0"])
 def test_bytes_that_never_make_a_line_do_not_keep_news_alive(head, servers, monkeypatch):
-    monkeypatch.setattr(releases, "SILENCE", 0.2)
+    monkeypatch.setattr(releases, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = servers(Drip(head, b" "))
     made = Releases(place(platform=server), Dispatcher(), Quiet(), Counters())
-    run(made.hear)
+    run(made.run_news)
     until(lambda: made.counters.read().get("news ended: silent"), SOON)
     assert server.cut_off.wait(SOON)
 
@@ -316,7 +319,7 @@
 def test_a_vote_whose_answer_comes_byte_by_byte_is_unanswered_once_its_time_is_over(servers):
     server = servers(Drip(b"OK 1 0 trial 0.5 ", b"0"))
     made = Releases(place(platform=server), Dispatcher(), Quiet(), Counters())
-    assert made.cast(time.monotonic() + 0.2, (1, 0, at.ON)) == (at.UNANSWERED, None)
+    assert made.send_vote(time.monotonic() + 0.2, (1, 0, at.ON)) == (at.UNANSWERED, None)
     assert server.cut_off.wait(SOON)
 
 
@@ -342,7 +345,7 @@
     made = Releases(place(platform=server), dispatcher, Quiet(), Counters())
     server.state = "1 1 trial 0.5 5000"
     trial, back = (1, 1, at.ON_TRIAL, 0.5, 5000 * MS), (1, 1, at.GOING_BACK, 0.0, 100 * MS)
-    run(made.hear)
+    run(made.run_news)
     until(lambda: dispatcher.stages == [trial], SOON)
 
     def overtake():
@@ -350,12 +353,12 @@
         until(lambda: dispatcher.stages == [trial, back], SOON)
 
     if overtaken:
-        dispatcher.gates["answered"] = once(overtake)
+        dispatcher.gates["vote_answered"] = once(overtake)
     else:
         server.answer = lambda ballot: "OK 1 1 rolling_back 0 100"
-    run(made.poll)
+    run(made.run_votes)
     made.vote(1, 1, at.ON)
-    until(lambda: "answered" in dispatcher.taken, SOON)
+    until(lambda: "vote_answered" in dispatcher.taken, SOON)
     assert dispatcher.stages == [trial, back] and dispatcher.outcomes == [at.COUNTED]
 
 
@@ -395,8 +398,8 @@
         )  # as after too many callers there
 
     dispatcher.gates["list_failed"] = once(late)
-    made.move(address(new.address))
-    until(lambda: dispatcher.taken == ["listed", "list_failed", "current"], SOON)
+    made.change_address(address(new.address))
+    until(lambda: dispatcher.taken == ["listed", "list_failed", "list_is_current"], SOON)
     assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.members) == ["a"]
     assert dispatcher.balancer.ask_at is None and made.connection.pause == made.connection.min_pause
 
@@ -463,7 +466,7 @@
         lists = lists and f"127.0.0.1:{lists}"
         config = {"discovery": lists, "release_api": {"address": f"127.0.0.1:{dispatcher}"}}
         (tmp_path / "config.json").write_text(json.dumps(config))
-        program.move(made, news, Quiet())
+        program.change_addresses(made, news, Quiet())
         at_where.append((made.connection.address[1], news.connection.address[1]))
     assert at_where == [(3, 4)] * 4 + [(1, 2)]
 
@@ -521,7 +524,7 @@
     dispatcher.gates["list_failed"] = once(lambda: over.wait(SOON))
     made.connection.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
-    dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
+    dispatcher.gates["list_is_current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
     dispatcher.balancer.listed(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
