--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -19,7 +19,7 @@
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.dispatcher import Dispatcher
-from lemonlead.gateway.instances import Connection, Instances, Pool, AttemptInFlight, passed_on
+from lemonlead.gateway.instances import Connection, Instances, Pool, AttemptInFlight, forwarded_words
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.standins.server import until
@@ -39,7 +39,7 @@
     config = SimpleNamespace(start=started(SETTINGS, 7, now()), connections=8)
     made = Dispatcher(config.start, Quiet(), Counters())
     made.instances = Instances(config, made, ThreadPool(), Quiet(), made.counters)
-    made.discovery = SimpleNamespace(ask=lambda: None)
+    made.discovery = SimpleNamespace(request_list=lambda: None)
     made.balancer.listed(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
     made.balancer.stage_told(now(), 1, 0, at.RELEASED, 1.0, 0)
     made.balancer.next_tick = now() + 10**12
@@ -52,7 +52,7 @@
     pool = Pool(("127.0.0.1", 1), 0)
     connection = Connection(pool)
     connection.sock.close()
-    connection.sock, connection.used = ours, now()
+    connection.sock, connection.idle_since = ours, now()
     asked = request(now=now())
     attempt = at.Attempt(asked, 0, made.balancer.members["i0"], now())
     asked.attempts.append(attempt)
@@ -115,20 +115,20 @@
 def test_how_an_attempt_ends_by_what_comes_back_and_whether_its_connection_is_used_again(answer, end, kept):
     made = dispatcher()
     under_way, theirs = trip(made)
-    under_way.pool.unused[0].quiet = lambda: True  # the answer is there before the command
+    under_way.pool.unused[0].is_quiet = lambda: True  # the answer is there before the command
     theirs.sendall(answer)
     if end == at.RESET:
         theirs.shutdown(socket.SHUT_WR)
     told = []
     made.attempt_ended = lambda moment, attempt, how, value: told.append(how)
-    made.instances.carry(under_way)
+    made.instances.run(under_way)
     assert told == [end] and under_way.written and bool(under_way.pool.unused) is kept
 
 
 def test_an_attempt_that_nobody_answers_times_out():
     made = dispatcher()
     under_way, theirs = trip(made, left=30 * MS)
-    assert made.instances.outcome(under_way)[0] == at.TIMED_OUT
+    assert made.instances.execute(under_way)[0] == at.TIMED_OUT
     theirs.close()
 
 
@@ -140,7 +140,7 @@
         raise BrokenPipeError
 
     under_way.pool.unused[0].write = breaks
-    assert made.instances.outcome(under_way)[0] == at.UNCONNECTED and not under_way.written
+    assert made.instances.execute(under_way)[0] == at.UNCONNECTED and not under_way.written
     theirs.close()
 
 
@@ -157,7 +157,7 @@
         asked.deadline = now()
     else:
         made.instances.cancel(under_way.attempt)
-    assert made.instances.outcome(under_way)[0] == at.NOT_SENT
+    assert made.instances.execute(under_way)[0] == at.NOT_SENT
     theirs.setblocking(False)
     with pytest.raises(BlockingIOError):
         theirs.recv(1)
@@ -168,17 +168,17 @@
     made = dispatcher()
     under_way, theirs = trip(made)
     old = under_way.pool.unused[0]
-    old.used = now()
+    old.idle_since = now()
     if spoil == "closed":
         theirs.close()
     elif spoil == "unused for too long":
-        old.used -= made.instances.idle_time + MS
+        old.idle_since -= made.instances.idle_time + MS
     else:
         theirs.sendall(b"+OK\r\n")
     ours, other = socket.socketpair()
     other.sendall(GOOD)
     monkeypatch.setattr(Connection, "connect", lambda self, until: setattr(self, "sock", ours))
-    assert made.instances.outcome(under_way) == (at.SUCCEEDED, b"v") and other.recv(4096)
+    assert made.instances.execute(under_way) == (at.SUCCEEDED, b"v") and other.recv(4096)
     assert under_way.connection is not old and old.sock.fileno() < 0 and made.instances.open == 1
 
 
@@ -188,10 +188,10 @@
     pool = under_way.pool
     under_way.connection = pool.unused.pop()
     stale, fresh = Connection(pool), Connection(pool)
-    stale.used, fresh.used = under_way.attempt.at - 1, under_way.attempt.at + 1
+    stale.idle_since, fresh.idle_since = under_way.attempt.at - 1, under_way.attempt.at + 1
     pool.unused.extend([stale, fresh])
     made.instances.open = 3
-    made.instances.over(under_way, at.TIMED_OUT, None)
+    made.instances.finish(under_way, at.TIMED_OUT, None)
     assert list(pool.unused) == [fresh] and stale.sock.fileno() < 0 and made.instances.open == 1
     theirs.close()
 
@@ -199,14 +199,14 @@
 def test_at_the_bound_the_connection_longest_unused_makes_room():
     made = dispatcher()
     pools = [Pool(("127.0.0.1", n), 0) for n in (1, 2)]
-    made.instances.reached = set(pools)
+    made.instances.used_pools = set(pools)
     for pool, used in zip(pools, (5, 3), strict=True):
         pool.unused.append(Connection(pool))
-        pool.unused[0].used = used
-    made.instances.open = made.instances.most
+        pool.unused[0].idle_since = used
+    made.instances.open = made.instances.max_connections
     assert made.instances.make_room() and not pools[1].unused and pools[0].unused
     pools[0].unused.clear()
-    assert not made.instances.make_room() and made.instances.open == made.instances.most
+    assert not made.instances.make_room() and made.instances.open == made.instances.max_connections
 
 
 def test_cancelling_wakes_the_attempt_and_its_late_answer_is_never_read():
@@ -214,7 +214,7 @@
     under_way, theirs = trip(made)
     ended = []
     made.attempt_ended = lambda moment, attempt, end, value: ended.append(end)
-    thread = threading.Thread(target=made.instances.carry, args=(under_way,), daemon=True)
+    thread = threading.Thread(target=made.instances.run, args=(under_way,), daemon=True)
     thread.start()
     until(lambda: under_way.written)
     made.instances.cancel(under_way.attempt)
@@ -224,7 +224,7 @@
 
 
 def test_all_but_the_wait_is_passed_on_unchanged():
-    assert passed_on(WORDS, 5) == [b"Q.DO", b"key", b"id", b"c=buy,d=5,t=acme", b"BODY"]
+    assert forwarded_words(WORDS, 5) == [b"Q.DO", b"key", b"id", b"c=buy,d=5,t=acme", b"BODY"]
 
 
 def test_a_thread_pool_does_all_at_once_and_keeps_no_more_threads_than_its_work_takes():
@@ -232,12 +232,12 @@
     for _ in range(4):
         thread_pool.submit(gate.wait)
     gate.wait(60)  # none waited for another
-    until(lambda: len(thread_pool.free) == 4)
+    until(lambda: len(thread_pool.idle_workers) == 4)
 
     def one_is_left():  # though work goes on coming, one piece at a time
         thread_pool.submit(lambda: done.append(threading.get_ident()))
-        until(lambda: thread_pool.free)
-        return len(thread_pool.free) == 1
+        until(lambda: thread_pool.idle_workers)
+        return len(thread_pool.idle_workers) == 1
 
     until(one_is_left)
     assert len(set(done[-3:])) == 1
@@ -247,7 +247,11 @@
 def test_large_commands_of_all_clients_share_one_bound(size, fits):
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
     server = Server(config, None, None, Quiet(), Counters())
-    assert server.weigh(1000) and server.weigh(size) is fits and server.held == 1000 + size * fits
+    assert (
+        server.reserve_bytes(1000)
+        and server.reserve_bytes(size) is fits
+        and server.large_command_bytes == 1000 + size * fits
+    )
     server.listener.close()
 
 
@@ -266,8 +270,8 @@
     config = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
     server, (ours, theirs) = Server(config, None, None, Quiet(), Counters()), socket.socketpair()
     client, server.clients = Client(ours, server, False), set(range(others))
-    client.asked, client.since = asked, time.monotonic() - rested
-    client.rests()
+    client.has_sent_command, client.since = asked, time.monotonic() - rested
+    client.end_if_idle()
     assert client.reason == ends
     server.listener.close()
     theirs.close()
@@ -280,11 +284,11 @@
     pairs = [socket.socketpair() for _ in range(2)]
     clients = [Client(ours, server, False) for ours, _ in pairs]
     for number, client in enumerate(clients):
-        client.asked, client.since = True, number  # both rested for long, the first for longer
-        client.leave = lambda reason, number=number: left.append(number)
-    clients[1].asked, clients[1].faults = asked, faults
+        client.has_sent_command, client.since = True, number  # both rested for long, the first for longer
+        client.close_when_idle = lambda reason, number=number: left.append(number)
+    clients[1].has_sent_command, clients[1].faults = asked, faults
     server.clients = set(clients)
-    assert server.made_room() and left == [gone]
+    assert server.make_room() and left == [gone]
     server.listener.close()
 
 
@@ -329,16 +333,19 @@
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
 def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    told, dispatcher = [], SimpleNamespace(request_turned_away="away", request_arrived="arrived", TWICE=b"-")
+    told, dispatcher = (
+        [],
+        SimpleNamespace(request_turned_away="away", request_arrived="arrived", DUPLICATE_ID_ERROR=b"-"),
+    )
     dispatcher.handle = lambda happened, *_: told.append(happened)
     server = Server(config, dispatcher, None, Quiet(), Counters())
-    server.request = lambda *_: request()
+    server.parse_request = lambda *_: request()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
     for other in others[: waiting - 1]:
         other.pending_requests.append(None)
     server.clients = set(clients)
-    client.take(WORDS)
+    client.handle_command(WORDS)
     assert told == ["away" if crowded else "arrived"]
     server.listener.close()
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -118,7 +118,7 @@
     """Seen on `disco+rate`, seed 87, on the 0.7 of a core that it gives: the gateway at its limit of
     processor time took its own delays for its instances' ("pace" 0.3 to 1.3 of the latency objective, 11
     attempts for 100 requests, instances idle), rejected four in ten, and had them again at once."""
-    carry, read, told = instances.Instances.carry, instances.Connection.read, []
+    carry, read, told = instances.Instances.run, instances.Connection.read, []
 
     def late_carry(self, trip):
         waited(DELAY)
@@ -131,7 +131,7 @@
 
     with gateway(tmp_path, InstanceServer().start()) as ran:
         if where == "before it is taken up":
-            monkeypatch.setattr(instances.Instances, "carry", late_carry)
+            monkeypatch.setattr(instances.Instances, "run", late_carry)
         else:
             monkeypatch.setattr(instances.Connection, "read", late_read)
         balancer = ran.dispatcher.balancer
@@ -148,7 +148,7 @@
     """A gateway in this process that has a watch at this discovery."""
     with gateway(tmp_path, *servers) as ran:
         host, port = source.address.split(":")
-        ran.dispatcher.discovery.move((host, int(port)))
+        ran.dispatcher.discovery.change_address((host, int(port)))
         threading.Thread(target=ran.dispatcher.discovery.run, daemon=True).start()
         yield ran
 
@@ -186,7 +186,7 @@
 def test_a_watch_that_falls_silent_holds_no_attempt_up(tmp_path, monkeypatch):
     """A trial of the wait above took a watch that had fallen silent for one that brings news, and waited for
     it twice: no attempt began for 4.5 s. Here requests go on until such a watch has ended."""
-    monkeypatch.setattr(discoveries, "SILENCE", 2.0)
+    monkeypatch.setattr(discoveries, "SILENCE_TIMEOUT_SECONDS", 2.0)
     source, server = DiscoveryServer().start(), InstanceServer().start()
     source.silent.set()
     with watching(tmp_path, source, server) as ran:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,7 +9,7 @@
 
 from lemonlead import interface as at
 from lemonlead.gateway import http, platform, resp
-from lemonlead.gateway.buffer import KEPT, Buffer
+from lemonlead.gateway.buffer import RETAINED_BYTES, Buffer
 
 
 def fed(machine, pieces, more):
@@ -157,7 +157,7 @@
     ],
 )
 def test_an_answer_to_a_vote_is_read(line, told):
-    assert platform.answer(line.split()) == told
+    assert platform.parse_vote_response(line.split()) == told
 
 
 @pytest.mark.parametrize(
@@ -177,7 +177,7 @@
 )
 def test_an_answer_that_makes_no_sense_is_malformed(line):
     with pytest.raises(platform.Malformed):
-        platform.answer(line.split())
+        platform.parse_vote_response(line.split())
 
 
 def test_a_buffer_grows_and_is_compacted_in_place():
@@ -190,7 +190,7 @@
     buffer.add(b"x" * 100)
     assert buffer.data is data and len(data) == 128 and len(buffer) == 100
     buffer.add(b"x" * 20000)
-    assert buffer.take(20100) and len(buffer.room()) == KEPT and buffer.data is data
+    assert buffer.take(20100) and len(buffer.free_space()) == RETAINED_BYTES and buffer.data is data
 
 
 def test_brackets_count_outside_of_strings_alone():
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -132,7 +132,7 @@
     def cancel(self, attempt):
         """It goes on: a cancelled attempt may end anyhow."""
 
-    def drop(self, attempts):
+    def drop_unwritten(self, attempts):
         """None is ever half written here."""
 
     def vote(self, *told):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -112,7 +112,7 @@
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_and_tells_what_was_missed(monkeypatch):
-    monkeypatch.setattr(drivers, "SILENCE", 0.2)
+    monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
     server.tell(entry("a", server), full=True, version=2)
@@ -138,7 +138,7 @@
 
 
 def test_half_a_list_and_then_signs_of_life_alone_count_as_silence(monkeypatch):
-    monkeypatch.setattr(drivers, "SILENCE", 0.2)
+    monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
 
     class Half(Server):
         def serve(self, sock):
@@ -180,7 +180,9 @@
 def test_what_a_silent_watch_missed_is_asked_for_within_six_seconds():
     made, *_ = driver()
     made.connection.reset_pause()  # it had told a list before
-    assert drivers.SILENCE + pauses(made.connection, False)[0] + asks_anew() < 5.7  # the rest is for the way
+    assert (
+        drivers.SILENCE_TIMEOUT_SECONDS + pauses(made.connection, False)[0] + asks_anew() < 5.7
+    )  # the rest is for the way
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
@@ -201,7 +203,7 @@
     server.tell(entry("a", server), full=True, version=2)
     made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
-    made.move(address(server.address))
+    made.change_address(address(server.address))
     until(lambda: lists == [["a"]], 4)  # what is told there counts from then on
     for one in (full, server):
         one.close()
@@ -219,11 +221,14 @@
         theirs.connect(listener.getsockname())
         ours, _ = listener.accept()
         gateway_server = SimpleNamespace(
-            stopping=True, thread_pool=ThreadPool(), request=lambda *_: request(), gone=lambda _: None
+            stopping=True,
+            thread_pool=ThreadPool(),
+            parse_request=lambda *_: request(),
+            client_ended=lambda _: None,
         )
-        gateway_server.weigh, gateway_server.dispatcher = (
+        gateway_server.reserve_bytes, gateway_server.dispatcher = (
             lambda _: True,
-            SimpleNamespace(request_arrived=None, TWICE=b"-"),
+            SimpleNamespace(request_arrived=None, DUPLICATE_ID_ERROR=b"-"),
         )
         gateway_server.counters = Counters()
         client = Client(ours, gateway_server, False)
@@ -252,7 +257,7 @@
     client, theirs = ended
     theirs.sendall(COMMAND[:cut])
     until(lambda: len(client.sock.recv(99, socket.MSG_PEEK)) == cut)
-    client.leave("stopping")
+    client.close_when_idle("stopping")
     thread = threading.Thread(target=client.run, daemon=True)
     thread.start()
     if COMMAND[cut:]:  # the other half comes once the first is read
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,7 +20,7 @@
 import structlog
 from hypothesis import given, settings
 from hypothesis import strategies as some
-from lemonlead.gateway import lines, resp
+from lemonlead.gateway import logfmt, resp
 from lemonlead.standins.fleet import gateway
 from lemonlead.standins.instances import InstanceServer
 from lemonlead.standins.server import Server, until
@@ -73,7 +73,7 @@
     read = [line.split("'")[1] for line in ran.stderr.splitlines() if line.startswith("# code object from '")]
     ours = [path for path in read if path.startswith(str(tmp_path))]
     assert len(ours) > 15 and [path for path in ours if not path.endswith(".pyc")] == []
-    changed = tmp_path / "lemonlead" / "gateway" / "lines.py"
+    changed = tmp_path / "lemonlead" / "gateway" / "logfmt.py"
     changed.write_text("raise SystemExit(7)")  # what is kept never stands for a source that has changed
     assert subprocess.run(words, cwd=tmp_path, capture_output=True).returncode == 7
 
@@ -89,7 +89,7 @@
 def test_a_line_is_what_the_library_of_the_members_makes_of_it(event, told, level):
     """Members log by structlog, and what reads logs reads both."""
     stream = io.StringIO()
-    getattr(lines.opened(stream, gateway="g 0"), level)(event, **told)
+    getattr(logfmt.open_log(stream, gateway="g 0"), level)(event, **told)
     idempotency_key = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
     render = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])
     told = {"gateway": "g 0", **told, "event": event, "level": level, "timestamp": idempotency_key}
@@ -98,7 +98,7 @@
 
 def test_a_line_tells_the_moment_in_utc_to_the_microsecond():
     stream, before = io.StringIO(), datetime.now(UTC)
-    lines.opened(stream).info("serving")
+    logfmt.open_log(stream).info("serving")
     text = stream.getvalue().split()[0].removeprefix("timestamp=")
     moment = datetime.strptime(text, "%Y-%m-%dT%H:%M:%S.%f%z")
     assert before <= moment <= datetime.now(UTC)
@@ -113,7 +113,7 @@
             return super().write(text)
 
     stream = Full()
-    log = lines.opened(stream, gateway="g0")
+    log = logfmt.open_log(stream, gateway="g0")
 
     def tell(number):
         for n in range(50):
