--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -5,13 +5,13 @@
 from types import SimpleNamespace
 
 from lemonlead.balance import Balancer
-from lemonlead.following import words
-from lemonlead.following.course import EVENTS
+from lemonlead.following import responses
+from lemonlead.following.ledger_polling import EVENTS
 from lemonlead.following.driver import SILENCE, Follower
 from lemonlead.gateway import http
 from lemonlead.gateway.config import EPOCH
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 from .gateway import CUT_TIME, MS, S, Hollow, now
 from .world import ALL
@@ -45,7 +45,7 @@
         self.starts += 1
         seed = self.seed + self.starts
         self.started_at = self.not_before = now()
-        self.balancer = Balancer(started(SETTINGS, seed, self.started_at))
+        self.balancer = Balancer(start_from_settings(SETTINGS, seed, self.started_at))
         config = SimpleNamespace(name=self.name, start=SimpleNamespace(seed=seed))
         members = {name: address for name, _, address in self.process.relays}
         counters = SimpleNamespace(add=self.count)
@@ -110,7 +110,7 @@
                 return self.answered((status, {}))
             try:
                 check = headers.get(b"x-crc32", b"").decode("ascii", "replace")
-                return self.answered((status, words.checked(b"\n".join(self.body), check)))
+                return self.answered((status, responses.checked(b"\n".join(self.body), check)))
             except ValueError as error:
                 return self.answered(error)
         return None
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -97,10 +97,10 @@
 
     request_class = at.RequestClass(0, at.IDEMPOTENT, S, 4 * S, 1.0)
     balancer = Balancer(
-        at.Start(
+        at.StartSettings(
             now=1000 * S,
             seed=1,
-            me=3,
+            balancer_index=3,
             balancers=2800,
             step=5_000_000,
             request_classes=[request_class],
@@ -110,12 +110,12 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * S,
-            release=at.Release(window=4 * S, free_attempts=50, vote_life=4 * S),
+            release=at.Release(window=4 * S, free_attempts=50, vote_lifetime=4 * S),
         )
     )
     rows = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(20)]
-    balancer.listed(1000 * S, rows, True, True)
-    balancer.stage_told(1000 * S, 1, 0, at.RELEASED, 1.0, 0)
+    balancer.list_received(1000 * S, rows, True, True)
+    balancer.stage_reported(1000 * S, 1, 0, at.RELEASED, 1.0, 0)
     door, now, process = list_changes.Taken(balancer), 1000 * S, SimpleNamespace(pid=os.getpid())
 
     def asks(n, tenant):
@@ -152,7 +152,7 @@
     """What a gateway that follows a ledger of so many nodes keeps of it, all of them cold, so that there is
     a word for each; a change of one; the whole."""
     from lemonlead.following.merge import Merge
-    from lemonlead.following.words import News
+    from lemonlead.following.responses import LedgerUpdate
 
     lines = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(size)]
     addresses = {line.id: ((line.id, 1), 0) for line in lines}
@@ -167,7 +167,7 @@
 
     def whole(merge):
         words = json.loads(body).items()
-        news = News(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
+        news = LedgerUpdate(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
         assert merge.heard(1, news) is not None
         return merge
 
@@ -178,7 +178,7 @@
         2000,
         lambda n: merge.heard(
             1,
-            News(
+            LedgerUpdate(
                 n + 10,
                 [("nodes", f"s-{n * 7 % size}", {**record, "out": "d" if n % 2 else ""})],
                 (),
--- a/lemonlead/distribution/listing.py
+++ b/lemonlead/distribution/instance_records.py
@@ -3,8 +3,8 @@
 it ready and its record, where there is one, has it up."""
 
 from ..following.merge import Merge
-from ..following.words import News
-from ..told import in_ns
+from ..following.responses import LedgerUpdate
+from ..start_settings import ms_to_ns
 
 INSTANCE = "instance/"  # before an instance's id, as the record's key
 WORDS = {"up": {}, "draining": {"out": "relay"}, "removed": {"state": "drained"}}
@@ -22,10 +22,10 @@
         raise ValueError(f"{key}.state: {state!r}; expected one of {', '.join(WORDS)}"[:200])
     if type(started) is not int or started < 0:
         raise ValueError(f"{key}.started_ms: {started!r}; expected milliseconds, a whole number"[:200])
-    return {**WORDS[state], "warm": in_ns(started) + cold if started else 0}
+    return {**WORDS[state], "warm": ms_to_ns(started) + cold if started else 0}
 
 
-class Listing:
+class InstanceRecords:
     """Puts them in force through the one call by which the balancer learns of instances. An id is of one
     scope: another that names it too is refused."""
 
@@ -64,7 +64,7 @@
     def heard(self, now, words):
         """Under the dispatcher's lock. What is late or repeated never comes here: `subscriber.py` sees to
         it, so each word counts as the newest."""
-        lines, addresses = self.merge.heard(now, News(0, words, moment=now))
+        lines, addresses = self.merge.heard(now, LedgerUpdate(0, words, moment=now))
         if lines:
             self.discovery.publish(now, lines, addresses, False, False)
         self.lines += 1
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -15,7 +15,7 @@
 from ..ledger import capacity
 from ..ledger.capacity import CATCHING_UP, DRAINED, FAILED, Millis, Name, Names, Report, change_node
 from ..ledger.state import Command
-from . import feasible, ground
+from . import constraints, feasibility
 from .faults import GivenUp, GroundGone, NoSuchDrain, TooManyDrains
 
 MOST_RUNNING = 100  # drains at once
@@ -110,11 +110,11 @@
     index: Index
 
 
-class PermitBack(Command, frozen=True, tag="permit_back"):
+class PermitRevoke(Command, frozen=True, tag="permit_back"):
     nodes: Some
 
 
-class DrainTold(Command, frozen=True, tag="drain_told"):
+class DrainPlanReport(Command, frozen=True, tag="drain_told"):
     """A leader's own: what it plans, and what stands in the way."""
 
     drain: Name
@@ -140,10 +140,10 @@
 
 def drain(draft, command):
     name, nodes, deadline = command.drain, command.nodes, command.deadline_ms
-    capacity.once(nodes)
+    capacity.check_distinct(nodes)
     for node in nodes:
         capacity.known_node(draft, node)
-    feasible.refuse(draft, nodes, deadline, draft.wall_ms)
+    feasibility.refuse(draft, nodes, deadline, draft.wall_ms)
     before = draft.get("drains", name)
     runs = before is not None and before.phase == RUNNING
     if not runs and sum(one.phase == RUNNING for one in draft.part("drains").values()) >= MOST_RUNNING:
@@ -155,7 +155,7 @@
     left = [node for node in nodes if node in old or node not in was]
     since = before.since if runs else draft.index
     draft.put("drains", name, Drain(nodes, deadline, since))
-    cordon = cordon_for(draft, left, deadline)
+    cordon = compute_cordon_ms(draft, left, deadline)
     draft.put("progress", name, Progress(len(left), draft.moment, cordon))
     for node in left:
         if node not in old:
@@ -176,14 +176,14 @@
 
 def permit(draft, command):
     nodes, wants, permits = draft.part("nodes"), draft.part("wants"), draft.part("permits")
-    capacity.once(command.nodes)
+    capacity.check_distinct(command.nodes)
     for name in command.nodes:
         if name not in nodes or name not in wants:
             raise GroundGone(f"no drain wants node {name}")
         if name in permits and permits[name].phase != RECALLED:
             raise GroundGone(f"node {name} has a permit")
     asked = [name for name in command.nodes if capacity.up(nodes[name]) or nodes[name].out]
-    for fault in ground.objections(draft, draft.moment, asked):
+    for fault in constraints.objections(draft, draft.moment, asked):
         raise GroundGone(fault.says)
     for name in command.nodes:
         serves = draft.part("wants")[name]
@@ -261,7 +261,7 @@
 def unacted(draft, command, held):
     """Whether a node that serves can no longer act on a permit taken back: it has seen that, or what it
     knew of it is older than any lease."""
-    ran_out = held.moment + draft.terms.lease + draft.terms.grace
+    ran_out = held.moment + draft.settings.lease + draft.settings.grace
     return command.seen >= held.at or draft.moment >= ran_out
 
 
@@ -341,7 +341,7 @@
 def back(draft, name, held):
     """A node that was away serves again, cold; it is done for the drains that its time away served."""
     if draft.get("nodes", name).out:
-        change_node(draft, name, warm=draft.moment + draft.terms.cold)
+        change_node(draft, name, warm=draft.moment + draft.settings.cold)
     go(draft, name)
     for one in held.serves:
         if one in draft.part("wants").get(name, ()):
@@ -352,7 +352,7 @@
     cordon_nodes(draft, (name,))
 
 
-def cordon_for(draft, nodes, deadline_ms):
+def compute_cordon_ms(draft, nodes, deadline_ms):
     """The latest wall moment at which these may still be held: what waves are needed at least, by what
     their groups and sites let go at once, have to fit in before the deadline."""
     if not deadline_ms:
@@ -363,13 +363,13 @@
     for name in nodes:
         site = draft.get("nodes", name).site
         sites[site] = sites.get(site, 0) + 1
-        for group in loads.get(name, ground.NO_LOAD).groups:
+        for group in loads.get(name, constraints.NO_LOAD).groups:
             groups[group] = groups.get(group, 0) + 1
     waves = 1
     for name, count in groups.items():
         waves = max(waves, -(-count // max(1, len(rows[name].nodes) - rows[name].quorum)))
     for site, count in sites.items():
-        waves = max(waves, -(-count // max(1, int(draft.terms.site_share * sizes[site]))))
+        waves = max(waves, -(-count // max(1, int(draft.settings.site_share * sizes[site]))))
     return max(draft.wall_ms, deadline_ms - waves * WAVE_MS)
 
 
@@ -384,7 +384,7 @@
             draft.put("nodes", name, replace(nodes[name], cordon_ms=cordon))
 
 
-def shown(state):
+def describe_drains(state):
     """The part `drains` as it is asked for: each with its plan, and its permits by node."""
     permits = {}
     for node, held in sorted(state.part("permits").items()):
@@ -412,11 +412,11 @@
     DrainStop: drain_stop,
     PermitCommand: permit,
     PermitClear: permit_clear,
-    PermitBack: permit_back,
-    DrainTold: drain_told,
+    PermitRevoke: permit_back,
+    DrainPlanReport: drain_told,
     DrainCordon: drain_cordon,
     DrainGivenUp: drain_given_up,
     Report: report,  # in place of capacity's: give these rules after those
 }
-INNER = (PermitCommand, PermitClear, PermitBack, DrainTold, DrainCordon, DrainGivenUp)
-__all__ = ["INNER", "KINDS", "RULES", "shown"]
+INNER = (PermitCommand, PermitClear, PermitRevoke, DrainPlanReport, DrainCordon, DrainGivenUp)
+__all__ = ["INNER", "KINDS", "RULES", "describe_drains"]
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -35,7 +35,7 @@
 
 
 def main():
-    """Runs a gateway until it is told to stop. Returns the exit status; 2 for a start that is impossible."""
+    """Runs a gateway until a signal ends it. Returns the exit status; 2 for a start that is impossible."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     threading.stack_size(THREAD_STACK_BYTES)
     sys.setswitchinterval(SWITCH_INTERVAL_SECONDS)
@@ -64,7 +64,7 @@
     with dispatcher.lock:
         discovery.listed(configs.now(), *known, True, False)
         if config.news is not None:
-            dispatcher.balancer.stage_told(configs.now(), *config.news)
+            dispatcher.balancer.stage_reported(configs.now(), *config.news)
     if path := os.environ.get("LEMONLEAD_SETTINGS"):
         from . import request_rules  # imported only if there are rules, because of its dependencies
 
@@ -127,9 +127,11 @@
             from ..following.driver import Follower
 
             return Follower(config, request_rules.follow, dispatcher, log, counters)
-        from ..distribution.driver import Gateway
+        from ..distribution.driver import GatewayDriver
 
-        return Gateway(config, request_rules.distribution, request_rules.follow, dispatcher, log, counters)
+        return GatewayDriver(
+            config, request_rules.distribution, request_rules.follow, dispatcher, log, counters
+        )
     except Unusable as error:
         raise configs.InvalidConfig(f"{error}; {error.do}") from None
 
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from .. import interface as at
-from ..told import EFFECTS, Nonsense, Told, shown, started
+from ..start_settings import EFFECTS, InvalidSettings, SettingsReader, describe_value, start_from_settings
 from .platform import PHASES
 
 # Nanoseconds between the monotonic and the wall clock at the process's start. The start times of instances
@@ -39,7 +39,7 @@
     platform: tuple | None
     connections: int  # descriptors for clients and instances, half for each
     memory: int  # the memory limit in bytes
-    start: at.Start
+    start: at.StartSettings
     request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
@@ -58,7 +58,7 @@
         if not (port.isascii() and port.isdecimal() and len(port) < 6 and int(port) < 65536):
             raise ValueError
     except (OSError, ValueError):  # `inet_pton` raises ValueError for a zero byte or non-ASCII characters
-        raise ValueError(f"no address: {shown(text)}") from None
+        raise ValueError(f"no address: {describe_value(text)}") from None
     return host, int(port)
 
 
@@ -80,7 +80,9 @@
     names = [entry.text("Name") for entry in settings.parts(key)]
     for name, count in Counter(names).items():
         if count > 1:
-            raise Nonsense(f"settings.{key} names {shown(name)} twice; expected a name of its own for each")
+            raise InvalidSettings(
+                f"settings.{key} names {describe_value(name)} twice; expected a name of its own for each"
+            )
     return names
 
 
@@ -103,8 +105,8 @@
     path = environment["ROUTER_CONFIG"]
     with open(path, encoding="utf-8") as file:
         try:
-            return Told(json.load(file), "")
-        except Nonsense as error:
+            return SettingsReader(json.load(file), "")
+        except InvalidSettings as error:
             raise InvalidConfig(f"{path}{error}"[:200]) from None
         except ValueError as error:
             raise InvalidConfig(f"{path} is no JSON: {error}"[:200]) from None
@@ -127,7 +129,7 @@
 
 def optional_part(config, key):
     """Returns a part of the configuration that may be missing or null."""
-    return Told({}, key) if config.values.get(key) is None else config.part(key)
+    return SettingsReader({}, key) if config.values.get(key) is None else config.part(key)
 
 
 def limits_of(config):
@@ -145,7 +147,7 @@
     for request_class in settings.parts("Lanes"):
         request_class.one_of("Effect", EFFECTS, "at_most_once")
     return (
-        started(settings.values, seed, now()),
+        start_from_settings(settings.values, seed, now()),
         names_of(settings, "Lanes"),
         names_of(settings, "Projects"),
         settings,
@@ -164,11 +166,11 @@
     with config_errors():
         config = load(environment)
         if "settings" not in config.values:
-            raise Nonsense("settings is missing; expected an object")
+            raise InvalidSettings("settings is missing; expected an object")
         start, request_classes, tenants, settings = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets, discovery sends the list only to those that ask for it
         pushed = settings.values.get("Discovery") != "ask"
-        start.unheard_time = 0 if pushed else MAX_LIST_DELAY_NS
+        start.assumed_known_after = 0 if pushed else MAX_LIST_DELAY_NS
         api, known = optional_part(config, "release_api"), optional_part(config, "known")
         connections, memory = limits_of(config)
         return Config(
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -6,7 +6,7 @@
 import time
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from . import http
 from .config import MAX_LIST_DELAY_NS, address, now
 from .managed_connection import MAX_CROWDED_PAUSE_SECONDS, ManagedConnection, read_until
@@ -27,7 +27,7 @@
         # The pause comes on top of the balancer's own. A failed call binds the balancer to its list for four
         # times this long.
         max_crowded_pause = min(
-            config.start.ask_within / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS
+            config.start.max_list_call_gap / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS
         )
         self.connection = ManagedConnection(config.discovery, config.start.seed, 0.05, 1.0, max_crowded_pause)
         # Set once a list has arrived, or a watch has ended for another reason than too many callers.
@@ -164,7 +164,7 @@
                     int(cell),
                     state,
                     float(weight),
-                    in_ns(started),
+                    ms_to_ns(started),
                 )
             )
             instance_address = None
@@ -192,7 +192,7 @@
         self.list_requested.clear()
         self.connection.reset_pause()
         self.first_result.set()
-        self.dispatcher.balancer.listed(now, [], False, True)
+        self.dispatcher.balancer.list_received(now, [], False, True)
 
     def publish(self, now, lines, addresses, whole, fresh):
         """Passes changes of the list on to the connection pools and the balancer, which learns of instances
@@ -201,7 +201,7 @@
             self.dispatcher.instances.listed(id, None, 0)
         for id, (instance_address, started) in addresses.items():
             self.dispatcher.instances.listed(id, instance_address, started)
-        self.dispatcher.balancer.listed(now, lines, whole, fresh)
+        self.dispatcher.balancer.list_received(now, lines, whole, fresh)
         if fresh:
             self.first_result.set()
 
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -5,7 +5,7 @@
 
 from .. import interface as at
 from ..balance import Balancer
-from ..told import NS
+from ..start_settings import NS
 from . import resp
 from .config import now
 
@@ -130,13 +130,13 @@
         self.counters.add(f"attempts {end}")
         if self.service is not None:
             self.service.ended(time_now, attempt, end)
-        took = time_now - attempt.at if attempt.took is None else attempt.took
+        took = time_now - attempt.sent_at if attempt.took is None else attempt.took
         over = attempt.request not in self.pending_requests
         self.balancer.attempt_ended(time_now, attempt, end, took, over, {})
 
-    def stage_told(self, time_now, *release_state):
+    def stage_reported(self, time_now, *release_state):
         """Reports the state of the newest build, as the platform sent it."""
-        (self.service or self.balancer).stage_told(time_now, *release_state)
+        (self.service or self.balancer).stage_reported(time_now, *release_state)
 
     def may_begin(self, attempt):
         """Returns the time, in nanoseconds, by which the attempt's last byte must be written, or 0 if the
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -10,7 +10,7 @@
 import traceback
 
 from .. import interface as at
-from ..told import NS
+from ..start_settings import NS
 from . import resp
 from .config import now
 from .sockets import unread_for
@@ -23,7 +23,7 @@
 # instance more.
 REUSE_DELAY_NS = 10 * NS
 # The ends of attempts that received a whole response.
-ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.UNFIT)
+ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
 
 
 class Connection:
@@ -110,7 +110,7 @@
         """Removes and returns a connection, or returns None if there is none."""
         return self.unused.pop(0) if self.unused else None
 
-    def reusable_at(self):
+    def connection_free_at(self):
         """Returns the time from which the longest unused connection may be used again; 0 if there is none."""
         return self.unused[0].idle_since + REUSE_DELAY_NS if self.unused else 0
 
@@ -161,7 +161,7 @@
             self.attempts_in_flight[attempt] = in_flight
             if in_flight.pool is not None:
                 in_flight.connection = in_flight.pool.pop_longest_unused()
-                attempt.rested_at = in_flight.pool.reusable_at()
+                attempt.connection_free_at = in_flight.pool.connection_free_at()
         return in_flight
 
     def drop_unwritten(self, attempts):
@@ -233,10 +233,12 @@
                 # For a machine that is only slow, this may close good connections, at the cost of a new
                 # connection each.
                 ended += [
-                    (old, "instance silent") for old in pool.unused if old.idle_since < in_flight.attempt.at
+                    (old, "instance silent")
+                    for old in pool.unused
+                    if old.idle_since < in_flight.attempt.sent_at
                 ]
-                pool.unused = [old for old in pool.unused if old.idle_since >= in_flight.attempt.at]
-            in_flight.attempt.rested_at = 0 if pool is None else pool.reusable_at()
+                pool.unused = [old for old in pool.unused if old.idle_since >= in_flight.attempt.sent_at]
+            in_flight.attempt.connection_free_at = 0 if pool is None else pool.connection_free_at()
         for connection, reason in ended:
             self.close(connection, reason)
         self.dispatcher.handle(self.dispatcher.attempt_ended, in_flight.attempt, end, value)
@@ -264,7 +266,7 @@
                 if in_flight.cancelled or in_flight.pool.closed:
                     return at.NOT_SENT, None
                 in_flight.begun = True
-            in_flight.attempt.since = in_flight.connection.connected_at
+            in_flight.attempt.connected_since = in_flight.connection.connected_at
             wait = max((in_flight.until - now()) // NS, 1)
             in_flight.connection.write(
                 resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, by)
@@ -280,7 +282,7 @@
         except TimeoutError:
             return at.TIMED_OUT, None
         except resp.Malformed:
-            return at.SPOILT, None
+            return at.UNREADABLE, None
         except OSError:
             return at.CANCELLED if in_flight.cancelled else at.RESET, None
         return classify_response(value)
@@ -342,8 +344,8 @@
 
 def classify_response(value):
     """Returns how an attempt ended by the whole value that was received, and the request's result if it
-    succeeded. A value that the protocol does not list ends as SPOILT; only the load report may be any value
-    that can be parsed."""
+    succeeded. A value that the protocol does not list ends as UNREADABLE; only the load report may be any
+    value that can be parsed."""
     if type(value) is list and len(value) == 3 and type(value[0]) is bytes and value[1] is None:
         return at.SUCCEEDED, value[0]
     if isinstance(value, resp.Fault):
@@ -352,8 +354,8 @@
         if value.split(b" ")[0] == b"BUSY":
             return at.REJECTED, None
         if value.startswith(b"ERR ") or value == b"SYNTAX":
-            return at.UNFIT, None  # any other error is about the command
-    return at.SPOILT, None
+            return at.BAD_REQUEST, None  # any other error is about the command
+    return at.UNREADABLE, None
 
 
 def forwarded_words(words, wait):
--- a/lemonlead/gateway/platform.py
+++ b/lemonlead/gateway/platform.py
@@ -1,17 +1,22 @@
 """The platform's line protocol: a parser that is fed bytes and returns lines, and what the lines mean."""
 
 from .. import interface as at
-from ..told import in_ns
+from ..start_settings import ms_to_ns
 from .buffer import Buffer, Malformed
 
 MAX_LINE_BYTES = 8192
 PHASES = {
     "trial": at.ON_TRIAL,
-    "rolling_back": at.GOING_BACK,
+    "rolling_back": at.ROLLING_BACK,
     "released": at.RELEASED,
-    "withdrawn": at.TAKEN_OFF,
+    "withdrawn": at.WITHDRAWN,
+}
+VERDICTS = {
+    at.VERDICT_NONE: "blank",
+    at.VERDICT_PROMOTE: "go",
+    at.VERDICT_HOLD: "stay",
+    at.VERDICT_ROLL_BACK: "stop",
 }
-VERDICTS = {at.NO_VOTE: "blank", at.ON: "go", at.HOLD: "stay", at.BACK: "stop"}
 REFUSALS = {"Throttling": at.OVER_ALLOWANCE, "ConditionFailed": at.MOOT}
 
 
@@ -35,11 +40,11 @@
 
 
 def parse_stage(words):
-    """Returns build, stage, phase, cap and age in nanoseconds, as `stage_told` takes them, from five words.
-    Raises Malformed."""
+    """Returns build, stage, phase, cap and age in nanoseconds, as `stage_reported` takes them, from five
+    words. Raises Malformed."""
     try:
         build, stage, phase, cap, age = words
-        state = int(build), int(stage), PHASES[phase], float(cap), in_ns(float(age))
+        state = int(build), int(stage), PHASES[phase], float(cap), ms_to_ns(float(age))
         if state[0] < 0 or state[1] < 0 or not 0 <= state[3] <= 1 or state[4] < 0:
             raise ValueError
     except (ValueError, KeyError, TypeError):
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -16,14 +16,14 @@
 class Releases:
     def __init__(self, config, dispatcher, log, counters):
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
-        self.answer_time = config.start.release.answer_time / 1e9
+        self.vote_timeout = config.start.release.vote_timeout / 1e9
         self.votes = queue.SimpleQueue()
         self.connection = ManagedConnection(config.platform, config.start.seed, 0.1, 2.0)
         # The time, in nanoseconds, since which the state of the last news holds; under the dispatcher's lock.
         self.state_since = 0
 
     def vote(self, *vote):
-        self.votes.put((time.monotonic() + self.answer_time, vote))
+        self.votes.put((time.monotonic() + self.vote_timeout, vote))
 
     # ---- news
 
@@ -59,7 +59,7 @@
 
     def news_received(self, now, *news):
         self.state_since = now - news[-1]
-        self.dispatcher.stage_told(now, *news)
+        self.dispatcher.stage_reported(now, *news)
 
     # ---- votes
 
@@ -97,4 +97,4 @@
         cap and phase would then hold until the next news."""
         self.dispatcher.balancer.vote_answered(now, outcome)
         if news is not None and now - news[-1] >= self.state_since:
-            self.dispatcher.stage_told(now, *news)
+            self.dispatcher.stage_reported(now, *news)
--- a/lemonlead/gateway/request_rules.py
+++ b/lemonlead/gateway/request_rules.py
@@ -91,7 +91,7 @@
         anything fails, the request stays as the client sent it, because rules must not lose a request."""
         if self.active_rules.active is None:
             return
-        request.asked = request.request_class
+        request.client_class = request.request_class
         try:
             request_fields = self.request_fields(request, words, fields)
             result = self.active_rules.judge(
@@ -130,7 +130,7 @@
         if result.lane is not None:
             request.request_class = result.lane
         if result.key is not None:
-            request.key, request.asked_key = result.key, request.key
+            request.key, request.client_key = result.key, request.key
         if result.customer is not None:
             request.tenant = self.config.tenants.get(result.customer, -1)
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -6,9 +6,9 @@
 
 from lemonlead.ledger import polls
 from lemonlead.ledger.dispatcher import Dispatcher
+from lemonlead.ledger.membership import LedgerSettings, formed
 from lemonlead.ledger.polls import POLL
-from lemonlead.ledger.records import LEADER, Kept, Seat, Told
-from lemonlead.ledger.seating import Terms, formed
+from lemonlead.ledger.records import LEADER, ConfiguredMember, ReplicaConfig, StoredState
 from lemonlead.member import whole
 
 MS = 1_000_000
@@ -36,15 +36,17 @@
     def nothing(self, *_):
         pass
 
-    send = send_part = take_part = readable = call = nothing
+    send = send_chunk = receive_chunk = readable = call = nothing
 
 
 class World:
     def __init__(self, **more):
-        state, base = formed({"g1": Seat("h:1", "f1")}, Terms())
-        told = Told(cluster="c", name="g1", folder="f1", seed=1)
+        state, base = formed({"g1": ConfiguredMember("h:1", "f1")}, LedgerSettings())
+        told = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
-        self.dispatcher = Dispatcher(told, Kept(term=1, base=base), whole.ledger(), state, self.now, **more)
+        self.dispatcher = Dispatcher(
+            told, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
+        )
         while self.dispatcher.replica.role != LEADER:
             self.passes(max(self.dispatcher.wake_at() - self.now, MS))
         self.command("node", node="n1", site="s", units=5)
@@ -56,7 +58,7 @@
     def passes(self, time=0):
         """So much time, and all that there is to do until no write is out."""
         self.now += time
-        self.dispatcher.told_time(self.now, self.now // MS)
+        self.dispatcher.set_clocks(self.now, self.now // MS)
         self.decided()
         while self.door.writes:
             self.dispatcher.written(self.now, self.door.writes.pop(0).number)
@@ -116,7 +118,7 @@
 
 
 def test_a_call_for_parts_after_what_is_kept_no_more_gets_the_whole_at_once(monkeypatch):
-    monkeypatch.setattr(polls, "MOST_EVENTS", 1)
+    monkeypatch.setattr(polls, "MAX_EVENTS", 1)
     world = World()
     at = world.dispatcher.state.index
     for name in ("a", "b", "c"):
@@ -126,7 +128,7 @@
 
 
 def test_a_poll_past_the_bound_is_answered_at_once(monkeypatch):
-    monkeypatch.setattr("lemonlead.ledger.dispatcher.MOST_POLLS", 2)
+    monkeypatch.setattr("lemonlead.ledger.dispatcher.MAX_POLLS", 2)
     world = World()
     at = world.dispatcher.state.index
     assert [world.poll(ticket, at) for ticket in "ab"] == [None, None]
@@ -148,7 +150,7 @@
     assert 2 <= sum(what == "snapshot" for what, _ in world.door.asked) <= 5
 
 
-@pytest.mark.parametrize("bound, value", [("MOST_BEHIND", 8), ("MOST_LOG", 900)])
+@pytest.mark.parametrize("bound, value", [("MAX_SNAPSHOT_INTERVAL", 8), ("MAX_LOG_BYTES", 900)])
 def test_the_log_stays_short_however_large_the_state(monkeypatch, bound, value):
     monkeypatch.setattr(f"lemonlead.ledger.dispatcher.{bound}", value)
     world, longest, since = World(snapshot_every=5), 0, 0
