--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -217,7 +217,7 @@
         door.pull(now)
 
     def tick(n):
-        made.pair_at = None
+        made.pair_started_at = None
         made.tick(now)
 
     got = {MODULE + "change": spent(100, change) / 2, MODULE + "tick": spent(100, tick)}
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -130,7 +130,7 @@
         asks(n, n)
     memory = list_changes.memory(process) - before
     request = min(spent(300, lambda n: asks(size + n, n)) for _ in range(3))
-    balancer.lows["tenant", 0] = 0.9  # it alone waits
+    balancer.lower_quartiles["tenant", 0] = 0.9  # it alone waits
     waiting = min(
         spent(20, lambda n: balancer.waits(at.Request(n, request_class, 0, 0, now, now, 0))) for _ in range(3)
     )
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -1,8 +1,12 @@
-"""Every decision of a balancer: where a request goes, what becomes of it, and how a build is voted on.
+"""The decisions of one balancer: where a request goes, whether it is retried or rejected, and release votes.
 
-The host makes one `Balancer` a gateway and reports what happens by the "inputs", which only update what is
-known. It then calls `decide(now, door)` until that returns False: each makes one decision through the door
-(`interface.py`). `wake_at()` tells when to ask again unasked. For why, see `docs/`."""
+A host (see `interface.py`) creates one `Balancer` per gateway. It reports events through the input methods,
+which only update the balancer's state. After each event it calls `decide(now, host)` until that returns
+False; each call makes at most one decision and carries it out through the host. `wake_at()` returns the time
+at which the host has to call `decide` again even if nothing happened. `docs/` explains the reasons.
+
+All times are whole nanoseconds of the host's clock unless a comment names another unit.
+"""
 
 import random
 from collections import deque
@@ -10,663 +14,1101 @@
 from math import inf
 from statistics import median
 
-from .interface import VERDICT_ROLL_BACK, COUNTED, VERDICT_HOLD, VERDICT_PROMOTE, OVER_ALLOWANCE
-from .interface import CANCELLED, ERRED, NEVER_RAN, REJECTED, RESET, UNREADABLE, SUCCEEDED, TIMED_OUT
-from .interface import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, UNCONNECTED, BAD_REQUEST, Attempt
-from .interface import ON_TRIAL, READY, RELEASED
 from .instance_table import InstanceTable
-from .significance import chance, smoothed
+from .interface import (
+    BAD_REQUEST,
+    CANCELLED,
+    COUNTED,
+    DEDUPLICATED,
+    ERRED,
+    IDEMPOTENT,
+    NEVER_RAN,
+    NON_IDEMPOTENT,
+    ON_TRIAL,
+    OVER_ALLOWANCE,
+    READY,
+    REJECTED,
+    RELEASED,
+    RESET,
+    SUCCEEDED,
+    TIMED_OUT,
+    UNCONNECTED,
+    UNREADABLE,
+    VERDICT_HOLD,
+    VERDICT_PROMOTE,
+    VERDICT_ROLL_BACK,
+    Attempt,
+)
 from .records import Builds, InstanceGroup, InstanceState, RequestTimers, recent
+from .significance import probability_bound, smoothed
 
-MS, TICK = 1_000_000, 100_000_000  # a tick: how often builds are judged; a fraction of any pair
-PAIRS, SEEN = 4, 200  # pairs in view; a build's last outcomes kept
-PAIR, PAIR_OUTCOMES = 1000 * MS, 8  # open so long, and until each build has as many: slower, then longer
-WARM_UP = 1000 * MS  # pairs start once each machine on trial has run so long; being cold is told (`warmth`)
-TOLERANCE, SERVICE_TOLERANCE, ERROR_TOLERANCE = 1.0, 0.5, 0.02  # a breach is worse by more than this
-USUAL = 6  # an unhinted request's work goes so often into its objective
-LOOKS, FLAGS = 8, 3  # looks at thin evidence a trial; wrong answers that send back, at twice the usual rate
-PACE_AGE = 2000 * MS  # rarer answers count for more; one after so long a silence counts whole
-LEAST = 0.5  # of the mean revenue: none is shed by less, so that it is let in half as often as at the mean
-EASY, STEEP = 0.45, 2  # the share of its objective that a request may take; shed by so many times the rest
-OVERDUE = 2.5  # times what its work usually takes; one answer in twenty or thirty is later
-LOST = 4  # a zone and kind costs so much more when all that was sent there of late was lost on the way
-RESCUES = 0.1  # second copies (or retries of what is slow) a request taken, so that a jam is not fed
-NEAR = 24  # instances that a balancer keeps to, more if it can use them often: its stretch of a ring of all
-GOLDEN = 0.618034  # stretches that start at the multiples of this, modulo 1, cover the ring evenly
-HEED, ANEW, QUIET = 500 * MS, 2000 * MS, 8  # before news count as told; how long a list of unknown age holds
-SERVES_ON = 3000 * MS  # for so long an instance may still answer what comes after its drain was told
-STALE, WAITS = 5000 * MS, 8  # what is so old counts half; outcomes that show a class or tenant to wait
-STRAIN = (-1, "strain")  # the pair's figure of the earlier build by what it was before the trial
+# Times are nanoseconds.
+MS = 1_000_000
+JUDGE_INTERVAL = 100_000_000  # how often builds are judged; a fraction of PAIR_TIME
+MAX_PAIRS = 4  # closed pairs that a verdict looks at
+MAX_RECENT_OUTCOMES = 200  # outcomes of closed pairs that are kept for each build
+PAIR_TIME = 1000 * MS  # the shortest time for which a pair of samples collects outcomes
+MIN_PAIR_OUTCOMES = 8  # outcomes that each side needs before a pair closes; with little traffic it stays open
+TRIAL_WARM_UP = (
+    1000 * MS
+)  # pairs start once all instances on trial have run this long; `warmth` covers the rest
+LATENCY_TOLERANCE = 1.0  # ratio; a larger increase of the time to answer is a breach
+SERVICE_TIME_TOLERANCE = 0.5  # ratio; the same for the service time that instances report
+ERROR_TOLERANCE = 0.02  # share of answers; a larger increase of errors is a breach
+WORK_PER_OBJECTIVE = 6  # a request without a hint is expected to need 1/6 of its latency objective
+LOOKS_PER_TRIAL = 8  # looks at thin evidence in one trial, which share the probability of a false alarm
+MIN_WRONG_ANSWERS = 3  # this many wrong answers make a build bad, at over twice the rate of other builds
+LATENCY_RATIO_AGE = 2000 * MS  # a lower ratio after this long without an answer replaces the average
+MIN_REVENUE_WEIGHT = (
+    0.5  # of the mean revenue; the requests worth least are let in half as often as the average
+)
+SHED_THRESHOLD = 0.45  # time to answer by latency objective above which requests are shed
+SHED_SLOPE = 2  # the share of requests shed is this multiple of the excess above the threshold
+OVERDUE_FACTOR = 2.5  # of the usual time for an attempt's work; one answer in twenty or thirty takes longer
+LOSS_COST = 4  # added cost factor of a zone and kind to which all recent attempts were lost on the way
+RETRIES_PER_REQUEST = 0.1  # limits second attempts, so that they don't feed an overload
+MIN_STRETCH = 24  # instances of the ring that a balancer uses; more if it can use each of them often
+GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' stretches evenly over the ring
+NEWS_DELAY = 500 * MS  # time that a balancer has to act on news before they count as known
+RESTARTED_LIST_AGE = 2000 * MS  # the shortest time for which a list of unknown age is taken to be complete
+QUIET_SHARE = 8  # such a list is complete for 1/8 of the time since the last start of an instance
+DRAIN_ANSWER_TIME = 3000 * MS  # an instance may still answer for this long after its drain was announced
+STALE_TIME = 5000 * MS  # an instance's own latency counts half when its last answer is this old
+WAIT_SAMPLES = 8  # outcomes that show that a request class or tenant waits
+SERVICE_TIME_METRIC = (-1, "strain")  # earlier builds' service time by what it was before the trial
 
 
 class Balancer:
+    """Decides for one gateway. `start` is an `interface.StartSettings`.
+
+    The host calls the input methods and `decide` from one thread; a balancer does no I/O and reads no clock.
+    """
+
     def __init__(self, start):
-        release, classes, balancers = start.release, start.request_classes, max(start.balancers, 1)
-        for class_ in classes:  # where no aim is told, the deadline is one; only ratios of such times count
-            class_.latency_objective = class_.latency_objective or class_.deadline or 1000 * MS
+        release, request_classes, balancers = start.release, start.request_classes, max(start.balancers, 1)
+        for request_class in request_classes:
+            # Without an objective the deadline serves as one; only ratios to it are used.
+            request_class.latency_objective = (
+                request_class.latency_objective or request_class.deadline or 1000 * MS
+            )
+
+        # Settings of the host and the fleet.
         self.rng, self.zone = random.Random(start.seed), start.zone
-        self.across = 1 + start.prices.get("CrossZone", 0.0)
-        self.may_duplicate, self.may_cancel = start.may_duplicate, start.may_cancel
-        self.attempts_cap, self.retry_after_cap = start.attempts_cap, start.retry_after_cap
-        self.connect_time, self.spare, self.max_list_call_gap = (
-            start.connect_time,
-            2 * start.step,
-            start.max_list_call_gap,
-        )
+        self.cross_zone_factor = 1 + start.prices.get("CrossZone", 0.0)
+        self.may_duplicate = start.may_duplicate
+        self.may_cancel = start.may_cancel
+        self.attempts_cap = start.attempts_cap
+        self.retry_after_cap = start.retry_after_cap
+        self.connect_time = start.connect_time
+        self.repeat_margin = 2 * start.step  # before an instance stops dropping repeats
+        self.max_list_call_gap = start.max_list_call_gap
         self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
-        self.cold_room = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)  # of its share; for bursts and luck
-        self.mean_revenue = sum(class_.revenue for class_ in classes) / max(len(classes), 1) or 1.0
-        self.class_work = {class_.number: class_.latency_objective / USUAL for class_ in classes}
-        self.blind = max(0.0, 1 - USUAL / balancers)  # the share of a machine's load that others send unseen
-        self.builds = Builds(*release.caps[:1] or [0.0], PAIRS, SEEN)
-        self.sent_window, self.taken_window = release.window + 2 * start.step, release.window - 2 * start.step
-        self.free_attempts, self.per_class = release.free_attempts, release.per_class
-        self.guarded_stages, self.forward_only = release.guarded_stages, release.forward_only
-        self.clocked = release.control == "automatic"
-        self.vote_lifetime, self.stage_time = (
-            release.vote_lifetime,
-            release.bake + 2 * WARM_UP,
-        )  # none ends sooner
-        # Nor does the last, after which earlier machines go, before what is sent in it is due its answers.
-        objectives = [class_.latency_objective for class_ in classes] or [0]
-        self.last_time = max(self.stage_time, release.bake + sum(objectives) // len(objectives))
-        self.born = self.paced_at = start.now
-        # How often one balancer may be wrong, so that as many as send a build back are so by rare luck only.
-        self.chance = max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS
-        self.vote_wait = release.vote_timeout + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
-        self.instances, self.groups = (
-            InstanceTable(start.balancer_index * GOLDEN % 1.0),
-            {},
-        )  # by id, by zone and kind
-        # The members in the order in which this balancer uses them, and the time between requests, smoothed.
-        self.ring, self.gap, self.last = self.instances.arc(()), 1e9, start.now
-        # The build of the last news; the one on trial that has machines; the one that votes can still move.
-        self.reported_build = self.trial = self.judged = None
-        self.like = set()  # kinds of machine that run it and the earlier build, where there are any
-        self.taken, self.work_in = {}, 0  # as a build's `sent`: arrivals of requests; the work let in
-        self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)  # of a request taken
-        self.pace, self.rescues = 0.0, 5.0  # time to answer by objective, smoothed; what RESCUES left over
-        # Of each class and tenant: last times by objective; lower quartile; if it waits, its last test.
-        self.times, self.lows, self.tested = {}, {}, {}
-        self.due, self.notes, self.wakes = deque(), deque(), RequestTimers()  # requests, lines
-        # The more start together, the longer they spread their first call for the list.
+        # Part of its share that a cold instance gets; the rest is left for bursts and random peaks.
+        self.cold_headroom = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)
+        self.mean_revenue = (
+            sum(request_class.revenue for request_class in request_classes) / max(len(request_classes), 1)
+            or 1.0
+        )
+        # By number of the request class: the work of a request without a hint, smoothed (ns).
+        self.class_work = {
+            request_class.number: request_class.latency_objective / WORK_PER_OBJECTIVE
+            for request_class in request_classes
+        }
+        # The share of an instance's load that other balancers send, which this one can't see.
+        self.unseen_share = max(0.0, 1 - WORK_PER_OBJECTIVE / balancers)
+
+        # Settings of releases.
+        self.builds = Builds(*release.caps[:1] or [0.0], MAX_PAIRS, MAX_RECENT_OUTCOMES)
+        self.sent_window = release.window + 2 * start.step
+        self.arrivals_window = release.window - 2 * start.step
+        self.free_attempts = release.free_attempts
+        self.cap_per_class = release.per_class
+        self.guarded_stages = release.guarded_stages
+        self.forward_only = release.forward_only
+        self.automatic_stages = release.control == "automatic"
+        self.vote_lifetime = release.vote_lifetime
+        self.min_stage_time = release.bake + 2 * TRIAL_WARM_UP
+        # Earlier instances stop after the last stage, so it also lasts until the requests sent in it should
+        # have been answered.
+        objectives = [request_class.latency_objective for request_class in request_classes] or [0]
+        self.min_last_stage_time = max(self.min_stage_time, release.bake + sum(objectives) // len(objectives))
+        # When the balancer started, and when `latency_ratio` was last updated.
+        self.started_at = self.latency_ratio_at = start.now
+        # How often one balancer may call a sound build bad. As many votes as a rollback needs are then all
+        # wrong only very rarely.
+        self.false_alarm_probability = (
+            max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS_PER_TRIAL
+        )
+        self.vote_answer_time = (
+            release.vote_timeout + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
+        )
+
+        # Instances by id, and groups of instances by (zone, kind).
+        self.instances, self.groups = InstanceTable(start.balancer_index * GOLDEN_RATIO % 1.0), {}
+        # The instances in the order in which this balancer uses them, the smoothed time between requests, and
+        # the time of the last request.
+        self.ring, self.request_gap, self.last_arrival = self.instances.arc(()), 1e9, start.now
+        # The build of the last release news, the build on trial that has instances, and the build that votes
+        # can still promote or roll back.
+        self.reported_build = self.trial_build = self.judged_build = None
+        # The kinds of instance that run both the judged build and an earlier one; empty if there are none.
+        self.comparable_kinds = set()
+        self.arrivals = {}  # times of requests by cap key, as `Build.sent_times`
+        self.accepted_work = 0  # sum of the work of all accepted requests
+        self.mean_work = sum(self.class_work.values()) / max(
+            len(self.class_work), 1
+        )  # of a request, smoothed
+        self.latency_ratio = 0.0  # time to answer by latency objective, smoothed
+        self.retry_budget = 5.0  # unspent part of RETRIES_PER_REQUEST
+
+        # By request class and by tenant (see `latency_keys`).
+        self.latency_ratios = {}  # the last times to answer by latency objective
+        self.lower_quartiles = {}  # the lower quartile of those
+        self.wait_tested_at = {}  # when a request of a class or tenant that waits was last let in
+        # Requests to decide on, lines to log, and timers.
+        self.due, self.log_lines, self.timers = deque(), deque(), RequestTimers()
+
+        # The list of instances. The more balancers start together, the longer they spread their first call.
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.max_list_call_gap // 2 or 2000 * MS)
-        first = start.now + int(self.rng.random() * spread)
-        self.next_tick, self.ask_at = start.now, first if start.ask_for_list else None
-        # After so long what was not heard counts as told; as of when the list in hand holds all there is.
-        self.unheard, self.current = (
-            start.assumed_known_after - HEED if start.assumed_known_after else inf,
-            -inf,
-        )
-        self.pair_at, self.pair = None, {}  # the pair now open: its start, its outcomes by (on trial, class)
-        self.scarce, self.idle_time = 0.0, start.idle_time - start.step  # share of attempts left unconnected
-        self.news = self.look = False  # an outcome came since the pair was last judged; a vote may be due
-        self.share = self.calm_time = 0.0  # of the load, due to the trial; last pair's median with no trial
-        self.vote_out, self.vote_at, self.vote_busy = None, start.now, start.now  # that stands, due, awaited
-        self.vote_pause = 0  # what it waits after it was turned away as one too many
-
-    # ---- inputs: they only update what is known
+        first_call = start.now + int(self.rng.random() * spread)
+        self.next_judging = start.now
+        self.list_call_at = first_call if start.ask_for_list else None
+        # News that were not received count as known after this time.
+        self.assumed_known_after = (
+            start.assumed_known_after - NEWS_DELAY if start.assumed_known_after else inf
+        )
+        self.list_current_at = -inf  # the list in hand holds all that was known at this time
+
+        # The open pair, the release votes and the connections.
+        self.pair_started_at = None
+        self.pair_outcomes = {}  # by (of the judged build?, number of the request class)
+        self.unconnected_share = 0.0  # share of attempts that got no connection, smoothed
+        self.idle_time = start.idle_time - start.step
+        # Whether outcomes came since the open pair was last judged, and whether a vote may be due.
+        self.has_new_outcomes = self.vote_check_due = False
+        # The share of the load that instances on trial should get, and the median time by work of the last
+        # pair without a trial.
+        self.trial_share = self.baseline_time = 0.0
+        self.last_vote = None  # (build, stage, verdict)
+        self.next_vote_at = start.now
+        self.vote_busy_until = start.now  # the answer to the last vote is awaited until then
+        self.vote_backoff = 0  # ns to wait after a vote was refused as one too many
+
+    # ---- inputs: these only update the state
 
     def list_received(self, now, lines, whole, fresh):
-        """The list, whole or its changes. It may be stale, and an id may stand for a new machine."""
-        named = {row.id for row in lines}
-        for row in lines:
-            old = self.instances.get(row.id)
-            if old is None or (old.build.number, old.started) != (row.build, row.started):
-                group = self.groups.setdefault((row.zone, row.kind), InstanceGroup())
-                # Balancers start at random within their share, so that a cold one is not met by all at once.
-                due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
+        """The host received the list of instances, whole or only changes of it.
+
+        `fresh` says that it is current. A list that isn't may be old, and an id in it may stand for a
+        restarted instance.
+        """
+        listed_ids = {line.id for line in lines}
+        for line in lines:
+            known = self.instances.get(line.id)
+            if known is None or (known.build.number, known.started) != (line.build, line.started):
+                group = self.groups.setdefault((line.zone, line.kind), InstanceGroup())
+                # Each balancer starts at a random point of its share, so that they don't all send to a cold
+                # instance at once.
+                cold_work_due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
                 self.instances.put(
-                    InstanceState(row, self.builds[row.build], group, now, 3.0, self.work_in, due)
+                    InstanceState(
+                        line, self.builds[line.build], group, now, 3.0, self.accepted_work, cold_work_due
+                    )
                 )
-            self.instances[row.id].ready = row.state == READY
-        seen = self.instances if whole else named  # else only what is told can have left
-        self.instances.settle([id for id in seen if id not in named or not self.instances[id].ready])
-        if self.current == -inf and self.unheard < inf and self.ask_at:
-            holds = (now - max((row.started for row in lines), default=now)) // QUIET
-            holds = min(max(holds, ANEW), self.unheard)
-            self.current, calls = now - self.unheard + holds, (self.ask_at - now) * holds // ANEW
-            self.ask_at = now + min(calls, self.max_list_call_gap // 2 or calls)  # while it holds
-        self.ask_at, self.current = (None, inf) if fresh else (self.ask_at, self.current)
+            self.instances[line.id].ready = line.state == READY
+        # A list of changes can only remove instances that it names.
+        candidates = self.instances if whole else listed_ids
+        self.instances.commit(
+            [id for id in candidates if id not in listed_ids or not self.instances[id].ready]
+        )
+        if self.list_current_at == -inf and self.assumed_known_after < inf and self.list_call_at:
+            # The first list after a start: how long it is taken to be complete.
+            complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_SHARE
+            complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.assumed_known_after)
+            self.list_current_at, call_delay = (
+                now - self.assumed_known_after + complete_for,
+                (self.list_call_at - now) * complete_for // RESTARTED_LIST_AGE,
+            )
+            # The call that confirms it is made within that time.
+            self.list_call_at = now + min(call_delay, self.max_list_call_gap // 2 or call_delay)
+        self.list_call_at, self.list_current_at = (
+            (None, inf) if fresh else (self.list_call_at, self.list_current_at)
+        )
         self.ring = self.instances.arc(self.builds.values())
-        self.see_trial()
+        self.update_trial()
 
     def list_failed(self, now, current):
-        self.current = current if self.current == inf else max(current, self.current)
-        longest = min(
-            900 * MS, 2 * self.max_list_call_gap or 900 * MS
-        )  # a call that failed holds for four times
-        self.ask_at = now + int(self.rng.uniform(longest / 3, longest))
+        """A call for the list failed, or the watch of it ended; the list was current up to `current`."""
+        self.list_current_at = current if self.list_current_at == inf else max(current, self.list_current_at)
+        # A failed call satisfies the rule behind max_list_call_gap for four times that gap.
+        longest = min(900 * MS, 2 * self.max_list_call_gap or 900 * MS)
+        self.list_call_at = now + int(self.rng.uniform(longest / 3, longest))
 
     def request_arrived(self, now, request):
-        self.wakes.add(request.deadline, request)  # first: it ends then, also if a decision on it fails
+        """A client sent a request."""
+        # The timer is set first: it ends the request at its deadline even if a decision on it fails.
+        self.timers.add(request.deadline, request)
         request.work = request.work or int(self.class_work[request.request_class.number])
-        for counted in self.counts_of(request):
-            self.taken.setdefault(counted, deque()).append(now)
-            recent(self.taken[counted], now - self.taken_window)
+        for key in self.cap_keys(request):
+            self.arrivals.setdefault(key, deque()).append(now)
+            recent(self.arrivals[key], now - self.arrivals_window)
         self.mean_work += 0.01 * (request.work - self.mean_work)
-        self.gap, self.last = self.gap + 0.05 * (now - self.last - self.gap), now
-        self.rescues = min(self.rescues + RESCUES * (1 - self.pace * self.blind), 20.0)
-        if self.trial is not None:
-            # For like load: machines on trial are due as much as earlier ones, by what they can do.
-            def rate(m):
-                return self.able(m, now) / (m.group.slowness or 1.0)
-
-            def sort(m):
-                return m.group, m.started if self.warmth(m, now) < 1 else 0
-
-            self.share = self.instances.share(self.trial, rate, sort, now // STALE)
-            self.trial.credit = min(self.trial.credit + self.share, 2.0)
+        self.request_gap, self.last_arrival = (
+            self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap),
+            now,
+        )
+        self.retry_budget = min(
+            self.retry_budget + RETRIES_PER_REQUEST * (1 - self.latency_ratio * self.unseen_share), 20.0
+        )
+        if self.trial_build is not None:
+            # Instances on trial get as much load as earlier ones, by what each can do: only outcomes under
+            # like load can be compared.
+            def rate(instance):
+                return self.capacity_share(instance, now) / (instance.group.slowness or 1.0)
+
+            def sort(instance):
+                return instance.group, instance.started if self.warmth(instance, now) < 1 else 0
+
+            self.trial_share = self.instances.weight_share(self.trial_build, rate, sort, now // STALE_TIME)
+            self.trial_build.attempt_credit = min(self.trial_build.attempt_credit + self.trial_share, 2.0)
         self.due.append(request)
 
     def request_left(self, now, request):
-        request.finished = True  # also once its answer streams: the end is the client's then
+        """The client left, or its answer is being streamed to it: either way nothing is left to decide."""
+        request.finished = True
 
     def attempt_ended(self, now, attempt, end, took, over, report):
-        attempt.end, member, request = end, attempt.instance, attempt.request
-        class_, member.connection_free_at = request.request_class, attempt.connection_free_at
-        written_off = member.out.pop(attempt, attempt) is not None
-        member.held -= 0 if written_off else request.work
+        """An attempt ended.
+
+        `end` is one of the endings in `interface.py`, `took` the time that it took, `over` whether the
+        request is finished, and `report` the figures that the instance sent along, by name.
+        """
+        attempt.end = end
+        instance = attempt.instance
+        request = attempt.request
+        request_class = request.request_class
+        instance.connection_free_at = attempt.connection_free_at
+        written_off = instance.in_flight.pop(attempt, attempt) is not None
+        instance.held_work -= 0 if written_off else request.work
         request.finished = request.finished or over
         self.due.extend([] if request.finished else [request])
-        number, objective, waits = class_.number, max(class_.latency_objective, 1), self.waits(request)
-        slow, answered = took > objective, end in (SUCCEEDED, ERRED, REJECTED)
+        number, objective, waits = (
+            request_class.number,
+            max(request_class.latency_objective, 1),
+            self.waits(request),
+        )
+        slow = took > objective
+        answered = end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
-            for kind in kinds_of(request):
-                times = self.times.setdefault(kind, deque(maxlen=WAITS))
-                if took < 0.4 * objective and self.lows.get(kind, 0.0) > 0.8:
-                    times.clear()  # it waits no longer; its tests are few, and the old times would outlast it
-                times.append(took / objective)
-                self.lows[kind] = sorted(times)[WAITS // 4] if len(times) == WAITS else 0.5
-        silent = member.heard_at <= attempt.sent_at and end in (TIMED_OUT, CANCELLED)
-        self.scarce += 0.1 * ((end == UNCONNECTED) - self.scarce)
-        self.instances.keep_open(member, now + self.idle_time if answered else 0)  # unsure where none came
+            for key in latency_keys(request):
+                ratios = self.latency_ratios.setdefault(key, deque(maxlen=WAIT_SAMPLES))
+                if took < 0.4 * objective and self.lower_quartiles.get(key, 0.0) > 0.8:
+                    # The class or tenant waits no longer. Few of its requests are let in, so the old times
+                    # would stay for long.
+                    ratios.clear()
+                ratios.append(took / objective)
+                self.lower_quartiles[key] = (
+                    sorted(ratios)[WAIT_SAMPLES // 4] if len(ratios) == WAIT_SAMPLES else 0.5
+                )
+        silent = instance.last_heard_at <= attempt.sent_at and end in (TIMED_OUT, CANCELLED)
+        self.unconnected_share += 0.1 * ((end == UNCONNECTED) - self.unconnected_share)
+        # Without an answer it is not known whether a connection stays open.
+        self.instances.keep_open(instance, now + self.idle_time if answered else 0)
         if answered or end in (UNCONNECTED, RESET):
-            member.group.lost += 0.2 * ((not answered) - member.group.lost)
+            instance.group.loss_rate += 0.2 * ((not answered) - instance.group.loss_rate)
         if answered or end in (UNREADABLE, BAD_REQUEST):
-            # What is spoilt on the way, or fit for none, tells no more. It could hide a build that spoils.
-            member.heard_at, member.newest, member.strikes = now, max(member.newest, attempt.sent_at), 0
-            member.answered, member.failed = member.answered + 1, member.failed + (end == ERRED)
-            member.shunned_until = 0
+            # An unreadable answer or a bad request shows only that the instance is reachable. This could hide
+            # a build whose answers are unreadable.
+            instance.last_heard_at, instance.newest_answered, instance.path_failures = (
+                now,
+                max(instance.newest_answered, attempt.sent_at),
+                0,
+            )
+            instance.answer_count, instance.error_count = (
+                instance.answer_count + 1,
+                instance.error_count + (end == ERRED),
+            )
+            instance.avoided_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
-            self.strike(member, now, 0.5 if end == RESET else 1)
+            self.record_path_failure(instance, now, 0.5 if end == RESET else 1)
         if not waits and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
-            # Guards against those that fail at once and draw all. It could idle one that fails one kind.
+            # An error counts as the whole objective: otherwise an instance that fails at once would look fast
+            # and draw all requests. This may idle an instance that fails only one kind of request.
             spent = objective if end in (ERRED, REJECTED) else took
-            # A tenth of each; after a silence the whole way down, as one that sheds hears little. Not up: one
-            # late answer makes no overload.
-            part, aged, self.paced_at = min(spent / objective, 2.0), (now - self.paced_at) / PACE_AGE, now
-            self.pace += (min(max(aged, 0.1), 1.0) if part < self.pace else 0.1) * (part - self.pace)
-            ratio = spent / max(request.work, 1)
-            say = min(request.work / self.mean_work, 1) ** (1 - self.blind)
-            for known, rate in ((member.group, 0.1), (member, 0.15)):  # a light one that queued says little
-                known.slowness += rate * say * (ratio - known.slowness) if known.slowness else ratio
+            # The average moves by a tenth for each answer. After a pause it falls the whole way, because a
+            # balancer that sheds gets few answers. It doesn't rise faster: one late answer is no overload.
+            ratio_to_objective, age, self.latency_ratio_at = (
+                min(spent / objective, 2.0),
+                (now - self.latency_ratio_at) / LATENCY_RATIO_AGE,
+                now,
+            )
+            self.latency_ratio += (
+                min(max(age, 0.1), 1.0) if ratio_to_objective < self.latency_ratio else 0.1
+            ) * (ratio_to_objective - self.latency_ratio)
+            ratio_to_work = spent / max(request.work, 1)
+            # A light request that waited in a queue says little about the time by work.
+            weight = min(request.work / self.mean_work, 1) ** (1 - self.unseen_share)
+            for known, rate in ((instance.group, 0.1), (instance, 0.15)):
+                known.slowness += (
+                    rate * weight * (ratio_to_work - known.slowness) if known.slowness else ratio_to_work
+                )
             self.class_work[number] += 0.01 * (request.work - self.class_work[number])
-        # Guards against queues, whatever fills them. The floor is for slow but idle machines.
-        if end == REJECTED or not waits and member.slowness * self.class_work[number] > objective / 2.5:
-            if now - member.cut_at > 200 * MS:  # one jam cuts once; what is told of times is in the ratios
-                member.cut_at, member.limit = now, max(member.limit * 0.8, 1.0)
-        elif end == SUCCEEDED and 2 * (len(member.out) + 1) >= member.limit:
-            member.limit += 0.25 / member.limit
+        # The limit of requests in flight prevents queues at an instance, whatever fills them. It never falls
+        # below 1, so that instances that are slow but idle still get requests.
+        if end == REJECTED or not waits and instance.slowness * self.class_work[number] > objective / 2.5:
+            # One overload lowers it once, however many attempts it delays.
+            if now - instance.limit_lowered_at > 200 * MS:
+                instance.limit_lowered_at, instance.request_limit = (
+                    now,
+                    max(instance.request_limit * 0.8, 1.0),
+                )
+        elif end == SUCCEEDED and 2 * (len(instance.in_flight) + 1) >= instance.request_limit:
+            instance.request_limit += 0.25 / instance.request_limit
         if end == SUCCEEDED:
-            member.proved(attempt.connected_since, attempt.sent_at)
-            member.build.answers, group = member.build.answers + 1, member.group
-            group.took = smoothed(group.took, took, 0.05)
-            group.work = smoothed(group.work, max(request.work, 1), 0.05)
+            instance.record_connection(attempt.connected_since, attempt.sent_at)
+            instance.build.answer_count, group = instance.build.answer_count + 1, instance.group
+            group.answer_time = smoothed(group.answer_time, took, 0.05)
+            group.answer_work = smoothed(group.answer_work, max(request.work, 1), 0.05)
         if end == SUCCEEDED and self.forward_only and request.key:
-            member.build.keys.update({request.key, request.client_key or request.key})
-        # Answers are the build's, and what was waited for in vain while others got theirs; the path is not.
-        theirs = end in (SUCCEEDED, ERRED) or slow and not over and (self.blind > 0.5 or not silent)
-        if self.pair_at is not None and not waits and theirs:
-            self.note_outcome(now, member, request, end, took)
-        if service := report.get("svc_ms"):
-            member.service = smoothed(member.service, service, 0.3)
-            if self.trial is None:
-                member.usual = smoothed(member.usual, service, 0.1)
-
-    def strike(self, member, now, weight):
-        """Guards against the dead, silent or cut off; one reset is no sign. It could harm slow connects."""
-        member.strikes += weight
-        # Of the network and of restarts, not of requests: whatever their deadlines, it is tried again in 3 s.
-        wait = min(250 * MS << min(int(member.strikes), 4), 3000 * MS) if member.strikes >= 1 else 0
-        member.shunned_until = now + int(wait * self.rng.uniform(0.7, 1.0))
+            instance.build.answered_keys.update({request.key, request.client_key or request.key})
+        # Answers speak for or against the build, and so does a request that waited in vain while others got
+        # answers. Failures of the network don't.
+        caused_by_build = (
+            end in (SUCCEEDED, ERRED) or slow and not over and (self.unseen_share > 0.5 or not silent)
+        )
+        if self.pair_started_at is not None and not waits and caused_by_build:
+            self.record_outcome(now, instance, request, end, took)
+        if service_time := report.get("svc_ms"):
+            instance.service_time = smoothed(instance.service_time, service_time, 0.3)
+            if self.trial_build is None:
+                instance.usual_service_time = smoothed(instance.usual_service_time, service_time, 0.1)
+
+    def record_path_failure(self, instance, now, weight):
+        """Avoids an instance for a while after an attempt to it was lost on the way.
+
+        This guards against instances that are dead, silent or cut off. A single reset (weight 0.5) is not
+        enough. It could be unfair to instances to which connecting is slow.
+        """
+        instance.path_failures += weight
+        # The pause fits networks and restarts, not deadlines: the instance is tried again within 3 s.
+        pause = (
+            min(250 * MS << min(int(instance.path_failures), 4), 3000 * MS)
+            if instance.path_failures >= 1
+            else 0
+        )
+        instance.avoided_until = now + int(pause * self.rng.uniform(0.7, 1.0))
 
     def wrong_answer_reported(self, now, instance_id):
-        if (member := self.instances.get(instance_id)) is not None:
-            member.build.flags += 1
+        """A client reported that an answer of this instance was wrong."""
+        if (instance := self.instances.get(instance_id)) is not None:
+            instance.build.wrong_answers += 1
 
     def stage_reported(self, now, number, stage, phase, cap, age):
+        """The release platform reported a build's stage, phase and exposure cap.
+
+        `age` is how long ago the stage began.
+        """
         build = self.reported_build = self.builds[number]
-        build.began = build.began if (build.stage, build.phase) == (stage, phase) else now - age
-        build.stage, build.phase, build.cap, build.tried = stage, phase, cap, build.tried or phase == ON_TRIAL
-        self.see_trial()
+        build.stage_began_at = (
+            build.stage_began_at if (build.stage, build.phase) == (stage, phase) else now - age
+        )
+        build.stage, build.phase, build.cap, build.seen_on_trial = (
+            stage,
+            phase,
+            cap,
+            build.seen_on_trial or phase == ON_TRIAL,
+        )
+        self.update_trial()
 
     def vote_answered(self, now, answer):
-        """Guards against many that ask a full platform in step: those that find no harm ask ever less often,
-        so that votes back get through, and a vote that stands is not renewed early at another's cost."""
-        back = self.vote_out is not None and self.vote_out[2] == VERDICT_ROLL_BACK
-        if answer == OVER_ALLOWANCE and not back:
-            self.vote_pause = min(2 * self.vote_pause or 400 * MS, self.vote_lifetime)
-        short, part = 400 * MS, self.rng.uniform(0.5, 1.0)
-        wait = short if back else max(self.vote_pause, short)
-        self.vote_busy, self.vote_at = now + int(part * short), now + int(part * wait)
+        """The release platform answered the last vote, or didn't answer in time.
+
+        When the platform has no room for more votes, balancers without a vote to roll back ask less and less
+        often. Votes to roll back then get through, and a vote that still stands is not renewed early at the
+        cost of another.
+        """
+        rolls_back = self.last_vote is not None and self.last_vote[2] == VERDICT_ROLL_BACK
+        if answer == OVER_ALLOWANCE and not rolls_back:
+            self.vote_backoff = min(2 * self.vote_backoff or 400 * MS, self.vote_lifetime)
+        short, jitter = 400 * MS, self.rng.uniform(0.5, 1.0)
+        pause = short if rolls_back else max(self.vote_backoff, short)
+        self.vote_busy_until, self.next_vote_at = now + int(jitter * short), now + int(jitter * pause)
         if answer == COUNTED:
-            late = 0.2 if self.vote_pause else 0.0
-            self.vote_busy, self.vote_pause = now, self.vote_pause // 2
-            self.vote_at = now + int(self.vote_lifetime * (self.rng.uniform(0.6, 0.8) + late))
+            # The vote is renewed before it lapses; later if the platform was full.
+            later = 0.2 if self.vote_backoff else 0.0
+            self.vote_busy_until, self.vote_backoff = now, self.vote_backoff // 2
+            self.next_vote_at = now + int(self.vote_lifetime * (self.rng.uniform(0.6, 0.8) + later))
 
-    # ---- decisions, pulled one by one
+    # ---- decisions, one for each call
 
-    def wake_at(self):  # ticks are waited for where they can change something; most balancers idle
-        at = self.next_tick + (0 if self.trial or self.judged else 50 * TICK)
-        return min(at, self.ask_at or at, self.wakes.first(at))
+    def wake_at(self):
+        """Returns the time at which `decide` has to be called even if nothing happens before."""
+        # Without a trial the next judging changes nothing, and most balancers are idle then.
+        wake_time = self.next_judging + (0 if self.trial_build or self.judged_build else 50 * JUDGE_INTERVAL)
+        return min(wake_time, self.list_call_at or wake_time, self.timers.first(wake_time))
 
-    def decide(self, now, door):
-        if now >= self.next_tick:
+    def decide(self, now, host):
+        """Makes one decision and carries it out through `host`; returns False if there is none to make."""
+        if now >= self.next_judging:
             self.tick(now)
-        self.due.extend(self.wakes.due(now))
-        if self.notes:
-            door.log(self.notes.popleft())
+        self.due.extend(self.timers.pop_due(now))
+        if self.log_lines:
+            host.log(self.log_lines.popleft())
             return True
-        if self.ask_at is not None and now >= self.ask_at:
-            self.ask_at = now + 5000 * MS  # should no answer come at all; a host's calls end sooner
-            door.watch_list()
+        if self.list_call_at is not None and now >= self.list_call_at:
+            # In case no answer comes; a host's own calls time out sooner.
+            self.list_call_at = now + 5000 * MS
+            host.watch_list()
             return True
-        look, self.look = self.look, False
-        if look and self.cast_vote(now, door):
+        vote_check_due, self.vote_check_due = self.vote_check_due, False
+        if vote_check_due and self.cast_vote(now, host):
             return True
         while self.due:
-            if not (request := self.due.popleft()).finished and self.settle(request, now, door):
+            if not (request := self.due.popleft()).finished and self.decide_request(request, now, host):
                 return True
         return False
 
-    def settle(self, request, now, door):
-        out = [attempt for attempt in request.attempts if not attempt.end]
-        if out and now < request.deadline:
-            return self.rescue(request, out, now, door)
-        # Guards against the jam in which each request is turned away at many full machines.
+    def decide_request(self, request, now, host):
+        """Attempts, retries, ends or delays a request; returns whether the host was called."""
+        in_flight = [attempt for attempt in request.attempts if not attempt.end]
+        if in_flight and now < request.deadline:
+            return self.retry_overdue(request, in_flight, now, host)
+        # A rejected request needs budget for its next attempt. Otherwise, when all instances are full, each
+        # request would be turned away by many of them.
         spent = any(
-            s.end == BAD_REQUEST or s.end == REJECTED and self.rescues < 1 for s in request.attempts[-1:]
+            previous.end == BAD_REQUEST or previous.end == REJECTED and self.retry_budget < 1
+            for previous in request.attempts[-1:]
         )
         if spent or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
-            return self.give_up(request, door)
-        self.work_in += request.work if now == request.arrived else 0
-        if (member := self.choose(request, now)) is not None:
-            return self.attempt(request, member, now, door)
-        class_ = request.request_class
-        wait = int(class_.latency_objective / 8 * min(class_.revenue / self.mean_revenue, 1.0))
+            return self.give_up(request, host)
+        self.accepted_work += request.work if now == request.arrived else 0
+        if (instance := self.choose(request, now)) is not None:
+            return self.attempt(request, instance, now, host)
+        request_class = request.request_class
+        wait = int(request_class.latency_objective / 8 * min(request_class.revenue / self.mean_revenue, 1.0))
         if now >= request.arrived + wait or len(request.attempts) >= self.attempts_cap:
-            return self.give_up(request, door)
-        until = min(request.arrived + wait, request.deadline)  # the longer, the seldomer it is looked at
-        self.wakes.add(min(until, now + max(TICK // 4, (until - request.arrived) // 32)), request)
+            return self.give_up(request, host)
+        # The longer the request has waited, the less often it is looked at.
+        until = min(request.arrived + wait, request.deadline)
+        self.timers.add(min(until, now + max(JUDGE_INTERVAL // 4, (until - request.arrived) // 32)), request)
         return False
 
-    def attempt(self, request, member, now, door):
-        self.rescues -= any(attempt.end == REJECTED for attempt in request.attempts[-1:])
-        request.attempts.append(attempt := Attempt(request, len(request.attempts), member, now))
-        member.heard_at = member.heard_at if member.out else now
-        member.out[attempt] = None
-        member.held += request.work
-        if self.on_trial(member.build):
+    def attempt(self, request, instance, now, host):
+        """Sends the request to an instance; returns True."""
+        self.retry_budget -= any(attempt.end == REJECTED for attempt in request.attempts[-1:])
+        request.attempts.append(attempt := Attempt(request, len(request.attempts), instance, now))
+        instance.last_heard_at = instance.last_heard_at if instance.in_flight else now
+        instance.in_flight[attempt] = None
+        instance.held_work += request.work
+        if self.on_trial(instance.build):
             attempt.counted_from = now
-            for counted in self.counts_of(request):
-                member.build.sent.setdefault(counted, deque()).append(now)
-            member.build.credit = max(member.build.credit - 1.0, -3.0)
-        member.cold_from, member.cold_due = self.work_in, request.work * len(self.instances)
-        door.attempt(request, member.id, request.deadline - now)
-        member.connection_free_at = attempt.connection_free_at
-        self.wakes.add(self.overdue_at(attempt), request)
+            for key in self.cap_keys(request):
+                instance.build.sent_times.setdefault(key, deque()).append(now)
+            instance.build.attempt_credit = max(instance.build.attempt_credit - 1.0, -3.0)
+        instance.cold_since_work, instance.cold_work_due = (
+            self.accepted_work,
+            request.work * len(self.instances),
+        )
+        host.attempt(request, instance.id, request.deadline - now)
+        instance.connection_free_at = attempt.connection_free_at
+        self.timers.add(self.overdue_at(attempt), request)
         return True
 
-    def rescue(self, request, out, now, door):
-        """Guards against machines that are silent, stalled or jammed, or lose requests; in a jam of all the
-        budget binds. What later ones overtook is lost and free; it could begin a heavy one twice."""
-        last, member = out[-1], out[-1].instance
+    def retry_overdue(self, request, in_flight, now, host):
+        """Sends a second attempt, or cancels the last one, if that is overdue; returns whether it did.
+
+        This guards against instances that are silent, stalled or overloaded, or that lose requests. When all
+        are overloaded the budget limits it. An attempt whose instance has answered a later one is lost, and
+        replacing it costs no budget. A heavy request could run twice.
+        """
+        last = in_flight[-1]
+        instance = in_flight[-1].instance
         if now < self.overdue_at(last) or self.waits(request):
             return False
-        lost, silent = member.newest > last.sent_at, member.heard_at <= last.sent_at
-        if (lost or silent) and member.out.pop(last, last) is None:  # written off: it holds no place there
-            member.held -= request.work
-            self.strike(member, now, silent * min(0.5 + self.blind, 1.0))
-            if silent:  # its answer may still come and clear this; with few attempts it tells most
-                member.group.lost += 0.2 * (1 - member.group.lost)
-                pause = int((request.deadline - now) * self.blind)
-                member.shunned_until = max(member.shunned_until, now + pause)
-        if not lost and (len(out) > 1 or self.rescues < 1):
+        lost = instance.newest_answered > last.sent_at
+        silent = instance.last_heard_at <= last.sent_at
+        if (lost or silent) and instance.in_flight.pop(last, last) is None:
+            # The attempt is written off: it no longer counts as work held by the instance.
+            instance.held_work -= request.work
+            self.record_path_failure(instance, now, silent * min(0.5 + self.unseen_share, 1.0))
+            if silent:
+                # With few attempts this is the best sign there is; an answer that still comes clears it.
+                instance.group.loss_rate += 0.2 * (1 - instance.group.loss_rate)
+                pause = int((request.deadline - now) * self.unseen_share)
+                instance.avoided_until = max(instance.avoided_until, now + pause)
+        if not lost and (len(in_flight) > 1 or self.retry_budget < 1):
             return False
         if self.may_duplicate and (other := self.choose(request, now)) is not None:
-            self.rescues -= not lost
-            return self.attempt(request, other, now, door)
+            self.retry_budget -= not lost
+            return self.attempt(request, other, now, host)
         barred = self.may_duplicate or not self.may_cancel or request.request_class.effect != IDEMPOTENT
         if barred or not (lost or silent):
             return False
-        self.rescues -= 1
-        door.cancel(last)
+        self.retry_budget -= 1
+        host.cancel(last)
         return True
 
-    def overdue_at(self, attempt):  # by what its work takes, too: a heavy request is not begun twice
-        request, group = attempt.request, attempt.instance.group  # half of it is waiting, heavy or light
-        usual = group.took * (1 + request.work / group.work) / 2 if group.work else request.work
-        return attempt.sent_at + max(request.request_class.latency_objective // 2, int(OVERDUE * usual))
+    def overdue_at(self, attempt):
+        """Returns when an attempt counts as overdue.
+
+        This depends on its work, so that a heavy request is not sent twice.
+        """
+        request = attempt.request
+        group = attempt.instance.group
+        # Half of the usual time is waiting, which heavy and light requests share.
+        usual_time = (
+            group.answer_time * (1 + request.work / group.answer_work) / 2
+            if group.answer_work
+            else request.work
+        )
+        return attempt.sent_at + max(
+            request.request_class.latency_objective // 2, int(OVERDUE_FACTOR * usual_time)
+        )
 
-    def give_up(self, request, door):
-        request.finished, class_, ends = True, request.request_class, {s.end for s in request.attempts}
-        alone = (
-            class_.effect == NON_IDEMPOTENT or class_.effect == DEDUPLICATED and class_.repeat_scope != "all"
+    def give_up(self, request, host):
+        """Ends a request: aborts it if it may have run, else rejects it; returns True."""
+        request.finished, request_class, ends = (
+            True,
+            request.request_class,
+            {attempt.end for attempt in request.attempts},
         )
-        if BAD_REQUEST in ends or alone and not ends.issubset(NEVER_RAN):
-            door.abort(request)
+        unsafe_elsewhere = (
+            request_class.effect == NON_IDEMPOTENT
+            or request_class.effect == DEDUPLICATED
+            and request_class.repeat_scope != "all"
+        )
+        if BAD_REQUEST in ends or unsafe_elsewhere and not ends.issubset(NEVER_RAN):
+            host.abort(request)
         else:
-            door.reject(request, min(self.retry_after_cap, class_.latency_objective // 16))
+            host.reject(request, min(self.retry_after_cap, request_class.latency_objective // 16))
         return True
 
-    # ---- where to
+    # ---- the choice of an instance
 
     def choose(self, request, now, whole=False):
-        """The instance that costs least, untried before tried, of the build that is due an attempt first."""
+        """Returns the instance for the next attempt, or None.
+
+        Among the instances that may be used it is the cheapest one: untried before tried, and the build that
+        is due an attempt first. `whole` looks at all instances instead of this balancer's part of the ring.
+        """
         tried = [attempt.instance for attempt in request.attempts]
-        due = self.trial is not None and self.trial.credit >= 1 and not self.trial.bad
-        trial = {build for build in self.builds.values() if self.on_trial(build)}
-        pool = self.ring if whole else self.instances.arc(trial if due else {*self.builds.values()} - trial)
-        if self.scarce > 0.05 and not whole:
-            # Guards against connections that are few or slow. When machines die it keeps to what answers.
+        trial_due = (
+            self.trial_build is not None and self.trial_build.attempt_credit >= 1 and not self.trial_build.bad
+        )
+        trial_builds = {build for build in self.builds.values() if self.on_trial(build)}
+        pool = (
+            self.ring
+            if whole
+            else self.instances.arc(trial_builds if trial_due else {*self.builds.values()} - trial_builds)
+        )
+        if self.unconnected_share > 0.05 and not whole:
+            # Connections are scarce or slow, or instances died: keep to those with an open connection.
             pool = pool.open(now) or pool
-        if not whole and len(pool) > (near := max(NEAR, int(self.idle_time / 8 / (self.gap + 1)))):
-            # Guards against a handshake for each attempt where many share many. It could load some unevenly.
-            pool = islice((m for m in pool if now >= m.shunned_until), near)
+        if not whole and len(pool) > (
+            stretch := max(MIN_STRETCH, int(self.idle_time / 8 / (self.request_gap + 1)))
+        ):
+            # With many balancers and instances each attempt would need a new connection. Keeping to a part
+            # of the ring avoids that, at the price of some imbalance.
+            pool = islice((candidate for candidate in pool if now >= candidate.avoided_until), stretch)
         best = least = None
-        for member in pool:
-            rank = (member in tried, (member.build in trial) is not due, self.cost(member, request, now))
-            better = (best is None or rank < least) and self.usable(member, request, now)
-            if better and self.may_attempt(request, member, now):
-                best, least = member, rank
+        for instance in pool:
+            rank = (
+                instance in tried,
+                (instance.build in trial_builds) is not trial_due,
+                self.cost(instance, request, now),
+            )
+            better = (best is None or rank < least) and self.usable(instance, request, now)
+            if better and self.may_attempt(request, instance, now):
+                best = instance
+                least = rank
         return best or (None if whole else self.choose(request, now, True))
 
     def sheds(self, request, now):
-        """Where many share a machine, none can bound its queue: as answers take longer, each rejects more
-        of its own, the lowest revenue first. It could reject what has room elsewhere."""
-        if self.waits(request):  # it would only fill slots; one in two objectives shows when that ends
-            kinds, pause = kinds_of(request), 2 * request.request_class.latency_objective
-            if now < max(self.tested.get(kind, 0) for kind in kinds) + pause:
+        """Returns whether to reject a new request because answers take too long.
+
+        Where many balancers share an instance, none of them can limit its queue alone. So each rejects more
+        of its own requests as answers get slower, those of the lowest revenue first. It could reject a
+        request for which another instance has room.
+        """
+        if self.waits(request):
+            # The request would only occupy a slot. One is let in every two objectives, to see when this ends.
+            keys, pause = latency_keys(request), 2 * request.request_class.latency_objective
+            if now < max(self.wait_tested_at.get(key, 0) for key in keys) + pause:
                 return True
-            self.tested.update(dict.fromkeys(kinds, now))
-        excess = min(STEEP * (self.pace - EASY), 0.9) * self.blind
-        weight = max(request.request_class.revenue / self.mean_revenue, LEAST)
+            self.wait_tested_at.update(dict.fromkeys(keys, now))
+        excess = min(SHED_SLOPE * (self.latency_ratio - SHED_THRESHOLD), 0.9) * self.unseen_share
+        weight = max(request.request_class.revenue / self.mean_revenue, MIN_REVENUE_WEIGHT)
         return excess > 0 and self.rng.random() < excess**weight
 
     def waits(self, request):
-        """Whether its class or tenant alone waits at all machines: this tells nothing of them or a build."""
-        theirs = max(self.lows.get(kind, 0.0) for kind in kinds_of(request))
-        return theirs > 0.8 and min(self.lows.values()) < 0.4
-
-    def cost(self, member, request, now):
-        """Time to answer by what is out; old figures yield to the group's; the blinder, the more chance. Few
-        attempts of one's own tell of a lost zone sooner than of each instance. A connection's rest adds."""
-        slowness = member.group.slowness or 1.0
-        if member.slowness:
-            slowness += (member.slowness - slowness) / (1 + (now - member.heard_at) / STALE)
-        across = 1.0 if member.zone == self.zone else self.across
-        chance = self.rng.uniform(0.9, 1.1) * self.rng.expovariate(1.0) ** (self.blind / 2)
-        time = (1 + LOST * member.group.lost) * slowness * (request.work + member.held) * across * chance
-        return time / self.warmth(member, now) + max(member.connection_free_at - now, 0)
-
-    def usable(self, member, request, now):
-        class_ = request.request_class
-        barred = member.held >= member.limit * self.mean_work or now < member.shunned_until
-        tested = member.strikes >= 1 and (member.out or class_.effect == NON_IDEMPOTENT)
-        if barred or tested or self.left_out(member.build, class_):
+        """Returns whether only the request's class or tenant waits, and does so at all instances.
+
+        Its times then say nothing about an instance or a build.
+        """
+        own_quartile = max(self.lower_quartiles.get(key, 0.0) for key in latency_keys(request))
+        return own_quartile > 0.8 and min(self.lower_quartiles.values()) < 0.4
+
+    def cost(self, instance, request, now):
+        """Returns the expected time to answer (ns), with random variation.
+
+        It grows with the work that the instance holds. The instance's own figures lose weight against its
+        group's as they age. The less of the load this balancer sees, the larger the variation. With few
+        attempts of its own it finds a lost zone sooner than each lost instance. The time until a connection
+        is free is added.
+        """
+        slowness = instance.group.slowness or 1.0
+        if instance.slowness:
+            slowness += (instance.slowness - slowness) / (1 + (now - instance.last_heard_at) / STALE_TIME)
+        zone_factor = 1.0 if instance.zone == self.zone else self.cross_zone_factor
+        variation = self.rng.uniform(0.9, 1.1) * self.rng.expovariate(1.0) ** (self.unseen_share / 2)
+        time = (
+            (1 + LOSS_COST * instance.group.loss_rate)
+            * slowness
+            * (request.work + instance.held_work)
+            * zone_factor
+            * variation
+        )
+        return time / self.warmth(instance, now) + max(instance.connection_free_at - now, 0)
+
+    def usable(self, instance, request, now):
+        """Returns whether the instance looks healthy and has room for the request."""
+        request_class = request.request_class
+        barred = instance.held_work >= instance.request_limit * self.mean_work or now < instance.avoided_until
+        # After a failure of the path one request at a time tests it, and none that must not run twice.
+        under_test = instance.path_failures >= 1 and (
+            instance.in_flight or request_class.effect == NON_IDEMPOTENT
+        )
+        if barred or under_test or self.avoids_build(instance.build, request_class):
             return False
-        quiet = now - member.heard_at if member.out else 0  # below the floor, `rescue` goes by the aim alone
-        return quiet <= max(4 * (member.group.slowness or 2.0) * self.class_work[class_.number], 300 * MS)
+        quiet_time = now - instance.last_heard_at if instance.in_flight else 0
+        # Below 300 ms `retry_overdue` goes by the latency objective alone.
+        return quiet_time <= max(
+            4 * (instance.group.slowness or 2.0) * self.class_work[request_class.number], 300 * MS
+        )
+
+    def avoids_build(self, build, request_class):
+        """Returns whether a bad build gets no requests of this class.
 
-    def left_out(self, build, class_):  # a bad build; one not on trial any more serves until others may
+        A bad build that is no longer on trial serves on until other builds have room for its requests.
+        """
         if not build.bad or self.on_trial(build):
-            return build.bad and (class_.effect != IDEMPOTENT or self.share < 0.5)
-        rooms = [len(b.ring) * (b.cap if self.on_trial(b) else 1) for b in self.builds.values() if not b.bad]
-        return sum(rooms) >= len(build.ring)
+            return build.bad and (request_class.effect != IDEMPOTENT or self.trial_share < 0.5)
+        room = [
+            len(other.ring) * (other.cap if self.on_trial(other) else 1)
+            for other in self.builds.values()
+            if not other.bad
+        ]
+        return sum(room) >= len(build.ring)
 
-    def may_attempt(self, request, member, now):
-        """The rules. Every attempt passes here, whatever asked for it."""
+    def may_attempt(self, request, instance, now):
+        """Returns whether the rules allow an attempt. Every attempt is checked here, whatever its reason."""
         spent = now >= request.deadline or len(request.attempts) >= self.attempts_cap
-        if spent or not self.listed_still(member, now):
+        if spent or not self.listing_valid(instance, now):
             return False
-        class_ = request.request_class
-        ran = [attempt for attempt in request.attempts if attempt.end not in NEVER_RAN]
-        if ran and class_.effect == NON_IDEMPOTENT or not self.may_duplicate and any(not s.end for s in ran):
+        request_class = request.request_class
+        may_have_run = [attempt for attempt in request.attempts if attempt.end not in NEVER_RAN]
+        if (
+            may_have_run
+            and request_class.effect == NON_IDEMPOTENT
+            or not self.may_duplicate
+            and any(not other.end for other in may_have_run)
+        ):
             return False
-        if ran and class_.effect == DEDUPLICATED:
-            group = class_.repeat_scope
-            same = group == "all" or all(getattr(s.instance, group) == getattr(member, group) for s in ran)
-            if not same or now >= self.repeated_by(ran) - self.connect_time:
+        if may_have_run and request_class.effect == DEDUPLICATED:
+            scope = request_class.repeat_scope
+            same_scope = scope == "all" or all(
+                getattr(other.instance, scope) == getattr(instance, scope) for other in may_have_run
+            )
+            if not same_scope or now >= self.repeat_deadline(may_have_run) - self.connect_time:
                 return False
-        if (can := self.able(member, now)) < 1 and (self.work_in - member.cold_from) * can < member.cold_due:
+        if (share := self.capacity_share(instance, now)) < 1 and (
+            self.accepted_work - instance.cold_since_work
+        ) * share < instance.cold_work_due:
             return False
-        fit = not self.goes_back(request, member)
-        return fit and (not self.on_trial(member.build) or self.exposure_left(member.build, request, now))
+        fit = not self.returns_to_older_build(request, instance)
+        return fit and (
+            not self.on_trial(instance.build) or self.within_exposure_cap(instance.build, request, now)
+        )
+
+    def listing_valid(self, instance, now):
+        """Returns whether the instance is ready as far as this balancer has to know.
 
-    def listed_still(self, member, now):
-        """Guards against drains that discovery could not tell us: what serves on connections from a time of
-        which all counts as told had not drained SERVES_ON before. It could leave none."""
-        up_to = member.up_since(max(self.current, now - self.unheard - HEED)) - SERVES_ON
-        return member.ready and now - max(self.current, up_to) <= self.unheard
+        This guards against drains of which discovery could not inform this gateway. An instance whose
+        connections date from a time at which all news counted as known had not been drained
+        DRAIN_ANSWER_TIME before. It could leave no usable instance.
+        """
+        proven_until = (
+            instance.proven_up_until(max(self.list_current_at, now - self.assumed_known_after - NEWS_DELAY))
+            - DRAIN_ANSWER_TIME
+        )
+        return instance.ready and now - max(self.list_current_at, proven_until) <= self.assumed_known_after
 
     def may_begin(self, now, attempt):
-        """Asked before the first byte of an attempt, by a host whose attempts may wait for a connection:
-        until when its last byte has to be written, 0 if it may not begin."""
-        request, member, by = attempt.request, attempt.instance, attempt.request.deadline
-        ran = [other for other in request.attempts if other is not attempt and other.end not in NEVER_RAN]
-        if ran and request.request_class.effect == DEDUPLICATED:
-            by = min(by, self.repeated_by(ran))
-        fit = not request.finished and now < by and self.instances.get(member.id) is member
-        fit = fit and self.listed_still(member, now) and not self.goes_back(request, member)
-        if fit and self.on_trial(member.build):  # it counts from now on, as it may have waited past a window
-            sent = [member.build.sent.setdefault(counted, deque()) for counted in self.counts_of(request)]
-            for times in [times for times in sent if attempt.counted_from in times]:
+        """Returns by when the last byte of an attempt has to be written, or 0 if it may not begin.
+
+        A host whose attempts may wait for a connection calls this before it writes the first byte.
+        """
+        request = attempt.request
+        instance = attempt.instance
+        deadline = attempt.request.deadline
+        may_have_run = [
+            other for other in request.attempts if other is not attempt and other.end not in NEVER_RAN
+        ]
+        if may_have_run and request.request_class.effect == DEDUPLICATED:
+            deadline = min(deadline, self.repeat_deadline(may_have_run))
+        fit = not request.finished and now < deadline and self.instances.get(instance.id) is instance
+        fit = fit and self.listing_valid(instance, now) and not self.returns_to_older_build(request, instance)
+        if fit and self.on_trial(instance.build):
+            # It counts against the cap from now on, as it may have waited longer than the cap's window.
+            sent_times = [
+                instance.build.sent_times.setdefault(key, deque()) for key in self.cap_keys(request)
+            ]
+            for times in [times for times in sent_times if attempt.counted_from in times]:
                 times.remove(attempt.counted_from)
-            if fit := self.exposure_left(member.build, request, now):
+            if fit := self.within_exposure_cap(instance.build, request, now):
                 attempt.counted_from = now
-                for times in sent:
+                for times in sent_times:
                     times.append(now)
-        return by if fit else 0
+        return deadline if fit else 0
 
-    def goes_back(self, request, member):  # keys are kept only where they bind
-        told, keys = self.reported_build, (request.key, request.client_key)
-        older = told is not None and member.build.number < told.number and told.phase in (ON_TRIAL, RELEASED)
-        return older and not told.keys.isdisjoint(keys)
+    def returns_to_older_build(self, request, instance):
+        """Returns whether an older build would get a key that the reported build has already answered."""
+        reported = self.reported_build
+        keys = (request.key, request.client_key)
+        older = (
+            reported is not None
+            and instance.build.number < reported.number
+            and reported.phase in (ON_TRIAL, RELEASED)
+        )
+        return older and not reported.answered_keys.isdisjoint(keys)
+
+    def repeat_deadline(self, may_have_run):
+        """Returns until when instances drop repeats of these attempts."""
+        return (
+            may_have_run[0].sent_at + may_have_run[0].request.request_class.repeat_window - self.repeat_margin
+        )
 
-    def repeated_by(self, ran):  # until when instances drop a repeat of what they may have run
-        return ran[0].sent_at + ran[0].request.request_class.repeat_window - self.spare
+    def within_exposure_cap(self, build, request, now):
+        """Returns whether the cap of a build on trial allows one more attempt.
 
-    def exposure_left(self, build, request, now):
-        """The window is a little wider for attempts than for requests. A lower cap binds at once."""
+        The window is a little wider for attempts than for requests. A lowered cap holds at once.
+        """
         stage = build.stage if build is self.reported_build else 0
         if build.cap <= 0 or (stage < self.guarded_stages and request.request_class.effect != IDEMPOTENT):
             return False
-        for counted in self.counts_of(request):
-            sent = recent(build.sent.get(counted, ()), now - self.sent_window - 1)
-            taken = recent(self.taken.get(counted, ()), now - self.taken_window)
-            if sent + 1 > self.free_attempts + build.cap * taken:
+        for key in self.cap_keys(request):
+            sent = recent(build.sent_times.get(key, ()), now - self.sent_window - 1)
+            arrived = recent(self.arrivals.get(key, ()), now - self.arrivals_window)
+            if sent + 1 > self.free_attempts + build.cap * arrived:
                 return False
         return True
 
-    def warmth(self, member, now):  # the share of its capacity that it is sure to have; 1 when it is warm
-        age = now - member.started if member.started else self.cold_time
+    def warmth(self, instance, now):
+        """Returns the share of its capacity that an instance is sure to have; 1 once it is warm."""
+        age = now - instance.started if instance.started else self.cold_time
         return min(self.cold_share + (1 - self.cold_share) * max(age, 0) / max(self.cold_time, 1), 1.0)
 
-    def able(self, member, now):  # the part of a warm machine's share: each keeps to it, so their sum does
-        warmth = self.warmth(member, now)
-        return warmth * self.cold_room if warmth < 1 else 1.0
+    def capacity_share(self, instance, now):
+        """Returns what part of a warm instance's load this one may get.
+
+        Each balancer keeps to its part of that, so the sum over all balancers keeps to it as well.
+        """
+        warmth = self.warmth(instance, now)
+        return warmth * self.cold_headroom if warmth < 1 else 1.0
 
     def on_trial(self, build):
+        """Returns whether the exposure cap applies to a build."""
         if self.reported_build is None:
-            return build is self.trial
+            return build is self.trial_build
         return build.number > self.reported_build.number or (
             build is self.reported_build and build.phase != RELEASED
         )
 
-    def counts_of(self, request):
-        """What a cap counts it by: class asked and class given; neither lends the other what it took."""
-        number = request.request_class.number if self.per_class else 0
+    def cap_keys(self, request):
+        """Returns the keys under which the exposure cap counts a request.
+
+        If rules gave the request another class, it counts for the class that the client named and for the
+        class given, so that neither lends its requests to the other.
+        """
+        number = request.request_class.number if self.cap_per_class else 0
         return (
-            (request.client_class.number, ~number) if self.per_class and request.client_class else (number,)
+            (request.client_class.number, ~number)
+            if self.cap_per_class and request.client_class
+            else (number,)
         )
 
-    # ---- the gate: the build on trial against the earlier one, in pairs of short windows
+    # ---- judging: the build on trial is compared with earlier ones, in pairs of short samples
 
-    def see_trial(self):
+    def update_trial(self):
+        """Finds the build on trial and the build to judge, after a change of the list or of a stage."""
         numbers = sorted(number for number, build in self.builds.items() if build.ring)
         trial = self.builds[numbers[-1]] if numbers else None
         trial = (
             trial if trial and (self.on_trial(trial) if self.reported_build else len(numbers) > 1) else None
         )
         judged = (
-            told
-            if (told := self.reported_build) and told.tried and told.phase in (ON_TRIAL, RELEASED)
+            reported
+            if (reported := self.reported_build)
+            and reported.seen_on_trial
+            and reported.phase in (ON_TRIAL, RELEASED)
             else None
         )
-        if trial is not self.trial or judged is not self.judged:
-            if trial is not None and trial is not self.trial:
-                trial.credit = self.rng.random()  # small shares of little traffic add up over balancers
-            self.trial, self.judged, self.pair_at, self.pair = trial, judged, None, {}
-        self.look, number = True, min([self.reported_build.number if self.reported_build else 0, *numbers])
-        for old in [old for old in self.builds if old < number]:
-            del self.builds[old]  # no machine runs it and no news is of it
-        earlier = {kind for build in self.builds.values() if build is not judged for kind in build.kinds}
-        self.like = earlier.intersection(judged.kinds) if judged else set()
-
-    def note_outcome(self, now, member, request, end, took):
-        on, warmth = member.build is self.judged, self.warmth(member, now)
-        # Like against like: the same kinds of machine, and no cold ones on the earlier side.
-        if (not self.like or member.kind in self.like) and (on or warmth == 1):
-            self.news, outcome = True, (took * warmth / max(request.work, 1), end == ERRED, member)
-            self.pair.setdefault((on, request.request_class.number), []).append(outcome)
+        if trial is not self.trial_build or judged is not self.judged_build:
+            if trial is not None and trial is not self.trial_build:
+                # A random start: over all balancers, small shares of little traffic then add up.
+                trial.attempt_credit = self.rng.random()
+            self.trial_build = trial
+            self.judged_build = judged
+            self.pair_started_at = None
+            self.pair_outcomes = {}
+        self.vote_check_due, oldest = (
+            True,
+            min([self.reported_build.number if self.reported_build else 0, *numbers]),
+        )
+        # No instance runs these builds, and no news is about them.
+        for old in [old for old in self.builds if old < oldest]:
+            del self.builds[old]
+        earlier_kinds = {
+            kind for build in self.builds.values() if build is not judged for kind in build.kinds
+        }
+        self.comparable_kinds = earlier_kinds.intersection(judged.kinds) if judged else set()
+
+    def record_outcome(self, now, instance, request, end, took):
+        """Adds an outcome to the open pair: (time by work, whether it is an error, the instance)."""
+        of_judged, warmth = instance.build is self.judged_build, self.warmth(instance, now)
+        # Only like instances are compared: of the same kinds, and earlier builds only on warm ones.
+        if (not self.comparable_kinds or instance.kind in self.comparable_kinds) and (
+            of_judged or warmth == 1
+        ):
+            self.has_new_outcomes, outcome = (
+                True,
+                (took * warmth / max(request.work, 1), end == ERRED, instance),
+            )
+            self.pair_outcomes.setdefault((of_judged, request.request_class.number), []).append(outcome)
 
     def tick(self, now):
-        self.next_tick, self.look = now + TICK, True
-        build = self.judged
-        if self.pair_at is None:
-            newest = [b.starts[-1] for b in self.builds.values() if b.starts and build in (None, b)]
-            self.pair_at = now if newest and max(newest) + WARM_UP <= now else None
-        elif now - self.pair_at >= PAIR and self.news:
-            self.news = False
-            on, off = self.pooled(True), self.pooled(False)
-            alone = build is None or build.phase == RELEASED  # an earlier one may stay listed, hardly used
-            if len(on if build else off) >= PAIR_OUTCOMES and (alone or len(off) >= PAIR_OUTCOMES):
+        """Opens a pair, or closes and judges it once it is complete."""
+        self.next_judging = now + JUDGE_INTERVAL
+        self.vote_check_due = True
+        build = self.judged_build
+        if self.pair_started_at is None:
+            newest = [
+                candidate.start_times[-1]
+                for candidate in self.builds.values()
+                if candidate.start_times and build in (None, candidate)
+            ]
+            self.pair_started_at = now if newest and max(newest) + TRIAL_WARM_UP <= now else None
+        elif now - self.pair_started_at >= PAIR_TIME and self.has_new_outcomes:
+            self.has_new_outcomes = False
+            ours, earlier = self.pooled(True), self.pooled(False)
+            # After the release earlier instances may stay listed but get hardly any requests.
+            alone = build is None or build.phase == RELEASED
+            if len(ours if build else earlier) >= MIN_PAIR_OUTCOMES and (
+                alone or len(earlier) >= MIN_PAIR_OUTCOMES
+            ):
                 if build is None:
-                    self.calm_time = middle(off)
+                    self.baseline_time = median_time(earlier)
                 else:
-                    build.pairs.append(self.compared(build, on, off))
-                    build.seen.extend(on)
+                    build.pairs.append(self.compare(build, ours, earlier))
+                    build.recent_outcomes.extend(ours)
                     self.judge(build, build.pairs)
-                self.pair_at, self.pair = now, {}
-            elif build is not None and not build.pairs and on:
-                self.judge(build, [self.compared(build, on, off)])
-
-    def pooled(self, on):
-        return [outcome for (which, _), side in self.pair.items() if which is on for outcome in side]
-
-    def compared(self, build, on, off):
-        """Of each metric: the earlier figure, the trial's, how many of its outcomes are worse than tolerance
-        allows, of how many, how likely an earlier one is so. After the release only errors, with none."""
-        fit = [m for m in self.instances.values() if m.service and (not self.like or m.kind in self.like)]
-        services = [[m.service for m in fit if (m.build is build) is on] for on in (False, True)]
-        # A queue at few machines is not the build's: where told, longer answers want longer service.
-        alike = all(services) and median(services[1]) <= median(services[0]) * (1 + SERVICE_TOLERANCE)
-        figures = {(-1, "errors"): erring(on, off)}
-        if on and len(off) >= PAIR_OUTCOMES:
-            earlier, ours = middle(off), middle(off if alike else on)
-            over = [sum(t > earlier * (1 + TOLERANCE) for t, *_ in o) for o in (off, () if alike else on)]
-            usual = (over[0] + 1) / (len(off) + 2)
-            figures[-1, "p50"] = (earlier, ours, over[1], len(on), usual)
-        for (which, class_), side in self.pair.items():
-            if which:
-                figures[class_, "errors"] = erring(side, self.pair.get((False, class_), ()))
-        # Service time by that before it; the lower quartile, as other programs slow but some.
-        strains = sorted(m.service / m.usual for m in fit if m.usual and m.build is not build)
-        if self.calm_time and len(off) >= PAIR_OUTCOMES and 2 * len(strains) >= len(self.instances) > 2:
-            strain = min(strains[len(strains) // 4], middle(off) / self.calm_time)
-            figures[STRAIN] = (1.0, strain, 0, 0, 1.0)
+                self.pair_started_at = now
+                self.pair_outcomes = {}
+            elif build is not None and not build.pairs and ours:
+                self.judge(build, [self.compare(build, ours, earlier)])
+
+    def pooled(self, of_judged):
+        """Returns the outcomes of the open pair on one side, over all request classes."""
+        return [
+            outcome
+            for (side, _), outcomes in self.pair_outcomes.items()
+            if side is of_judged
+            for outcome in outcomes
+        ]
+
+    def compare(self, build, ours, earlier):
+        """Returns a pair's figures by (number of the request class or -1, metric).
+
+        Each is (earlier figure, figure on trial, how many outcomes on trial are worse than the tolerance
+        allows, of how many, the probability that one of an earlier build is). After the release there are
+        no earlier outcomes, and only errors are compared.
+        """
+        fit = [
+            instance
+            for instance in self.instances.values()
+            if instance.service_time and (not self.comparable_kinds or instance.kind in self.comparable_kinds)
+        ]
+        service_times = [
+            [instance.service_time for instance in fit if (instance.build is build) is side]
+            for side in (False, True)
+        ]
+        # Few instances on trial may have a queue that is not the build's fault. If service times are
+        # reported, a longer time to answer only counts together with a longer service time.
+        alike = all(service_times) and median(service_times[1]) <= median(service_times[0]) * (
+            1 + SERVICE_TIME_TOLERANCE
+        )
+        figures = {(-1, "errors"): error_figures(ours, earlier)}
+        if ours and len(earlier) >= MIN_PAIR_OUTCOMES:
+            earlier_time, our_time = median_time(earlier), median_time(earlier if alike else ours)
+            slow_counts = [
+                sum(time > earlier_time * (1 + LATENCY_TOLERANCE) for time, *_ in sample)
+                for sample in (earlier, () if alike else ours)
+            ]
+            usual = (slow_counts[0] + 1) / (len(earlier) + 2)
+            figures[-1, "p50"] = (earlier_time, our_time, slow_counts[1], len(ours), usual)
+        for (of_judged, number), outcomes in self.pair_outcomes.items():
+            if of_judged:
+                figures[number, "errors"] = error_figures(
+                    outcomes, self.pair_outcomes.get((False, number), ())
+                )
+        # Whether the trial slows earlier builds: their service times by those before it. The lower quartile
+        # is used because other programs slow down some instances.
+        increases = sorted(
+            instance.service_time / instance.usual_service_time
+            for instance in fit
+            if instance.usual_service_time and instance.build is not build
+        )
+        if (
+            self.baseline_time
+            and len(earlier) >= MIN_PAIR_OUTCOMES
+            and 2 * len(increases) >= len(self.instances) > 2
+        ):
+            increase = min(increases[len(increases) // 4], median_time(earlier) / self.baseline_time)
+            figures[SERVICE_TIME_METRIC] = (1.0, increase, 0, 0, 1.0)
         return figures
 
     def judge(self, build, pairs):
-        """A metric whose medians breach is a doubt; if most pairs breach too, by more than chance does in as
-        many balancers as send a build back, it is bad. The floor is the earlier build's spread alone. Times
-        want a breach more than errors. Where traffic is too thin for pairs, the open one is all there is."""
-        known, build.doubt, build.leaning = build.bad or build.leaning, False, False
+        """Sets whether a build is in doubt or bad, by the figures of these pairs.
+
+        A metric whose median over the pairs breaches its bound puts the build in doubt. The build is bad if
+        most pairs breach it too, and if that is less probable by chance than `false_alarm_probability`. The
+        bound is at least the spread of the earlier builds' figures. Latency needs one more pair in breach
+        than errors do. If traffic is too thin to close pairs, `pairs` is the open one alone.
+        """
+        known, build.in_doubt, build.provisionally_bad = build.bad or build.provisionally_bad, False, False
         others = [other for other in self.builds.values() if other is not build]
-        flags, answers = sum(other.flags for other in others), sum(other.answers for other in others)
-        if build.flags >= FLAGS and build.flags * answers > 2 * flags * build.answers:
-            self.condemn(build, f"{build.flags} of {build.answers} flagged, {flags} before", known, True)
+        wrong_answers, answers = (
+            sum(other.wrong_answers for other in others),
+            sum(other.answer_count for other in others),
+        )
+        if (
+            build.wrong_answers >= MIN_WRONG_ANSWERS
+            and build.wrong_answers * answers > 2 * wrong_answers * build.answer_count
+        ):
+            self.mark_bad(
+                build,
+                f"{build.wrong_answers} of {build.answer_count} flagged, {wrong_answers} before",
+                known,
+                True,
+            )
         for key in sorted({key for pair in pairs for key in pair}):
             seen = [pair[key] for pair in pairs if key in pair]
             earlier, ours = (median(figures[side] for figures in seen) for side in (0, 1))
-            floor = max(abs(figures[0] - earlier) for figures in seen)
+            spread = max(abs(figures[0] - earlier) for figures in seen)
             timed = key[1] != "errors"
-            share = SERVICE_TOLERANCE if key == STRAIN else TOLERANCE
-            bound = max(share * earlier if timed else ERROR_TOLERANCE, floor)
+            tolerance = SERVICE_TIME_TOLERANCE if key == SERVICE_TIME_METRIC else LATENCY_TOLERANCE
+            bound = max(tolerance * earlier if timed else ERROR_TOLERANCE, spread)
             breached = sum(figures[1] - figures[0] > bound for figures in seen)
             if ours - earlier > bound:
-                build.doubt = True
+                build.in_doubt = True
                 enough = (breached >= 2 + timed or not build.pairs) and 2 * breached > len(seen)
-                if enough and (luck := chance([figures[2:] for figures in seen])) <= self.chance:
-                    why = f"request class {key[0]} {key[1]} {earlier:.2f} to {ours:.2f}, chance {luck:.5f}"
-                    self.condemn(build, f"{breached} of {len(seen)} pairs breach, {why}", known, build.pairs)
+                if (
+                    enough
+                    and (probability := probability_bound([figures[2:] for figures in seen]))
+                    <= self.false_alarm_probability
+                ):
+                    why = (
+                        f"request class {key[0]} {key[1]} "
+                        f"{earlier:.2f} to {ours:.2f}, chance {probability:.5f}"
+                    )
+                    self.mark_bad(build, f"{breached} of {len(seen)} pairs breach, {why}", known, build.pairs)
 
-    def condemn(self, build, why, known, lasting):
-        """Thin finds stand only while their evidence does: by many looks luck would add up."""
-        self.notes.extend([] if known else [f"build {build.number} bad: {why}"])
-        build.leaning, build.bad = True, build.bad or bool(lasting)
+    def mark_bad(self, build, why, known, lasting):
+        """Marks a build as bad and logs why, unless that was `known`.
+
+        What thin evidence shows (`lasting` is false) only holds until the next look: over many looks false
+        alarms would add up.
+        """
+        self.log_lines.extend([] if known else [f"build {build.number} bad: {why}"])
+        build.provisionally_bad, build.bad = True, build.bad or bool(lasting)
 
     def verdict(self, build, now):
-        if build.bad or build.leaning:
+        """Returns the verdict on a build, or None if there is none yet."""
+        if build.bad or build.provisionally_bad:
             return VERDICT_ROLL_BACK
-        if build.phase != ON_TRIAL or self.clocked:
-            return VERDICT_HOLD if build.doubt and build.phase == ON_TRIAL else None
-        # Unjudged once a pair stood open for two pairs' time; a lagging list must pass nothing unmet.
-        unmet = not build.pairs and (self.pair_at is None or now < self.pair_at + 2 * PAIR)
-        # Nor by one whose list is old: on means that earlier machines go, and it may know none to come.
-        # Nor by one that has just started: what it sent in this stage has not been answered yet either.
-        least = build.began + (self.last_time if build.cap >= 1 else self.stage_time)
-        if now < max(least, self.born + self.stage_time) or unmet or build.doubt or self.ask_at is not None:
+        if build.phase != ON_TRIAL or self.automatic_stages:
+            return VERDICT_HOLD if build.in_doubt and build.phase == ON_TRIAL else None
+        # Without any pair there is no verdict until one has been open for the time of two: an old list must
+        # not promote a build that this balancer has not met.
+        unmet = not build.pairs and (
+            self.pair_started_at is None or now < self.pair_started_at + 2 * PAIR_TIME
+        )
+        # Promoting means that earlier instances stop. A balancer with an old list may not know the instances
+        # to come, and one that has just started has no answers yet to what it sent in this stage.
+        earliest = build.stage_began_at + (
+            self.min_last_stage_time if build.cap >= 1 else self.min_stage_time
+        )
+        if (
+            now < max(earliest, self.started_at + self.min_stage_time)
+            or unmet
+            or build.in_doubt
+            or self.list_call_at is not None
+        ):
             return None
-        # Errors too few for most pairs, as of a build that fails late, hold it all the same.
-        earlier, ours, *_ = erring(list(build.seen) + self.pooled(True), self.pooled(False))
+        # Errors that are too few for most pairs, as of a build that fails late, still prevent a promotion.
+        earlier, ours, *_ = error_figures(list(build.recent_outcomes) + self.pooled(True), self.pooled(False))
         return VERDICT_PROMOTE if ours - earlier <= ERROR_TOLERANCE else None
 
-    def cast_vote(self, now, door):
+    def cast_vote(self, now, host):
+        """Votes on the reported build if there is a new verdict or the last vote has to be renewed.
+
+        Returns whether it voted.
+        """
         build = self.reported_build
-        movable = build is not None and now >= self.vote_busy and build.phase in (ON_TRIAL, RELEASED)
+        movable = build is not None and now >= self.vote_busy_until and build.phase in (ON_TRIAL, RELEASED)
         if not movable or (verdict := self.verdict(build, now)) is None:
             return False
-        if (vote := (build.number, build.stage, verdict)) == self.vote_out and now < self.vote_at:
+        if (vote := (build.number, build.stage, verdict)) == self.last_vote and now < self.next_vote_at:
             return False
-        self.vote_out, self.vote_at, self.vote_busy = vote, now + self.vote_wait, now + self.vote_wait
-        door.vote(*vote)
+        self.last_vote = vote
+        self.next_vote_at = now + self.vote_answer_time
+        self.vote_busy_until = now + self.vote_answer_time
+        host.vote(*vote)
         return True
 
 
-def kinds_of(request):
+def latency_keys(request):
+    """Returns the keys of the request's class and tenant."""
     return (("class", request.request_class.number), ("tenant", request.tenant))
 
 
-def middle(outcomes):
+def median_time(outcomes):
+    """Returns the median time by work of these outcomes."""
     return median(time for time, _, _ in outcomes)
 
 
-def erring(on, off):
-    earlier, on = sound(off), sound(on)
+def error_figures(ours, earlier_outcomes):
+    """Returns the figures on errors, as `Balancer.compare` describes them."""
+    earlier, ours = without_faulty_instance(earlier_outcomes), without_faulty_instance(ours)
     usual = sum(erred for _, erred, _ in earlier) / max(len(earlier), 1)
-    erred = sum(erred for _, erred, _ in on)
-    return usual, erred / max(len(on), 1), erred, len(on), usual + ERROR_TOLERANCE
-
-
-def sound(outcomes):
-    """Without a machine that errs thrice as often as those up as long: its own fault, not its build's. One
-    that fails late does so on its oldest machine first, which stays in."""
-    members = list(dict.fromkeys(outcome[2] for outcome in outcomes))
-    worst = max(members, key=lambda member: member.failed / (member.answered + 1), default=None)
-    peers = [member for member in members if member is not worst and member.started <= worst.started]
-    failed, answered = sum(peer.failed for peer in peers), sum(peer.answered for peer in peers)
-    if worst and worst.failed * answered > 3 * (failed + 1) * worst.answered:
+    erred = sum(erred for _, erred, _ in ours)
+    return usual, erred / max(len(ours), 1), erred, len(ours), usual + ERROR_TOLERANCE
+
+
+def without_faulty_instance(outcomes):
+    """Returns the outcomes without those of one faulty instance, if there is one.
+
+    An instance is faulty if it errs more than three times as often as those that have run at least as long.
+    A build that fails late fails on its oldest instance first, which therefore stays in.
+    """
+    instances = list(dict.fromkeys(outcome[2] for outcome in outcomes))
+    worst = max(
+        instances, key=lambda instance: instance.error_count / (instance.answer_count + 1), default=None
+    )
+    peers = [
+        instance for instance in instances if instance is not worst and instance.started <= worst.started
+    ]
+    errors, answers = sum(peer.error_count for peer in peers), sum(peer.answer_count for peer in peers)
+    if worst and worst.error_count * answers > 3 * (errors + 1) * worst.answer_count:
         return [outcome for outcome in outcomes if outcome[2] is not worst]
     return outcomes
--- a/lemonlead/instance_table.py
+++ b/lemonlead/instance_table.py
@@ -1,5 +1,8 @@
-"""The list of instances as a balancer (`lemonlead/balance.py`) holds it: by id, round the ring, and by build.
-Plain data structures, no decision. A change costs what it changes, not what there is."""
+"""The list of instances as a balancer (`lemonlead/balance.py`) keeps it: by id, around a ring, and by build.
+
+These are plain data structures that decide nothing. The cost of a change depends on the size of the change,
+not on the length of the list.
+"""
 
 from bisect import bisect_left, insort
 from heapq import merge
@@ -7,17 +10,28 @@
 from operator import attrgetter, itemgetter
 from zlib import crc32
 
-PLACE = attrgetter("place")
-MANY = 16  # from one in so many changed at once on, all are put in order anew: it costs less
-NOTHING_WEIGHED = None, (), None, None  # of which build, one member of each sort, which weights add up
+RING_POSITION = attrgetter("ring_position")
+SORT_RATIO = (
+    16  # if more than 1/16 of a ring changes at once, sorting it again costs less than single changes
+)
+NO_SHARE_CACHED = (
+    None,
+    (),
+    None,
+    None,
+)  # (build, until), one instance of each sort, getters of the weights to add
 
 
 class Arc:
-    """Members round the ring from where a balancer begins, found one by one as they are asked for. It holds
-    until the list changes."""
+    """Some instances in ring order from where a balancer begins, found one by one as they are needed.
+
+    It is valid until the list changes.
+    """
 
-    def __init__(self, rings, begin, opened):
-        self.rings, self.begin, self.opened = rings, begin, opened
+    def __init__(self, rings, first_position, connected):
+        self.rings = rings
+        self.first_position = first_position
+        self.connected = connected
 
     def __len__(self):
         return sum(map(len, self.rings))
@@ -26,107 +40,132 @@
         walks = [self.walk(ring) for ring in self.rings]
         if len(walks) == 1:
             return walks[0]
-        return merge(*walks, key=self.turn)
+        return merge(*walks, key=self.order)
 
     def __getitem__(self, part):
         return list(islice(self, part.start, part.stop, part.step))
 
-    def turn(self, member):
-        return member.place < self.begin, member.place
+    def order(self, instance):
+        """The sort key of an instance as seen from where the balancer begins."""
+        return instance.ring_position < self.first_position, instance.ring_position
 
     def open(self, now):
-        """Those of them to which a connection stays open, as far as is told."""
-        found = [member for member in self.opened if now < member.open_until]
-        return sorted([member for member in found if self.has(member)], key=self.turn)
+        """Returns those instances to which a connection is still open, as far as is known."""
+        found = [instance for instance in self.connected if now < instance.connection_open_until]
+        return sorted([instance for instance in found if self.has(instance)], key=self.order)
 
-    def has(self, member):
-        places = [(ring, bisect_left(ring, member.place, key=PLACE)) for ring in self.rings]
-        return any(at < len(ring) and ring[at] is member for ring, at in places)
+    def has(self, instance):
+        """Returns whether the instance is in one of the rings."""
+        places = [(ring, bisect_left(ring, instance.ring_position, key=RING_POSITION)) for ring in self.rings]
+        return any(index < len(ring) and ring[index] is instance for ring, index in places)
 
     def walk(self, ring):
-        first = bisect_left(ring, self.begin, key=PLACE)
+        """Iterates once over a ring from where the balancer begins."""
+        first = bisect_left(ring, self.first_position, key=RING_POSITION)
         return map(ring.__getitem__, chain(range(first, len(ring)), range(first)))
 
 
 class InstanceTable(dict):
-    """The members by id, in the order in which they came; one that takes another's id takes its place, too.
-    What is put counts once it is settled. `start_at`: the part of the ring before where this balancer
-    begins."""
-
-    def __init__(self, start_at):
-        self.start_at, self.turns = start_at, count()
-        self.ring = []  # all, by place
-        self.opened = set()  # those of which `keep_open` told a time
-        self.changed = {}  # by id, until it is settled: what stands in the ring, None for nothing
-        self.weighed = NOTHING_WEIGHED
-
-    def put(self, member):
-        """In the place of its id's, or behind all. Of those of one hash the first to come stands first."""
-        old = self.get(member.id)
-        member.place = old.place if old else crc32(repr(member.id).encode()) << 28 | next(self.turns)
-        self.changed.setdefault(member.id, old)
-        self[member.id] = member
-
-    def settle(self, gone):
-        """Those of these ids leave, and what was put comes in."""
+    """The instances by id, in the order in which they were added; a new instance takes the place of its id.
+
+    What `put` adds takes effect with `commit`. `start_fraction` is the part of the ring (0 to 1) that lies
+    before the point where this balancer begins.
+    """
+
+    def __init__(self, start_fraction):
+        self.start_fraction, self.sequence = start_fraction, count()
+        self.ring = []  # all instances by ring position
+        self.connected = set()  # instances to which `keep_open` set a time
+        self.changed = {}  # by id, until `commit`: the instance that the ring still holds, or None
+        self.share_cache = NO_SHARE_CACHED
+
+    def put(self, instance):
+        """Adds an instance. Among equal hashes of ids the one that came first has the lower ring position."""
+        old = self.get(instance.id)
+        instance.ring_position = (
+            old.ring_position if old else crc32(repr(instance.id).encode()) << 28 | next(self.sequence)
+        )
+        self.changed.setdefault(instance.id, old)
+        self[instance.id] = instance
+
+    def commit(self, gone):
+        """Removes the instances with these ids, and applies what `put` added."""
         for id in gone:
             old = self.pop(id)
             self.changed.setdefault(id, old)
         changed, self.changed = self.changed, {}
-        out = [old for old in changed.values() if old is not None]
-        new = [self[id] for id in changed if id in self]
-        self.ring = moved(self.ring, out, new)
-        self.opened.difference_update(out)
-        left, come = by_build(out), by_build(new)
-        for build in {*left, *come}:
-            build.change(left.get(build, ()), come.get(build, ()))
-        self.weighed = NOTHING_WEIGHED if changed else self.weighed
+        removed = [old for old in changed.values() if old is not None]
+        added = [self[id] for id in changed if id in self]
+        self.ring = updated_ring(self.ring, removed, added)
+        self.connected.difference_update(removed)
+        removed_by_build, added_by_build = by_build(removed), by_build(added)
+        for build in {*removed_by_build, *added_by_build}:
+            build.update_instances(removed_by_build.get(build, ()), added_by_build.get(build, ()))
+        self.share_cache = NO_SHARE_CACHED if changed else self.share_cache
 
     def arc(self, builds):
-        """The members that run one of these builds."""
+        """Returns the instances that run one of these builds, in ring order."""
         rings = [build.ring for build in builds if build.ring]
-        begin = self.ring[int(self.start_at * len(self.ring))].place if self.ring else 0
-        return Arc([self.ring] if sum(map(len, rings)) == len(self.ring) else rings, begin, self.opened)
-
-    def keep_open(self, member, until):
-        """A connection to it stays open until then, as far as is told; 0: it is unsure."""
-        member.open_until = until
-        if until and self.get(member.id) is member:
-            self.opened.add(member)
+        first_position = (
+            self.ring[int(self.start_fraction * len(self.ring))].ring_position if self.ring else 0
+        )
+        return Arc(
+            [self.ring] if sum(map(len, rings)) == len(self.ring) else rings, first_position, self.connected
+        )
+
+    def keep_open(self, instance, until):
+        """Notes that a connection to the instance stays open until then; 0: it is not known."""
+        instance.connection_open_until = until
+        if until and self.get(instance.id) is instance:
+            self.connected.add(instance)
         else:
-            self.opened.discard(member)
-
-    def share(self, build, weight, sort, until):
-        """The part that the members of this build have in what all weigh; each sum is added up in the order
-        of the members, as rounding goes by it. `weight(member)` is one for all of one `sort(member)`; sorts
-        are looked for anew when `until` is another."""
-        if self.weighed[0] != (build, until):
-            sorts, slots = {}, []
-            for member in self.values():
-                slots.append(sorts.setdefault(sort(member), (len(sorts), member))[0])
-            ours = [slot for slot, member in zip(slots, self.values(), strict=True) if member.build is build]
-            # The two at the end weigh nothing: with less than two no tuple is made.
-            every, ours = itemgetter(*slots, -1, -1), itemgetter(*ours, -1, -1)
-            self.weighed = (build, until), [member for _, member in sorts.values()], every, ours
-        _, firsts, every, ours = self.weighed
-        weights = [*map(weight, firsts), 0.0]
-        return sum(ours(weights)) / sum(every(weights))
-
-
-def by_build(members):
-    sorted_out = {}
-    for member in members:
-        sorted_out.setdefault(member.build, []).append(member)
-    return sorted_out
-
-
-def moved(ring, out, new):
-    """The ring without some members and with others."""
-    if MANY * (len(out) + len(new)) > len(ring):
-        left = {id(member) for member in out}
-        return sorted([*(member for member in ring if id(member) not in left), *new], key=PLACE)
-    for member in out:
-        del ring[bisect_left(ring, member.place, key=PLACE)]
-    for member in new:
-        insort(ring, member, key=PLACE)
+            self.connected.discard(instance)
+
+    def weight_share(self, build, weight, sort, until):
+        """Returns which part of the sum of all instances' weights belongs to the instances of this build.
+
+        `weight(instance)` is the same for all instances of one `sort(instance)`. The sorts are kept until the
+        list or `until` changes. Each sum is added up in the order of the instances, because rounding depends
+        on the order.
+        """
+        if self.share_cache[0] != (build, until):
+            sorts = {}
+            slots = []
+            for instance in self.values():
+                slots.append(sorts.setdefault(sort(instance), (len(sorts), instance))[0])
+            build_slots = [
+                slot for slot, instance in zip(slots, self.values(), strict=True) if instance.build is build
+            ]
+            # The two at the end have weight 0: with fewer than two indices itemgetter returns no tuple.
+            all_weights, build_weights = itemgetter(*slots, -1, -1), itemgetter(*build_slots, -1, -1)
+            self.share_cache = (
+                (build, until),
+                [instance for _, instance in sorts.values()],
+                all_weights,
+                build_weights,
+            )
+        _, one_of_each_sort, all_weights, build_weights = self.share_cache
+        weights = [*map(weight, one_of_each_sort), 0.0]
+        return sum(build_weights(weights)) / sum(all_weights(weights))
+
+
+def by_build(instances):
+    """Returns lists of instances by their build."""
+    grouped = {}
+    for instance in instances:
+        grouped.setdefault(instance.build, []).append(instance)
+    return grouped
+
+
+def updated_ring(ring, removed, added):
+    """Returns the ring without the removed instances and with the added ones."""
+    if SORT_RATIO * (len(removed) + len(added)) > len(ring):
+        removed_ids = {id(instance) for instance in removed}
+        return sorted(
+            [*(instance for instance in ring if id(instance) not in removed_ids), *added], key=RING_POSITION
+        )
+    for instance in removed:
+        del ring[bisect_left(ring, instance.ring_position, key=RING_POSITION)]
+    for instance in added:
+        insort(ring, instance, key=RING_POSITION)
     return ring
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -1,34 +1,41 @@
-"""What a balancer (`lemonlead/balance.py`) keeps of instances, builds, wakes: plain records, no decision."""
+"""The state that a balancer (`lemonlead/balance.py`) keeps of instances, builds and timers.
+
+These are plain records that decide nothing. Times are whole nanoseconds of the host's clock.
+"""
 
 import heapq
 from bisect import bisect_left, insort
 from collections import Counter, deque
 from itertools import count
 
+from .instance_table import updated_ring
 from .interface import ON_TRIAL
-from .instance_table import moved
 
 
 def recent(times, since):
-    """How many came after that moment; the others are dropped."""
+    """Drops the times up to `since` from the front of a deque and returns how many are left."""
     while times and times[0] <= since:
         times.popleft()
     return len(times)
 
 
 class InstanceGroup:
-    """Instances of one zone and kind: stands in for those not heard from of late."""
+    """Figures over all instances of one zone and kind.
+
+    They stand in for the figures of instances that have not answered recently.
+    """
 
-    __slots__ = "slowness", "lost", "took", "work"
+    __slots__ = "slowness", "loss_rate", "answer_time", "answer_work"
 
     def __init__(self):
-        self.slowness = 0.0
-        self.lost = 0.0  # the share of its last attempts that the path lost, smoothed
-        self.took = self.work = 0.0  # of its answers, smoothed: the time they took, their work
+        self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.loss_rate = 0.0  # share of attempts that were lost on the way, smoothed
+        # Of successful answers, smoothed (ns): the time that they took and their work.
+        self.answer_time = self.answer_work = 0.0
 
 
 class InstanceState:
-    """All that is known of one instance: its line on the list, and what its attempts have shown."""
+    """What a balancer knows of one instance: its line of the list, and what its attempts have shown."""
 
     __slots__ = (
         "id",
@@ -38,117 +45,137 @@
         "build",
         "group",
         "started",
-        "place",
+        "ring_position",
         "ready",
-        "out",
-        "held",
-        "heard_at",
-        "newest",
+        "in_flight",
+        "held_work",
+        "last_heard_at",
+        "newest_answered",
         "slowness",
-        "limit",
-        "cut_at",
-        "service",
-        "usual",
-        "failed",
-        "answered",
-        "open_until",
-        "strikes",
-        "shunned_until",
-        "cold_from",
-        "cold_due",
+        "request_limit",
+        "limit_lowered_at",
+        "service_time",
+        "usual_service_time",
+        "error_count",
+        "answer_count",
+        "connection_open_until",
+        "path_failures",
+        "avoided_until",
+        "cold_since_work",
+        "cold_work_due",
         "up_from",
-        "up_to",
+        "up_until",
         "connection_free_at",
     )
 
-    def __init__(self, line, build, group, now, limit, cold_from, cold_due):
-        self.id, self.zone, self.kind, self.cell = line.id, line.zone, line.kind, line.cell
-        self.build, self.group, self.started = build, group, line.started
-        self.place = 0  # where on the ring it stands, the same at every balancer; set by `Members.put`
+    def __init__(self, line, build, group, now, request_limit, cold_since_work, cold_work_due):
+        self.id = line.id
+        self.zone = line.zone
+        self.kind = line.kind
+        self.cell = line.cell
+        self.build = build
+        self.group = group
+        self.started = line.started
+        self.ring_position = 0  # the same at every balancer; set by `InstanceTable.put`
         self.ready = True
-        self.held = 0  # their work
-        self.heard_at = now  # its last answer, or the first attempt after it stood idle
-        self.newest = 0  # when the latest attempt that it answered was sent
-        # Between these moments it was up all the time, as one connection after the other shows.
-        self.up_from = self.up_to = 0
-        self.slowness = 0.0  # time to answer by work, smoothed; 0: not yet known
-        self.limit, self.cut_at = limit, 0  # usual requests that it may hold of this balancer; when last cut
-        self.service = self.usual = 0.0  # its reported service time of late, and while no build is on trial
-        self.failed, self.answered = 0, 0  # errors, answers
-        self.open_until = 0  # until when a connection to it stays open, as far as is told
-        self.connection_free_at = 0  # from when its next unused connection may be used, as last told
-        self.strikes, self.shunned_until = 0, 0  # failures of the path since its last answer
-        # While it is cold: the work let in when it last got some, and how much more is due until the next.
-        self.cold_from, self.cold_due = cold_from, cold_due
+        self.held_work = 0  # work of the attempts in flight
+        self.last_heard_at = now  # time of its last answer, or of the first attempt after it was idle
+        self.newest_answered = 0  # when the latest of the attempts that it answered was sent
+        # It was up all the time between these two, as the connections to it show.
+        self.up_from = self.up_until = 0
+        self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.request_limit = request_limit  # requests of mean work that it may hold for this balancer
+        self.limit_lowered_at = 0
+        # The service time that it reports, smoothed (ms): now, and while no build was on trial.
+        self.service_time = self.usual_service_time = 0.0
+        self.error_count = 0
+        self.answer_count = 0  # errors included
+        self.connection_open_until = 0  # as far as the host's settings tell
+        self.connection_free_at = 0  # when its next unused connection may be used, as last reported
+        self.path_failures = 0  # failures of the path to it since its last answer
+        self.avoided_until = 0
+        # While it is cold: the balancer's accepted work when it last got a request, and how much more work
+        # has to be accepted before the next one.
+        self.cold_since_work = cold_since_work
+        self.cold_work_due = cold_work_due
 
     def __getattr__(self, name):
-        """`out`: attempts out, the oldest first; made when first looked at, as of many members few are."""
-        if name != "out":
+        """Creates `in_flight` (attempts in flight, the oldest first) on first use: few instances need it."""
+        if name != "in_flight":
             raise AttributeError(name)
-        self.out = {}
-        return self.out
+        self.in_flight = {}
+        return self.in_flight
 
-    def up_since(self, moment):
-        """Up to when it is known to have been up all the time since that moment; 0 if it is not."""
-        return self.up_to if self.up_from <= moment else 0
+    def proven_up_until(self, since):
+        """Returns until when it is known to have been up all the time since then, or 0."""
+        return self.up_until if self.up_from <= since else 0
 
-    def proved(self, since, at):
-        """An attempt sent at this moment succeeded on a connection that has stood since then."""
-        if since > self.up_to:
+    def record_connection(self, since, sent_at):
+        """Notes that an attempt sent at `sent_at` succeeded on a connection open since `since`."""
+        if since > self.up_until:
             self.up_from = since
-        self.up_from, self.up_to = min(self.up_from, since), max(self.up_to, at)
+        self.up_from, self.up_until = min(self.up_from, since), max(self.up_until, sent_at)
 
 
 class Build:
-    """One build: what was told of it, what it was sent, and how it compares."""
-
-    def __init__(self, number, cap, pairs, outcomes):
-        self.number, self.cap = number, cap
-        self.stage, self.phase = -1, ON_TRIAL  # no stage has been told
-        self.sent = {}  # times of its attempts within the window, by request class where the cap counts so
-        self.keys = set()  # keys that it has answered, kept where they bind
-        self.credit = 0.0  # attempts that it is due by its machines' share
-        self.began, self.tried = 0, False  # when its stage began; seen on trial, so there is an earlier build
-        self.pairs = deque(maxlen=pairs)  # pairs in view: what was compared, by (request class, metric)
-        self.seen = deque(maxlen=outcomes)  # its outcomes in closed pairs, the last of them
-        self.answers, self.flags = 0, 0  # all it gave, and those that clients found wrong
-        self.doubt = self.bad = False  # the medians breach; it is voted back for good
-        self.leaning = False  # voted back for now, on what an open pair holds; it goes on being tried
-        # Of its members: in the order of the ring; how many of each kind; when they started, in that order.
-        self.ring, self.kinds, self.starts = [], Counter(), []
-
-    def change(self, out, new):
-        """InstanceTable that ran it are gone, and others run it now."""
-        self.ring = moved(self.ring, out, new)
-        self.kinds.update(member.kind for member in new)
-        self.kinds.subtract(member.kind for member in out)
-        for kind in {member.kind for member in out if not self.kinds[member.kind]}:
+    """What a balancer knows of one build: its release stage, the attempts sent to it, and how it compares."""
+
+    def __init__(self, number, cap, max_pairs, max_outcomes):
+        self.number = number
+        self.cap = cap
+        self.stage = -1  # no stage has been reported
+        self.phase = ON_TRIAL
+        self.sent_times = {}  # by cap key: when the attempts within the cap's window were sent
+        self.answered_keys = set()  # idempotency keys that it answered, kept where they matter
+        self.attempt_credit = 0.0  # attempts that it should get, by its instances' share of the load
+        self.stage_began_at = 0
+        self.seen_on_trial = False  # if so, an earlier build exists
+        self.pairs = deque(maxlen=max_pairs)  # of the last closed pairs: figures by (request class, metric)
+        self.recent_outcomes = deque(maxlen=max_outcomes)  # its last outcomes in closed pairs
+        self.answer_count = 0
+        self.wrong_answers = 0  # answers that clients reported as wrong
+        # Whether the medians breach a bound, and whether it is found bad for good.
+        self.in_doubt = self.bad = False
+        self.provisionally_bad = False  # found bad on an open pair; the trial goes on
+        # Of its instances: themselves in the order of the ring, how many are of each kind, and their start
+        # times in ascending order.
+        self.ring, self.kinds, self.start_times = [], Counter(), []
+
+    def update_instances(self, gone, added):
+        """Takes out instances that no longer run it and puts in those that now do."""
+        self.ring = updated_ring(self.ring, gone, added)
+        self.kinds.update(instance.kind for instance in added)
+        self.kinds.subtract(instance.kind for instance in gone)
+        for kind in {instance.kind for instance in gone if not self.kinds[instance.kind]}:
             del self.kinds[kind]
-        if len(out) + len(new) > len(self.starts) // 16:
-            self.starts = sorted(member.started for member in self.ring)
+        if len(gone) + len(added) > len(self.start_times) // 16:
+            self.start_times = sorted(instance.started for instance in self.ring)
             return
-        for member in out:
-            del self.starts[bisect_left(self.starts, member.started)]
-        for member in new:
-            insort(self.starts, member.started)
+        for instance in gone:
+            del self.start_times[bisect_left(self.start_times, instance.started)]
+        for instance in added:
+            insort(self.start_times, instance.started)
 
 
 class Builds(dict):
-    """Builds by their numbers, each made when it is first named."""
+    """Builds by number; each is created when it is first looked up."""
 
-    def __init__(self, *rest):
-        self.rest = rest
+    def __init__(self, *build_arguments):
+        self.build_arguments = build_arguments
 
     def __missing__(self, number):
-        return self.setdefault(number, Build(number, *self.rest))
+        return self.setdefault(number, Build(number, *self.build_arguments))
 
 
 class RequestTimers:
-    """The requests that are to be looked at again, by the moment. Past a bound those that are over go: guards
-    against clients that say they wait for days."""
+    """The times at which requests have to be looked at again.
+
+    When there are many timers, those of finished requests are dropped. This guards against clients whose
+    deadlines are days away.
+    """
 
     def __init__(self):
-        self.heap, self.turns, self.most = [], count(), 1000
+        self.heap, self.sequence, self.max_size = [], count(), 1000
 
     def __len__(self):
         return len(self.heap)
@@ -157,16 +184,17 @@
         return iter(self.heap)
 
     def add(self, at, request):
-        if len(self.heap) >= self.most:
-            self.heap = [wake for wake in self.heap if not wake[2].finished]
+        if len(self.heap) >= self.max_size:
+            self.heap = [timer for timer in self.heap if not timer[2].finished]
             heapq.heapify(self.heap)
-            self.most = 2 * len(self.heap) + 1000
-        heapq.heappush(self.heap, (at, next(self.turns), request))
+            self.max_size = 2 * len(self.heap) + 1000
+        heapq.heappush(self.heap, (at, next(self.sequence), request))
 
-    def first(self, otherwise):
-        return self.heap[0][0] if self.heap else otherwise
+    def first(self, default):
+        """Returns the time of the first timer, or `default` if there is none."""
+        return self.heap[0][0] if self.heap else default
 
-    def due(self, now):
-        """Takes off those whose moment has come, in its order."""
+    def pop_due(self, now):
+        """Removes the timers that are due and yields their requests, the earliest first."""
         while self.heap and self.heap[0][0] <= now:
             yield heapq.heappop(self.heap)[2]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -95,14 +95,14 @@
     attempt = at.Attempt(asked, len(asked.attempts), member, at_time, end)
     asked.attempts.append(attempt)
     if not end:
-        member.out[attempt] = None
-        member.held += asked.work
+        member.in_flight[attempt] = None
+        member.held_work += asked.work
     return attempt
 
 
 def judged(made, on, off):
     """A closed pair of these outcomes, and what is made of it."""
-    build = made.judged
-    build.pairs.append(made.compared(build, on, off))
-    build.seen.extend(on)
+    build = made.judged_build
+    build.pairs.append(made.compare(build, on, off))
+    build.recent_outcomes.extend(on)
     made.judge(build, build.pairs)
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -175,7 +175,7 @@
     for within, longest in ((50, 100), (200, 400), (450, 900), (10_000, 900), (0, 900)):
         made = Balancer(start_from_settings({**SETTINGS, "Obligations": {"AskWithin": within}}, 7, BEGIN))
         made.list_failed(BEGIN, BEGIN)
-        assert longest * MS / 3 <= made.ask_at - BEGIN <= longest * MS
+        assert longest * MS / 3 <= made.list_call_at - BEGIN <= longest * MS
 
 
 def test_a_request_that_may_wait_for_long_is_looked_at_but_some_dozens_of_times():
@@ -247,7 +247,7 @@
         if self.sends_seen(request):
             return super().give_up(request, door)
         request.deadline += 60_000_000
-        self.wakes.add(request.deadline, request)
+        self.timers.add(request.deadline, request)
         return False
 
     def sends_seen(self, request):
@@ -294,13 +294,13 @@
 
 class Lazy(Balancer):
     def list_failed(self, now, current):
-        self.ask_at = now + 60_000_000_000
+        self.list_call_at = now + 60_000_000_000
 
 
 class Rash(Balancer):
     """Takes a cold machine for a warm one, and draws it first."""
 
-    def able(self, member, now):
+    def capacity_share(self, member, now):
         return 1.0
 
     def cost(self, member, request, now):
@@ -310,7 +310,7 @@
 class Bold(Balancer):
     """Heeds no cap."""
 
-    def exposure_left(self, build, request, now):
+    def within_exposure_cap(self, build, request, now):
         return True
 
     def choose(self, request, now, whole=False):
@@ -322,7 +322,7 @@
 
     def attempt_ended(self, now, attempt, *rest):
         super().attempt_ended(now, attempt, *rest)
-        attempt.instance.build.keys.clear()
+        attempt.instance.build.answered_keys.clear()
 
 
 GUARDED = {**SETTINGS["FamilyInfo"], "GuardedStages": 2, "StageCap": [1.0, 1.0], "SpareTries": 1000.0}
@@ -361,7 +361,7 @@
 
     class Restless(Balancer):
         def wake_at(self):
-            return self.last
+            return self.last_arrival
 
     for make in (Spinning, Restless):
         with pytest.raises(Stuck):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -6,8 +6,8 @@
 from helpers import MS, NOW, Dispatcher, balancer, judged, line, request, request_class, sent
 
 from lemonlead import interface as at
-from lemonlead.balance import NEAR, Balancer, sound
-from lemonlead.significance import chance
+from lemonlead.balance import MIN_STRETCH, Balancer, without_faulty_instance
+from lemonlead.significance import probability_bound
 
 DEDUPLICATED_ZONE = request_class(1, at.DEDUPLICATED, repeat_scope="zone", repeat_window=4000 * MS)
 DEDUPLICATED_ALL = request_class(1, at.DEDUPLICATED, repeat_scope="all", repeat_window=8000 * MS)
@@ -96,7 +96,7 @@
 def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
     """Guards against the jam in which each request is turned away at many full machines."""
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
-    made.rescues = rescues
+    made.retry_budget = rescues
     asked = request()
     sent(asked, made.instances[1])
     made.attempt_ended(NOW + MS, asked.attempts[0], at.REJECTED, MS, False, {})
@@ -113,10 +113,10 @@
 
 def test_what_a_whole_list_leaves_out_is_gone_and_a_new_machine_starts_afresh():
     made = balancer([line(1), line(2)])
-    made.instances[2].strikes = 3
+    made.instances[2].path_failures = 3
     made.list_received(NOW, [line(2, build=2, started=NOW)], True, True)
     assert list(made.instances) == [2]
-    assert (made.instances[2].strikes, made.instances[2].build.number) == (0, 2)
+    assert (made.instances[2].path_failures, made.instances[2].build.number) == (0, 2)
 
 
 def test_a_failed_call_for_the_list_is_made_again():
@@ -135,7 +135,7 @@
         made.request_arrived(now, request(step, now=now, work=20 * MS))
         got += sum(call[0] == "attempt" and call[2] == 1 for call in dispatcher.pull(made, now))
         for member in made.instances.values():
-            member.out.clear()
+            member.in_flight.clear()
     assert 1 <= got <= 400 / 4 * 0.7
 
 
@@ -162,21 +162,21 @@
     made.stage_reported(NOW, *told, 0)
     for number in range(taken):
         made.request_arrived(NOW, request(number, on=on))
-    made.instances[3].build.sent[0] = deque([NOW] * attempts)
+    made.instances[3].build.sent_times[0] = deque([NOW] * attempts)
     assert made.may_attempt(request(99, on=on), made.instances[3], NOW) is allowed
 
 
 def test_request_classes_are_counted_apart_where_told():
     made = trial()
-    made.per_class = True
-    made.instances[3].build.sent[0] = [NOW] * 2
-    assert not made.exposure_left(made.instances[3].build, request(), NOW)
-    assert made.exposure_left(made.instances[3].build, request(on=DEDUPLICATED_ALL), NOW)
+    made.cap_per_class = True
+    made.instances[3].build.sent_times[0] = [NOW] * 2
+    assert not made.within_exposure_cap(made.instances[3].build, request(), NOW)
+    assert made.within_exposure_cap(made.instances[3].build, request(on=DEDUPLICATED_ALL), NOW)
 
 
 def test_a_key_that_the_new_build_answered_stays_with_it():
     made = trial()
-    made.instances[3].build.keys.add(77)
+    made.instances[3].build.answered_keys.add(77)
     assert not made.may_attempt(request(key=77), made.instances[1], NOW)
     assert made.may_attempt(request(key=78), made.instances[1], NOW)
     made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0)
@@ -189,7 +189,7 @@
     seen = []
     for n in range(count):
         member = made[faulty] if faulty and n < errs else made[n % machines]
-        member.answered, member.failed = member.answered + 1, member.failed + (n < errs)
+        member.answer_count, member.error_count = member.answer_count + 1, member.error_count + (n < errs)
         seen.append((slow * (1 + n % 5 / 10), n < errs, member))
     return seen
 
@@ -212,12 +212,15 @@
 )
 def test_a_build_is_bad_when_most_pairs_breach(on, off, services, bad):
     made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, at.ON_TRIAL, 0.1))
-    made.calm_time = 1.2
+    made.baseline_time = 1.2
     for member in made.instances.values():
-        member.service, member.usual = services[member.build is not made.judged], 10.0 * (member.id != 9)
+        member.service_time, member.usual_service_time = (
+            services[member.build is not made.judged_build],
+            10.0 * (member.id != 9),
+        )
     for _ in range(4):
         judged(made, on, off)
-    assert made.judged.bad is bad
+    assert made.judged_build.bad is bad
 
 
 def test_a_trial_that_swings_does_not_excuse_itself():
@@ -225,24 +228,24 @@
     made = trial()
     for slow in (2.0, 5.0, 9.0, 15.0):
         judged(made, outcomes(slow), outcomes())
-    assert made.judged.bad
+    assert made.judged_build.bad
 
 
 def test_one_bad_pair_of_four_clears():
     made = trial()
     for slow in (1.0, 9.0, 1.0, 1.0):
         judged(made, outcomes(slow), outcomes())
-    assert not made.judged.bad and not made.judged.doubt
+    assert not made.judged_build.bad and not made.judged_build.in_doubt
 
 
 def test_answers_found_wrong_send_a_build_back():
     made = trial()
-    made.instances[1].build.answers = made.instances[3].build.answers = 100
+    made.instances[1].build.answer_count = made.instances[3].build.answer_count = 100
     for _ in range(3):
         made.wrong_answer_reported(NOW, 3)
     made.wrong_answer_reported(NOW, 999)
     judged(made, outcomes(), outcomes())
-    assert made.judged.bad
+    assert made.judged_build.bad
 
 
 @pytest.mark.parametrize(
@@ -258,9 +261,9 @@
 )
 def test_the_verdict_on_a_stage(doubt, bad, age, clocked, verdict):
     made = trial()
-    made.judged.doubt, made.judged.bad, made.clocked = doubt, bad, clocked
-    made.pair_at = NOW
-    assert made.verdict(made.judged, NOW + age * SECOND) == verdict
+    made.judged_build.in_doubt, made.judged_build.bad, made.automatic_stages = doubt, bad, clocked
+    made.pair_started_at = NOW
+    assert made.verdict(made.judged_build, NOW + age * SECOND) == verdict
 
 
 RELEASED_AND_BAD = [
@@ -300,7 +303,7 @@
 @pytest.mark.parametrize("answer", [at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED, at.MOOT, at.COUNTED])
 def test_a_vote_is_cast_again_whatever_became_of_it(answer):
     made, dispatcher = trial(), Dispatcher()
-    made.judged.bad = True
+    made.judged_build.bad = True
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW)
     made.vote_answered(NOW, answer)
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) not in dispatcher.pull(made, NOW)
@@ -329,20 +332,26 @@
 def test_a_limit_of_one_grows_on_quick_answers_and_falls_on_slow_ones(took, grows):
     made = balancer([line(1)])
     member = made.instances[1]
-    member.limit = 1.0
+    member.request_limit = 1.0
     for number in range(20):
         asked = request(number)
         made.attempt_ended(NOW + number * SECOND, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
-    assert (member.limit > 1.5) is grows
+    assert (member.request_limit > 1.5) is grows
 
 
 @pytest.mark.parametrize("end, again", [(at.UNREADABLE, True), (at.BAD_REQUEST, False)])
 def test_answers_that_are_none_speak_against_no_machine_and_no_build(end, again):
     made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
-    made.pair_at, member = NOW, made.instances[2]
+    made.pair_started_at, member = NOW, made.instances[2]
     member.slowness, asked = 1.0, request()
     made.attempt_ended(NOW, sent(asked, member), end, MS, False, {})
-    assert (member.strikes, member.failed, member.slowness, member.limit, made.pair) == (0, 0, 1.0, 3.0, {})
+    assert (
+        member.path_failures,
+        member.error_count,
+        member.slowness,
+        member.request_limit,
+        made.pair_outcomes,
+    ) == (0, 0, 1.0, 3.0, {})
     assert [call[0] for call in Dispatcher().pull(made, NOW + 1)] == ["attempt" if again else "abort"]
 
 
@@ -360,7 +369,7 @@
     member = made.instances[1]
     for end in ends:
         made.attempt_ended(NOW, sent(request(), member), end, MS, True, {})
-    assert (member.shunned_until > NOW) is shunned
+    assert (member.avoided_until > NOW) is shunned
     sent(request(), member)
     assert made.usable(member, request(), NOW) is not shunned
 
@@ -386,14 +395,18 @@
     heard, newest, budget, again, held, strikes
 ):
     made = balancer([line(1), line(2)])
-    made.rescues, member, asked = budget, made.instances[1], request()
+    made.retry_budget, member, asked = budget, made.instances[1], request()
     attempt = sent(asked, member)
-    member.heard_at, member.newest = NOW + heard, NOW + newest
+    member.last_heard_at, member.newest_answered = NOW + heard, NOW + newest
     made.due.append(asked)
     assert (Dispatcher().pull(made, made.overdue_at(attempt)) == [("attempt", 1, 2)]) is again
-    assert (member.held, member.strikes, made.rescues) == (held, strikes, budget - (again and not newest))
+    assert (member.held_work, member.path_failures, made.retry_budget) == (
+        held,
+        strikes,
+        budget - (again and not newest),
+    )
     made.attempt_ended(NOW + 4000 * MS, attempt, at.TIMED_OUT, 4000 * MS, True, {})
-    assert member.held == 0 and (member.slowness == 0) is (held == 0)
+    assert member.held_work == 0 and (member.slowness == 0) is (held == 0)
 
 
 def test_what_was_kept_of_older_builds_and_requests_is_dropped():
@@ -403,7 +416,7 @@
         made.stage_reported(NOW, number, 0, at.RELEASED, 1.0, 0)
     for second in range(20):
         made.request_arrived(NOW + second * SECOND, request(second))
-    assert set(made.builds) == {8} and len(made.taken[0]) <= 2
+    assert set(made.builds) == {8} and len(made.arrivals[0]) <= 2
 
 
 def test_a_machine_that_fails_at_once_does_not_draw_requests():
@@ -423,11 +436,11 @@
 def test_a_balancer_whose_watch_broke_votes_no_stage_on_until_a_list_has_come(heard, verdict):
     """Guards against a build that is released while discovery is down: nobody knows its machines then."""
     made = trial()
-    made.pair_at = NOW
+    made.pair_started_at = NOW
     made.list_failed(NOW, NOW)
     if heard:
         made.list_received(NOW, [], False, True)
-    assert made.verdict(made.judged, NOW + 9 * SECOND) == verdict
+    assert made.verdict(made.judged_build, NOW + 9 * SECOND) == verdict
 
 
 @pytest.mark.parametrize("listed, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
@@ -455,8 +468,8 @@
         [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)]
     )
     made.stage_reported(NOW, 2, 1, at.ON_TRIAL, cap, 0)
-    made.pair_at = NOW
-    assert made.verdict(made.judged, NOW + after * SECOND) == verdict
+    made.pair_started_at = NOW
+    assert made.verdict(made.judged_build, NOW + after * SECOND) == verdict
 
 
 @pytest.mark.parametrize(
@@ -480,17 +493,17 @@
     request_classes = [at.RequestClass(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
     made = balancer([line(1), line(2, build=2)], request_classes, told=None)
     made.stage_reported(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
-    made.pair_at = NOW - 9 * SECOND
-    assert made.verdict(made.judged, NOW + after * SECOND) == verdict
+    made.pair_started_at = NOW - 9 * SECOND
+    assert made.verdict(made.judged_build, NOW + after * SECOND) == verdict
 
 
 def test_errors_too_few_for_most_pairs_still_hold_a_build():
     """Guards against a build that starts to fail late and slips through to its release."""
     made = trial()
-    made.pair_at = NOW
+    made.pair_started_at = NOW
     for errs in (0, 0, 2, 0, 2):
         judged(made, outcomes(errs=errs), outcomes())
-    assert not made.judged.bad and made.verdict(made.judged, NOW + 9 * SECOND) is None
+    assert not made.judged_build.bad and made.verdict(made.judged_build, NOW + 9 * SECOND) is None
 
 
 @pytest.mark.parametrize("started, share", [((0, 0, 0), 0.0), ((0, 9, 9), 0.25)])
@@ -498,17 +511,20 @@
     """A build that fails late fails on its oldest machine first: that is no faulty machine."""
     members = list(balancer([line(n, started=NOW + up) for n, up in enumerate(started)]).instances.values())
     for member, failed in zip(members, (6, 0, 0), strict=True):
-        member.answered, member.failed = 20, failed
+        member.answer_count, member.error_count = 20, failed
     seen = [(1.0, n % 4 == 0, members[0 if n % 4 == 0 else 1 + n % 2]) for n in range(24)]
-    assert sum(erred for _, erred, _ in sound(seen)) / len(sound(seen)) == share
+    assert (
+        sum(erred for _, erred, _ in without_faulty_instance(seen)) / len(without_faulty_instance(seen))
+        == share
+    )
 
 
 def test_a_trial_without_machines_closes_no_pair():
     """Guards against the fault of a pair whose trial side is empty, as when its machines are gone again."""
     made = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1))
-    made.pair_at, made.pair = NOW, {(False, 0): outcomes()}
+    made.pair_started_at, made.pair_outcomes = NOW, {(False, 0): outcomes()}
     made.tick(NOW + 2 * SECOND)
-    assert not made.judged.pairs
+    assert not made.judged_build.pairs
 
 
 @pytest.mark.parametrize(
@@ -524,15 +540,17 @@
 def test_thin_evidence_is_weighed_by_the_votes_that_send_back(balancers, roll_back_votes_needed, on, bad):
     """Guards against bad builds passed where no balancer fills a pair, and good ones sent back by luck."""
     made = trial(balancers=balancers, release=at.Release(roll_back_votes_needed=roll_back_votes_needed))
-    made.judge(made.judged, [made.compared(made.judged, on, outcomes(count=8))])
-    assert made.judged.leaning is bad and made.judged.doubt
-    made.judge(made.judged, [made.compared(made.judged, outcomes(count=7), outcomes(count=8))])
-    assert not made.judged.bad and not made.judged.leaning  # it stands only while the evidence does
+    made.judge(made.judged_build, [made.compare(made.judged_build, on, outcomes(count=8))])
+    assert made.judged_build.provisionally_bad is bad and made.judged_build.in_doubt
+    made.judge(made.judged_build, [made.compare(made.judged_build, outcomes(count=7), outcomes(count=8))])
+    assert (
+        not made.judged_build.bad and not made.judged_build.provisionally_bad
+    )  # it stands only while the evidence does
 
 
 @pytest.mark.parametrize("worse, count, usual, most", [(0, 0, 0.1, 0), (1, 9, 0.5, 1), (3, 3, 0.1, 0.001)])
 def test_chance_bounds_the_tail(worse, count, usual, most):
-    assert chance([(worse, count, usual)]) == pytest.approx(most)
+    assert probability_bound([(worse, count, usual)]) == pytest.approx(most)
 
 
 def test_a_request_class_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_rejected():
@@ -546,7 +564,7 @@
         for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
             member = made.instances[1 + number % 2]
             made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
-    assert all(member.slowness < 2 < member.limit for member in made.instances.values())
+    assert all(member.slowness < 2 < member.request_limit for member in made.instances.values())
     for number in range(10):
         made.request_arrived(NOW, request(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
@@ -556,7 +574,7 @@
 @pytest.mark.parametrize("balancers, rejected", [(3, 0), (400, 100)])
 def test_slow_answers_reject_where_limits_cannot_bound_queues(balancers, rejected):
     made = balancer([line(1)], balancers=balancers)
-    made.pace = 2.0
+    made.latency_ratio = 2.0
     assert sum(made.sheds(request(number), NOW) for number in range(200)) >= rejected
     assert rejected or not made.sheds(request(), NOW)
 
@@ -575,7 +593,7 @@
 def test_what_was_heard_long_ago_gives_way_to_the_group(age, known):
     made = balancer([line(1), line(2)])
     member, member.group.slowness = made.instances[1], 1.0
-    member.slowness, member.heard_at = 10.0, NOW - age
+    member.slowness, member.last_heard_at = 10.0, NOW - age
     assert (made.cost(member, request(), NOW) > 5 * made.cost(made.instances[2], request(), NOW)) is known
 
 
@@ -603,7 +621,7 @@
     objective."""
     made = balancer([line(n) for n in range(9)], idle_time=9 * SECOND)
     made.instances.keep_open(made.instances[4], NOW + SECOND)
-    made.scarce = 0.5
+    made.unconnected_share = 0.5
     assert made.choose(request(), NOW) is made.instances[4]
     made.instances[4].ready = False
     assert made.choose(request(), NOW) is not made.instances[4]
@@ -614,13 +632,13 @@
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     asked = request(work=work * MS)
     made.attempt(asked, made.instances[1], NOW, dispatcher)
-    assert made.rescue(asked, asked.attempts, NOW + 600 * MS, dispatcher) is overdue
+    assert made.retry_overdue(asked, asked.attempts, NOW + 600 * MS, dispatcher) is overdue
 
 
 def test_a_choice_among_many_looks_at_few_but_finds_the_last_one_fit():
     made = balancer([line(n) for n in range(200)])
     for member in made.instances.values():
-        member.shunned_until = 0 if member.id == 7 else NOW + SECOND
+        member.avoided_until = 0 if member.id == 7 else NOW + SECOND
     assert made.choose(request(), NOW) is made.instances[7]
 
 
@@ -639,12 +657,12 @@
         (3, lambda made, asked: None, True),
         (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
         (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0), False),
-        (3, lambda made, asked: made.builds[2].sent[0].extend([NOW] * 2), False),
+        (3, lambda made, asked: made.builds[2].sent_times[0].extend([NOW] * 2), False),
     ],
 )
 def test_an_attempt_that_waited_begins_only_while_it_still_may(member, changed, allowed):
     made, asked = trial(), request()
-    made.builds[2].sent[0] = deque([NOW])
+    made.builds[2].sent_times[0] = deque([NOW])
     attempt = sent(asked, made.instances[member])
     changed(made, asked)
     assert made.may_begin(NOW, attempt) == (asked.deadline if allowed else 0)
@@ -656,7 +674,7 @@
     for number in range(5000):
         made.request_arrived(NOW, asked := open_ones[number] if number < 3 else request(left=days))
         asked.finished = number >= 3
-    assert len(made.wakes) <= 1000 and {wake[2] for wake in made.wakes} >= set(open_ones)
+    assert len(made.timers) <= 1000 and {wake[2] for wake in made.timers} >= set(open_ones)
     made.due.clear()
     dispatcher.pull(made, NOW + days)
     assert all(asked.finished for asked in open_ones)
@@ -665,15 +683,15 @@
 def test_an_attempt_counts_against_the_cap_from_when_it_begins():
     made, asked = trial(), [request(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
-    build.sent[0] = deque([NOW] * 2)  # as many as are free
+    build.sent_times[0] = deque([NOW] * 2)  # as many as are free
     attempts = [sent(one, made.instances[3]) for one in asked]
     for attempt in attempts:
         attempt.counted_from = NOW
     for attempt in attempts * 2:  # asked again, as where the connection had ended, it still counts once
         assert made.may_begin(begun, attempt) == attempt.request.deadline
-    assert list(build.sent[0]) == [begun] * 2
-    assert not made.exposure_left(build, request(), begun + 2010 * MS)  # its window, and two steps
-    assert made.exposure_left(build, request(), begun + 2011 * MS)
+    assert list(build.sent_times[0]) == [begun] * 2
+    assert not made.within_exposure_cap(build, request(), begun + 2010 * MS)  # its window, and two steps
+    assert made.within_exposure_cap(build, request(), begun + 2011 * MS)
 
 
 def test_a_repeat_is_written_whole_while_instances_still_drop_it():
@@ -703,24 +721,24 @@
     for number in range(8):  # so many were taken, asked for as `one` and treated as `other`
         made.request_arrived(NOW, ruled(number, one, other))
     asked_one, given_other = ruled(20, one, other), ruled(21, other, one)
-    assert made.exposure_left(build, asked_one, NOW)
+    assert made.within_exposure_cap(build, asked_one, NOW)
     for attempts in range(6):  # 2 free and half of 8
-        assert made.exposure_left(build, asked_one, NOW), attempts
+        assert made.within_exposure_cap(build, asked_one, NOW), attempts
         sent_now(made, build, asked_one)
-    assert not made.exposure_left(build, asked_one, NOW)
+    assert not made.within_exposure_cap(build, asked_one, NOW)
     # What was treated as the other request class lends the request class asked nothing, and the other way
     # round.
-    assert not made.exposure_left(build, ruled(22, one, one), NOW)
-    assert not made.exposure_left(build, ruled(23, other, other), NOW)
+    assert not made.within_exposure_cap(build, ruled(22, one, one), NOW)
+    assert not made.within_exposure_cap(build, ruled(23, other, other), NOW)
     for attempts in range(2):
-        assert made.exposure_left(build, given_other, NOW), attempts
+        assert made.within_exposure_cap(build, given_other, NOW), attempts
         sent_now(made, build, given_other)
-    assert not made.exposure_left(build, given_other, NOW)
+    assert not made.within_exposure_cap(build, given_other, NOW)
 
 
 def sent_now(made, build, asked):
-    for counted in made.counts_of(asked):
-        build.sent.setdefault(counted, deque()).append(NOW)
+    for counted in made.cap_keys(asked):
+        build.sent_times.setdefault(counted, deque()).append(NOW)
 
 
 @pytest.mark.parametrize("key", [b"asked", b"given"])
@@ -740,7 +758,7 @@
     release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
     made.request_arrived(NOW, request(1, request_class(1)))
-    assert list(made.taken) == [1]
+    assert list(made.arrivals) == [1]
 
 
 # ---- many balancers
@@ -758,19 +776,21 @@
 def test_many_balancers_cover_each_instance_evenly_and_each_keeps_to_few(balancers, instances):
     covered = Counter()
     for made in fleet_of(balancers, instances):
-        near = {member.id for member in made.ring[:NEAR]}
+        near = {member.id for member in made.ring[:MIN_STRETCH]}
         assert {made.choose(request(n), NOW).id for n in range(5)} <= near
-        covered.update(member.id for member in made.ring[:NEAR])
-    mean = balancers * NEAR / instances
+        covered.update(member.id for member in made.ring[:MIN_STRETCH])
+    mean = balancers * MIN_STRETCH / instances
     assert len(covered) == instances
     assert all(abs(count - mean) <= 3 for count in covered.values())
 
 
 def test_what_a_stretch_loses_is_made_up_from_what_follows_it():
     made = fleet_of(40, 60)[7]
-    for member in made.ring[: NEAR - 1]:
-        member.shunned_until = NOW + SECOND
-    assert {made.choose(request(n), NOW) for n in range(400)} <= set(made.ring[NEAR - 1 : 2 * NEAR - 1])
+    for member in made.ring[: MIN_STRETCH - 1]:
+        member.avoided_until = NOW + SECOND
+    assert {made.choose(request(n), NOW) for n in range(400)} <= set(
+        made.ring[MIN_STRETCH - 1 : 2 * MIN_STRETCH - 1]
+    )
 
 
 @pytest.mark.parametrize("gap, all_of_them", [(300 * MS, False), (5 * MS, True)])
@@ -785,15 +805,15 @@
 
 def test_a_change_of_the_list_moves_a_stretch_by_little():
     made = fleet_of(192, 96)[100]
-    before = {member.id for member in made.ring[:NEAR]}
+    before = {member.id for member in made.ring[:MIN_STRETCH]}
     made.list_received(NOW, [line(f"new-{n}") for n in range(8)], False, True)
-    assert len(before & {member.id for member in made.ring[:NEAR]}) >= NEAR - 6
+    assert len(before & {member.id for member in made.ring[:MIN_STRETCH]}) >= MIN_STRETCH - 6
 
 
 @pytest.mark.parametrize("gap, shed", [(100 * MS, True), (2 * SECOND, False)])
 def test_a_balancer_that_hears_little_does_not_shed_on_what_was(gap, shed):
     made = balancer([line(1)], balancers=200)
-    made.pace, made.paced_at = 1.0, NOW
+    made.latency_ratio, made.latency_ratio_at = 1.0, NOW
     for n in range(1, 3):
         asked = request(n, now=NOW + n * gap)
         made.attempt_ended(NOW + n * gap, sent(asked, made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
@@ -806,7 +826,7 @@
     member, asked = made.instances[1], request()
     attempt = sent(asked, member)
     made.due.append(asked)
-    member.heard_at = NOW
+    member.last_heard_at = NOW
     Dispatcher().pull(made, NOW + 600 * MS)
     assert made.usable(member, request(2), NOW + 3 * SECOND) is not left
     made.attempt_ended(NOW + 800 * MS, attempt, at.SUCCEEDED, 800 * MS, False, {})
@@ -821,7 +841,7 @@
     assert sum(made.cost(lost, request(), NOW) > made.cost(other, request(), NOW) for _ in range(200)) > 150
     for n in range(12):
         made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
-    assert lost.group.lost < 0.1
+    assert lost.group.loss_rate < 0.1
 
 
 @pytest.mark.parametrize("work, due", [(30, 500), (100, 500), (400, 1250)])
@@ -842,11 +862,13 @@
     for seed in range(20):
         for verdict in pauses:
             made = balancer([line(1)], seed=seed, balancers=200)
-            made.vote_out = (2, 0, verdict)
+            made.last_vote = (2, 0, verdict)
             for _ in range(6):
                 made.vote_answered(NOW, at.OVER_ALLOWANCE)
-            pauses[verdict].append(made.vote_at - NOW)
-            assert made.vote_busy <= NOW + 400 * MS  # another verdict, or another stage, goes out before
+            pauses[verdict].append(made.next_vote_at - NOW)
+            assert (
+                made.vote_busy_until <= NOW + 400 * MS
+            )  # another verdict, or another stage, goes out before
     assert (
         1900 * MS < min(pauses[at.VERDICT_PROMOTE]) < 2500 * MS
         and 3500 * MS < max(pauses[at.VERDICT_PROMOTE]) <= 4000 * MS
@@ -857,20 +879,20 @@
 def test_an_answer_to_a_vote_of_before_the_start_is_taken_calmly():
     made = balancer([line(1)])
     made.vote_answered(NOW, at.OVER_ALLOWANCE)
-    assert NOW < made.vote_busy <= NOW + 400 * MS
+    assert NOW < made.vote_busy_until <= NOW + 400 * MS
 
 
 def test_a_vote_that_stands_is_renewed_late_while_the_platform_is_full():
     made = balancer([line(1)])
-    made.vote_out, made.vote_pause = (2, 0, at.VERDICT_PROMOTE), 800 * MS
+    made.last_vote, made.vote_backoff = (2, 0, at.VERDICT_PROMOTE), 800 * MS
     made.vote_answered(NOW, at.COUNTED)
-    assert made.vote_at >= NOW + 3200 * MS and made.vote_pause == 400 * MS
+    assert made.next_vote_at >= NOW + 3200 * MS and made.vote_backoff == 400 * MS
 
 
 @pytest.mark.parametrize("took, waits", [(300, False), (900, True)])
 def test_a_request_class_that_waited_is_served_again_after_one_quick_test(took, waits):
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
-    made.lows[("class", 1)], made.pace, asked = 0.2, 1.0, request()
+    made.lower_quartiles[("class", 1)], made.latency_ratio, asked = 0.2, 1.0, request()
     for n in range(8):
         made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 3 * SECOND, False, {})
     assert made.waits(asked)
@@ -880,9 +902,9 @@
 
 def test_one_late_answer_after_a_silence_makes_no_overload():
     made = balancer([line(1)], balancers=200)
-    made.pace, made.paced_at = 0.2, NOW - 3 * SECOND
+    made.latency_ratio, made.latency_ratio_at = 0.2, NOW - 3 * SECOND
     made.attempt_ended(NOW, sent(request(), made.instances[1]), at.SUCCEEDED, 2 * SECOND, False, {})
-    assert made.pace == pytest.approx(0.38)
+    assert made.latency_ratio == pytest.approx(0.38)
 
 
 def test_nothing_grows_while_builds_ids_and_requests_come_and_go():
@@ -906,12 +928,12 @@
         "ring": len(made.ring),
         "groups": len(made.groups),
         "builds": len(made.builds),
-        "wakes": len(made.wakes),
+        "wakes": len(made.timers),
         "due": len(made.due),
-        "notes": len(made.notes),
-        "times": len(made.times),
-        "taken": sum(map(len, made.taken.values())),
-        "out": sum(len(member.out) for member in made.instances.values()),
+        "notes": len(made.log_lines),
+        "times": len(made.latency_ratios),
+        "taken": sum(map(len, made.arrivals.values())),
+        "out": sum(len(member.in_flight) for member in made.instances.values()),
     }
     assert sizes["members"] == sizes["ring"] == 30 and sizes["builds"] <= 2 and sizes["groups"] == 3
     assert sizes["wakes"] == sizes["due"] == sizes["notes"] == sizes["out"] == 0
@@ -923,4 +945,4 @@
 )
 def test_the_more_balancers_start_together_the_longer_they_spread_their_first_call(balancers, least, most):
     starts = [at.StartSettings(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)]
-    assert least <= max(Balancer(start).ask_at for start in starts) / MS <= most
+    assert least <= max(Balancer(start).list_call_at for start in starts) / MS <= most
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -518,7 +518,7 @@
 def test_a_decision_that_always_fails_keeps_no_request_from_its_own(world, monkeypatch, name):
     made = world(InstanceServer().start())
     made.faulty = True
-    made.balancer.next_tick, made.balancer.look = 0, True
+    made.balancer.next_judging, made.balancer.vote_check_due = 0, True
 
     method = getattr(made.balancer, name)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -394,7 +394,7 @@
     made.move(address(new.address))
     until(lambda: dispatcher.taken == ["listed", "list_failed", "current"], SOON)
     assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.instances) == ["a"]
-    assert dispatcher.balancer.ask_at is None and made.upkeep.length == made.upkeep.shortest
+    assert dispatcher.balancer.list_call_at is None and made.upkeep.length == made.upkeep.shortest
 
 
 # ---- SIGHUP and SIGTERM at the start, and SIGHUP after SIGHUP
@@ -519,14 +519,14 @@
     dispatcher.gates["list_failed"] = once(lambda: over.wait(SOON))
     made.upkeep.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
-    dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
+    dispatcher.gates["current"] = once(lambda: ages.append(dispatcher.balancer.list_call_at is not None))
     dispatcher.balancer.list_received(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
     server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
     made.ask()  # early: while the failure is not told yet
     over.set()
-    until(lambda: ages and dispatcher.balancer.ask_at is None, SOON)
+    until(lambda: ages and dispatcher.balancer.list_call_at is None, SOON)
     assert ages == [True] and made.counters.read() == {"watches ended: unavailable": 1}
 
 
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -42,7 +42,7 @@
     made.discovery = SimpleNamespace(ask=lambda: None)
     made.balancer.list_received(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
     made.balancer.stage_reported(now(), 1, 0, at.RELEASED, 1.0, 0)
-    made.balancer.next_tick = now() + 10**12
+    made.balancer.next_judging = now() + 10**12
     return made
 
 
@@ -57,7 +57,7 @@
     attempt = at.Attempt(asked, 0, made.balancer.instances["i0"], now())
     asked.attempts.append(attempt)
     made.asks[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
-    made.balancer.instances["i0"].out[attempt] = None
+    made.balancer.instances["i0"].in_flight[attempt] = None
     under_way = made.instances.trips[attempt] = Trip(attempt, pool, WORDS, now() + left)
     pool.unused.append(connection)
     made.instances.open += 1
@@ -67,7 +67,9 @@
 def test_an_input_and_its_decisions_share_one_moment():
     made = dispatcher()
     seen = []
-    made.instances = SimpleNamespace(trip=lambda *a: None, start=lambda _: seen.append(made.balancer.work_in))
+    made.instances = SimpleNamespace(
+        trip=lambda *a: None, start=lambda _: seen.append(made.balancer.accepted_work)
+    )
     asked = request(now=0)
     asked.deadline = now() + 5000 * MS
     made.tell(made.request_arrived, SimpleNamespace(words=WORDS), asked)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -12,16 +12,16 @@
 from lemonlead import interface as at
 from lemonlead import instance_table
 from lemonlead.balance import (
-    GOLDEN,
+    GOLDEN_RATIO,
     MS,
-    NEAR,
-    PAIR,
-    PAIR_OUTCOMES,
-    RESCUES,
-    TICK,
-    WARM_UP,
+    MIN_STRETCH,
+    PAIR_TIME,
+    MIN_PAIR_OUTCOMES,
+    RETRIES_PER_REQUEST,
+    JUDGE_INTERVAL,
+    TRIAL_WARM_UP,
     Balancer,
-    middle,
+    median_time,
     recent,
 )
 from lemonlead.instance_table import InstanceTable
@@ -31,7 +31,7 @@
 
 class PlainInstanceTable(dict):
     def keep_open(self, member, until):
-        member.open_until = until
+        member.connection_open_until = until
 
 
 class Plain(Balancer):
@@ -43,7 +43,7 @@
         self.instances, self.ring, self.start_at = (
             PlainInstanceTable(),
             [],
-            start.balancer_index * GOLDEN % 1.0,
+            start.balancer_index * GOLDEN_RATIO % 1.0,
         )
 
     def list_received(self, now, lines, whole, fresh):
@@ -54,42 +54,55 @@
                 group = self.groups.setdefault((row.zone, row.kind), InstanceGroup())
                 due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
                 self.instances[row.id] = InstanceState(
-                    row, self.builds[row.build], group, now, 3.0, self.work_in, due
+                    row, self.builds[row.build], group, now, 3.0, self.accepted_work, due
                 )
-                self.instances[row.id].place = hashed(row.id)
+                self.instances[row.id].ring_position = hashed(row.id)
             self.instances[row.id].ready = row.state == at.READY
         kept = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
         self.instances = PlainInstanceTable(kept)
-        self.ask_at = None if fresh else self.ask_at
-        ring = sorted(self.instances.values(), key=lambda member: member.place)
+        self.list_call_at = None if fresh else self.list_call_at
+        ring = sorted(self.instances.values(), key=lambda member: member.ring_position)
         cut = int(self.start_at * len(ring))
         self.ring = ring[cut:] + ring[:cut]
-        self.see_trial()
+        self.update_trial()
 
     def request_arrived(self, now, request):
-        self.wakes.add(request.deadline, request)
+        self.timers.add(request.deadline, request)
         request.work = request.work or int(self.class_work[request.request_class.number])
-        for counted in self.counts_of(request):
-            self.taken.setdefault(counted, deque()).append(now)
-            recent(self.taken[counted], now - self.taken_window)
+        for counted in self.cap_keys(request):
+            self.arrivals.setdefault(counted, deque()).append(now)
+            recent(self.arrivals[counted], now - self.arrivals_window)
         self.mean_work += 0.01 * (request.work - self.mean_work)
-        self.gap, self.last = self.gap + 0.05 * (now - self.last - self.gap), now
-        self.rescues = min(self.rescues + RESCUES * (1 - self.pace * self.blind), 20.0)
-        if self.trial is not None:
-            able = [(m, self.able(m, now) / (m.group.slowness or 1.0)) for m in self.instances.values()]
-            self.share = sum(can for m, can in able if m.build is self.trial) / sum(can for _, can in able)
-            self.trial.credit = min(self.trial.credit + self.share, 2.0)
+        self.request_gap, self.last_arrival = (
+            self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap),
+            now,
+        )
+        self.retry_budget = min(
+            self.retry_budget + RETRIES_PER_REQUEST * (1 - self.latency_ratio * self.unseen_share), 20.0
+        )
+        if self.trial_build is not None:
+            able = [
+                (m, self.capacity_share(m, now) / (m.group.slowness or 1.0)) for m in self.instances.values()
+            ]
+            self.trial_share = sum(can for m, can in able if m.build is self.trial_build) / sum(
+                can for _, can in able
+            )
+            self.trial_build.attempt_credit = min(self.trial_build.attempt_credit + self.trial_share, 2.0)
         self.due.append(request)
 
     def choose(self, request, now, whole=False):
         tried = [attempt.instance for attempt in request.attempts]
-        due = self.trial is not None and self.trial.credit >= 1 and not self.trial.bad
+        due = (
+            self.trial_build is not None and self.trial_build.attempt_credit >= 1 and not self.trial_build.bad
+        )
         trial = {build for build in self.builds.values() if self.on_trial(build)}
         pool = [m for m in self.ring if whole or (m.build in trial) is due]
-        if self.scarce > 0.05 and not whole:
-            pool = [m for m in pool if now < m.open_until] or pool
-        if not whole and len(pool) > (near := max(NEAR, int(self.idle_time / 8 / (self.gap + 1)))):
-            pool = [m for m in pool if now >= m.shunned_until][:near]
+        if self.unconnected_share > 0.05 and not whole:
+            pool = [m for m in pool if now < m.connection_open_until] or pool
+        if not whole and len(pool) > (
+            near := max(MIN_STRETCH, int(self.idle_time / 8 / (self.request_gap + 1)))
+        ):
+            pool = [m for m in pool if now >= m.avoided_until][:near]
         best = least = None
         for member in pool:
             rank = (member in tried, (member.build in trial) is not due, self.cost(member, request, now))
@@ -98,44 +111,54 @@
                 best, least = member, rank
         return best or (None if whole else self.choose(request, now, True))
 
-    def see_trial(self):
+    def update_trial(self):
         numbers = sorted({member.build.number for member in self.instances.values()})
         trial = self.builds[numbers[-1]] if numbers else None
         trial = (
             trial if trial and (self.on_trial(trial) if self.reported_build else len(numbers) > 1) else None
         )
         phases = (at.ON_TRIAL, at.RELEASED)
-        judged = told if (told := self.reported_build) and told.tried and told.phase in phases else None
-        if trial is not self.trial or judged is not self.judged:
-            if trial is not None and trial is not self.trial:
-                trial.credit = self.rng.random()
-            self.trial, self.judged, self.pair_at, self.pair = trial, judged, None, {}
-        self.look, number = True, min([self.reported_build.number if self.reported_build else 0, *numbers])
+        judged = (
+            told if (told := self.reported_build) and told.seen_on_trial and told.phase in phases else None
+        )
+        if trial is not self.trial_build or judged is not self.judged_build:
+            if trial is not None and trial is not self.trial_build:
+                trial.attempt_credit = self.rng.random()
+            self.trial_build, self.judged_build, self.pair_started_at, self.pair_outcomes = (
+                trial,
+                judged,
+                None,
+                {},
+            )
+        self.vote_check_due, number = (
+            True,
+            min([self.reported_build.number if self.reported_build else 0, *numbers]),
+        )
         for old in [old for old in self.builds if old < number]:
             del self.builds[old]
         kinds = {(member.kind, member.build is judged) for member in self.instances.values()}
-        self.like = {kind for kind, on in kinds if (kind, not on) in kinds}
+        self.comparable_kinds = {kind for kind, on in kinds if (kind, not on) in kinds}
 
     def tick(self, now):
-        self.next_tick, self.look = now + TICK, True
-        build = self.judged
-        if self.pair_at is None:
+        self.next_judging, self.vote_check_due = now + JUDGE_INTERVAL, True
+        build = self.judged_build
+        if self.pair_started_at is None:
             starts = [member.started for member in self.instances.values() if build in (None, member.build)]
-            self.pair_at = now if starts and max(starts) + WARM_UP <= now else None
-        elif now - self.pair_at >= PAIR and self.news:
-            self.news = False
+            self.pair_started_at = now if starts and max(starts) + TRIAL_WARM_UP <= now else None
+        elif now - self.pair_started_at >= PAIR_TIME and self.has_new_outcomes:
+            self.has_new_outcomes = False
             on, off = self.pooled(True), self.pooled(False)
             alone = build is None or build.phase == at.RELEASED
-            if len(on if build else off) >= PAIR_OUTCOMES and (alone or len(off) >= PAIR_OUTCOMES):
+            if len(on if build else off) >= MIN_PAIR_OUTCOMES and (alone or len(off) >= MIN_PAIR_OUTCOMES):
                 if build is None:
-                    self.calm_time = middle(off)
+                    self.baseline_time = median_time(off)
                 else:
-                    build.pairs.append(self.compared(build, on, off))
-                    build.seen.extend(on)
+                    build.pairs.append(self.compare(build, on, off))
+                    build.recent_outcomes.extend(on)
                     self.judge(build, build.pairs)
-                self.pair_at, self.pair = now, {}
+                self.pair_started_at, self.pair_outcomes = now, {}
             elif build is not None and not build.pairs and on:
-                self.judge(build, [self.compared(build, on, off)])
+                self.judge(build, [self.compare(build, on, off)])
 
 
 def hashed(id):
@@ -144,9 +167,9 @@
 
 def state_of(made):
     """What later decisions go by, and shows the first one that would differ before it does."""
-    number = [build and build.number for build in (made.reported_build, made.trial, made.judged)]
+    number = [build and build.number for build in (made.reported_build, made.trial_build, made.judged_build)]
     builds = {
-        n: (build.credit, build.bad, build.doubt, len(build.pairs), build.flags)
+        n: (build.attempt_credit, build.bad, build.in_doubt, len(build.pairs), build.wrong_answers)
         for n, build in made.builds.items()
     }
     return (
@@ -154,14 +177,14 @@
         [member.id for member in made.ring],
         number,
         builds,
-        made.like,
-        made.share,
-        made.pair_at,
-        made.calm_time,
+        made.comparable_kinds,
+        made.trial_share,
+        made.pair_started_at,
+        made.baseline_time,
         list(made.groups),
         made.wake_at(),
         made.rng.getstate(),
-        [(m.cold_due, m.limit, m.slowness, m.shunned_until) for m in made.instances.values()],
+        [(m.cold_work_due, m.request_limit, m.slowness, m.avoided_until) for m in made.instances.values()],
     )
 
 
@@ -248,11 +271,11 @@
         self.compared += 1
         self.calls.update(call[0] for call in decided[0])
         made = self.both[0]
-        self.seen["trial"] += made.trial is not None and name == "request_arrived"
-        self.seen["like"] += bool(made.like)
+        self.seen["trial"] += made.trial_build is not None and name == "request_arrived"
+        self.seen["comparable kinds"] += bool(made.comparable_kinds)
         self.seen["pairs"] += any(build.pairs for build in made.builds.values())
         self.seen["builds"] += len(made.builds) > 2
-        self.seen["scarce"] += made.scarce > 0.05
+        self.seen["unconnected"] += made.unconnected_share > 0.05
 
     def row(self, id):
         chance, now = self.chance, self.now
@@ -327,7 +350,9 @@
     plays = [played(seed, most) for seed in range(6)]
     met = sum((play.seen for play in plays), Counter())
     assert min(play.compared for play in plays) > 300 and min(play.calls["attempt"] for play in plays) > 20
-    assert min(met[what] for what in ("trial", "like", "pairs", "builds", "scarce")) > 20, met
+    assert min(met[what] for what in ("trial", "comparable kinds", "pairs", "builds", "unconnected")) > 20, (
+        met
+    )
 
 
 @pytest.mark.parametrize("seed, most", [(100, 20), (101, 60), (102, 200), (103, 400)])
@@ -401,8 +426,8 @@
     kept, build = InstanceTable(0.3), Build(1, 1.0, 4, 200)
     for n in range(count):
         kept.put(InstanceState(line(n), build, InstanceGroup(), 0, 3.0, 0, 0))
-        kept[n].place = Looked(kept[n].place)
-    kept.settle(())
+        kept[n].ring_position = Looked(kept[n].ring_position)
+    kept.commit(())
     return kept, build
 
 
@@ -410,10 +435,10 @@
     kept, build = filled(count)
     Looked.count = 0
     for step in range(steps):
-        kept.settle([step])
+        kept.commit([step])
         kept.put(InstanceState(line(count + step), build, InstanceGroup(), 0, 3.0, 0, 0))
-        kept.settle(())
-        assert len(kept.ring) == len(build.ring) == len(build.starts) == build.kinds[0] == count
+        kept.commit(())
+        assert len(kept.ring) == len(build.ring) == len(build.start_times) == build.kinds[0] == count
     return Looked.count / steps
 
 
@@ -427,12 +452,12 @@
     kept, build = filled(4000)
     other = Build(2, 1.0, 4, 200)
     kept.put(InstanceState(line(4000), other, InstanceGroup(), 0, 3.0, 0, 0))
-    kept.settle(())
+    kept.commit(())
     for arc, size in ((kept.arc([build, other]), 4001), (kept.arc([build]), 4000), (kept.arc([other]), 1)):
         assert len(arc) == size == len(list(arc))
     Looked.count = 0
-    assert [member.place for member in kept.arc([build, other])[:5]] == [
-        member.place for member in kept.ring[1200:1205]
+    assert [member.ring_position for member in kept.arc([build, other])[:5]] == [
+        member.ring_position for member in kept.ring[1200:1205]
     ]
     assert Looked.count < 100
 
@@ -446,10 +471,10 @@
     in_turn = [member for member in arc if member in (old, other, third)]
     assert arc.open(9) == in_turn and arc.open(10) == []
     kept.put(InstanceState(line(1), build, InstanceGroup(), 0, 3.0, 0, 0))
-    kept.settle([2])
-    assert kept.opened == {third}
+    kept.commit([2])
+    assert kept.connected == {third}
     kept.keep_open(old, 20)  # an answer that came late
     kept.keep_open(other, 20)
-    assert kept.opened == {third} and kept.arc([build]).open(9) == [third]
+    assert kept.connected == {third} and kept.arc([build]).open(9) == [third]
     kept.keep_open(third, 0)
-    assert not kept.opened
+    assert not kept.connected
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -172,8 +172,8 @@
         made, dispatcher = balancer([line(1)], ask_for_list=True, seed=seed), Dispatcher()
         made.list_received(NOW, [], False, True)
         made.list_failed(NOW, NOW)
-        latest = max(latest, made.ask_at - NOW)
-        assert ("watch",) in dispatcher.pull(made, made.ask_at)
+        latest = max(latest, made.list_call_at - NOW)
+        assert ("watch",) in dispatcher.pull(made, made.list_call_at)
     return latest / 1e9
 
 
@@ -191,7 +191,7 @@
     longest = max(pauses(made.upkeep, True) + pauses(made.upkeep, False))
     assert 2.0 + longest + asks_anew() <= 4 * within / 1e3
     rules = dict(now=NOW, balancers=200, ask_for_list=True, max_list_call_gap=within * MS)
-    firsts = [Balancer(at.StartSettings(seed=seed, **rules)).ask_at for seed in range(200)]
+    firsts = [Balancer(at.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
     assert max(firsts) <= NOW + within * MS // 2 and len(set(firsts)) > 100
 
 
@@ -434,7 +434,7 @@
         at.RequestClass(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))
     ]
     made = balancer([line(1)], request_classes=request_classes, balancers=200)
-    made.pace, let_in = pace, []
+    made.latency_ratio, let_in = pace, []
     for on in request_classes:
         let_in.append(sum(not made.sheds(request(on=on), NOW) for _ in range(5000)))
     assert let_in[0] >= 0.48 * let_in[1] and let_in[0] < let_in[1] < let_in[2]
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -69,13 +69,17 @@
 
 def test_a_gap_between_connections_proves_nothing_of_the_time_before():
     member = InstanceState(line(1), None, None, 0, 1.0, 0, 0)
-    member.proved(10, 20)
-    member.proved(15, 30)
-    assert (member.up_from, member.up_to) == (10, 30) and member.up_since(10) == 30 and not member.up_since(9)
-    member.proved(31, 40)
-    assert (member.up_from, member.up_to) == (31, 40)
-    member.proved(5, 25)  # an older connection, which has stood since: it was up all the time
-    assert (member.up_from, member.up_to) == (5, 40)
+    member.record_connection(10, 20)
+    member.record_connection(15, 30)
+    assert (
+        (member.up_from, member.up_until) == (10, 30)
+        and member.proven_up_until(10) == 30
+        and not member.proven_up_until(9)
+    )
+    member.record_connection(31, 40)
+    assert (member.up_from, member.up_until) == (31, 40)
+    member.record_connection(5, 25)  # an older connection, which has stood since: it was up all the time
+    assert (member.up_from, member.up_until) == (5, 40)
 
 
 def test_an_attempt_that_waited_for_its_connection_does_not_begin_after_its_instance_may_have_drained():
@@ -103,7 +107,7 @@
         rules = dict(request_classes=[request_class()], attempts_cap=1, **TOLD)
         made = Balancer(at.StartSettings(now=NOW, seed=seed, **rules))
         made.list_received(NOW, [line(1, started=NOW - started * MS if started else 0)], True, False)
-        assert made.ask_at <= NOW + holds * MS
+        assert made.list_call_at <= NOW + holds * MS
         assert chosen(made, NOW + holds * MS) == 1 and chosen(made, NOW + (holds + 1) * MS) is None
 
 
@@ -288,7 +292,7 @@
 class Trusting(Balancer):
     """A fault put in: it goes by its old list for ever."""
 
-    def listed_still(self, member, now):
+    def listing_valid(self, member, now):
         return member.ready
 
 
