--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -5,12 +5,12 @@
 
 from .. import interface as at
 from ..balance import Balancer
-from ..start_settings import NS
+from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
 
 MOST_FAULTS = 8  # of one turn, and one for each open request: then the rest waits for the next
-AFTER_FAULT = 10 * NS  # no sooner does the timer ask again
+AFTER_FAULT = 10 * NS_PER_MS  # no sooner does the timer ask again
 UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)  # the endings of attempts of which no instance has had all
 
 
@@ -166,7 +166,7 @@
         self.chores.append((self.instances.cancel, attempt))
 
     def reject(self, request, retry_after):
-        pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
+        pause = b" %d" % (retry_after // NS_PER_MS) if retry_after >= NS_PER_MS else b""
         self.answer(request, "rejected", b"-BUSY%s\r\n" % pause)
 
     def abort(self, request):
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -8,7 +8,7 @@
 import traceback
 
 from .. import interface as at
-from ..start_settings import NS
+from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
 from .sockets import unread_for
@@ -17,7 +17,7 @@
 # A connection is not used again for so long after its last answer: a second one may come milliseconds late,
 # and one that came between the last look and the next answer would be taken for that. It costs a request
 # that finds no other so much time; a new connection would cost the instance more.
-SETTLE = 10 * NS
+SETTLE = 10 * NS_PER_MS
 # The endings of attempts that brought a whole answer.
 ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
 
@@ -245,7 +245,7 @@
                     return at.NOT_SENT, None
                 trip.begun = True
             trip.attempt.connected_since = trip.connection.made
-            wait = max((trip.until - now()) // NS, 1)
+            wait = max((trip.until - now()) // NS_PER_MS, 1)
             trip.connection.write(resp.command(passed_on(trip.words, wait)), min(trip.until, by))
         except OSError:
             return (at.NOT_SENT if trip.begun and trip.cancelled else at.UNCONNECTED), None
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -1,103 +1,124 @@
-"""What passes the door between a host and a balancer (`lemonlead/balance.py`). Types only.
+"""The types that a host and a balancer (`lemonlead/balance.py`) exchange.
 
-Times are whole nanoseconds; a moment is read off the host's clock, which has no fixed start. A host reads it
-once for an input and all decisions that it pulls on it. Ids and keys are the host's: a balancer only compares
-them.
+Durations are whole nanoseconds; times are whole nanoseconds of the host's clock, which may start anywhere. A
+host reads its clock once for an event and all decisions that follow it. Ids and keys are chosen by the host;
+a balancer only compares them.
 """
 
 from dataclasses import dataclass, field
 from typing import Protocol
 
-# What a request class's requests do when they run twice.
-IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
+# The effect of requests of a class: what happens if one runs twice.
+IDEMPOTENT = "idempotent"  # no harm
+DEDUPLICATED = "deduplicated"  # instances drop the repeat for a time
+NON_IDEMPOTENT = "non-idempotent"  # it takes effect twice
 # How an attempt ended.
-SUCCEEDED, ERRED, REJECTED, TIMED_OUT = "succeeded", "erred", "rejected", "timed out"
-UNCONNECTED, RESET, CANCELLED, NOT_SENT = "unconnected", "reset", "cancelled", "not sent"
-UNREADABLE, BAD_REQUEST = (
-    "spoilt",
-    "unfit",
-)  # an answer that cannot be read; the instance cannot use this request
-NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # the endings that prove that an attempt did not run
-# An instance's state as listed.
-GONE, DRAINING, READY = 0, 1, 2
-# A build's phase.
-ON_TRIAL, ROLLING_BACK, RELEASED, WITHDRAWN = 0, 1, 2, 3
-# Verdicts, and what became of a vote.
-VERDICT_NONE, VERDICT_PROMOTE, VERDICT_HOLD, VERDICT_ROLL_BACK = 0, 1, 2, 3
-COUNTED, MOOT, OVER_ALLOWANCE, VOTE_ERRED, UNANSWERED = "counted", "moot", "over", "erred", "unanswered"
+SUCCEEDED = "succeeded"
+ERRED = "erred"  # the instance answered with an error
+REJECTED = "rejected"  # the instance was full
+TIMED_OUT = "timed out"
+UNCONNECTED = "unconnected"  # no connection could be opened
+RESET = "reset"  # the connection ended
+CANCELLED = "cancelled"
+NOT_SENT = "not sent"
+UNREADABLE = "spoilt"  # the answer can't be parsed
+BAD_REQUEST = "unfit"  # the instance can't process this request
+NEVER_RAN = (REJECTED, UNCONNECTED, NOT_SENT)  # endings that prove that the attempt did not run
+# The state of an instance in the list.
+GONE = 0
+DRAINING = 1
+READY = 2
+# The phase of a build.
+ON_TRIAL = 0
+ROLLING_BACK = 1
+RELEASED = 2
+WITHDRAWN = 3
+# A balancer's verdict on a build.
+VERDICT_NONE = 0
+VERDICT_PROMOTE = 1
+VERDICT_HOLD = 2
+VERDICT_ROLL_BACK = 3
+# The release platform's answer to a vote.
+COUNTED = "counted"
+MOOT = "moot"  # the stage or phase has changed
+OVER_ALLOWANCE = "over"  # too many votes
+VOTE_ERRED = "erred"
+UNANSWERED = "unanswered"
 
 
 @dataclass(slots=True)
 class RequestClass:
+    """A class of requests, with its objectives and what a repeat does."""
+
     number: int
-    effect: str
+    effect: str  # one of the three above
     latency_objective: int
     deadline: int
-    revenue: float
-    late_share: float = 0.0  # share of the revenue that an answer past the latency objective still earns
-    objective_stretch: float = 0.0  # the latency objective grows by this multiple of the request's own work
-    repeat_scope: str = "all"  # deduplicated: which instances drop repeats: "all", one "zone" or one "cell"
-    repeat_window: int = 0  # deduplicated: for how long they do
+    revenue: float  # of one request
+    late_share: float = 0.0  # share of the revenue for an answer after the latency objective
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
+    repeat_scope: str = (
+        "all"  # deduplicated: which instances drop repeats: "all", of one "zone" or one "cell"
+    )
+    repeat_window: int = 0  # deduplicated: how long they do so
     streamed: bool = False
 
 
 @dataclass(slots=True)
 class Release:
-    """What is told of how builds come and go."""
+    """The settings of build releases."""
 
-    control: str = "by_count"  # "first_voice", "by_count" or "automatic"
+    control: str = "by_count"  # how votes decide: "first_voice", "by_count" or "automatic"
     promote_votes_needed: int = 1
     roll_back_votes_needed: int = 1
-    bake: int = 0
-    vote_lifetime: int = 0
-    vote_timeout: int = 0
-    votes_per_s: float = 0.0
-    window: int = 0
-    free_attempts: float = 0.0
-    per_class: bool = False
-    guarded_stages: int = 0
-    forward_only: bool = False
-    caps: list = field(default_factory=list)
-    steps: list = field(default_factory=list)
+    bake: int = 0  # the shortest time of a stage
+    vote_lifetime: int = 0  # a vote lapses after this
+    vote_timeout: int = 0  # of a call to the release platform
+    votes_per_s: float = 0.0  # that the platform takes from all gateways
+    window: int = 0  # of the exposure cap
+    free_attempts: float = 0.0  # in a window, beyond the cap
+    per_class: bool = False  # the cap counts each request class apart
+    guarded_stages: int = 0  # in these first stages a build on trial gets idempotent requests only
+    forward_only: bool = False  # a key that a build has answered must not go to an older one
+    caps: list = field(default_factory=list)  # by stage: the share of requests that a build on trial may get
+    steps: list = field(default_factory=list)  # by stage: the share of instances that run it
     old_price: float = 0.0
     harm_price: float = 0.0
-    replaces: bool = False  # each earlier machine drains once its successor runs
+    replaces: bool = False  # each earlier instance is drained once its successor runs
 
 
 @dataclass(slots=True)
 class StartSettings:
-    """All that a balancer is told when it starts."""
+    """Everything that a balancer knows when it starts."""
 
     now: int
-    seed: int
+    seed: int  # of its random numbers
     balancer_index: int = 0
-    balancers: int = 1
+    balancers: int = 1  # how many there are
     zone: int = 0
-    step: int = 0
+    step: int = 0  # events may be reported up to this much late
     request_classes: list = field(default_factory=list)
     tenant_shares: list = field(default_factory=list)  # requests a second over all gateways
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
-    ask_for_list: bool = False
-    max_list_call_gap: int = (
-        0  # without a watch or call for so long it is held to all that was listed; 0: not told
-    )
-    assumed_known_after: int = (
-        0  # so long after, what discovery has counts as told unheard; 0: only what is told
-    )
-    attempts_cap: int = 1
+    ask_for_list: bool = False  # the balancer has to call for the list
+    # Without a watch or call for this long, the gateway counts as knowing everything listed; 0: no such rule.
+    max_list_call_gap: int = 0
+    # Discovery's news count as known this long after it has them, received or not; 0: only once received.
+    assumed_known_after: int = 0
+    attempts_cap: int = 1  # attempts that a request may get
     may_cancel: bool = False
-    may_duplicate: bool = False
+    may_duplicate: bool = False  # a request may have several attempts in flight
     may_probe: bool = False
-    retry_after_cap: int = 0  # the longest that a client heeds a time to come back; 0: it can be told none
-    connect_time: int = 0
-    idle_time: int = 0  # an unused connection closes after this
+    retry_after_cap: int = 0  # the longest retry-after time that clients obey; 0: they obey none
+    connect_time: int = 0  # the longest time that opening a connection takes
+    idle_time: int = 0  # an unused connection is closed after this
     drain_grace: int = 0
-    cold_time: int = 0
-    cold_share: float = 1.0
+    cold_time: int = 0  # from the start of an instance until it is warm
+    cold_share: float = 1.0  # the share of its capacity at the start
     cold_multiple: float = 1.0
     cold_window: int = 0
-    report_fields: list = field(default_factory=list)
+    report_fields: list = field(default_factory=list)  # names of the figures that instances report
     by_work: bool = False
     prices: dict = field(default_factory=dict)
 
@@ -111,46 +132,50 @@
     kind: int
     build: int
     cell: int
-    state: int
-    nominal: float
-    started: int
+    state: int  # GONE, DRAINING or READY
+    nominal: float  # its capacity
+    started: int  # 0: not known
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request at an instance."""
+
     request: "Request"
     number: int
-    instance: object
+    instance: object  # the balancer's `InstanceState`
     sent_at: int
-    end: str = ""  # how it ended; empty while it is out
-    connected_since: int = 0  # the moment since which the connection that it was sent on has stood
-    counted_from: int = 0  # the moment from which it counts against a build's cap; 0: against none
-    # Told by the host as it begins and as it ends: from when the next one at its instance finds an unused
-    # connection that may be used. 0: at once, or there is none.
+    end: str = ""  # how it ended; empty while it is in flight
+    connected_since: int = 0  # when the connection that it was sent on was opened
+    counted_from: int = 0  # the time from which it counts against a build's cap; 0: it doesn't
+    # Set by the host when the attempt begins and when it ends: from when on an unused connection to its
+    # instance may be used; 0: at once, or there is none.
     connection_free_at: int = 0
-    # Told by the host as it ends: what it took, without what it waited for the host; None: not told.
+    # Set by the host when the attempt ends: how long it took without waiting for the host; None: not known.
     took: int | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """One request of a client, with its attempts."""
+
     id: int
     request_class: RequestClass
     tenant: int
     key: int
     arrived: int
-    deadline: int  # the moment at which the client gives this try up
-    work: int = 0  # the work hinted at, 0 without a hint
+    deadline: int  # when the client gives up
+    work: int = 0  # nanoseconds, as the client hinted; 0 without a hint
     repeat: bool = False
     attempts: list = field(default_factory=list)
     finished: bool = False  # it has its final answer, or its client has left
-    # the request class that the client named, where rules may give another; else None
+    # The request class that the client named, where rules may give the request another; else None.
     client_class: RequestClass | None = None
-    client_key: object = None  # the client's key, where a rule gave another
+    client_key: object = None  # the client's key, where a rule gave the request another
 
 
 class BalancerHost(Protocol):
-    """What a balancer may ask of its host; each call takes effect at once."""
+    """What a balancer may ask its host to do; each call takes effect at once."""
 
     def attempt(self, request: Request, instance_id: int, time_out: int) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
--- a/lemonlead/start_settings.py
+++ b/lemonlead/start_settings.py
@@ -1,32 +1,40 @@
-"""The settings object that each host is given, read into what a balancer is told at start."""
+"""Reads the settings object that a host is given into the `StartSettings` of a balancer."""
 
 import math
 
-from . import interface as at
+from . import interface
 
-NS = 1_000_000  # nanoseconds in one of the settings' and the wire's milliseconds
-LONGEST = 1e13  # milliseconds, some 300 years: no time told is longer, also where it counts from 1970
-MOST = 1e15  # no other figure told is larger: products of them stay finite
-EFFECTS = {"idempotent": at.IDEMPOTENT, "deduplicated": at.DEDUPLICATED, "at_most_once": at.NON_IDEMPOTENT}
+NS_PER_MS = 1_000_000  # the settings and the wire protocol give times in milliseconds
+MAX_TIME_MS = 1e13  # some 300 years, enough for times since 1970
+MAX_NUMBER = 1e15  # of any other number, so that products of them stay finite
+EFFECTS = {
+    "idempotent": interface.IDEMPOTENT,
+    "deduplicated": interface.DEDUPLICATED,
+    "at_most_once": interface.NON_IDEMPOTENT,
+}
 
 
 class InvalidSettings(ValueError):
-    """The settings hold something that none can go by. The text says where, what it is, and what to write."""
+    """The settings hold an invalid value. The message says where, which value, and what is expected."""
 
 
 def ms_to_ns(ms):
-    return round(ms * NS) if math.isfinite(ms) else 0
+    """Returns milliseconds as whole nanoseconds, 0 if they are not finite."""
+    return round(ms * NS_PER_MS) if math.isfinite(ms) else 0
 
 
 def describe_value(value):
-    """A value of a configuration on one short line."""
+    """Returns a configuration value as one short line."""
     text = repr(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
 
 
 class SettingsReader:
-    """One object of the settings: `where` it stands, and its values by key, each checked as it is read. What
-    is absent is as the caller says. Nothing can be named that is not read: unknown keys harm none."""
+    """One object of the settings, whose values are checked as they are read.
+
+    `where` is its path, for messages. For an absent key the methods return a default; unknown keys are
+    ignored. All methods raise `InvalidSettings`.
+    """
 
     def __init__(self, value, where):
         self.where = where
@@ -34,47 +42,55 @@
             self.unfit("", value, "an object")
         self.values = value
 
-    def unfit(self, key, value, wanted):
+    def unfit(self, key, value, expected):
+        """Raises `InvalidSettings` for the value at this key."""
         where = ".".join(part for part in (self.where, key) if part)
-        raise InvalidSettings(f"{where} is {describe_value(value)}; expected {wanted}")
+        raise InvalidSettings(f"{where} is {describe_value(value)}; expected {expected}")
 
-    def number(self, key, otherwise, least=0, most=MOST):
-        value = self.values.get(key, otherwise)
-        if type(value) not in (int, float) or not least <= value <= most:  # nor is NaN within any bounds
-            self.unfit(key, value, f"a number from {least} to {most:.15g}")
+    def number(self, key, default, minimum=0, maximum=MAX_NUMBER):
+        """Returns a number between two bounds, both included."""
+        value = self.values.get(key, default)
+        if type(value) not in (int, float) or not minimum <= value <= maximum:  # NaN fails this too
+            self.unfit(key, value, f"a number from {minimum} to {maximum:.15g}")
         return value
 
-    def count(self, key, otherwise, least=0):
-        value = self.number(key, otherwise, least)
+    def count(self, key, default, minimum=0):
+        """Returns a whole number."""
+        value = self.number(key, default, minimum)
         if value != int(value):
             self.unfit(key, value, "a whole number")
         return int(value)
 
-    def time(self, key, otherwise=0):
-        value = self.values.get(key, otherwise)
-        if type(value) not in (int, float) or not 0 <= value <= LONGEST:
-            self.unfit(key, value, f"milliseconds from 0 to {LONGEST:.15g}")
+    def time(self, key, default=0):
+        """Returns a time in nanoseconds; the settings hold milliseconds."""
+        value = self.values.get(key, default)
+        if type(value) not in (int, float) or not 0 <= value <= MAX_TIME_MS:
+            self.unfit(key, value, f"milliseconds from 0 to {MAX_TIME_MS:.15g}")
         return ms_to_ns(value)
 
     def flag(self, key):
+        """Returns a boolean, False if absent."""
         value = self.values.get(key, False)
         if type(value) is not bool:
             self.unfit(key, value, "true or false")
         return value
 
-    def one_of(self, key, words, otherwise):
-        value = self.values.get(key, otherwise)
-        if type(value) is not str or value not in words:
-            self.unfit(key, value, f"one of {', '.join(words)}")
+    def one_of(self, key, choices, default):
+        """Returns one of these strings."""
+        value = self.values.get(key, default)
+        if type(value) is not str or value not in choices:
+            self.unfit(key, value, f"one of {', '.join(choices)}")
         return value
 
     def word(self, key):
+        """Returns a string, empty if absent."""
         value = self.values.get(key, "")
         if type(value) is not str:
             self.unfit(key, value, "a text")
         return value
 
     def text(self, key):
+        """Returns a string that must be present and not empty."""
         if key not in self.values:
             raise InvalidSettings(f"{self.where}.{key} is missing; expected a text".lstrip("."))
         if type(value := self.values[key]) is not str or not value:
@@ -82,90 +98,99 @@
         return value
 
     def list(self, key):
+        """Returns a list, empty if absent."""
         value = self.values.get(key, [])
         if type(value) is not list:
             self.unfit(key, value, "a list")
         return value
 
     def part(self, key):
+        """Returns a reader of the object at this key."""
         return SettingsReader(self.values.get(key, {}), f"{self.where}.{key}".lstrip("."))
 
     def parts(self, key):
+        """Returns a reader of each object of the list at this key."""
         return [SettingsReader(value, f"{self.where}.{key}[{n}]") for n, value in enumerate(self.list(key))]
 
     def names(self, key):
-        """The texts of this list, each but once."""
+        """Returns a list of distinct strings."""
         names = self.list(key)
         if any(type(name) is not str for name in names) or len(set(names)) < len(names):
             self.unfit(key, names, "a list of texts, none of them twice")
         return names
 
-    def numbers(self, key, most=MOST):
+    def numbers(self, key, maximum=MAX_NUMBER):
+        """Returns a list of numbers from 0 to `maximum`."""
         values = self.list(key)
-        return [SettingsReader({key: value}, self.where).number(key, 0, 0, most) for value in values]
+        return [SettingsReader({key: value}, self.where).number(key, 0, 0, maximum) for value in values]
 
 
-def request_class_of(told, number):
-    effect = EFFECTS.get(told.word("Effect"), at.NON_IDEMPOTENT)  # one unknown here is run once at most
-    # For the others, group and window mean nothing; without a window repeats are told apart for no time.
-    deduplicated = effect == at.DEDUPLICATED
-    return at.RequestClass(
+def request_class_of(reader, number):
+    """Reads one request class."""
+    # Requests with an unknown effect run at most once.
+    effect = EFFECTS.get(reader.word("Effect"), interface.NON_IDEMPOTENT)
+    # Scope and window only have a meaning for deduplicated requests. Without a window no repeat is dropped.
+    deduplicated = effect == interface.DEDUPLICATED
+    return interface.RequestClass(
         number=number,
         effect=effect,
-        latency_objective=told.time("Slo"),
-        deadline=told.time("GiveUp"),
-        revenue=told.number("Worth", 1.0),
-        late_share=told.number("LateWorth", 0.0),
-        objective_stretch=told.number("AimStretch", 0.0),
-        repeat_scope=told.one_of("Group", ("all", "zone", "cell"), "all") if deduplicated else "all",
-        repeat_window=told.time("Window") if deduplicated else 0,
-        streamed=told.flag("Stream"),
+        latency_objective=reader.time("Slo"),
+        deadline=reader.time("GiveUp"),
+        revenue=reader.number("Worth", 1.0),
+        late_share=reader.number("LateWorth", 0.0),
+        objective_stretch=reader.number("AimStretch", 0.0),
+        repeat_scope=reader.one_of("Group", ("all", "zone", "cell"), "all") if deduplicated else "all",
+        repeat_window=reader.time("Window") if deduplicated else 0,
+        streamed=reader.flag("Stream"),
     )
 
 
-def release_of(told):
-    return at.Release(
-        control=told.one_of("Control", ("first_voice", "by_count", "automatic"), "by_count"),
-        promote_votes_needed=told.count("AyesNeeded", 1),
-        roll_back_votes_needed=told.count("NoesNeeded", 1),
-        bake=told.time("Bake"),
-        vote_lifetime=told.time("BallotTtl"),
-        vote_timeout=told.time("ApiTimeout"),
-        votes_per_s=told.number("VoteAllowance", 0.0),
-        window=told.time("ExposureWindow"),
-        free_attempts=told.number("SpareTries", 0.0),
-        per_class=told.one_of("CapScope", ("all", "each_class"), "all") == "each_class",
-        guarded_stages=told.count("GuardedStages", 0),
-        forward_only=told.flag("ForwardOnly"),
-        caps=told.numbers("StageCap", 1),
-        steps=told.numbers("Steps"),
-        old_price=told.number("StaleBuildPrice", 0.0),
-        harm_price=told.number("HarmFee", 0.0),
-        replaces=told.one_of("Style", ("parallel", "replace"), "parallel") == "replace",
+def release_of(reader):
+    """Reads the settings of build releases."""
+    return interface.Release(
+        control=reader.one_of("Control", ("first_voice", "by_count", "automatic"), "by_count"),
+        promote_votes_needed=reader.count("AyesNeeded", 1),
+        roll_back_votes_needed=reader.count("NoesNeeded", 1),
+        bake=reader.time("Bake"),
+        vote_lifetime=reader.time("BallotTtl"),
+        vote_timeout=reader.time("ApiTimeout"),
+        votes_per_s=reader.number("VoteAllowance", 0.0),
+        window=reader.time("ExposureWindow"),
+        free_attempts=reader.number("SpareTries", 0.0),
+        per_class=reader.one_of("CapScope", ("all", "each_class"), "all") == "each_class",
+        guarded_stages=reader.count("GuardedStages", 0),
+        forward_only=reader.flag("ForwardOnly"),
+        caps=reader.numbers("StageCap", 1),
+        steps=reader.numbers("Steps"),
+        old_price=reader.number("StaleBuildPrice", 0.0),
+        harm_price=reader.number("HarmFee", 0.0),
+        replaces=reader.one_of("Style", ("parallel", "replace"), "parallel") == "replace",
     )
 
 
 def start_from_settings(settings, salt, now):
-    """The settings as read, in our words; what is absent stays at the default. InvalidSettings where
-    they hold what none can go by."""
-    told = SettingsReader(settings, "settings")
-    limits, rules, prices = told.part("Limits"), told.part("Obligations"), told.part("Tariffs")
+    """Returns the `StartSettings` of a balancer that starts at `now` with the random seed `salt`.
+
+    What is absent keeps its default. Raises `InvalidSettings`.
+    """
+    reader = SettingsReader(settings, "settings")
+    limits, obligations, tariffs = reader.part("Limits"), reader.part("Obligations"), reader.part("Tariffs")
     retry_after = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
-    return at.StartSettings(
+    return interface.StartSettings(
         now=now,
         seed=salt,
-        balancer_index=told.count("Me", 0),
-        balancers=told.count("Balancers", 1),
-        zone=told.count("Az", 0),
-        step=told.time("Step"),
+        balancer_index=reader.count("Me", 0),
+        balancers=reader.count("Balancers", 1),
+        zone=reader.count("Az", 0),
+        step=reader.time("Step"),
         request_classes=[
             request_class_of(request_class, number)
-            for number, request_class in enumerate(told.parts("Lanes"))
+            for number, request_class in enumerate(reader.parts("Lanes"))
         ],
-        release=release_of(told.part("FamilyInfo")),
-        tenant_shares=[tenant.number("QuotaPerS", 0.0) for tenant in told.parts("Projects")],
-        over_share_worth=told.number("OverShareWorth", 1.0),
-        ask_for_list=told.one_of("Discovery", ("push", "ask"), "push") == "ask",
+        release=release_of(reader.part("FamilyInfo")),
+        tenant_shares=[tenant.number("QuotaPerS", 0.0) for tenant in reader.parts("Projects")],
+        over_share_worth=reader.number("OverShareWorth", 1.0),
+        ask_for_list=reader.one_of("Discovery", ("push", "ask"), "push") == "ask",
         attempts_cap=limits.count("AttemptsCap", 1, 1),
         may_cancel=limits.flag("Cancel"),
         may_duplicate=limits.flag("MayDuplicate"),
@@ -173,13 +198,13 @@
         retry_after_cap=retry_after,
         connect_time=limits.time("ConnectTimeout"),
         idle_time=limits.time("IdleClose"),
-        max_list_call_gap=rules.time("AskWithin"),
-        drain_grace=rules.time("DrainGrace"),
-        cold_time=rules.time("Cold"),
-        cold_share=rules.number("ColdFrom", 1.0, 0, 1),
-        cold_multiple=rules.number("OverloadFactor", 1.0),
-        cold_window=rules.time("Fall"),
-        report_fields=told.part("Report").names("Fields"),
-        by_work=told.one_of("WorthBy", ("request", "work"), "request") == "work",
-        prices={"CrossZone": prices.number("CrossZone", 0.0)},
+        max_list_call_gap=obligations.time("AskWithin"),
+        drain_grace=obligations.time("DrainGrace"),
+        cold_time=obligations.time("Cold"),
+        cold_share=obligations.number("ColdFrom", 1.0, 0, 1),
+        cold_multiple=obligations.number("OverloadFactor", 1.0),
+        cold_window=obligations.time("Fall"),
+        report_fields=reader.part("Report").names("Fields"),
+        by_work=reader.one_of("WorthBy", ("request", "work"), "request") == "work",
+        prices={"CrossZone": tariffs.number("CrossZone", 0.0)},
     )
--- a/lemonlead/wirehost/__init__.py
+++ b/lemonlead/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: hosts many balancers behind the simulator's wire."""
+"""Hosts many balancers for a simulator, which it talks to in binary frames over standard input and output."""
--- a/lemonlead/wirehost/__main__.py
+++ b/lemonlead/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonlead.wirehost`: frames in on standard input, one reply each on standard output."""
+"""`python -m lemonlead.wirehost`: reads frames from standard input and writes replies to standard output."""
 
 import sys
 
--- a/lemonlead/wirehost/codec.py
+++ b/lemonlead/wirehost/codec.py
@@ -1,21 +1,24 @@
-"""Frames of the wire: every record declared once, as a name and its fields. Only this file and the host's
-handlers know the wire's words; times are milliseconds here and whole nanoseconds past the host.
+"""Encodes and decodes the frames of the wire protocol.
+
+Each kind of record is declared once, by its code, name and fields. The names of the protocol are used only
+here and in the handlers of `host.py`. Times are milliseconds here; the host converts them to nanoseconds.
 """
 
 import struct
 
 
 class BadFrame(Exception):
-    """What was read is not a frame of this wire."""
+    """The input is not a valid frame."""
 
 
 BATCH = struct.Struct("<IIId")
 REPLY = struct.Struct("<III")
-EVENT_SIZE, ACTION_SIZE = 48, 24
+EVENT_SIZE = 48  # bytes
+ACTION_SIZE = 24  # bytes
 ROW = struct.Struct("<IHHfHBfd")  # id, zone, kind, build, cell, state, nominal, start time
 
-_GAUGE = "B4f"
-# code: (name, fields). A tail reference is II: its offset and its length.
+_GAUGE = "B4f"  # how many figures were reported, and the figures
+# Code: (name, fields). II is a reference into the tail of the frame: an offset and a length in bytes.
 EVENTS = {
     1: ("up", "HQII"),
     2: ("directory_update", "HBII"),
@@ -52,7 +55,7 @@
 
 
 def read_frame(stream):
-    """The next batch as (number, clock, [(name, fields)], tail), or None at the end of input."""
+    """Returns the next batch as (number, clock, [(name, fields)], tail), or None at the end of the input."""
     head = stream.read(BATCH.size)
     if not head:
         return None
@@ -76,15 +79,15 @@
     return number, clock, events, memoryview(body)[count * EVENT_SIZE :]
 
 
-def cut(tail, offset, size):
-    """`size` bytes of the tail."""
+def slice_tail(tail, offset, size):
+    """Returns `size` bytes of the tail; raises `BadFrame` if it is shorter."""
     if offset + size > len(tail):
         raise BadFrame(f"a record refers to bytes {offset} to {offset + size} of a tail of {len(tail)}")
     return tail[offset : offset + size]
 
 
 class Reply:
-    """One reply under construction; `tail` holds what has no fixed size."""
+    """A reply that is being built. The tail holds texts, which have no fixed size."""
 
     def __init__(self):
         self.records = bytearray()
@@ -92,15 +95,18 @@
         self.count = 0
 
     def add(self, name, *values):
+        """Adds one action."""
         code, fields = _WRITE[name]
         self.records += fields.pack(code, *values).ljust(ACTION_SIZE, b"\0")
         self.count += 1
 
     def add_text(self, name, instance, text):
+        """Adds an action that refers to a text in the tail."""
         data = text.encode()
         self.add(name, instance, len(self.tail), len(data))
         self.tail += data
 
     def frame(self, number):
+        """Returns the whole frame, in reply to the batch of this number."""
         length = REPLY.size - 8 + len(self.records) + len(self.tail)
         return REPLY.pack(number, length, self.count) + bytes(self.records) + bytes(self.tail)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: what is well formed is read whole, what is malformed ends with one plain line."""
+"""The wire protocol: valid input is read whole; invalid input ends the program with one line of error."""
 
 import io
 import json
@@ -27,7 +27,7 @@
     return event(1, 3, 7, 0, len(data)), data
 
 
-def test_the_empty_batch_of_the_protocol_page():
+def test_empty_batch_of_the_protocol_page():
     data = bytes.fromhex("01000000 0c000000 00000000 00000000206ec040")
     assert Host().reply_to(read_frame(io.BytesIO(data))) == bytes.fromhex("01000000 04000000 00000000")
 
@@ -37,7 +37,7 @@
     record, tail = up(settings)
     host = Host()
     host.reply_to(read_frame(io.BytesIO(batch([record], tail))))
-    assert list(host.seats) == [3]
+    assert list(host.balancers) == [3]
 
 
 @pytest.mark.parametrize(
@@ -53,22 +53,22 @@
         batch([], length=400),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data):
+def test_malformed_input_ends_with_one_line_of_error(data):
     with pytest.raises(BadFrame):
         Host().reply_to(read_frame(io.BytesIO(data)))
     done = subprocess.run([sys.executable, "-m", "lemonlead.wirehost"], input=data, capture_output=True)
     assert done.returncode == 1 and done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
 
 
-def test_an_overtaken_timer_does_not_arm_another():
+def test_replaced_timer_sets_no_other():
     record, tail = up({})
     host = Host()
     host.reply_to(read_frame(io.BytesIO(batch([record], tail))))
-    armed = host.seats[3].armed
+    timer_at = host.balancers[3].timer_at
     woken = host.reply_to(read_frame(io.BytesIO(batch([event(7, 3, 0)]))))
-    assert host.seats[3].armed == armed and woken == bytes.fromhex("01000000 04000000 00000000")
+    assert host.balancers[3].timer_at == timer_at and woken == bytes.fromhex("01000000 04000000 00000000")
 
 
-def test_the_end_of_input_is_a_clean_exit():
+def test_end_of_input_is_a_clean_exit():
     done = subprocess.run([sys.executable, "-m", "lemonlead.wirehost"], input=b"", capture_output=True)
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
