--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -526,7 +526,9 @@
     dispatcher.gates["list_failed"] = once(lambda: over.wait(SOON))
     made.connection.random.uniform = lambda least, most: 0
     ages = []  # whether it was old just before discovery was heard
-    dispatcher.gates["list_is_current"] = once(lambda: ages.append(dispatcher.balancer.list_call_at is not None))
+    dispatcher.gates["list_is_current"] = once(
+        lambda: ages.append(dispatcher.balancer.list_call_at is not None)
+    )
     dispatcher.balancer.list_received(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), SOON)
