--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -10,7 +10,7 @@
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
 from lemonlead.distribution.faults import Unreadable
-from lemonlead.distribution.listing import INSTANCE, Listing
+from lemonlead.distribution.instance_records import INSTANCE, InstanceRecords
 from lemonlead.distribution.subscriber import Acknowledge, Subscribe, Subscriber
 from lemonlead.gateway import http
 from lemonlead.standins.fleet import SETTINGS
@@ -67,7 +67,7 @@
         self.started_at = self.not_before = now()
         self.subscriber = Subscriber(self.name, self.region, list(self.scopes), self.process.relays, seed)
         self.balancer = Balancer(start_from_settings(SETTINGS, seed, self.started_at))
-        self.listing = Listing(self, self.balancer.cold_time)
+        self.listing = InstanceRecords(self, self.balancer.cold_time)
         self.listing.begin(self, *self.listed())
         self.queue, self.complete, self.early, self.ready_at = deque(), {}, set(), 0
 
@@ -88,7 +88,7 @@
         self.tally.counts[f"ended: {reason}"] += 1
         self.hang_up()
         self.queue.clear()
-        self.subscriber.ended(now(), reason)
+        self.subscriber.stream_ended(now(), reason)
         self.turn()
 
     # ---- what to do next
@@ -148,7 +148,7 @@
         if wire.answer.status == 404:
             return self.ended("acknowledge: not subscribed there")
         if lines[-1] is http.END:
-            self.subscriber.acknowledged(now(), wire.answer.status == 200)
+            self.subscriber.acknowledgement_ended(now(), wire.answer.status == 200)
             self.acknowledge()
         return None
 
@@ -157,7 +157,7 @@
             if wire.answer.status != 200 or line is http.END:
                 return self.ended(f"stream: status {wire.answer.status}")
             moment = now()
-            changes = self.subscriber.told(moment, line)
+            changes = self.subscriber.receive_line(moment, line)
             if changes:
                 self.use(changes)
             if line:
@@ -179,13 +179,13 @@
 
     # ---- what a listing has in a real gateway: its dispatcher, its discovery
 
-    def tell(self, happened, *values):
+    def handle(self, happened, *values):
         moment = now()
         happened(moment, *values)
         while self.balancer.decide(moment, DOOR):
             pass
 
-    def put(self, moment, lines, _, whole, fresh):
+    def publish(self, moment, lines, _, whole, fresh):
         self.balancer.list_received(moment, lines, whole, fresh)
 
     def note(self, moment, scope, after, upto, early):
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -160,7 +160,7 @@
     verdict: Annotated[str, Meta(pattern="^(on|back)$")]
 
 
-class MoveNext(Command, frozen=True, tag="move_next"):
+class MoveAdvance(Command, frozen=True, tag="move_next"):
     """The step (and stage) named is through. `proof`: the destination's entry that shows it. `group`: whose
     next member serves there, of `serving` that do."""
 
@@ -174,7 +174,7 @@
     says: Said = ""
 
 
-class MoveBack(Command, frozen=True, tag="move_back"):
+class MoveRollBack(Command, frozen=True, tag="move_back"):
     move: Short
     epoch: Index
     step: str
@@ -193,20 +193,20 @@
     if len(draft.part("moving")) >= MOST_OPEN:
         raise Refused(f"{MOST_OPEN} moves are under way", "wait for the end of one")
     make_room(draft)
-    there = services.of(draft, command.service)
+    there = services.service_row(draft, command.service)
     if not there.reservations:
         raise NothingToMove(f"service {command.service} has no reservation here")
     between_runs(draft, command.service)
     if max(there.reservations, there.groups) > MOST_PIECES:
         raise too_many(command.service)
-    named = services.names(draft, command.service, "reservations")
+    named = services.record_names(draft, command.service, "reservations")
     for name in named:
         if holder := draft.get("reservations", name).move:
             raise MoveOpen(f"reservation {name} is held by move {holder}")
     rows = draft.part("groups")
     groups = tuple(
         Moved(name, rows[name].nodes, rows[name].quorum)
-        for name in services.names(draft, command.service, "groups")
+        for name in services.record_names(draft, command.service, "groups")
     )
     if sum(len(group.nodes) for group in groups) > MOST_PIECES:
         raise too_many(command.service)
@@ -222,8 +222,8 @@
 
 
 def between_runs(draft, service):
-    if services.of(draft, service).gangs:
-        first = services.names(draft, service, "gangs")[0]
+    if services.service_row(draft, service).gangs:
+        first = services.record_names(draft, service, "gangs")[0]
         raise GangRuns(f"gang {first} of service {service} runs")
 
 
@@ -363,9 +363,9 @@
     here = draft.get("groups", before.group) or Group((), 0)
     rest = leave_one(draft, here.nodes)
     left = Group(rest, 0)
-    if capacity.caught_up(draft, left) + command.serving < before.quorum:
+    if capacity.count_caught_up(draft, left) + command.serving < before.quorum:
         raise NotAwaited(f"group {before.group} would fall below its quorum of {before.quorum}")
-    regroup(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
+    put_group(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
     put(draft, name, move, groups=tuple(groups))
 
 
@@ -377,12 +377,12 @@
     return tuple(one for one in nodes if one not in gone)
 
 
-def regroup(draft, name, nodes, quorum):
-    capacity.room(draft, "groups", name)
+def put_group(draft, name, nodes, quorum):
+    capacity.check_part_size(draft, "groups", name)
     capacity.put_group(draft, name, Group(nodes, min(quorum, len(nodes))))
 
 
-def ungroup(draft, name):
+def remove_group(draft, name):
     capacity.put_group(draft, name, None)
 
 
@@ -407,9 +407,9 @@
     """The destination keeps it for good: free here."""
     for one in move.reservations:
         if (held := draft.get("reservations", one)) is not None:
-            capacity.release(draft, one, held)
+            capacity.remove_reservation(draft, one, held)
     for group in move.groups:
-        ungroup(draft, group.group)
+        remove_group(draft, group.group)
     services.unmark(draft, move.service, name)
     finish(draft, name, move, DONE, command.proof)
 
@@ -418,7 +418,7 @@
     """No gateway sends there any more (its leader saw to that), and each group has its quorum here."""
     for group in move.groups:
         here = draft.get("groups", group.group)
-        if group.over and here is not None and capacity.caught_up(draft, here) < here.quorum:
+        if group.over and here is not None and capacity.count_caught_up(draft, here) < here.quorum:
             raise NotAwaited(f"group {group.group} has not its quorum here")
     mark(draft, move.reservations, "")
     services.unmark(draft, move.service, name)
@@ -473,7 +473,7 @@
     """Each group as it was here; the other side's members go on until the hold is dropped."""
     for group in move.groups:
         if group.over:
-            regroup(draft, group.group, group.nodes, group.quorum)
+            put_group(draft, group.group, group.nodes, group.quorum)
 
 
 # ---- commands of the destination, sent by the source's leader
@@ -576,9 +576,9 @@
     for piece in sorted(command.pieces, key=lambda piece: (not piece.nodes, -piece.units, piece.reservation)):
         if draft.get("reservations", piece.reservation) is not None:
             raise NoRoomThere(f"reservation {piece.reservation} stands there already", "free it there")
-        capacity.room(draft, "reservations", piece.reservation)
+        capacity.check_part_size(draft, "reservations", piece.reservation)
         held = place(draft, command, piece)
-        capacity.keep(draft, piece.reservation, held)
+        capacity.add_reservation(draft, piece.reservation, held)
     groups = tuple(place_group(draft, piece) for piece in command.groups)
     hold = Hold(command.source, command.move, command.epoch, command.service, HELD, names, groups)
     draft.put("holds", command.key, replace(hold, at=draft.index))
@@ -609,7 +609,7 @@
         raise NoRoomThere(f"{piece.reservation}: {error.says}") from None
     for one in free:
         load = draft.get("loads", one)
-        capacity.pin(draft, one, 0, reservations=(load.reservations if load else 0) + 1)
+        capacity.change_load(draft, one, 0, reservations=(load.reservations if load else 0) + 1)
     return Reservation(command.service, piece.units, free, "", command.key)
 
 
@@ -660,11 +660,11 @@
     return hold
 
 
-def warm(draft, command):
+def warm_hold(draft, command):
     """The instances start with the first such call; until all are up and warm the shift waits."""
     hold = held(draft, command)
     if hold.state == HELD:
-        hold = replace(hold, state=WARM, warm_at=draft.moment + draft.terms.cold, at=draft.index)
+        hold = replace(hold, state=WARM, warm_at=draft.moment + draft.settings.cold, at=draft.index)
         draft.put("holds", command.key, hold)
     nodes = draft.part("nodes")
     ours = [nodes[one] for one in nodes_of(draft, hold)]
@@ -687,26 +687,26 @@
         raise Senseless(f"group {command.group} has no member {command.over}")
     if command.over > placed.over and hold.state == WARM:
         over = replace(placed, over=command.over)
-        regroup(draft, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
+        put_group(draft, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
         groups = tuple(over if group is placed else group for group in hold.groups)
         draft.put("holds", command.key, replace(hold, groups=groups, at=draft.index))
     here = draft.get("groups", command.group)
-    return {"state": hold.state, "serving": capacity.caught_up(draft, here) if here else 0}
+    return {"state": hold.state, "serving": capacity.count_caught_up(draft, here) if here else 0}
 
 
 def keep(draft, command):
     hold = held(draft, command)
     if hold.state != KEPT:
-        keep_it(draft, command.key, hold, "")
+        make_hold_permanent(draft, command.key, hold, "")
     return {"state": KEPT}
 
 
-def keep_it(draft, key, hold, by):
+def make_hold_permanent(draft, key, hold, by):
     services.unmark(draft, hold.service, key)
     mark(draft, hold.reservations, "")
     for group in hold.groups:
         if group.over:
-            regroup(draft, group.group, group.nodes[: group.over], group.quorum)
+            put_group(draft, group.group, group.nodes[: group.over], group.quorum)
     draft.put("holds", key, replace(hold, state=KEPT, at=draft.index, by=by))
 
 
@@ -723,19 +723,19 @@
     elif hold.state == KEPT:
         raise HoldKept(f"{command.key} is kept here" + (f": {hold.by}" if hold.by else ""))
     elif hold.state != DROPPED:
-        drop_it(draft, command.key, hold, "")
+        release_hold(draft, command.key, hold, "")
     return {"state": DROPPED}
 
 
-def drop_it(draft, key, hold, by):
+def release_hold(draft, key, hold, by):
     services.unmark(draft, hold.service, key)
     for name in hold.reservations:
         reservation = draft.get("reservations", name)
         if reservation is not None and reservation.move == key:
-            capacity.release(draft, name, reservation)
+            capacity.remove_reservation(draft, name, reservation)
     for group in hold.groups:
         if group.over:
-            ungroup(draft, group.group)
+            remove_group(draft, group.group)
     draft.put("holds", key, replace(hold, state=DROPPED, at=draft.index, by=by))
 
 
@@ -743,7 +743,7 @@
     hold = draft.get("holds", command.hold)
     if hold is None or hold.state in (KEPT, DROPPED):
         raise Refused(f"no hold {command.hold} is open", "nothing is left to do")
-    (keep_it if command.keep else drop_it)(draft, command.hold, hold, command.because)
+    (make_hold_permanent if command.keep else release_hold)(draft, command.hold, hold, command.because)
 
 
 RULES = {
@@ -751,13 +751,13 @@
     MoveStop: stop,
     MoveLost: lost,
     MoveVote: vote,
-    MoveNext: forward,
-    MoveBack: backward,
+    MoveAdvance: forward,
+    MoveRollBack: backward,
     HoldTake: take,
-    HoldWarm: warm,
+    HoldWarm: warm_hold,
     HoldMember: member,
     HoldKeep: keep,
     HoldDrop: drop,
     HoldEnd: end_hold,
 }
-INNER = (MoveNext, MoveBack)
+INNER = (MoveAdvance, MoveRollBack)
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -275,9 +275,9 @@
 
 
 def test_the_example_can_be_used():
-    from lemonlead.distribution import told
+    from lemonlead.distribution import relay_settings
 
-    found = told.read("deploy/cluster/r1.cue")
+    found = relay_settings.read("deploy/cluster/r1.cue")
     assert found.relay == "r1" and len(found.members) == 3
 
 
@@ -324,7 +324,7 @@
         relay.later(60 * 10**9)
         with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as one:
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts")
-            relay.do(relay.relay.acknowledged.drop, "g0")
+            relay.do(relay.relay.acknowledgements.drop, "g0")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts again")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["everywhere"], "in force")
             assert one.subscriber.counts["streams"] == 2
@@ -415,7 +415,7 @@
             code, told = relay.ask(method, path, body)
             assert code == wanted, (path, body, told)
             assert told["error"]["type"] and told["error"]["says"] and told["error"]["do"]
-        assert not relay.relay.streams and not relay.relay.acknowledged.subscribers
+        assert not relay.relay.streams and not relay.relay.acknowledgements.subscribers
         assert not relay.relay.readers
 
 
