--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""The module's rules and the failures found, each on the state it needs."""
+"""Tests of `Balancer`, each on the state that it needs, and of the statistics that it uses."""
 
 from collections import Counter, deque
 
@@ -16,7 +16,7 @@
 
 
 def trial(stage=0, cap=0.1, phase=at.ON_TRIAL, **more):
-    """Two machines of build 1 and one of build 2, which is on trial."""
+    """Returns a balancer with two instances of build 1 and one of build 2, which is on trial."""
     return balancer([line(1), line(2), line(3, build=2)], told=(2, stage, phase, cap), **more)
 
 
@@ -33,19 +33,19 @@
         (DEDUPLICATED_ZONE, at.ERRED, 0, 10, True),
         (DEDUPLICATED_ZONE, at.ERRED, 1, 10, False),
         (DEDUPLICATED_ZONE, at.UNCONNECTED, 1, 10, True),
-        # its memory would lapse before a slow connection opens
+        # the repeat window could end before a slow connection is open
         (DEDUPLICATED_ZONE, at.CANCELLED, 0, 3800, False),
         (DEDUPLICATED_ALL, at.TIMED_OUT, 1, 3800, True),
     ],
 )
-def test_a_second_attempt_needs_the_request_class_to_allow_it(on, end, zone, age, allowed):
+def test_request_class_decides_whether_a_second_attempt_is_allowed(on, end, zone, age, allowed):
     made = balancer([line(1, zone=0), line(2, zone=zone)])
     asked = request(on=on, left=30 * SECOND)
     sent(asked, made.instances[1], end)
     assert made.may_attempt(asked, made.instances[2], NOW + age * MS) is allowed
 
 
-def test_no_second_attempt_while_one_is_out_where_copies_are_barred():
+def test_no_second_attempt_in_flight_without_may_duplicate():
     made = balancer([line(1), line(2)], may_duplicate=False)
     asked = request()
     sent(asked, made.instances[1])
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(
     "attempts, left, allowed", [(3, 9, True), (4, 9, False), (0, 0, False), (0, -9, False)]
 )
-def test_no_attempt_past_the_attempt_cap_or_the_deadline(attempts, left, allowed):
+def test_no_attempt_past_the_attempts_cap_or_the_deadline(attempts, left, allowed):
     made = balancer([line(1)])
     asked = request(left=left * MS)
     for _ in range(attempts):
@@ -74,7 +74,7 @@
         (NON_IDEMPOTENT, at.NOT_SENT, "reject"),
     ],
 )
-def test_the_final_answer_tells_what_may_have_run(on, end, answer):
+def test_requests_that_may_have_run_are_aborted_others_rejected(on, end, answer):
     made, dispatcher = balancer([line(1)]), Dispatcher()
     asked = request(on=on)
     sent(asked, made.instances[1], end)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("left", [0, -5, 300])
-def test_a_request_that_nobody_can_take_is_answered_once_and_in_time(left):
+def test_request_without_an_instance_is_rejected_once(left):
     made, dispatcher = balancer([]), Dispatcher()
     made.request_arrived(NOW, request(left=left * MS))
     calls = [call[0] for ms in range(0, 600, 5) for call in dispatcher.pull(made, NOW + ms * MS)]
@@ -92,11 +92,11 @@
     assert calls == []
 
 
-@pytest.mark.parametrize("rescues, answer", [(5.0, "attempt"), (0.5, "reject")])
-def test_what_full_machines_turn_away_is_sent_on_within_a_budget(rescues, answer):
-    """Guards against the jam in which each request is turned away at many full machines."""
+@pytest.mark.parametrize("budget, answer", [(5.0, "attempt"), (0.5, "reject")])
+def test_rejected_attempts_are_retried_within_the_budget(budget, answer):
+    """Guards against an overload in which each request is rejected by many full instances in turn."""
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
-    made.retry_budget = rescues
+    made.retry_budget = budget
     asked = request()
     sent(asked, made.instances[1])
     made.attempt_ended(NOW + MS, asked.attempts[0], at.REJECTED, MS, False, {})
@@ -104,14 +104,14 @@
 
 
 @pytest.mark.parametrize("state", [at.DRAINING, at.GONE])
-def test_nothing_new_goes_to_what_drains_or_is_gone(state):
+def test_no_attempts_to_draining_or_gone_instances(state):
     made, dispatcher = balancer([line(1)]), Dispatcher()
     made.list_received(NOW, [line(1, state=state)], False, True)
     made.request_arrived(NOW, request())
     assert not [call for call in dispatcher.pull(made, NOW) if call[0] == "attempt"]
 
 
-def test_what_a_whole_list_leaves_out_is_gone_and_a_new_machine_starts_afresh():
+def test_whole_list_removes_instances_and_resets_restarted_ones():
     made = balancer([line(1), line(2)])
     made.instances[2].path_failures = 3
     made.list_received(NOW, [line(2, build=2, started=NOW)], True, True)
@@ -119,15 +119,15 @@
     assert (made.instances[2].path_failures, made.instances[2].build.number) == (0, 2)
 
 
-def test_a_failed_call_for_the_list_is_made_again():
+def test_failed_call_for_the_list_is_repeated():
     made, dispatcher = balancer([line(1)], ask_for_list=True), Dispatcher()
     made.list_failed(NOW, NOW)
     assert ("watch",) not in dispatcher.pull(made, NOW)
     assert ("watch",) in dispatcher.pull(made, NOW + SECOND)
 
 
-def test_a_cold_fleet_is_sent_no_more_than_its_share_of_what_comes():
-    """All cold at once, in a burst: each gets at most its share of the work by its warmth."""
+def test_cold_instances_get_at_most_their_share():
+    """All are cold and a burst arrives: each gets at most its share of the work by its warmth."""
     made, dispatcher = balancer([line(n, started=NOW) for n in range(1, 5)]), Dispatcher()
     got = 0
     for step in range(400):
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, on, attempts, taken, allowed",
+    "told, on, attempts, arrived, allowed",
     [
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free attempts
         ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 0, False),
@@ -149,24 +149,24 @@
         ((2, 0, at.ON_TRIAL, 0.0), request_class(), 0, 99, False),
         ((2, 1, at.ROLLING_BACK, 0.0), request_class(), 0, 99, False),
         ((2, 0, at.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
-        ((1, 2, at.RELEASED, 1.0), request_class(), 2, 10, True),  # not announced: as in the first stage
+        ((1, 2, at.RELEASED, 1.0), request_class(), 2, 10, True),  # not reported yet: as in its first stage
         ((1, 2, at.RELEASED, 1.0), request_class(), 3, 10, False),
         ((1, 2, at.RELEASED, 1.0), NON_IDEMPOTENT, 0, 10, False),
         ((2, 0, at.ON_TRIAL, 0.1), NON_IDEMPOTENT, 0, 10, False),  # guarded
         ((2, 1, at.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
     ],
 )
-def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, taken, allowed):
+def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, arrived, allowed):
     made = trial()
     made.guarded_stages = 1
     made.stage_reported(NOW, *told, 0)
-    for number in range(taken):
+    for number in range(arrived):
         made.request_arrived(NOW, request(number, on=on))
     made.instances[3].build.sent_times[0] = deque([NOW] * attempts)
     assert made.may_attempt(request(99, on=on), made.instances[3], NOW) is allowed
 
 
-def test_request_classes_are_counted_apart_where_told():
+def test_cap_per_class_counts_request_classes_apart():
     made = trial()
     made.cap_per_class = True
     made.instances[3].build.sent_times[0] = [NOW] * 2
@@ -174,7 +174,7 @@
     assert made.within_exposure_cap(made.instances[3].build, request(on=DEDUPLICATED_ALL), NOW)
 
 
-def test_a_key_that_the_new_build_answered_stays_with_it():
+def test_key_answered_by_the_new_build_stays_with_it():
     made = trial()
     made.instances[3].build.answered_keys.add(77)
     assert not made.may_attempt(request(key=77), made.instances[1], NOW)
@@ -183,12 +183,12 @@
     assert made.may_attempt(request(key=77), made.instances[1], NOW)
 
 
-def outcomes(slow=1.0, errs=0, count=20, machines=4, faulty=None):
-    """`errs` of them erred, spread over the machines or all at the faulty one."""
-    made = list(balancer([line(n) for n in range(machines)]).instances.values())
+def outcomes(slow=1.0, errs=0, count=20, instances=4, faulty=None):
+    """Returns `count` outcomes of which `errs` are errors, of all instances or of the `faulty` one."""
+    made = list(balancer([line(n) for n in range(instances)]).instances.values())
     seen = []
     for n in range(count):
-        member = made[faulty] if faulty and n < errs else made[n % machines]
+        member = made[faulty] if faulty and n < errs else made[n % instances]
         member.answer_count, member.error_count = member.answer_count + 1, member.error_count + (n < errs)
         seen.append((slow * (1 + n % 5 / 10), n < errs, member))
     return seen
@@ -200,17 +200,17 @@
         (outcomes(), outcomes(), (0, 0), False),
         (outcomes(1.5), outcomes(), (0, 0), False),
         (outcomes(2.5), outcomes(), (0, 0), True),
-        (outcomes(2.5), outcomes(), (10, 10), False),  # a queue, not the build
+        (outcomes(2.5), outcomes(), (10, 10), False),  # a queue, not the build's fault
         (outcomes(2.5), outcomes(), (25, 10), True),
-        (outcomes(2.5), outcomes(2.5), (20, 20), True),  # slows old and new alike
-        (outcomes(2.5), outcomes(2.5), (11, 11), False),  # a burst, which leaves the service time
+        (outcomes(2.5), outcomes(2.5), (20, 20), True),  # slows down old and new instances alike
+        (outcomes(2.5), outcomes(2.5), (11, 11), False),  # a burst, which doesn't change the service time
         (outcomes(errs=4), outcomes(), (0, 0), True),
-        (outcomes(errs=4), outcomes(errs=4), (0, 0), False),  # both fail alike
-        (outcomes(errs=4, faulty=3), outcomes(), (0, 0), False),  # one machine's fault
-        (outcomes(errs=4, machines=1), outcomes(), (0, 0), True),
+        (outcomes(errs=4), outcomes(errs=4), (0, 0), False),  # both builds fail alike
+        (outcomes(errs=4, faulty=3), outcomes(), (0, 0), False),  # the fault of one instance
+        (outcomes(errs=4, instances=1), outcomes(), (0, 0), True),
     ],
 )
-def test_a_build_is_bad_when_most_pairs_breach(on, off, services, bad):
+def test_build_is_bad_when_most_pairs_breach(on, off, services, bad):
     made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, at.ON_TRIAL, 0.1))
     made.baseline_time = 1.2
     for member in made.instances.values():
@@ -223,22 +223,22 @@
     assert made.judged_build.bad is bad
 
 
-def test_a_trial_that_swings_does_not_excuse_itself():
-    """Its own spread is no noise floor: a queue that grows from pair to pair is worse, not noisier."""
+def test_spread_of_the_trial_itself_does_not_raise_the_bound():
+    """A queue that grows from pair to pair is a breach; its spread is not noise."""
     made = trial()
     for slow in (2.0, 5.0, 9.0, 15.0):
         judged(made, outcomes(slow), outcomes())
     assert made.judged_build.bad
 
 
-def test_one_bad_pair_of_four_clears():
+def test_one_bad_pair_of_four_is_no_breach():
     made = trial()
     for slow in (1.0, 9.0, 1.0, 1.0):
         judged(made, outcomes(slow), outcomes())
     assert not made.judged_build.bad and not made.judged_build.in_doubt
 
 
-def test_answers_found_wrong_send_a_build_back():
+def test_wrong_answers_make_a_build_bad():
     made = trial()
     made.instances[1].build.answer_count = made.instances[3].build.answer_count = 100
     for _ in range(3):
@@ -249,25 +249,25 @@
 
 
 @pytest.mark.parametrize(
-    "doubt, bad, age, clocked, verdict",
+    "doubt, bad, age, automatic, verdict",
     [
         (False, False, 9, False, at.VERDICT_PROMOTE),
-        (False, False, 1, False, None),  # the stage cannot end yet
+        (False, False, 1, False, None),  # too early in the stage
         (True, False, 9, False, None),
         (True, True, 9, False, at.VERDICT_ROLL_BACK),
         (True, False, 9, True, at.VERDICT_HOLD),
         (False, False, 9, True, None),
     ],
 )
-def test_the_verdict_on_a_stage(doubt, bad, age, clocked, verdict):
+def test_verdict_on_a_stage(doubt, bad, age, automatic, verdict):
     made = trial()
-    made.judged_build.in_doubt, made.judged_build.bad, made.automatic_stages = doubt, bad, clocked
+    made.judged_build.in_doubt, made.judged_build.bad, made.automatic_stages = doubt, bad, automatic
     made.pair_started_at = NOW
     assert made.verdict(made.judged_build, NOW + age * SECOND) == verdict
 
 
 RELEASED_AND_BAD = [
-    # the next build on trial: its machines, its cap; whether it takes the load of eight that are bad
+    # The next build on trial: its instances and its cap; whether it takes the load of 8 bad instances.
     (0, 0.0, False),
     (2, 0.1, False),
     (8, 0.5, False),
@@ -277,23 +277,25 @@
 
 
 @pytest.mark.parametrize("on", [request_class(), DEDUPLICATED_ALL, NON_IDEMPOTENT])
-@pytest.mark.parametrize("machines, cap, takes", RELEASED_AND_BAD)
-def test_a_released_build_that_is_found_bad_serves_until_others_may(on, machines, cap, takes):
-    """Seen on a short day (`disco+rate`, seed 87): a released build was found to fail 4 in 100 ("build 907
-    bad: 3 of 4 pairs breach, errors 0.00 to 0.04") as the next one came on trial. From then on all its
-    machines were left out; the trial's cap let in an eighth, and 30 to 70 in 100 were rejected while 15 of 20
-    machines stood idle. Those that were rejected came again, which is what the gateway then choked on."""
+@pytest.mark.parametrize("instances, cap, takes", RELEASED_AND_BAD)
+def test_bad_released_build_serves_until_others_have_room(on, instances, cap, takes):
+    """Guards against rejecting most requests while a bad released build's instances are idle.
+
+    In a short run (`disco+rate`, seed 87) a released build was found to fail 4 % of its requests when the
+    next one came on trial. All its instances (15 of 20) were avoided, while the cap of the trial let in an
+    eighth: 30 to 70 % of the requests were rejected, and their repeats then overloaded the gateway.
+    """
     made = balancer([line(n) for n in range(8)], told=(1, 2, at.RELEASED, 1.0))
     made.builds[1].bad = True
-    if machines:
-        made.list_received(NOW, [line(100 + n, build=2) for n in range(machines)], False, True)
+    if instances:
+        made.list_received(NOW, [line(100 + n, build=2) for n in range(instances)], False, True)
         made.stage_reported(NOW, 2, 2, at.ON_TRIAL, cap, 0)
         made.request_arrived(NOW, request(1))
     made.class_work = dict.fromkeys((0, 1, 2), 100 * MS)
     assert made.usable(made.instances[1], request(2, on=on), NOW) is not takes
 
 
-def test_a_released_build_that_is_found_bad_is_left_out_where_earlier_ones_can_take_its_load():
+def test_bad_released_build_is_avoided_if_earlier_ones_have_room():
     made = balancer([line(1), line(2), line(3, build=2)], told=(2, 2, at.RELEASED, 1.0))
     made.builds[2].bad = True
     assert not made.usable(made.instances[3], request(), NOW)
@@ -301,13 +303,13 @@
 
 
 @pytest.mark.parametrize("answer", [at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED, at.MOOT, at.COUNTED])
-def test_a_vote_is_cast_again_whatever_became_of_it(answer):
+def test_vote_is_repeated_after_any_answer(answer):
     made, dispatcher = trial(), Dispatcher()
     made.judged_build.bad = True
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW)
     made.vote_answered(NOW, answer)
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) not in dispatcher.pull(made, NOW)
-    # while the last one still stands
+    # renewed while the last one still stands
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
     made.vote_answered(NOW + 3500 * MS, at.COUNTED)
     made.stage_reported(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
@@ -316,7 +318,7 @@
     )  # a change does not wait
 
 
-def test_a_silent_machine_is_shunned_and_then_tried_with_one_request():
+def test_silent_instance_is_avoided_then_tried_with_one_request():
     made = balancer([line(1)])
     member, asked = made.instances[1], request()
     attempt = sent(asked, member)
@@ -329,7 +331,7 @@
 
 
 @pytest.mark.parametrize("took, grows", [(100, True), (900, False)])
-def test_a_limit_of_one_grows_on_quick_answers_and_falls_on_slow_ones(took, grows):
+def test_request_limit_grows_on_quick_answers_only(took, grows):
     made = balancer([line(1)])
     member = made.instances[1]
     member.request_limit = 1.0
@@ -340,7 +342,7 @@
 
 
 @pytest.mark.parametrize("end, again", [(at.UNREADABLE, True), (at.BAD_REQUEST, False)])
-def test_answers_that_are_none_speak_against_no_machine_and_no_build(end, again):
+def test_unreadable_answers_count_against_no_instance_or_build(end, again):
     made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
     made.pair_started_at, member = NOW, made.instances[2]
     member.slowness, asked = 1.0, request()
@@ -356,7 +358,7 @@
 
 
 @pytest.mark.parametrize(
-    "ends, shunned",
+    "ends, avoided",
     [
         ([at.RESET], False),
         ([at.RESET, at.RESET], True),
@@ -364,17 +366,17 @@
         ([at.RESET, at.SUCCEEDED, at.RESET], False),
     ],
 )
-def test_one_reset_is_no_sign_of_a_dead_machine(ends, shunned):
+def test_one_reset_does_not_make_an_instance_avoided(ends, avoided):
     made = balancer([line(1)])
     member = made.instances[1]
     for end in ends:
         made.attempt_ended(NOW, sent(request(), member), end, MS, True, {})
-    assert (member.avoided_until > NOW) is shunned
+    assert (member.avoided_until > NOW) is avoided
     sent(request(), member)
-    assert made.usable(member, request(), NOW) is not shunned
+    assert made.usable(member, request(), NOW) is not avoided
 
 
-def test_one_light_request_that_queued_makes_no_machine_slow():
+def test_one_queued_light_request_makes_no_instance_slow():
     made = balancer([line(1), line(2)])
     member = made.instances[1]
     member.slowness = member.group.slowness = 2.0
@@ -383,16 +385,16 @@
 
 
 @pytest.mark.parametrize(
-    "heard, newest, budget, again, held, strikes",
+    "heard, newest, budget, again, held, failures",
     [
-        (5, 5, 0.0, True, 0, 0),  # later ones overtook it: lost, and free
+        (5, 5, 0.0, True, 0, 0),  # later ones were answered: it is lost, and a retry costs no budget
         (5, 0, 0.0, False, 100 * MS, 0),
-        (5, 0, 1.0, True, 100 * MS, 0),  # others got answers: it may queue
-        (0, 0, 1.0, True, 0, 0.5),  # nothing heard since
+        (5, 0, 1.0, True, 100 * MS, 0),  # others were answered: it may be in a queue
+        (0, 0, 1.0, True, 0, 0.5),  # no answer since
     ],
 )
-def test_what_is_overdue_is_judged_by_what_its_machine_answered_since(
-    heard, newest, budget, again, held, strikes
+def test_overdue_attempt_is_judged_by_later_answers_of_its_instance(
+    heard, newest, budget, again, held, failures
 ):
     made = balancer([line(1), line(2)])
     made.retry_budget, member, asked = budget, made.instances[1], request()
@@ -402,14 +404,14 @@
     assert (Dispatcher().pull(made, made.overdue_at(attempt)) == [("attempt", 1, 2)]) is again
     assert (member.held_work, member.path_failures, made.retry_budget) == (
         held,
-        strikes,
+        failures,
         budget - (again and not newest),
     )
     made.attempt_ended(NOW + 4000 * MS, attempt, at.TIMED_OUT, 4000 * MS, True, {})
     assert member.held_work == 0 and (member.slowness == 0) is (held == 0)
 
 
-def test_what_was_kept_of_older_builds_and_requests_is_dropped():
+def test_state_of_older_builds_and_requests_is_dropped():
     made = balancer([line(1)])
     for number in range(2, 9):
         made.list_received(NOW, [line(number, build=number)], True, True)
@@ -419,8 +421,8 @@
     assert set(made.builds) == {8} and len(made.arrivals[0]) <= 2
 
 
-def test_a_machine_that_fails_at_once_does_not_draw_requests():
-    """Guards against the machine that errs or rejects in a millisecond and so never looks busy."""
+def test_instance_that_fails_at_once_costs_more():
+    """Guards against an instance that fails within a millisecond and so never looks busy."""
     made = balancer([line(1), line(2)])
     for number in range(40):
         for member, end, took in (
@@ -433,8 +435,8 @@
 
 
 @pytest.mark.parametrize("heard, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
-def test_a_balancer_whose_watch_broke_votes_no_stage_on_until_a_list_has_come(heard, verdict):
-    """Guards against a build that is released while discovery is down: nobody knows its machines then."""
+def test_no_vote_to_promote_without_a_current_list(heard, verdict):
+    """Guards against a release while discovery is down: nobody knows the build's instances then."""
     made = trial()
     made.pair_started_at = NOW
     made.list_failed(NOW, NOW)
@@ -444,7 +446,7 @@
 
 
 @pytest.mark.parametrize("listed, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
-def test_a_build_that_nobody_met_is_not_voted_on(listed, verdict):
+def test_no_vote_to_promote_a_build_without_instances(listed, verdict):
     made, dispatcher = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1)), Dispatcher()
     if listed:
         made.list_received(NOW, [line(3, build=2, started=NOW)], False, True)
@@ -454,18 +456,18 @@
 
 
 @pytest.mark.parametrize(
-    "goal, cap, after, verdict",
+    "objective, cap, after, verdict",
     [
-        (1, 1.0, 3, at.VERDICT_PROMOTE),  # where answers are due soon, bake and two seconds are enough
-        (8, 0.1, 3, at.VERDICT_PROMOTE),  # earlier machines stay after it
+        (1, 1.0, 3, at.VERDICT_PROMOTE),  # answers are due soon: the bake time and two seconds are enough
+        (8, 0.1, 3, at.VERDICT_PROMOTE),  # not the last stage: earlier instances stay
         (8, 1.0, 8, None),
         (8, 1.0, 9, at.VERDICT_PROMOTE),
     ],
 )
-def test_the_last_stage_is_voted_on_once_what_was_sent_in_it_was_due_its_answers(goal, cap, after, verdict):
-    """Guards against a slow build that is released, where answers take seconds, before one has come."""
+def test_last_stage_lasts_until_its_requests_are_due(objective, cap, after, verdict):
+    """Guards against releasing a slow build before its first answers, which take seconds, have come."""
     made = balancer(
-        [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, goal * SECOND, 30 * SECOND, 1.0)]
+        [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, objective * SECOND, 30 * SECOND, 1.0)]
     )
     made.stage_reported(NOW, 2, 1, at.ON_TRIAL, cap, 0)
     made.pair_started_at = NOW
@@ -485,11 +487,11 @@
             60,
             3,
             at.VERDICT_PROMOTE,
-        ),  # a rolling restart is not to hold the last stage for a latency objective more
+        ),  # a rolling restart must not delay the last stage
     ],
 )
-def test_a_balancer_that_has_just_started_votes_no_stage_on_by_its_age_alone(cap, age, after, verdict):
-    """Guards against a rolling restart that votes a build on by balancers that have sent it nothing yet."""
+def test_no_vote_to_promote_soon_after_the_balancers_start(cap, age, after, verdict):
+    """Guards against promotion by just restarted balancers that have sent the build nothing yet."""
     request_classes = [at.RequestClass(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
     made = balancer([line(1), line(2, build=2)], request_classes, told=None)
     made.stage_reported(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
@@ -497,8 +499,8 @@
     assert made.verdict(made.judged_build, NOW + after * SECOND) == verdict
 
 
-def test_errors_too_few_for_most_pairs_still_hold_a_build():
-    """Guards against a build that starts to fail late and slips through to its release."""
+def test_few_errors_over_many_pairs_prevent_a_promotion():
+    """Guards against the release of a build that starts to fail late."""
     made = trial()
     made.pair_started_at = NOW
     for errs in (0, 0, 2, 0, 2):
@@ -507,8 +509,8 @@
 
 
 @pytest.mark.parametrize("started, share", [((0, 0, 0), 0.0), ((0, 9, 9), 0.25)])
-def test_a_faulty_machine_is_left_out_unless_none_is_up_as_long(started, share):
-    """A build that fails late fails on its oldest machine first: that is no faulty machine."""
+def test_faulty_instance_is_left_out_unless_it_is_the_oldest(started, share):
+    """A build that fails late fails on its oldest instance first, which is then not faulty itself."""
     members = list(balancer([line(n, started=NOW + up) for n, up in enumerate(started)]).instances.values())
     for member, failed in zip(members, (6, 0, 0), strict=True):
         member.answer_count, member.error_count = 20, failed
@@ -519,8 +521,8 @@
     )
 
 
-def test_a_trial_without_machines_closes_no_pair():
-    """Guards against the fault of a pair whose trial side is empty, as when its machines are gone again."""
+def test_trial_without_outcomes_closes_no_pair():
+    """Guards against a pair without outcomes on trial, as when the instances on trial are gone again."""
     made = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1))
     made.pair_started_at, made.pair_outcomes = NOW, {(False, 0): outcomes()}
     made.tick(NOW + 2 * SECOND)
@@ -531,30 +533,30 @@
     "balancers, roll_back_votes_needed, on, bad",
     [
         (400, 20, outcomes(errs=2, count=2), True),
-        (400, 20, outcomes(errs=1, count=1), False),  # too many balancers have such luck
+        (400, 20, outcomes(errs=1, count=1), False),  # too likely by chance over 400 balancers
         (400, 20, outcomes(9.0, count=4), True),
         (400, 20, outcomes(9.0, count=2), False),
-        (3, 1, outcomes(9.0, count=3), False),  # one vote of three sends it back
+        (3, 1, outcomes(9.0, count=3), False),  # one vote of three is enough to roll back
     ],
 )
-def test_thin_evidence_is_weighed_by_the_votes_that_send_back(balancers, roll_back_votes_needed, on, bad):
-    """Guards against bad builds passed where no balancer fills a pair, and good ones sent back by luck."""
+def test_thin_evidence_is_weighed_by_the_votes_needed(balancers, roll_back_votes_needed, on, bad):
+    """Guards against passing bad builds with little traffic, and rolling back good ones by chance."""
     made = trial(balancers=balancers, release=at.Release(roll_back_votes_needed=roll_back_votes_needed))
     made.judge(made.judged_build, [made.compare(made.judged_build, on, outcomes(count=8))])
     assert made.judged_build.provisionally_bad is bad and made.judged_build.in_doubt
     made.judge(made.judged_build, [made.compare(made.judged_build, outcomes(count=7), outcomes(count=8))])
     assert (
         not made.judged_build.bad and not made.judged_build.provisionally_bad
-    )  # it stands only while the evidence does
+    )  # it holds only as long as the evidence
 
 
 @pytest.mark.parametrize("worse, count, usual, most", [(0, 0, 0.1, 0), (1, 9, 0.5, 1), (3, 3, 0.1, 0.001)])
-def test_chance_bounds_the_tail(worse, count, usual, most):
+def test_probability_bound(worse, count, usual, most):
     assert probability_bound([(worse, count, usual)]) == pytest.approx(most)
 
 
-def test_a_request_class_that_waits_at_every_machine_tells_nothing_of_them_and_is_mostly_rejected():
-    """Guards against waits of one request class or tenant that drag down limits and costs for others."""
+def test_request_class_that_waits_everywhere_is_mostly_rejected():
+    """Guards against waits of one request class or tenant that change limits and costs for others."""
     on, made, dispatcher = (
         request_class(1),
         balancer([line(1), line(2)], request_classes=[request_class(), request_class(1)]),
@@ -572,15 +574,15 @@
 
 
 @pytest.mark.parametrize("balancers, rejected", [(3, 0), (400, 100)])
-def test_slow_answers_reject_where_limits_cannot_bound_queues(balancers, rejected):
+def test_slow_answers_shed_requests_with_many_balancers(balancers, rejected):
     made = balancer([line(1)], balancers=balancers)
     made.latency_ratio = 2.0
     assert sum(made.sheds(request(number), NOW) for number in range(200)) >= rejected
     assert rejected or not made.sheds(request(), NOW)
 
 
-def test_a_cold_machine_is_not_met_by_hundreds_at_once():
-    """Guards against the burst of all balancers when a machine is listed: each begins at random."""
+def test_few_of_many_balancers_use_a_cold_instance_at_once():
+    """Guards against a burst of all balancers to a new instance: each starts at a random time."""
     met = 0
     for seed in range(200):
         made = balancer([line(n, started=NOW) for n in range(50)], balancers=200, seed=seed)
@@ -590,35 +592,34 @@
 
 
 @pytest.mark.parametrize("age, known", [(0, True), (60 * SECOND, False)])
-def test_what_was_heard_long_ago_gives_way_to_the_group(age, known):
+def test_old_latency_of_an_instance_yields_to_its_groups(age, known):
     made = balancer([line(1), line(2)])
     member, member.group.slowness = made.instances[1], 1.0
     member.slowness, member.last_heard_at = 10.0, NOW - age
     assert (made.cost(member, request(), NOW) > 5 * made.cost(made.instances[2], request(), NOW)) is known
 
 
-def test_a_connection_that_has_to_rest_makes_its_instance_cost_as_much_more_time():
+def test_cost_includes_the_time_until_a_connection_is_free():
     made, asked = balancer([line(1), line(2)]), request()
     member, attempt = made.instances[1], sent(asked, made.instances[1])
     attempt.connection_free_at = NOW + 10 * MS
     made.attempt_ended(NOW, attempt, at.SUCCEEDED, MS, True, {})
     member.slowness, member.group.slowness = 0.001, 0.002
-    chance = made.rng.getstate()
+    random_state = made.rng.getstate()
     cost = []
-    for moment in (NOW, NOW + 4 * MS, NOW + 10 * MS, NOW + 11 * MS):
-        made.rng.setstate(chance)
-        cost.append(made.cost(member, asked, moment))
+    for now in (NOW, NOW + 4 * MS, NOW + 10 * MS, NOW + 11 * MS):
+        made.rng.setstate(random_state)
+        cost.append(made.cost(member, asked, now))
     assert [round((one - cost[-1]) / MS, 2) for one in cost] == [10, 6, 0, 0]
-    assert [made.choose(request(2), moment).id for moment in (NOW, NOW + 10 * MS)] == [2, 1]
+    assert [made.choose(request(2), now).id for now in (NOW, NOW + 10 * MS)] == [2, 1]
 
 
-def test_idle_balancers_sleep():
+def test_idle_balancers_wake_rarely():
     assert balancer([line(1)]).wake_at() > NOW + SECOND >= trial().wake_at()
 
 
-def test_open_connections_are_kept_to_where_new_ones_fail():
-    """Guards against squeezed or slow connections: each that fails costs a good part of the latency
-    objective."""
+def test_open_connections_are_preferred_when_new_ones_fail():
+    """Guards against scarce or slow connections: each failure costs a good part of the latency objective."""
     made = balancer([line(n) for n in range(9)], idle_time=9 * SECOND)
     made.instances.keep_open(made.instances[4], NOW + SECOND)
     made.unconnected_share = 0.5
@@ -628,14 +629,14 @@
 
 
 @pytest.mark.parametrize("work, overdue", [(100, True), (400, False)])
-def test_a_heavy_request_is_not_begun_twice(work, overdue):
+def test_heavy_request_is_not_sent_twice(work, overdue):
     made, dispatcher = balancer([line(1), line(2)]), Dispatcher()
     asked = request(work=work * MS)
     made.attempt(asked, made.instances[1], NOW, dispatcher)
     assert made.retry_overdue(asked, asked.attempts, NOW + 600 * MS, dispatcher) is overdue
 
 
-def test_a_choice_among_many_looks_at_few_but_finds_the_last_one_fit():
+def test_choice_finds_the_only_usable_instance_of_many():
     made = balancer([line(n) for n in range(200)])
     for member in made.instances.values():
         member.avoided_until = 0 if member.id == 7 else NOW + SECOND
@@ -651,7 +652,7 @@
             1,
             lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True),
             False,
-        ),  # it came back
+        ),  # it was restarted
         (1, lambda made, asked: made.request_left(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
@@ -660,7 +661,7 @@
         (3, lambda made, asked: made.builds[2].sent_times[0].extend([NOW] * 2), False),
     ],
 )
-def test_an_attempt_that_waited_begins_only_while_it_still_may(member, changed, allowed):
+def test_attempt_that_waited_begins_only_if_still_allowed(member, changed, allowed):
     made, asked = trial(), request()
     made.builds[2].sent_times[0] = deque([NOW])
     attempt = sent(asked, made.instances[member])
@@ -668,7 +669,7 @@
     assert made.may_begin(NOW, attempt) == (asked.deadline if allowed else 0)
 
 
-def test_requests_that_are_over_are_forgotten_however_long_they_said_they_wait():
+def test_timers_of_finished_requests_are_dropped():
     made, dispatcher, days = balancer([line(1)]), Dispatcher(), 10**9 * MS
     open_ones = [request(id, left=days) for id in range(3)]
     for number in range(5000):
@@ -680,31 +681,31 @@
     assert all(asked.finished for asked in open_ones)
 
 
-def test_an_attempt_counts_against_the_cap_from_when_it_begins():
+def test_attempt_counts_against_the_cap_from_when_it_begins():
     made, asked = trial(), [request(left=9000 * MS) for _ in range(2)]
     build, begun = made.builds[2], NOW + 1000 * MS
-    build.sent_times[0] = deque([NOW] * 2)  # as many as are free
+    build.sent_times[0] = deque([NOW] * 2)  # the free attempts
     attempts = [sent(one, made.instances[3]) for one in asked]
     for attempt in attempts:
         attempt.counted_from = NOW
-    for attempt in attempts * 2:  # asked again, as where the connection had ended, it still counts once
+    for attempt in attempts * 2:  # asked twice, as after the end of a connection, it counts once
         assert made.may_begin(begun, attempt) == attempt.request.deadline
     assert list(build.sent_times[0]) == [begun] * 2
-    assert not made.within_exposure_cap(build, request(), begun + 2010 * MS)  # its window, and two steps
+    assert not made.within_exposure_cap(build, request(), begun + 2010 * MS)  # the window and two steps
     assert made.within_exposure_cap(build, request(), begun + 2011 * MS)
 
 
-def test_a_repeat_is_written_whole_while_instances_still_drop_it():
+def test_repeat_must_be_written_within_the_repeat_window():
     repeated = request_class(effect=at.DEDUPLICATED, repeat_window=2000 * MS)
     made, asked = balancer([line(1), line(2)], [repeated]), request(on=repeated)
     first, again = sent(asked, made.instances[1], at.RESET), sent(asked, made.instances[2], at_time=NOW + MS)
-    last = NOW + 1990 * MS  # two steps are spared
+    last = NOW + 1990 * MS  # two steps of margin
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
-    first.end = at.REJECTED  # proven not to have run: it binds nothing
+    first.end = at.REJECTED  # it did not run, so there is no repeat
     assert made.may_begin(last, again) == asked.deadline
 
 
-# ---- rules may give a request another request class and key
+# ---- requests to which rules gave another request class or key
 
 
 def ruled(id, asked, given, **more):
@@ -713,12 +714,12 @@
     return made
 
 
-def test_a_cap_by_request_class_holds_for_the_request_class_asked_and_for_the_request_class_given():
+def test_cap_per_class_counts_the_class_named_and_the_class_given():
     one, other = request_class(0), request_class(1)
     release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, at.ON_TRIAL, 0.5), release)
     build = made.builds[2]
-    for number in range(8):  # so many were taken, asked for as `one` and treated as `other`
+    for number in range(8):  # sent by clients as class `one`, treated as class `other`
         made.request_arrived(NOW, ruled(number, one, other))
     asked_one, given_other = ruled(20, one, other), ruled(21, other, one)
     assert made.within_exposure_cap(build, asked_one, NOW)
@@ -726,8 +727,7 @@
         assert made.within_exposure_cap(build, asked_one, NOW), attempts
         sent_now(made, build, asked_one)
     assert not made.within_exposure_cap(build, asked_one, NOW)
-    # What was treated as the other request class lends the request class asked nothing, and the other way
-    # round.
+    # Requests treated as the other class don't raise the cap of the class named, nor the other way round.
     assert not made.within_exposure_cap(build, ruled(22, one, one), NOW)
     assert not made.within_exposure_cap(build, ruled(23, other, other), NOW)
     for attempts in range(2):
@@ -742,7 +742,7 @@
 
 
 @pytest.mark.parametrize("key", [b"asked", b"given"])
-def test_where_keys_bind_the_key_asked_binds_as_well_as_the_key_given(key):
+def test_forward_only_holds_for_the_clients_key_and_the_key_given(key):
     release = at.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
     made = balancer([line(1), line(2, build=2)], None, (2, 0, at.ON_TRIAL, 1.0), release)
     first = request(1, key=b"given")
@@ -754,7 +754,7 @@
     assert made.may_attempt(request(3, key=b"x"), made.instances[1], NOW)
 
 
-def test_without_rules_requests_are_counted_as_they_were():
+def test_without_rules_requests_count_for_their_class_only():
     release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
     made.request_arrived(NOW, request(1, request_class(1)))
@@ -773,18 +773,18 @@
 
 
 @pytest.mark.parametrize("balancers, instances", [(40, 60), (192, 96), (200, 150)])
-def test_many_balancers_cover_each_instance_evenly_and_each_keeps_to_few(balancers, instances):
+def test_many_balancers_cover_all_instances_evenly(balancers, instances):
     covered = Counter()
     for made in fleet_of(balancers, instances):
-        near = {member.id for member in made.ring[:MIN_STRETCH]}
-        assert {made.choose(request(n), NOW).id for n in range(5)} <= near
+        stretch = {member.id for member in made.ring[:MIN_STRETCH]}
+        assert {made.choose(request(n), NOW).id for n in range(5)} <= stretch
         covered.update(member.id for member in made.ring[:MIN_STRETCH])
     mean = balancers * MIN_STRETCH / instances
     assert len(covered) == instances
     assert all(abs(count - mean) <= 3 for count in covered.values())
 
 
-def test_what_a_stretch_loses_is_made_up_from_what_follows_it():
+def test_avoided_instances_are_replaced_by_the_next_on_the_ring():
     made = fleet_of(40, 60)[7]
     for member in made.ring[: MIN_STRETCH - 1]:
         member.avoided_until = NOW + SECOND
@@ -794,16 +794,16 @@
 
 
 @pytest.mark.parametrize("gap, all_of_them", [(300 * MS, False), (5 * MS, True)])
-def test_a_balancer_with_more_requests_uses_more_instances(gap, all_of_them):
+def test_balancer_with_more_requests_uses_more_instances(gap, all_of_them):
     made = fleet_of(40, 60)[7]
     for n in range(200):
         made.request_arrived(NOW + n * gap, request(n))
     made.due.clear()
-    near = {made.choose(request(n), NOW).id for n in range(1000)}
-    assert (len(near) == 60) is all_of_them
+    stretch = {made.choose(request(n), NOW).id for n in range(1000)}
+    assert (len(stretch) == 60) is all_of_them
 
 
-def test_a_change_of_the_list_moves_a_stretch_by_little():
+def test_list_change_moves_the_stretch_by_little():
     made = fleet_of(192, 96)[100]
     before = {member.id for member in made.ring[:MIN_STRETCH]}
     made.list_received(NOW, [line(f"new-{n}") for n in range(8)], False, True)
@@ -811,7 +811,7 @@
 
 
 @pytest.mark.parametrize("gap, shed", [(100 * MS, True), (2 * SECOND, False)])
-def test_a_balancer_that_hears_little_does_not_shed_on_what_was(gap, shed):
+def test_latency_ratio_falls_quickly_with_few_answers(gap, shed):
     made = balancer([line(1)], balancers=200)
     made.latency_ratio, made.latency_ratio_at = 1.0, NOW
     for n in range(1, 3):
@@ -821,7 +821,7 @@
 
 
 @pytest.mark.parametrize("balancers, left", [(3, False), (200, True)])
-def test_with_few_attempts_of_its_own_a_silent_machine_is_left_until_it_answers(balancers, left):
+def test_silent_instance_is_avoided_longer_with_many_balancers(balancers, left):
     made = balancer([line(1), line(2)], balancers=balancers)
     member, asked = made.instances[1], request()
     attempt = sent(asked, member)
@@ -833,7 +833,7 @@
     assert made.usable(member, request(2), NOW + 800 * MS)
 
 
-def test_a_zone_whose_attempts_are_lost_costs_more_and_less_again_once_it_answers():
+def test_cost_of_a_zone_follows_its_loss_rate():
     made = balancer([line(1), line(2), line(3, zone=1)], balancers=40)
     lost, other = made.instances[2], made.instances[3]
     for n in range(6):
@@ -845,10 +845,10 @@
 
 
 @pytest.mark.parametrize("work, due", [(30, 500), (100, 500), (400, 1250)])
-def test_what_is_overdue_goes_by_what_like_work_took_however_long_light_ones_queued(work, due):
+def test_overdue_time_follows_the_work_of_the_request(work, due):
     made = balancer([line(1)])
     member = made.instances[1]
-    for n in range(200):  # light ones take ten times their work, heavy ones hardly more than theirs
+    for n in range(200):  # light ones take ten times their work, heavy ones little more than theirs
         light = n % 2
         asked = request(n, work=(10 if light else 190) * MS)
         took = (100 if light else 300) * MS
@@ -857,7 +857,7 @@
     assert made.overdue_at(attempt) - NOW == pytest.approx(due * MS, rel=0.15)
 
 
-def test_votes_on_that_are_turned_away_come_ever_less_often_and_spread_and_those_back_do_not():
+def test_refused_votes_to_promote_back_off_votes_to_roll_back_do_not():
     pauses = {at.VERDICT_PROMOTE: [], at.VERDICT_ROLL_BACK: []}
     for seed in range(20):
         for verdict in pauses:
@@ -866,9 +866,7 @@
             for _ in range(6):
                 made.vote_answered(NOW, at.OVER_ALLOWANCE)
             pauses[verdict].append(made.next_vote_at - NOW)
-            assert (
-                made.vote_busy_until <= NOW + 400 * MS
-            )  # another verdict, or another stage, goes out before
+            assert made.vote_busy_until <= NOW + 400 * MS  # another verdict or stage is voted on before
     assert (
         1900 * MS < min(pauses[at.VERDICT_PROMOTE]) < 2500 * MS
         and 3500 * MS < max(pauses[at.VERDICT_PROMOTE]) <= 4000 * MS
@@ -876,13 +874,13 @@
     assert max(pauses[at.VERDICT_ROLL_BACK]) <= 400 * MS
 
 
-def test_an_answer_to_a_vote_of_before_the_start_is_taken_calmly():
+def test_answer_to_a_vote_from_before_the_start():
     made = balancer([line(1)])
     made.vote_answered(NOW, at.OVER_ALLOWANCE)
     assert NOW < made.vote_busy_until <= NOW + 400 * MS
 
 
-def test_a_vote_that_stands_is_renewed_late_while_the_platform_is_full():
+def test_counted_vote_is_renewed_later_while_the_platform_is_full():
     made = balancer([line(1)])
     made.last_vote, made.vote_backoff = (2, 0, at.VERDICT_PROMOTE), 800 * MS
     made.vote_answered(NOW, at.COUNTED)
@@ -890,7 +888,7 @@
 
 
 @pytest.mark.parametrize("took, waits", [(300, False), (900, True)])
-def test_a_request_class_that_waited_is_served_again_after_one_quick_test(took, waits):
+def test_request_class_stops_waiting_after_one_quick_answer(took, waits):
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
     made.lower_quartiles[("class", 1)], made.latency_ratio, asked = 0.2, 1.0, request()
     for n in range(8):
@@ -900,49 +898,49 @@
     assert made.waits(request()) is waits
 
 
-def test_one_late_answer_after_a_silence_makes_no_overload():
+def test_one_late_answer_after_a_pause_is_no_overload():
     made = balancer([line(1)], balancers=200)
     made.latency_ratio, made.latency_ratio_at = 0.2, NOW - 3 * SECOND
     made.attempt_ended(NOW, sent(request(), made.instances[1]), at.SUCCEEDED, 2 * SECOND, False, {})
     assert made.latency_ratio == pytest.approx(0.38)
 
 
-def test_nothing_grows_while_builds_ids_and_requests_come_and_go():
-    made, dispatcher, moment = balancer(balancers=200), Dispatcher(), NOW
+def test_state_stays_small_while_builds_and_requests_change():
+    made, dispatcher, now = balancer(balancers=200), Dispatcher(), NOW
     for build in range(1, 200):
-        made.stage_reported(moment, build, 0, at.RELEASED, 1.0, 0)
+        made.stage_reported(now, build, 0, at.RELEASED, 1.0, 0)
         made.list_received(
-            moment, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True
+            now, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True
         )
         for n in range(10):
-            asked = request((build, n), now=moment, left=4 * SECOND)
-            made.request_arrived(moment, asked)
-            dispatcher.pull(made, moment)
+            asked = request((build, n), now=now, left=4 * SECOND)
+            made.request_arrived(now, asked)
+            dispatcher.pull(made, now)
             end = (at.SUCCEEDED, at.TIMED_OUT, at.RESET, at.UNCONNECTED)[n % 4]
             for attempt in [attempt for attempt in asked.attempts if not attempt.end]:
-                made.attempt_ended(moment, attempt, end, 100 * MS, True, {})
-            moment += 300 * MS
-    dispatcher.pull(made, moment + 10 * SECOND)
+                made.attempt_ended(now, attempt, end, 100 * MS, True, {})
+            now += 300 * MS
+    dispatcher.pull(made, now + 10 * SECOND)
     sizes = {
-        "members": len(made.instances),
+        "instances": len(made.instances),
         "ring": len(made.ring),
         "groups": len(made.groups),
         "builds": len(made.builds),
-        "wakes": len(made.timers),
+        "timers": len(made.timers),
         "due": len(made.due),
-        "notes": len(made.log_lines),
-        "times": len(made.latency_ratios),
-        "taken": sum(map(len, made.arrivals.values())),
-        "out": sum(len(member.in_flight) for member in made.instances.values()),
+        "log lines": len(made.log_lines),
+        "latency ratios": len(made.latency_ratios),
+        "arrivals": sum(map(len, made.arrivals.values())),
+        "in flight": sum(len(member.in_flight) for member in made.instances.values()),
     }
-    assert sizes["members"] == sizes["ring"] == 30 and sizes["builds"] <= 2 and sizes["groups"] == 3
-    assert sizes["wakes"] == sizes["due"] == sizes["notes"] == sizes["out"] == 0
-    assert sizes["times"] <= 2 and sizes["taken"] <= 20
+    assert sizes["instances"] == sizes["ring"] == 30 and sizes["builds"] <= 2 and sizes["groups"] == 3
+    assert sizes["timers"] == sizes["due"] == sizes["log lines"] == sizes["in flight"] == 0
+    assert sizes["latency ratios"] <= 2 and sizes["arrivals"] <= 20
 
 
 @pytest.mark.parametrize(
     "balancers, least, most", [(1, 0, 0), (3, 20, 50), (40, 700, 975), (200, 1500, 2000)]
 )
-def test_the_more_balancers_start_together_the_longer_they_spread_their_first_call(balancers, least, most):
+def test_first_list_calls_spread_with_the_number_of_balancers(balancers, least, most):
     starts = [at.StartSettings(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)]
     assert least <= max(Balancer(start).list_call_at for start in starts) / MS <= most
