--- a/tests/days.py
+++ b/tests/days.py
@@ -1,7 +1,9 @@
-"""Days of the planner's world with more of what the standing test asks about: what is sent to cold machines,
-what each request class and tenant gets by thirds, gateways that die and come back, and the policy that each
-is held against, which sees the true state of every machine late. Times in nanoseconds; loads in requests a
-second."""
+"""The planner's simulated world with the measurements that the standing test asks about.
+
+It measures what is sent to cold instances and what each request class and tenant gets in each third of a
+run, and lets gateways die and come back. The balancers are compared with a reference policy that knows the
+true state of every instance with a delay. Times are nanoseconds, loads are requests a second.
+"""
 
 import bisect
 import random
@@ -11,21 +13,24 @@
 from lemonlead import interface as at
 from lemonlead.planning.world import Gateway, World
 
-S, LATE = 1_000_000_000, 100_000_000
+S = 1_000_000_000
+STATE_DELAY = 100_000_000  # the reference policy sees states that are at least this old
+
 
+class DelayedStatePolicy:
+    """The reference policy, in the place of a balancer.
 
-class Seer:
-    """In a balancer's place: the least busy of three machines by their true state of some time ago. What
-    would wait there for over a quarter of its latency objective is rejected: the best bound of those
-    tried."""
+    It chooses the least busy of three instances by their true state of some time ago. A request that would
+    wait there for more than a quarter of its latency objective is rejected; other bounds served fewer.
+    """
 
     def __init__(self, day, number):
         self.day, self.due, self.random = day, deque(), random.Random(number)
 
-    def listed(self, *_):
+    def list_received(self, *_):
         pass
 
-    stage_reported = vote_answered = list_failed = listed
+    stage_reported = vote_answered = list_failed = list_received
 
     def wake_at(self):
         return 1 << 62
@@ -40,60 +45,65 @@
         attempt.end, attempt.request.finished = end, attempt.request.finished or over
         self.due.append(attempt.request)
 
-    def decide(self, now, door):
+    def decide(self, now, host):
         while self.due:
             if not (request := self.due.popleft()).finished:
-                self.settle(request, now, door)
+                self.decide_request(request, now, host)
                 return True
         return False
 
-    def settle(self, request, now, door):
-        seen, tried = self.day.seen[0], [attempt.instance for attempt in request.attempts]
-        fit = [number for number in seen if number not in tried]
+    def decide_request(self, request, now, host):
+        states, tried = self.day.states[0], [attempt.instance for attempt in request.attempts]
+        fit = [number for number in states if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
-        best = min(some, key=lambda number: seen[number], default=None)
+        best = min(some, key=lambda number: states[number], default=None)
         ran = request.request_class.effect == at.NON_IDEMPOTENT and any(
-            s.end not in at.NEVER_RAN for s in request.attempts
+            previous.end not in at.NEVER_RAN for previous in request.attempts
         )
-        if best is None or ran or 4 * seen[best] > request.request_class.latency_objective:
+        if best is None or ran or 4 * states[best] > request.request_class.latency_objective:
             request.finished = True
-            return door.reject(request, LATE // 2)
+            return host.reject(request, STATE_DELAY // 2)
         request.attempts.append(at.Attempt(request, len(request.attempts), best, now))
-        return door.attempt(request, best, request.deadline - now)
+        return host.attempt(request, best, request.deadline - now)
 
 
 @dataclass
 class Day(World):
-    """`weights`: how often a request is of each tenant. `burst`: the load, by the usual one, in the last
-    three fifths of each third of `length` seconds; in the rest it is 0.6. None: always the usual one."""
+    """A run of `length` seconds.
+
+    `weights` is how often a request belongs to each tenant. `burst` is the load, relative to the usual one,
+    in the last three fifths of each third of the run; in the rest it is 0.6. With None the load is constant.
+    """
 
     length: int = 12
     weights: tuple = (1.0,)
     burst: float | None = None
-    late: bool = False  # the late-seeing policy in place of the balancers
-    # by machine that is cold: when each attempt went there, its work
+    late: bool = False  # the reference policy in place of the balancers
+    # By number of a cold instance: (time, work) of each attempt there.
     sent: dict = field(default_factory=dict)
-    # by gateway: (moment, whether it was rejected) of each request that it took up or turned away
+    # By gateway: (time, whether it was rejected) of each request that it sent on or rejected.
     decided: dict = field(default_factory=dict)
-    asked: Counter = field(default_factory=Counter)  # by (what, which, third)
-    served: Counter = field(default_factory=Counter)  # likewise, answered within their latency objective
+    asked: Counter = field(default_factory=Counter)  # by ("class" or "tenant", number, third)
+    served: Counter = field(
+        default_factory=Counter
+    )  # the same, of those answered within their latency objective
 
     def __post_init__(self):
         super().__post_init__()
-        self.kept, self.seen = {}, deque()
+        self.kept, self.states = {}, deque()
         for gateway in self.gateways:
             gateway.reject = self.rejecting(gateway)
         if self.late:
             for gateway in self.gateways:
-                gateway.balancer = Seer(self, gateway.number)
-            self.at(0, self.look)
+                gateway.balancer = DelayedStatePolicy(self, gateway.number)
+            self.at(0, self.record_states)
 
-    def played_out(self):
+    def run_to_end(self):
         self.play(self.length)
         return self
 
     def rejecting(self, gateway):
-        """Its door for what is rejected, which notes that as well."""
+        """Returns the gateway's `reject`, which also records the rejection."""
         reject = type(gateway).reject
 
         def noted(request, retry_after):
@@ -107,17 +117,17 @@
         part = 1.0 if self.burst is None else 0.6 if self.now % third < 0.4 * third else self.burst
         return super().gap(rate * part)
 
-    # ---- what the late-seeing policy sees
+    # ---- the states that the reference policy sees
 
-    def look(self):
-        self.seen.append({machine.number: self.waits(machine) for machine in self.machines if machine.up})
-        while len(self.seen) > 2:
-            self.seen.popleft()
+    def record_states(self):
+        self.states.append({machine.number: self.waits(machine) for machine in self.machines if machine.up})
+        while len(self.states) > 2:
+            self.states.popleft()
         if self.now < self.length * S:
-            self.at(self.now + LATE, self.look)
+            self.at(self.now + STATE_DELAY, self.record_states)
 
     def waits(self, machine):
-        """How long a request that comes now waits there, in nanoseconds."""
+        """Returns how long a request that arrives now waits there (ns)."""
         held = (
             sum(attempt.request.work for _, attempt, _ in machine.queue) + machine.busy * self.mean_work() / 2
         )
@@ -147,7 +157,7 @@
             gateway.balancer.list_received(self.now, lines, True, True)
             gateway.balancer.stage_reported(self.now, 1, 0, at.RELEASED, 1.0, 0)
 
-    # ---- what is counted
+    # ---- measurements
 
     def attempt(self, gateway, attempt, number, time_out):
         self.decided.setdefault(gateway.number, []).append((self.now, False))
@@ -170,34 +180,36 @@
         super().answered(want, ending, retry_after)
 
     def rejects_all(self, seconds=4, least=15):
-        """How many gateways rejected all that they got, so many at least, for so long on end."""
+        """Returns how many gateways rejected at least this many requests in a row, over this many seconds."""
         found = 0
         for decided in self.decided.values():
             began, count, longest = None, 0, False
-            for moment, rejected in decided:
+            for time, rejected in decided:
                 if not rejected:
                     began, count = None, 0
                     continue
-                began, count = moment if began is None else began, count + 1
-                longest = longest or count >= least and moment - began >= seconds * S
+                began, count = time if began is None else began, count + 1
+                longest = longest or count >= least and time - began >= seconds * S
             found += longest
         return found
 
     def share(self, what, which=None, third=None):
-        """Of the requests of this request class or tenant (None: of all) in this third (None: all day)."""
+        """Returns the share served in time of a class or tenant (None: all) in a third (None: all three)."""
         keys = [key for key in self.asked if key[0] == what and which in (None, key[1])]
         keys = [key for key in keys if third in (None, key[2])]
         return sum(self.served[key] for key in keys) / sum(self.asked[key] for key in keys)
 
-    def pressed(self):
-        """The most that any cold machine got in a window by what it bears: N + 2 x root of N + 2 requests of
-        mean work, N being what is told to be allowed at the window's start."""
+    def cold_overload(self):
+        """Returns the most work that a cold instance got in a window, relative to what it can bear.
+
+        It bears N + 2 * sqrt(N) + 2 requests of mean work; N is what the rules allow at the window's start.
+        """
         fleet, mean, most = self.fleet, self.mean_work(), 0.0
         for number, attempts in self.sent.items():
-            machine, times = self.machines[number], [moment for moment, _ in attempts]
-            for first, moment in enumerate(times):
-                last = bisect.bisect_left(times, moment + fleet.cold_window)
-                age = (moment - machine.started) / fleet.warm
+            machine, times = self.machines[number], [time for time, _ in attempts]
+            for first, time in enumerate(times):
+                last = bisect.bisect_left(times, time + fleet.cold_window)
+                age = (time - machine.started) / fleet.warm
                 warm = fleet.cold_share + (1 - fleet.cold_share) * min(age, 1.0)
                 can = machine.kind.cores * machine.kind.speed * warm * fleet.cold_window / mean
                 bears = fleet.cold_multiple * can
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds the state that a test needs: balancers, and what is decided on them."""
+"""Builds balancers, requests and attempts for tests, and collects the decisions."""
 
 from lemonlead import interface as at
 from lemonlead.balance import Balancer
@@ -8,7 +8,7 @@
 
 
 class Dispatcher:
-    """A door that writes down what it is asked."""
+    """A host that records the calls of a balancer."""
 
     def __init__(self):
         self.calls = []
@@ -35,7 +35,7 @@
         pass
 
     def pull(self, balancer, now):
-        """All that is decided at `now`."""
+        """Returns all decisions made at `now`."""
         self.calls = []
         while balancer.decide(now, self):
             pass
@@ -91,7 +91,7 @@
 
 
 def sent(asked, member, end="", at_time=NOW):
-    """An attempt of this request to this member, as ended so."""
+    """Adds an attempt of a request at an instance; `end` is how it ended, empty while it is in flight."""
     attempt = at.Attempt(asked, len(asked.attempts), member, at_time, end)
     asked.attempts.append(attempt)
     if not end:
@@ -101,7 +101,7 @@
 
 
 def judged(made, on, off):
-    """A closed pair of these outcomes, and what is made of it."""
+    """Closes a pair with these outcomes and judges the build."""
     build = made.judged_build
     build.pairs.append(made.compare(build, on, off))
     build.recent_outcomes.extend(on)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,6 +1,7 @@
-"""The sentences of the standing test that were sharpened, each held against the code: `docs/standing.md`.
+"""The rules of the standing test (`docs/standing.md`), each checked against the code.
 
-Times are nanoseconds on made clocks, or seconds where a program runs; nothing waits for a guessed time.
+Times are nanoseconds on simulated clocks and seconds where a program runs. No test sleeps for a guessed
+time.
 """
 
 import contextlib
@@ -37,20 +38,20 @@
 from lemonlead.standins.server import Server, until
 from lemonlead.start_settings import start_from_settings
 
-# ---- what is told, and when
+# ---- reports from discovery, and their times
 
 LIST = {"version": 3, "full": True, "servers": [{"id": 'a"}{\\', "addr": "h:1", "cells": [[], {}]}, {}]}
 
 
 @pytest.mark.parametrize("indent", [None, 0, 2, "\t"])
-def test_lists_are_read_however_they_are_indented(indent):
+def test_lists_are_read_with_any_indentation(indent):
     objects, text = JsonObjects(), json.dumps(LIST, indent=indent).encode()
     lines = [b"", *text.split(b"\n"), b"", b"  ", *text.split(b"\n")]
     told = [json.loads(whole) for whole in map(objects.add, lines) if whole]
     assert told == [LIST, LIST] and not objects.lines
 
 
-def test_a_gateway_goes_by_a_list_that_comes_indented(tmp_path):
+def test_gateway_uses_an_indented_list(tmp_path):
     old = InstanceServer().start()
     new = InstanceServer(lambda words: gives(b"new")).start()
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
@@ -61,12 +62,12 @@
         assert "reason=malformed" not in ran.log()
 
 
-def test_where_lists_are_pushed_no_request_goes_by_the_list_of_before_the_start(tmp_path):
+def test_pushed_list_replaces_the_stored_one_before_any_request(tmp_path):
     old = InstanceServer().start()
     new = InstanceServer(lambda words: gives(b"new")).start()
     discovery = DiscoveryServer().start()
     discovery.tell(entry("i0", old, "draining"), entry("i1", new), version=5)
-    settings = {"Discovery": "push", "Balancers": 200}  # so many spread their first call over 2 s
+    settings = {"Discovery": "push", "Balancers": 200}  # this many spread their first call over 2 s
     with gateway(tmp_path, old, new, entries=[entry("i0", old)], settings=settings, source=discovery) as ran:
         assert [ran.client().ask().read() for _ in range(5)] == 5 * [b"new"] and not old.got
 
@@ -77,7 +78,7 @@
 
 
 class Full(Server):
-    """Discovery with too many callers: each waits, then gets 503."""
+    """Discovery with too many callers: each gets 503."""
 
     calls = 0
 
@@ -88,15 +89,17 @@
 
 
 def driver(where="127.0.0.1:1", within=10_000):
-    """The driver of discovery at this address, where so many milliseconds are told for asking; what it tells
-    of lists and of failures."""
+    """Returns a driver of discovery at an address, and the lists and failures that it will have reported.
+
+    `within` is the setting AskWithin (ms).
+    """
     obligations = {**SETTINGS["Obligations"], "AskWithin": within}
     start = start_from_settings({**SETTINGS, "Obligations": obligations}, 7, NOW)
     config = SimpleNamespace(start=start, discovery=address(where), zones={}, kinds={})
     lists, failures = [], []
     dispatcher = SimpleNamespace(instances=SimpleNamespace(pools={}, listed=lambda *_: None))
     dispatcher.balancer = SimpleNamespace(
-        listed=lambda now, lines, whole, fresh: lists.append([row.id for row in lines]),
+        list_received=lambda now, lines, whole, fresh: lists.append([row.id for row in lines]),
         list_failed=lambda now, current: failures.append(now),
     )
     dispatcher.handle = lambda happened, *values: happened(NOW, *values)
@@ -104,32 +107,32 @@
 
 
 def watching(where):
-    """The same at work, in a thread of its own."""
+    """Returns the same, with the driver running in a thread."""
     made, lists, failures = driver(where)
     threading.Thread(target=made.run, daemon=True).start()
     made.request_list()
     return made, lists, failures
 
 
-def test_a_watch_that_fell_silent_is_opened_anew_and_tells_what_was_missed(monkeypatch):
+def test_silent_watch_is_reopened_and_reports_missed_changes(monkeypatch):
     monkeypatch.setattr(drivers, "SILENCE", 0.2)
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
     server.tell(entry("a", server), full=True, version=2)
     until(lambda: lists == [["a"]])
     server.silent.set()
-    server.tell(entry("b", server), version=3)  # missed: it reaches no watch
+    server.tell(entry("b", server), version=3)  # no watch receives this
     until(lambda: failures)
     assert made.counters.read() == {"lists told": 1, "watches ended: silent": 1}
     server.silent.clear()
-    made.request_list()  # as the balancer does in its time
+    made.request_list()  # as the balancer does after a failure
     until(lambda: lists == [["a"], ["b"]])
     assert server.asked[-1] == "/api/targets?stream=1&index=2"
     server.close()
 
 
-def test_a_watch_on_which_nothing_has_changed_shows_that_the_list_is_current():
-    """Else a balancer whose watch broke once would hold its list for old until the next change."""
+def test_watch_without_changes_shows_that_the_list_is_current():
+    """Otherwise a balancer whose watch broke would take its list as old until the next change."""
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
     until(lambda: lists == [[]])
@@ -137,7 +140,7 @@
     server.close()
 
 
-def test_half_a_list_and_then_signs_of_life_alone_count_as_silence(monkeypatch):
+def test_half_a_list_followed_by_blank_lines_counts_as_silence(monkeypatch):
     monkeypatch.setattr(drivers, "SILENCE", 0.2)
 
     class Half(Server):
@@ -156,7 +159,7 @@
 
 
 def pauses(kept, crowded, count=12):
-    """The pauses, in seconds, after so many failures in a row, each as long as chance may make it."""
+    """Returns the pauses (seconds) after this many failures in a row, each with the longest random part."""
     kept.random.uniform = lambda least, most: most
     waited = []
     kept.condition.wait_for = lambda moving, seconds: waited.append(seconds)
@@ -165,8 +168,8 @@
     return waited
 
 
-def asks_anew():
-    """Seconds until a balancer that was told of a failure asks for the list at the latest."""
+def longest_list_call_delay():
+    """Returns the longest time (seconds) until a balancer calls for the list again after a failure."""
     latest = 0
     for seed in range(100):
         made, dispatcher = balancer([line(1)], ask_for_list=True, seed=seed), Dispatcher()
@@ -177,32 +180,37 @@
     return latest / 1e9
 
 
-def test_what_a_silent_watch_missed_is_asked_for_within_six_seconds():
+def test_list_is_called_for_within_six_seconds_of_silence():
     made, *_ = driver()
-    made.connection.reset_pause()  # it had told a list before
-    assert drivers.SILENCE + pauses(made.connection, False)[0] + asks_anew() < 5.7  # the rest is for the way
+    made.connection.reset_pause()  # it had received a list before
+    assert (
+        drivers.SILENCE + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
+    )  # the rest is left for the network
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
-def test_a_list_in_hand_binds_no_longer_than_told_before_it_is_asked_for(within):
-    """Milliseconds told for asking: four times that from a call that failed, after two seconds at most; and
-    from the start until the first call."""
+def test_list_calls_keep_within_the_setting(within):
+    """`within` is the setting AskWithin (ms).
+
+    After a failed call, which takes two seconds at most, the next must come within four times that. The first
+    call must come within it after the start.
+    """
     made, *_ = driver(within=within)
     longest = max(pauses(made.connection, True) + pauses(made.connection, False))
-    assert 2.0 + longest + asks_anew() <= 4 * within / 1e3
+    assert 2.0 + longest + longest_list_call_delay() <= 4 * within / 1e3
     rules = dict(now=NOW, balancers=200, ask_for_list=True, max_list_call_gap=within * MS)
     firsts = [Balancer(at.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
     assert max(firsts) <= NOW + within * MS // 2 and len(set(firsts)) > 100
 
 
-def test_after_sighup_the_new_address_is_asked_at_once_though_the_old_one_had_too_many_callers():
+def test_new_discovery_address_is_called_at_once_after_sighup():
     full, server = Full().start(), DiscoveryServer().start()
     made, lists, _ = watching(full.address)
     server.tell(entry("a", server), full=True, version=2)
     made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
     made.move(address(server.address))
-    until(lambda: lists == [["a"]], 4)  # what is told there counts from then on
+    until(lambda: lists == [["a"]], 4)  # its reports count from then on
     for one in (full, server):
         one.close()
 
@@ -212,7 +220,7 @@
 
 @pytest.fixture
 def ended():
-    """A client's connection that was asked to end just before what is on it was read: ours, theirs."""
+    """A client's connection that is to end just before its data is read; yields our side and the client's."""
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as theirs:
         theirs.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -248,14 +256,14 @@
 
 
 @pytest.mark.parametrize("cut", [len(COMMAND), 9])
-def test_what_was_read_when_its_connection_was_to_end_gets_its_whole_answer(ended, cut):
+def test_request_read_before_the_end_gets_its_whole_answer(ended, cut):
     client, theirs = ended
     theirs.sendall(COMMAND[:cut])
     until(lambda: len(client.sock.recv(99, socket.MSG_PEEK)) == cut)
     client.leave("stopping")
     thread = threading.Thread(target=client.run, daemon=True)
     thread.start()
-    if COMMAND[cut:]:  # the other half comes once the first is read
+    if COMMAND[cut:]:  # the other half is sent once the first is read
         until(lambda: not client.reader.empty())
         theirs.sendall(COMMAND[cut:])
     until(lambda: client.writing or not thread.is_alive())
@@ -264,12 +272,12 @@
     assert client.reason == "stopping"
 
 
-def test_each_request_that_clients_go_on_sending_after_sigterm_is_answered_or_was_never_read(tmp_path):
+def test_requests_after_sigterm_are_answered_or_never_read(tmp_path):
     server = InstanceServer().start()
     asked, answered = set(), set()
 
     def go_on(number):
-        with contextlib.suppress(OSError):  # until none is let in any more
+        with contextlib.suppress(OSError):  # until no connection is accepted any more
             while True:
                 client = clients.Client(ran.port)
                 with contextlib.suppress(OSError), client.sock:
@@ -280,7 +288,7 @@
                         answered.add(key)
 
     with gateway(tmp_path, server) as ran:
-        until(lambda: ran.platform.asked == 1)  # that it has started in full
+        until(lambda: ran.platform.asked == 1)  # it has started completely
         threads = [threading.Thread(target=go_on, args=(number,), daemon=True) for number in range(6)]
         for thread in threads:
             thread.start()
@@ -289,11 +297,13 @@
         assert ran.process.wait(60) == 0
         for thread in threads:
             thread.join(60)
-        assert {words[1] for words in server.got} == answered  # what was read is answered
-        assert len(asked) >= len(answered) + 6  # what each asked last met a closing, or nobody
+        assert {words[1] for words in server.got} == answered  # each request that was read was answered
+        assert (
+            len(asked) >= len(answered) + 6
+        )  # the last request of each thread met a closing connection or none
 
 
-# ---- what a cold instance gets of all gateways together
+# ---- the load of a cold instance from all gateways
 
 FLEET = """
 kinds: {fast: {cores: 3, slots: 70}, slow: {cores: 3, speed: 0.6, slots: 70}}
@@ -324,7 +334,7 @@
 
 
 @pytest.mark.parametrize("died, came_back", [(None, None), (2.4, 3.4)])
-def test_no_cold_instance_gets_more_of_all_gateways_together_than_it_bears(died, came_back, fleet_of):
+def test_cold_instances_get_no_more_than_they_can_bear(died, came_back, fleet_of):
     """A third of the instances come back cold after 3 s; seven in ten of 150 gateways die and come back."""
     day = Day(fleet_of(), 5, length=6)
     day.lose("two", S, 3 * S, gateways=False)
@@ -332,12 +342,12 @@
         dead = day.random.sample(range(150), 105)
         day.at(int(died * S), day.kill, dead)
         day.at(int(came_back * S), day.revive, dead)
-    day.played_out()
-    assert len(day.sent) == 7 and sum(map(len, day.sent.values())) > 70  # they do get some
-    assert day.pressed() < 1
+    day.run_to_end()
+    assert len(day.sent) == 7 and sum(map(len, day.sent.values())) > 70  # they do get requests
+    assert day.cold_overload() < 1
 
 
-# ---- what each request class and tenant gets of what a policy serves that sees the true state late
+# ---- the share of each request class and tenant, compared with the reference policy
 
 CROWD = """
 kinds: {fast: {cores: 3, slots: 70}, slow: {cores: 3, speed: 0.6, slots: 70}}
@@ -357,8 +367,7 @@
 
 
 def crowd(starved=None):
-    """A fleet that its usual load fills; one request class has a twentieth of the requests, a fifth of the
-    revenue."""
+    """Returns a fleet at full load; the starved class has 1/20 of the requests, at 1/5 of the revenue."""
     shares = {
         request_class: 0.05 if request_class == starved else 0.95 / 3 if starved else 0.25
         for request_class in WORK
@@ -374,46 +383,52 @@
 
 @pytest.fixture(scope="module", params=WORK)
 def starved(request, tmp_path_factory):
-    """Which request class is starved; a long day with bursts as the balancers and as the late-seeing policy
-    serve it. The last tenant makes up most of the load and is far past its share."""
+    """The number of the starved class, and long runs with bursts of the balancers and the reference policy.
+
+    The last tenant makes up most of the load and is far above its share.
+    """
     (path := tmp_path_factory.mktemp("fleet") / "fleet.cue").write_text(crowd(request.param))
     rules = dict(length=24, burst=1.3, weights=(0.05, 0.05, 0.2, 0.7))
-    days = [Day(fleet.read(path), 2, late=late, **rules).played_out() for late in (False, True)]
+    days = [Day(fleet.read(path), 2, late=late, **rules).run_to_end() for late in (False, True)]
     return list(WORK).index(request.param), *days
 
 
-def test_the_request_class_of_least_revenue_and_all_others_get_their_half_in_each_third_of_a_long_day(
+def test_each_class_gets_half_of_what_the_reference_policy_serves(
     starved,
 ):
-    number, ours, seer = starved
+    number, ours, reference = starved
     for third in (None, 0, 1, 2):
         for request_classes in (None, *range(4)):
             assert (
                 ours.share("class", request_classes, third)
-                >= 0.5 * seer.share("class", request_classes, third)
+                >= 0.5 * reference.share("class", request_classes, third)
                 > 0.15
             )
-    assert 0.03 < sum(seer.asked["class", number, n] for n in range(3)) / sum(seer.asked.values()) * 2 < 0.07
+    assert (
+        0.03
+        < sum(reference.asked["class", number, n] for n in range(3)) / sum(reference.asked.values()) * 2
+        < 0.07
+    )
 
 
-def test_each_tenant_inside_its_share_gets_its_third_while_another_floods(starved):
-    _, ours, seer = starved
+def test_tenants_within_their_share_get_a_third_during_a_flood(starved):
+    _, ours, reference = starved
     for tenant in range(3):
-        assert ours.share("tenant", tenant) >= seer.share("tenant", tenant) / 3 > 0.1
+        assert ours.share("tenant", tenant) >= reference.share("tenant", tenant) / 3 > 0.1
 
 
 def calm(folder, load, seed):
-    """60 gateways at so much of what their instances bear, with bursts of half as much again."""
+    """Runs 60 gateways at this share of their instances' capacity, with bursts of 1.5 times that."""
     rate = load * 6 * (3 + 3 * 0.6) / sum(0.25 * work for work in WORK.values())
     each = "{" + ", ".join(f"{name}: {rate / 4:.2f}" for name in WORK) + "}"
     larger = "gateways: 30, instances: {fast: 6, slow: 6}"
     text = CROWD.replace("gateways: 12, instances: {fast: 2, slow: 2}", larger).replace("LOAD", each)
     (folder / "fleet.cue").write_text(text)
-    return Day(fleet.read(folder / "fleet.cue"), seed, length=24, burst=1.5).played_out()
+    return Day(fleet.read(folder / "fleet.cue"), seed, length=24, burst=1.5).run_to_end()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_on_a_calm_day_at_most_one_gateway_in_ten_rejects_all_that_it_gets_for_four_seconds(tmp_path, seed):
+def test_few_gateways_reject_everything_at_moderate_load(tmp_path, seed):
     day = calm(tmp_path, 2 / 3, seed)
     assert sum(map(len, day.decided.values())) > 5000 and day.rejects_all() <= 6
 
@@ -429,7 +444,7 @@
 
 
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
-def test_however_little_a_request_class_earns_it_is_let_in_half_as_often_as_the_mean(pace):
+def test_class_of_least_revenue_is_let_in_half_as_often_as_average(pace):
     request_classes = [
         at.RequestClass(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))
     ]
@@ -440,13 +455,13 @@
     assert let_in[0] >= 0.48 * let_in[1] and let_in[0] < let_in[1] < let_in[2]
 
 
-# ---- what was never sent on, and new connections that end in vain
+# ---- requests that were never sent, and new connections closed without an answer
 
 
 @pytest.mark.parametrize("effect", [at.IDEMPOTENT, at.DEDUPLICATED, at.NON_IDEMPOTENT])
 @pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
-def test_what_no_instance_was_sent_is_refused_never_failed(effect, ends):
-    on, dispatcher = request_class(effect=effect, group="zone"), Dispatcher()
+def test_requests_that_were_not_sent_are_rejected_not_aborted(effect, ends):
+    on, dispatcher = request_class(effect=effect, repeat_scope="zone"), Dispatcher()
     made = balancer([line(1)], request_classes=[on])
     asked = request(on=on)
     for end in ends:
@@ -456,7 +471,7 @@
 
 
 @pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
-def test_the_gateway_counts_what_it_answers_as_failed_and_never_sent(ends, counted):
+def test_gateway_counts_aborted_requests_that_were_not_sent(ends, counted):
     made = DispatcherOfGateway(
         at.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
@@ -477,18 +492,18 @@
         (COMMAND, False, "client closed", 0),
     ],
 )
-def test_the_gateway_counts_new_connections_that_it_ends_in_vain(ended, data, answered, reason, counted):
+def test_gateway_counts_connections_closed_without_an_answer(ended, data, answered, reason, counted):
     client, theirs = ended
     theirs.sendall(data)
     if data:
-        client.sock.recv(1, socket.MSG_PEEK)  # it has come
+        client.sock.recv(1, socket.MSG_PEEK)  # wait for the data
     client.answered = answered
     client.close(reason)
     assert client.server.counters.read().get("new connections ended in vain", 0) == counted
 
 
-def test_of_many_new_connections_at_the_bound_under_one_in_200_ends_in_vain(tmp_path):
-    """Clients that come anew for each request, a third more than there are places."""
+def test_few_connections_at_the_limit_end_without_an_answer(tmp_path):
+    """Clients open a connection for each request, a third more at once than the gateway accepts."""
     answers, each = Counter(), 50
 
     def come(number):
@@ -510,17 +525,17 @@
         assert sum(answers.values()) - answers["none"] >= 0.995 * 24 * each
 
 
-# ---- in step with the bench
+# ---- limits of the benchmark environment
 
 
-def test_a_gateway_is_one_process_with_ipv4_sockets_alone(tmp_path):
-    """What the bench leads: other programs, Unix sockets and IPv6 are refused there."""
+def test_gateway_is_one_process_with_ipv4_sockets_only(tmp_path):
+    """The bench refuses other programs, Unix sockets and IPv6."""
     root = pathlib.Path(__file__).parent.parent
     run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
     assert re.fullmatch(r"trap '' HUP USR1; (\w+=\S+ )*exec \.venv/bin/python -m lemonlead\.gateway", run)
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
-        assert client.ask().read() == b"aa"  # connections of all kinds stand
+        assert client.ask().read() == b"aa"  # connections of all kinds are open
         until(lambda: ran.platform.asked and ran.discovery.asked)
         proc = pathlib.Path("/proc")
         parents = [path.read_text().rsplit(")", 1)[1].split()[1] for path in proc.glob("[0-9]*/stat")]
