--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -37,7 +37,9 @@
         relays.append((relay, where["region"], where["address"]))
     scopes = dict.fromkeys((ALL_GATEWAYS, *settings["scopes"]))
     if len(scopes) <= len(settings["scopes"]):
-        raise Unusable("distribution.scopes: one twice, or '', which each gateway has; expected each once")
+        raise Unusable(
+            "distribution.scopes: a scope twice, or '', which every gateway has; expected each once"
+        )
     try:
         seed = int.from_bytes(os.urandom(8), "big")  # random, so that no subscription id is used twice
         return Subscriber(settings.get("name", name), settings["region"], scopes, relays, seed)
@@ -240,7 +242,7 @@
 
     def __init__(self, config, settings, follow, dispatcher, log, counters):
         if follow is not None:
-            raise Unusable("follow and distribution: both tell of one ledger; expected one of them")
+            raise Unusable("follow and distribution: both provide the ledger's state; expected one of them")
         self.listing, self.dispatcher = InstanceRecords(dispatcher, config.start.cold_time), dispatcher
         self.wait = settings["wait"] / 1e9
         super().__init__(subscriber_from_settings(settings, config.name), self.listing.put, log, counters)
--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -67,11 +67,13 @@
         or not 0 < len(response.cluster_id) <= 100
         or response.at < 0
     ):
-        raise Unreadable("neither events nor whole, both, or of no cluster")
+        raise Unreadable("the response has neither events nor whole, has both, or names no cluster")
     last = after
     for event in response.events or ():
         if not last < event.index <= response.at:
-            raise Unreadable(f"an event of entry {event.index} after {last} in an answer up to {response.at}")
+            raise Unreadable(
+                f"an event of entry {event.index} after {last} in a response up to {response.at}"
+            )
         last = event.index
     return response
 
@@ -157,7 +159,7 @@
             async for some in answer.content.iter_any():
                 body += some
                 if len(body) > MAX_BODY_BYTES:
-                    raise Unreadable(f"an answer of more than {MAX_BODY_BYTES} bytes")
+                    raise Unreadable(f"a response of more than {MAX_BODY_BYTES} bytes")
             status, check = answer.status, answer.headers.get("X-CRC32")
         if status != 200:
             self.polling.failed(time.monotonic_ns(), retry_pause(body))
@@ -181,9 +183,8 @@
             relay.replace(response.cluster_id, response.at, state)
             return self.polling.state_applied(response.at)
         for event in response.events:
-            if (
-                event.index > relay.store.index
-            ):  # else it was applied before a later event of the same response failed
+            # An earlier event may have been applied before a later one of the same response failed.
+            if event.index > relay.store.index:
                 relay.apply(event.index, entry_changes(event))
         self.polling.state_applied(response.at)
 
--- a/lemonlead/distribution/records.py
+++ b/lemonlead/distribution/records.py
@@ -101,7 +101,7 @@
     try:
         line = LINE_DECODER.decode(data)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        raise Unreadable(f"no line: {str(error)[:200]}") from None
+        raise Unreadable(f"not a line: {str(error)[:200]}") from None
     if line.check is not None:
         tail = CHECK_TAIL.search(data)
         start = data.rfind(b',"check":')
@@ -114,7 +114,7 @@
     """Returns the scope name, checked."""
     if type(scope) is not str or scope and not NAME.fullmatch(scope):
         raise fault(
-            f"{where}: scope {describe_value(scope)}; expected a name of 1 to 100 characters, or '' for all's"
+            f"{where}: scope {describe_value(scope)}; expected a name of 1 to 100 characters, or '' for the scope of all gateways"
         )
     return scope
 
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -46,10 +46,12 @@
 
 
 def json_response(status, body):
+    """Returns a response with a JSON body."""
     return web.Response(status=status, body=ENCODE(body), content_type="application/json")
 
 
 def error_response(status, error, **more):
+    """Returns a response that describes an error."""
     return json_response(status, {"error": error.read(), **more})
 
 
@@ -64,6 +66,7 @@
         self.transport, self.changed, self.ended = transport, asyncio.Event(), False
 
     def end(self):
+        """Ends the stream and its connection."""
         self.ended = True
         self.changed.set()
         if not self.transport.is_closing():
@@ -86,9 +89,8 @@
         )
         self.counts.update(bytes=0, stirred=0, connections_closed=0)
         self.tasks, self.runner, self.server, self.was_cut_off = [], None, None, False
-        self.failed = (
-            asyncio.get_running_loop().create_future()
-        )  # gets the exception of a task that ended unexpectedly
+        # Gets the exception of a task that ended unexpectedly.
+        self.failed = asyncio.get_running_loop().create_future()
         self.app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self.error_middleware])
         self.app.add_routes(
             [
@@ -136,10 +138,12 @@
             await self.runner.cleanup()
 
     def task_ended(self, task):
+        """Makes the relay fail when one of its tasks ends unexpectedly."""
         if not task.cancelled() and not self.failed.done():
             self.failed.set_exception(task.exception() or RuntimeError("the source has ended"))
 
     def new_connection(self):
+        """Returns the protocol of a new connection, which rejects it beyond the limit."""
         if len(self.runner.server.connections) < self.max_connections:
             return self.runner.server()
         return RejectedConnection(self)
@@ -160,6 +164,7 @@
             self.was_cut_off = cut_off
 
     def end_streams(self):
+        """Ends all streams, so that gateways go to another relay."""
         for stream in list(self.streams.values()):
             stream.end()
 
@@ -266,9 +271,8 @@
         for scope in scopes:
             self.streams_by_scope.setdefault(scope, set()).add(stream)
         self.counts["subscribed"] += 1
-        transport.set_write_buffer_limits(
-            0
-        )  # wait until all bytes have left the process before the next line
+        # The next line is written only after all bytes of this one have left the process.
+        transport.set_write_buffer_limits(0)
         return stream
 
     def close_stream(self, stream):
--- a/lemonlead/distribution/subscriber.py
+++ b/lemonlead/distribution/subscriber.py
@@ -183,7 +183,7 @@
         index, before = self.replaced[scope, key]
         if before is None:
             held.pop(key, None)
-        else:  # another cluster's index reason nothing here
+        else:  # an index of another cluster can't be compared
             held[key] = before[0] if before[0] < index else 0, before[1]
         self.dropped_at[scope][key] = index
         self.refused[scope, key] = index, str(reason)[:MAX_REASON_LENGTH]
@@ -251,6 +251,7 @@
     # ---- relays
 
     def subscribe(self, now):
+        """Starts a new subscription at the next relay of the round and returns its request."""
         if not self.relays_to_try:
             near = [relay for relay in self.relays if relay[1] == self.region]
             far = [relay for relay in self.relays if relay[1] != self.region]
@@ -288,6 +289,7 @@
         return self.random.randint(length // 10, length)
 
     def line_received(self, now):
+        """Records the time of a whole line."""
         self.last_line_at = now
         if self.first_line_at is None:
             self.first_line_at = now
@@ -295,6 +297,7 @@
     # ---- acknowledging
 
     def next_acknowledgement_at(self):
+        """Returns the time from which an acknowledgement is due."""
         return max(self.acknowledge_not_before, self.heartbeat_at if not self.to_acknowledge else 0)
 
     def acknowledge(self, now):
@@ -437,9 +440,8 @@
         for key, sent_by in early.items():
             if key in held and held[key][0] > index:
                 self.ahead[scope][key] = sent_by
-            elif (
-                key in held and sent_by != self.subscription_count
-            ):  # removed since: otherwise this stream would have sent it
+            elif key in held and sent_by != self.subscription_count:
+                # Removed since: otherwise this stream would have sent it.
                 self.put_in_force(changes, scope, key, index, None)
         if self.complete[scope] < index:
             self.complete[scope] = index
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -28,7 +28,7 @@
     when they are invalid."""
     gateway, members = settings.get("name", name), settings["members"]
     if not NAME.fullmatch(gateway):
-        raise Unusable(f"{gateway!r} can be no name in the ledger")
+        raise Unusable(f"{gateway!r} is no valid name in the ledger")
     if not members:
         raise Unusable("follow.members is empty")
     for member, where in members.items():
@@ -38,7 +38,7 @@
             if not port:
                 raise ValueError
         except (OSError, ValueError):
-            raise Unusable(f"member {member} is at {where!r}, which is no IPv4 address and port") from None
+            raise Unusable(f"member {member} is at {where!r}; expected an IPv4 address and a port") from None
     return gateway, members
 
 
--- a/lemonlead/following/ledger_polling.py
+++ b/lemonlead/following/ledger_polling.py
@@ -47,9 +47,8 @@
         """`process_id` must differ between processes, so that command ids are never used twice. `members`
         maps member names to addresses. `more` names parts of the state that are requested beside STATE_PARTS.
         `service` is the service on whose moves the gateway votes, if any."""
-        self.follow_fields = (
-            {"services": [service]} if service else {}
-        )  # further fields of the follow command
+        # Further fields of the follow command.
+        self.follow_fields = {"services": [service]} if service else {}
         self.gateway, self.process_id, self.members = gateway, process_id, dict(members)
         self.random = random.Random(seed)
         self.order = sorted(members)
--- a/lemonlead/following/responses.py
+++ b/lemonlead/following/responses.py
@@ -75,7 +75,7 @@
         if any(type(text) is not str for text in texts) or any(type(one) is not int for one in numbers):
             raise Unreadable(f"no move: {key}"[:100])
         if not 0 <= value["share"] <= 1000:
-            raise Unreadable(f"a move's share: {value['share']}"[:100])
+            raise Unreadable(f"a move's share is {value['share']}"[:100])
     return part, key, value
 
 
@@ -89,11 +89,11 @@
     at, changes, last = parse_whole_number(response, "at"), [], after
     for event in response["events"] if type(response["events"]) is list else (None,):
         if type(event) is not dict:
-            raise Unreadable("an event that is none")
+            raise Unreadable("an event that is no object")
         last = parse_whole_number(event, "index", last + 1)
         changes += parse_changes(event.get("changes"), parts)
     if last > max(at, after):
-        raise Unreadable(f"an event of entry {last} in an answer up to {at}")
+        raise Unreadable(f"an event of entry {last} in a response up to {at}")
     return LedgerUpdate(at, changes, ledger_time=ledger_time(response), cluster=cluster_id(response))
 
 
@@ -103,7 +103,7 @@
         raise Unreadable("an event without changes")
     for one in changes:
         if type(one) is not dict or type(one.get("part")) is not str:
-            raise Unreadable("a change that is none")
+            raise Unreadable("a change that is no object")
         if one["part"] in parts:
             yield check_record(one["part"], one.get("key"), one.get("record"))
 
@@ -112,7 +112,7 @@
     """Returns a LedgerUpdate with all records of a part."""
     items = response.get("items")
     if type(items) is not dict or len(items) > MAX_RECORDS or None in items.values():
-        raise Unreadable("items that are none, or too many")
+        raise Unreadable("items that are no object, or too many")
     changes = [check_record(part, key, value) for key, value in items.items()]
     return LedgerUpdate(
         parse_whole_number(response, "at"), changes, (part,), ledger_time(response), cluster_id(response)
