--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -1,5 +1,6 @@
-"""What a drain may not break, reckoned from the state: a gang, a group's quorum, what a site promises, a
-site's share. Each function takes anything with parts (a State or a Draft)."""
+"""The constraints of drains, computed from the state: gangs, the quorum of a group, what is promised at a
+site, and the share of a site that may be away. Each function takes anything that has parts: a State or the
+transaction of a command."""
 
 from dataclasses import dataclass
 
@@ -10,97 +11,114 @@
 
 
 @dataclass(slots=True)
-class Sums:
-    """Of one site. `bears`: what its nodes that are up bear now; `warm`: once all of them are warm;
-    `need`: all that is promised there, wherever its nodes are; `away`: nodes that are not up; `permitted`:
-    those among them that a drain has away and that have not failed; `warm_at`: the ledger moment at which
-    the next cold one is warm, 0 where none is cold."""
+class SiteSums:
+    """Sums over the nodes of one site. `capacity`: units that its nodes that are up bear now;
+    `warm_capacity`: units that they bear once all of them are warm; `required`: units promised there, on
+    nodes that are up or not; `away`: number of nodes that are not up; `permitted`: those among them that a
+    drain has sent away and that have not failed; `warm_at`: ledger time at which the next cold node is warm,
+    0 if none is cold."""
 
     nodes: int = 0
-    bears: int = 0
-    warm: int = 0
-    need: int = 0
+    capacity: int = 0
+    warm_capacity: int = 0
+    required: int = 0
     away: int = 0
     permitted: int = 0
     warm_at: int = 0
 
-    def most_away(self, terms):
+    def max_away(self, terms):
         return max(1, int(terms.site_share * self.nodes))
 
 
-def sums(held, moment, only=None):
-    """Site to its Sums; `only`: these sites."""
-    loads, gangs, permits, terms = held.part("loads"), held.part("gangs"), held.part("permits"), held.terms
-    found = {}
-    for name, node in held.part("nodes").items():
+def sum_sites(state, moment, only=None):
+    """Returns a dict from site to its SiteSums at this ledger time. `only`: the sites to look at."""
+    loads, gangs, permits, terms = (
+        state.part("loads"),
+        state.part("gangs"),
+        state.part("permits"),
+        state.terms,
+    )
+    sums = {}
+    for name, node in state.part("nodes").items():
         if only is not None and node.site not in only:
             continue
-        of = found.get(node.site)
-        if of is None:
-            of = found[node.site] = Sums()
-            of.need = held.part("sites").get(node.site, NO_SITE).promised
-        of.nodes += 1
+        site = sums.get(node.site)
+        if site is None:
+            site = sums[node.site] = SiteSums()
+            site.required = state.part("sites").get(node.site, NO_SITE).promised
+        site.nodes += 1
         load = loads.get(name)
         if load is not None:
-            of.need += load.units
+            site.required += load.units
         if up(node):
-            of.bears += bears(node, moment, terms)
-            of.warm += node.units
+            site.capacity += bears(node, moment, terms)
+            site.warm_capacity += node.units
             if node.warm > moment:
-                of.warm_at = min(of.warm_at or node.warm, node.warm)
+                site.warm_at = min(site.warm_at or node.warm, node.warm)
             continue
-        of.away += 1
-        of.permitted += node.state != FAILED and name in permits
+        site.away += 1
+        site.permitted += node.state != FAILED and name in permits
         if load is not None and not node.out:
-            of.need -= sum(gangs[gang].units for gang in load.gangs)  # a lost gang is borne nowhere
-    return found
+            # A gang on a node that went down by itself is lost and needs no units anywhere.
+            site.required -= sum(gangs[gang].units for gang in load.gangs)
+    return sums
 
 
-def caught_up(held, group):
-    """How many of its replicas serve, are caught up, and are away for no drain."""
-    nodes = held.part("nodes")
+def caught_up(state, group):
+    """Returns how many replicas of the group serve, are caught up, and are not sent away by a drain."""
+    nodes = state.part("nodes")
     return sum(nodes[name].state == SERVING and not nodes[name].out for name in group.nodes)
 
 
-def objections(held, moment, names, found=None):
-    """Why these nodes may not go away together now: faults; none where they may. Nodes that are away
-    already cost nothing more, but what holds must hold with them. `found`: `sums`, where known."""
-    nodes, loads = held.part("nodes"), held.part("loads")
+def find_violations(state, moment, names, sums=None):
+    """Returns the faults for which these nodes may not go away together now; an empty list if they may.
+    Nodes that are away already cost nothing more, but the constraints must hold with them. `sums`: the
+    result of `sum_sites`, where it is known."""
+    nodes, loads = state.part("nodes"), state.part("loads")
     live = [name for name in names if up(nodes[name])]
-    touched = {nodes[name].site for name in names}
-    if found is None:
-        found = sums(held, moment, touched)
+    sites = {nodes[name].site for name in names}
+    if sums is None:
+        sums = sum_sites(state, moment, sites)
     return [
-        *gang_objections(held, names),
-        *group_objections(held, {g for n in names for g in loads.get(n, NO_LOAD).groups}, set(live)),
-        *site_objections(held, moment, touched, live, found),
+        *gang_violations(state, names),
+        *group_violations(
+            state, {group for node in names for group in loads.get(node, NO_LOAD).groups}, set(live)
+        ),
+        *site_violations(state, moment, sites, live, sums),
     ]
 
 
-def gang_objections(held, names):
-    loads, nodes = held.part("loads"), held.part("nodes")
+def gang_violations(state, names):
+    loads, nodes = state.part("loads"), state.part("nodes")
     for name in names:
         if up(nodes[name]) and loads.get(name, NO_LOAD).gangs:
             yield GangRuns(f"gang {loads[name].gangs[0]} runs on node {name}")
 
 
-def group_objections(held, groups, going):
-    nodes, rows = held.part("nodes"), held.part("groups")
-    for name in sorted(groups):
-        group = rows[name]
-        left = caught_up(held, group) - sum(n in going and nodes[n].state == SERVING for n in group.nodes)
+def group_violations(state, group_names, going):
+    nodes, groups = state.part("nodes"), state.part("groups")
+    for name in sorted(group_names):
+        group = groups[name]
+        left = caught_up(state, group) - sum(
+            node in going and nodes[node].state == SERVING for node in group.nodes
+        )
         if left < group.quorum:
             yield GroupShort(f"group {name} would have {left} caught up, {group.quorum} are its quorum")
 
 
-def site_objections(held, moment, touched, going, found):
-    nodes, by_site = held.part("nodes"), {}
+def site_violations(state, moment, sites, going, sums):
+    nodes, going_by_site = state.part("nodes"), {}
     for name in going:
-        by_site.setdefault(nodes[name].site, []).append(name)
-    for site in sorted(touched):
-        of, here = found[site], by_site.get(site, ())
-        left = of.bears - sum(bears(nodes[name], moment, held.terms) for name in here)
-        if left < of.need:
-            yield SiteShort(f"site {site} would bear {left} units, {of.need} are promised")
-        if of.away + len(here) > of.most_away(held.terms) and of.permitted + len(here) > 1:
-            yield SiteShareTaken(f"site {site} would have {of.away + len(here)} of {of.nodes} nodes away")
+        going_by_site.setdefault(nodes[name].site, []).append(name)
+    for site in sorted(sites):
+        site_sums, here = sums[site], going_by_site.get(site, ())
+        left = site_sums.capacity - sum(bears(nodes[name], moment, state.terms) for name in here)
+        if left < site_sums.required:
+            yield SiteShort(f"site {site} would bear {left} units, {site_sums.required} are promised")
+        if (
+            site_sums.away + len(here) > site_sums.max_away(state.terms)
+            and site_sums.permitted + len(here) > 1
+        ):
+            yield SiteShareTaken(
+                f"site {site} would have {site_sums.away + len(here)} of {site_sums.nodes} nodes away"
+            )
--- a/lemonlead/drains/feasibility.py
+++ b/lemonlead/drains/feasibility.py
@@ -1,87 +1,90 @@
-"""What a drain can never do, found before it begins: structure alone (all nodes healed, up and warm), so
-that whatever passes can be done one node at a time, and what only stands in the way now is waited for."""
+"""Finds what makes a drain impossible before it starts. Only the structure counts, as if all nodes were
+repaired, up and warm: a drain that passes can be done one node at a time, and anything that only stands in
+the way now is waited for."""
 
 from ..ledger.capacity import up
 from .constraints import NO_LOAD, NO_SITE
 from .faults import DeadlinePassed, GangEndsLate, GroupNeedsAll, SeveralInTheWay, SiteNeedsAll
 
-MOST_TOLD = 5  # findings, and names in one
+MAX_LISTED = 5  # faults in one message, and names in one fault
 
 
-def named(names):
-    """Some of them, in words."""
+def list_names(names):
+    """Returns the first names in order as text, and how many more there are."""
     names = sorted(names)
-    more = f" and {len(names) - MOST_TOLD} more" if len(names) > MOST_TOLD else ""
-    return ", ".join(names[:MOST_TOLD]) + more
+    more = f" and {len(names) - MAX_LISTED} more" if len(names) > MAX_LISTED else ""
+    return ", ".join(names[:MAX_LISTED]) + more
 
 
-def findings(held, names, deadline_ms, wall_ms):
-    """Faults, each with the nodes or the gang it is about and the smallest change that would help."""
+def find_faults(state, names, deadline_ms, wall_ms):
+    """Yields faults, each with the nodes or the gang concerned and the smallest change that would help."""
     if deadline_ms and deadline_ms <= wall_ms:
         yield DeadlinePassed(f"the deadline {deadline_ms} is past: it is {wall_ms}")
-    chosen = {name for name in names if up(held.part("nodes")[name])}  # what is down costs nothing more
-    yield from groups(held, chosen)
-    yield from sites(held, chosen)
+    live = {name for name in names if up(state.part("nodes")[name])}  # a node that is down costs nothing more
+    yield from group_faults(state, live)
+    yield from site_faults(state, live)
     if deadline_ms:
-        yield from gangs(held, chosen, deadline_ms)
+        yield from gang_faults(state, live, deadline_ms)
 
 
-def groups(held, chosen):
-    loads, rows = held.part("loads"), held.part("groups")
-    for name in sorted({group for node in chosen for group in loads.get(node, NO_LOAD).groups}):
-        group = rows[name]
+def group_faults(state, live):
+    loads, groups = state.part("loads"), state.part("groups")
+    for name in sorted({group for node in live for group in loads.get(node, NO_LOAD).groups}):
+        group = groups[name]
         if len(group.nodes) - 1 < group.quorum:
             yield GroupNeedsAll(
-                f"group {name} needs all of its {len(group.nodes)} nodes: {named(chosen & set(group.nodes))}",
+                f"group {name} needs all of its {len(group.nodes)} nodes: "
+                f"{list_names(live & set(group.nodes))}",
                 f"lower the quorum of group {name} to {len(group.nodes) - 1}"
                 if len(group.nodes) > 1
                 else f"give group {name} one node more",
             )
 
 
-def sites(held, chosen):
-    nodes, loads, units, need, drained = held.part("nodes"), held.part("loads"), {}, {}, {}
+def site_faults(state, live):
+    nodes, loads, units, required, drained = state.part("nodes"), state.part("loads"), {}, {}, {}
     for name, node in nodes.items():
         units[node.site] = units.get(node.site, 0) + node.units
-        load = loads.get(name, NO_LOAD)  # gangs end: what they hold is waited for
-        held_here = load.units - sum(held.part("gangs")[gang].units for gang in load.gangs)
-        need[node.site] = need.get(node.site, 0) + held_here
-        if name in chosen:
+        load = loads.get(name, NO_LOAD)
+        # Gangs end, so what they hold is waited for and does not count here.
+        required_here = load.units - sum(state.part("gangs")[gang].units for gang in load.gangs)
+        required[node.site] = required.get(node.site, 0) + required_here
+        if name in live:
             drained.setdefault(node.site, []).append(name)
     for site, here in sorted(drained.items()):
-        spare = units[site] - need[site] - held.part("sites").get(site, NO_SITE).promised
-        stay = [name for name in here if nodes[name].units > spare]
-        if stay:
-            short = max(nodes[name].units for name in stay) - spare
+        spare = units[site] - required[site] - state.part("sites").get(site, NO_SITE).promised
+        needed = [name for name in here if nodes[name].units > spare]
+        if needed:
+            short = max(nodes[name].units for name in needed) - spare
             yield SiteNeedsAll(
-                f"site {site} has {max(spare, 0)} units to spare, too few to miss {named(stay)}",
+                f"site {site} has {max(spare, 0)} units to spare, too few to miss {list_names(needed)}",
                 f"free {short} units at site {site}, or add nodes of {short} units there",
             )
 
 
-def gangs(held, chosen, deadline_ms):
-    loads, rows = held.part("loads"), held.part("gangs")
-    for name in sorted({gang for node in chosen for gang in loads.get(node, NO_LOAD).gangs}):
-        gang = rows[name]
+def gang_faults(state, live, deadline_ms):
+    loads, gangs = state.part("loads"), state.part("gangs")
+    for name in sorted({gang for node in live for gang in loads.get(node, NO_LOAD).gangs}):
+        gang = gangs[name]
         if gang.ends_ms > deadline_ms:
-            here = named(chosen & set(gang.nodes))
+            here = list_names(live & set(gang.nodes))
             yield GangEndsLate(
                 f"gang {name} ends at {gang.ends_ms}, after the deadline, on {here}",
                 f"move the deadline to {gang.ends_ms} or later, leave these nodes out, or end gang {name}",
             )
 
 
-def refuse(held, names, deadline_ms, wall_ms):
-    """Raises what is found, or returns."""
-    found = list(findings(held, names, deadline_ms, wall_ms))
+def check_feasible(state, names, deadline_ms, wall_ms):
+    """Raises the fault that was found, or SeveralInTheWay if there are several; returns if there is none."""
+    found = list(find_faults(state, names, deadline_ms, wall_ms))
     if len(found) == 1:
         raise found[0]
     if found:
-        more = f"; and {len(found) - MOST_TOLD} more" if len(found) > MOST_TOLD else ""
+        more = f"; and {len(found) - MAX_LISTED} more" if len(found) > MAX_LISTED else ""
         raise SeveralInTheWay(
-            "; ".join(one.says for one in found[:MOST_TOLD]) + more,
-            "; ".join(one.do for one in found[:MOST_TOLD]) + more,
+            "; ".join(fault.says for fault in found[:MAX_LISTED]) + more,
+            "; ".join(fault.do for fault in found[:MAX_LISTED]) + more,
         )
 
 
-__all__ = ["findings", "named", "refuse"]
+__all__ = ["check_feasible", "find_faults", "list_names"]
--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -1,5 +1,5 @@
-"""What a leader proposes for drains, one command at a time (a `ledger.dispatcher.Duty`). All that counts is
-in the state; what is kept here (the plan, what was looked at last) a new leader makes anew."""
+"""The leader task of drains: proposes one command at a time (see `ledger.dispatcher`). All that counts is in
+the state. What is kept here, the plan and what was looked at last, a new leader computes again."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
 from . import constraints
@@ -16,16 +16,16 @@
     StaysCatchingUp,
     StaysOut,
 )
-from .feasibility import named
-from .planner import PIECE, Plan, PlanRequest, bounding, through
+from .feasibility import list_names
+from .planner import NODES_PER_PIECE, Plan, PlanRequest, lower_bound_in_pieces, run_to_end
 from .request_builder import NEVER, PlanRequestBuilder
 from .rules import (
     CLEAR,
     DOWN,
     GIVEN,
-    MOST_NAMED,
-    MOST_PERMITS,
-    MOST_TOLD,
+    MAX_NEXT_NODES,
+    MAX_PERMITS,
+    MAX_STUCK,
     RECALLED,
     RETURNING,
     RUNNING,
@@ -35,265 +35,305 @@
     PermitClear,
     PermitCommand,
     PermitRevoke,
-    stuck_by,
+    stuck_from,
 )
 
-LATE = 600_000_000_000  # a node that takes longer for a phase is told of, and the next wave goes without it
-LOOK = 200_000_000  # between looks while only promises change
-ASK = 20_000_000  # between looks whether each gateway has acknowledged
-HOLD_MS = 3_600_000  # for so long past its cordon a late drain keeps gangs off its nodes
-OPEN_MS = 900_000  # then gangs that end within this may start, and the hold begins anew
-GIVE_UP = 24 * 3600 * 1_000_000_000  # without a node done, past the deadline: the drain ends unfinished
-MOST_TRIED = 200  # nodes tried one by one where a wave does not fit as a whole
-SOON_MS = 600_000  # for so long a wave may wait for gangs that end, where it would save none
-LINGER_MS = 5000  # and for so long past the end that a gang told
-SLICE = 500  # nodes looked at or placed in one `next`: some milliseconds
-MOST_WAVES = 3  # waves looked at for one that may go now
-TELL = 1_000_000_000  # between what drains' records tell: a plan for telling alone is not made at each event
-WATCHED = ("nodes", "permits", "wants", "drains", "groups", "terms")  # looked at as soon as they change
+LATE_NS = (
+    600_000_000_000  # a node that takes longer for a phase is reported, and the next wave goes without it
+)
+PLANNING_INTERVAL_NS = 200_000_000  # between planning passes while only reservations change
+ACK_INTERVAL_NS = 20_000_000  # between checks whether each gateway has acknowledged
+LATE_CORDON_MS = 3_600_000  # time past its cordon for which a late drain keeps gangs off its nodes
+CORDON_PAUSE_MS = 900_000  # gangs that end within this time may start then; after it the cordon holds again
+GIVE_UP_NS = (
+    24 * 3600 * 1_000_000_000
+)  # past its deadline, a drain with no node done for so long ends unfinished
+MAX_SINGLE_TRIES = 200  # nodes tried one by one if a wave does not fit as a whole
+MAX_GANG_WAIT_MS = 600_000  # time for which a wave that would save no waves may wait for gangs that end
+GANG_OVERRUN_MS = 5000  # time past its announced end for which such a gang is still waited for
+SLICE = 500  # nodes looked at or placed in one call of `next`, which takes some milliseconds
+MAX_WAVES_TRIED = 3  # planned waves that are tried until one may go now
+REPORT_INTERVAL_NS = 1_000_000_000  # between progress reports, so that not each event builds a plan for them
+WATCHED_PARTS = ("nodes", "permits", "wants", "drains", "groups", "terms")  # a change starts a planning pass
 
 
 class DrainTask:
-    def __init__(self, late=LATE):
-        self.late = late
+    def __init__(self, late=LATE_NS):
+        self.late_ns = late
         self.took_office(0)
 
     def took_office(self, now):
-        self.seen, self.look, self.ask, self.wake = None, 0, 0, NEVER
-        self.index, self.at = -1, now  # the last entry seen, and when
-        self.held_until = 0  # the ledger's time up to which a wave is kept back, unless something changes
-        self.permits, self.given = None, {}  # as last seen; index to names of those not yet clear
-        self.tell = 0
-        self.anew()
-
-    def anew(self):
-        """No look is under way, and what was planned is forgotten."""
-        self.work, self.begun, self.met, self.meet, self.spent = None, None, None, 0, 0
-        self.alarm = None
-        self.builder, self.rest = PlanRequestBuilder(), ()
+        self.planned_parts = None  # the watched parts as of the last complete planning pass
+        self.next_planning = 0
+        self.next_ack_check = 0
+        self.wake_time = NEVER
+        self.index, self.index_seen = -1, now  # the last entry, and when it was seen
+        self.held_until = 0  # ledger time until which the next wave is held back, unless something changes
+        self.permits = None  # as last seen
+        self.given = {}  # index of the granting entry to the names of its nodes that are not clear yet
+        self.next_report = 0
+        self.reset_plan()
+
+    def reset_plan(self):
+        """Stops the planning pass and forgets what was planned."""
+        self.planning_work = None  # the generator of the planning pass that is under way
+        self.planning_parts = None  # the watched parts as of its start
+        self.alarm_parts = None  # the watched parts as of the last search for urgent commands
+        self.next_alarm = 0
+        self.slice_spent = 0
+        self.alarm_work = None  # the generator of the search that is under way
+        self.builder, self.rest_of_wave = PlanRequestBuilder(), ()
         self.plan = Plan(self.builder.request)
 
     @property
     def planning(self):
-        """Whether a look is under way, of which each `next` does a slice."""
-        return self.work is not None or self.alarm is not None
+        """Whether a planning pass or a search is under way, of which each call of `next` does a slice."""
+        return self.planning_work is not None or self.alarm_work is not None
 
     def called(self, now, call, code, body):
         raise AssertionError("drains call nobody")
 
     def wake_at(self):
-        return self.wake
+        return self.wake_time
 
     def next(self, now, wall_ms, state, followers):
         permits = state.part("permits")
-        running = {name: one for name, one in state.part("drains").items() if one.phase == RUNNING}
+        running = {name: drain for name, drain in state.part("drains").items() if drain.phase == RUNNING}
         if not running and not permits:
-            self.wake = NEVER
+            self.wake_time = NEVER
             if self.planning:
-                self.anew()
+                self.reset_plan()
             return None
         if state.index != self.index:
-            self.index, self.at = state.index, now
+            self.index, self.index_seen = state.index, now
         if permits is not self.permits:
             self.permits, self.given = permits, {}
-            for name, held in permits.items():
-                if held.phase == GIVEN:
-                    self.given.setdefault(held.index, []).append(name)
-        moment = state.moment + now - self.at  # the ledger's time, or a little less
-        found = self.clear(now, state, followers)
-        watched = tuple(state.part(name) for name in WATCHED)
-        if found is None and (self.planning or now >= self.look or not alike(watched, self.seen)):
-            found = self.urgent(now, moment, state, watched)
-            if found is None and self.alarm is None:
-                found = self.slice(now, wall_ms, moment, state, running, watched)
-        self.wake = now + ASK if self.given else max(self.look, now + 1)
+            for name, permit in permits.items():
+                if permit.phase == GIVEN:
+                    self.given.setdefault(permit.index, []).append(name)
+        moment = state.moment + now - self.index_seen  # the ledger time, or a little earlier
+        command = self.clear_acknowledged(now, state, followers)
+        watched = tuple(state.part(name) for name in WATCHED_PARTS)
+        if command is None and (
+            self.planning or now >= self.next_planning or not is_same(watched, self.planned_parts)
+        ):
+            command = self.run_alarm_slice(now, moment, state, watched)
+            if command is None and self.alarm_work is None:
+                command = self.run_planning_slice(now, wall_ms, moment, state, running, watched)
+        self.wake_time = now + ACK_INTERVAL_NS if self.given else max(self.next_planning, now + 1)
         if self.planning:
-            self.wake = now + 1
-        return found
+            self.wake_time = now + 1
+        return command
 
-    def clear(self, now, state, followers):
-        """A permit that every gateway has acknowledged, or whose gateways ran out."""
-        if now < self.ask:
+    def clear_acknowledged(self, now, state, followers):
+        """Returns the command for permits that each gateway has acknowledged, or whose gateways' leases ran
+        out."""
+        if now < self.next_ack_check:
             return None
         for index, names in sorted(self.given.items()):
             if not followers.waited_for(now, state, index):
-                return PermitClear(nodes=tuple(sorted(names)[:MOST_PERMITS]), index=index)
-        self.ask = now + ASK
+                return PermitClear(nodes=tuple(sorted(names)[:MAX_PERMITS]), index=index)
+        self.next_ack_check = now + ACK_INTERVAL_NS
         return None
 
-    def urgent(self, now, moment, state, watched):
-        """What is not kept waiting by a look that is under way; every other time at most, so that under many
-        events the look comes to its end, too."""
-        if self.alarm is None:
-            if self.work is not None and (self.spent or (alike(watched, self.met) and now < self.meet)):
-                self.spent = 0
+    def run_alarm_slice(self, now, moment, state, watched):
+        """Does a slice of the search for urgent commands, which do not wait for a planning pass. While a
+        planning pass is under way the search runs at most every other time, so that the pass ends even if
+        there are many events."""
+        if self.alarm_work is None:
+            if self.planning_work is not None and (
+                self.slice_spent or (is_same(watched, self.alarm_parts) and now < self.next_alarm)
+            ):
+                self.slice_spent = 0
                 return None
-            self.alarm, self.met, self.meet = alarm(state, moment), watched, now + LOOK
-        self.spent = 0
+            self.alarm_work, self.alarm_parts, self.next_alarm = (
+                find_urgent_command(state, moment),
+                watched,
+                now + PLANNING_INTERVAL_NS,
+            )
+        self.slice_spent = 0
         try:
-            while self.spent < SLICE:
-                self.spent += next(self.alarm)
+            while self.slice_spent < SLICE:
+                self.slice_spent += next(self.alarm_work)
             return None
         except StopIteration as ended:
-            self.alarm = None
+            self.alarm_work = None
             return ended.value
 
-    def slice(self, now, wall_ms, moment, state, running, watched):
-        """Part of a look, which is at the state as it was when that began: a leader that looked at 10,000
-        nodes at once would beat late. A wave that does not fit the state as it is by now is planned anew."""
-        if self.work is None:
-            self.work, self.begun = self.looking(now, wall_ms, moment, state, running), watched
-        left, found = SLICE - self.spent, None
+    def run_planning_slice(self, now, wall_ms, moment, state, running, watched):
+        """Does a slice of a planning pass. The pass works on the state as of its start: a leader that looked
+        at 10,000 nodes at once would send its heartbeats late. A wave that does not fit the present state is
+        planned again."""
+        if self.planning_work is None:
+            self.planning_work, self.planning_parts = (
+                self.run_planning(now, wall_ms, moment, state, running),
+                watched,
+            )
+        left, command = SLICE - self.slice_spent, None
         try:
             while left > 0:
-                left -= next(self.work)
+                left -= next(self.planning_work)
             return None
         except StopIteration as ended:
-            self.work, found = None, ended.value
-        fresh = alike(watched, self.begun)
-        if isinstance(found, PermitCommand) and not fresh and not fits(state, moment, found.nodes):
-            self.rest, found = (), None
-        if found is None:
-            self.seen, self.look = self.begun, now + LOOK if fresh else now
-        return found
-
-    def looking(self, now, wall_ms, moment, state, running):
-        wave = yield from self.wave(wall_ms, moment, state, running)
+            self.planning_work, command = None, ended.value
+        fresh = is_same(watched, self.planning_parts)
+        if (
+            isinstance(command, PermitCommand)
+            and not fresh
+            and not may_go_together(state, moment, command.nodes)
+        ):
+            self.rest_of_wave, command = (), None
+        if command is None:
+            self.planned_parts, self.next_planning = (
+                self.planning_parts,
+                now + PLANNING_INTERVAL_NS if fresh else now,
+            )
+        return command
+
+    def run_planning(self, now, wall_ms, moment, state, running):
+        """A planning pass, as a generator: returns the command for the next wave or a progress report."""
+        wave = yield from self.next_wave(wall_ms, moment, state, running)
         if wave:
             return PermitCommand(nodes=wave)
-        return (yield from self.about(now, wall_ms, moment, state, running))
+        return (yield from self.report_progress(now, wall_ms, moment, state, running))
 
     # ---- waves
 
-    def is_late(self, held, moment):
-        return held.phase != GIVEN and moment - held.moment >= self.late
+    def is_late(self, permit, moment):
+        return permit.phase != GIVEN and moment - permit.moment >= self.late_ns
 
-    def wave(self, wall_ms, moment, state, running):
-        """The next nodes to go, once those of the last wave are back, late or failed."""
+    def next_wave(self, wall_ms, moment, state, running):
+        """Returns the next nodes to go, once those of the last wave are back, late or failed."""
         nodes, permits = state.part("nodes"), state.part("permits")
         busy = any(
-            held.phase != RECALLED and nodes[name].state != FAILED and not self.is_late(held, moment)
-            for name, held in permits.items()
+            permit.phase != RECALLED and nodes[name].state != FAILED and not self.is_late(permit, moment)
+            for name, permit in permits.items()
         )
-        if self.rest:  # the other entries of a wave that is too long for one
-            rest, self.rest = self.rest[:MOST_PERMITS], self.rest[MOST_PERMITS:]
-            if fits(state, moment, rest):
+        if self.rest_of_wave:  # the wave was too long for one entry
+            rest, self.rest_of_wave = self.rest_of_wave[:MAX_PERMITS], self.rest_of_wave[MAX_PERMITS:]
+            if may_go_together(state, moment, rest):
                 return rest
         if busy:
             return ()
-        if not (yield from self.replan(moment, state, running)) and moment < self.held_until:
+        if not (yield from self.update_plan(moment, state, running)) and moment < self.held_until:
             return ()
-        if self.plan.far():
-            yield from self.plan.making(self.builder.request)
-        if self.plan.waves and (yield from self.better_later(wall_ms, moment, state)):
-            self.held_until = moment + TELL
+        if self.plan.should_rebuild():
+            yield from self.plan.rebuild_in_pieces(self.builder.request)
+        if self.plan.waves and (yield from self.should_wait_for_gangs(wall_ms, moment, state)):
+            self.held_until = moment + REPORT_INTERVAL_NS
             return ()
-        found = constraints.sums(state, moment) if self.plan.waves else {}
-        yield summing(state)
-        for wave in self.plan.waves[:MOST_WAVES]:
+        sums = constraints.sum_sites(state, moment) if self.plan.waves else {}
+        yield cost_of_sums(state)
+        for wave in self.plan.waves[:MAX_WAVES_TRIED]:
             names = tuple(sorted(wave))
             yield len(names)
-            faults = constraints.objections(state, moment, names, found)
+            faults = constraints.find_violations(state, moment, names, sums)
             if not faults:
-                self.rest = names[MOST_PERMITS:]
-                return names[:MOST_PERMITS]
-            if all(isinstance(fault, SiteShort) for fault in faults) and cold(state, names, found):
-                return ()  # it fits once what came back is warm
-            names = yield from fitting(state, moment, names, found)
+                self.rest_of_wave = names[MAX_PERMITS:]
+                return names[:MAX_PERMITS]
+            if all(isinstance(fault, SiteShort) for fault in faults) and any_site_cold(state, names, sums):
+                return ()  # the wave fits once the nodes that came back are warm
+            names = yield from subset_that_may_go(state, moment, names, sums)
             if names:
                 return names
         return ()
 
-    def better_later(self, wall_ms, moment, state):
-        """Whether the next wave would save none, as nodes whose gangs end soon need as many waves after it
-        as all do together. Then waiting for them costs no time and spares a wave; not for long, and not past
-        what their cordon leaves."""
+    def should_wait_for_gangs(self, wall_ms, moment, state):
+        """Returns whether the next wave would save no waves: with the nodes whose gangs end soon, as many
+        waves are needed after it as without it. Waiting for those gangs then costs no time and spares a wave.
+        The wait is short, and does not go past the cordon of their drains. A generator."""
         progress, wants = state.part("progress"), state.part("wants")
-        soon = {}
+        soon_free = {}
         for at, (name, drains) in enumerate(wants.items()):
-            if at % PIECE == 0:
-                yield PIECE
+            if at % NODES_PER_PIECE == 0:
+                yield NODES_PER_PIECE
             ends = [
                 state.part("gangs")[gang].ends_ms for gang in state.part("loads").get(name, NO_LOAD).gangs
             ]
-            last = min(wall_ms + SOON_MS, *(progress[one].cordon_ms for one in drains))
-            waited = max(moment - progress[one].moved for one in drains)
+            last = min(wall_ms + MAX_GANG_WAIT_MS, *(progress[drain].cordon_ms for drain in drains))
+            waited = max(moment - progress[drain].moved for drain in drains)
             if (
                 ends
-                and wall_ms < min(ends) + LINGER_MS
+                and wall_ms < min(ends) + GANG_OVERRUN_MS
                 and max(ends) <= last
-                and waited < SOON_MS * 1_000_000
+                and waited < MAX_GANG_WAIT_MS * 1_000_000
             ):
                 demands = self.builder.demands(state, name, gangs=True)
                 if demands is not None and all(
-                    much <= self.builder.request.caps[limit] for limit, much in demands
+                    amount <= self.builder.request.caps[limit] for limit, amount in demands
                 ):
-                    soon[name] = demands
-        if not soon:
+                    soon_free[name] = demands
+        if not soon_free:
             return False
         request, first = self.builder.request, self.plan.waves[0]
         whole = PlanRequest(
-            {**{name: request.demands[name] for name in self.plan.where}, **soon}, request.caps
+            {**{name: request.demands[name] for name in self.plan.wave_of}, **soon_free}, request.caps
         )
         rest = [name for name in whole.demands if name not in first]
-        return (yield from bounding(whole, rest)) == (yield from bounding(whole, whole.demands))
+        return (yield from lower_bound_in_pieces(whole, rest)) == (
+            yield from lower_bound_in_pieces(whole, whole.demands)
+        )
 
-    def replan(self, moment, state, running):
-        """Whether anything that waves depend on has changed."""
-        late = frozenset(name for name, held in state.part("permits").items() if self.is_late(held, moment))
-        names, limits = yield from self.builder.updating(state, running, late)
+    def update_plan(self, moment, state, running):
+        """Updates the plan, and returns whether anything that waves depend on has changed."""
+        late = frozenset(
+            name for name, permit in state.part("permits").items() if self.is_late(permit, moment)
+        )
+        names, limits = yield from self.builder.update_in_pieces(state, running, late)
         if len(names) * 4 > len(self.builder.request.demands):
-            yield from self.plan.making(self.builder.request)
+            yield from self.plan.rebuild_in_pieces(self.builder.request)
         elif names or limits:
             self.plan.change(names, limits)
         return bool(names or limits)
 
-    # ---- what is told, and drains that are late
+    # ---- progress reports, and drains that are late
 
-    def about(self, now, wall_ms, moment, state, running):
-        if not running or now < self.tell:
+    def report_progress(self, now, wall_ms, moment, state, running):
+        if not running or now < self.next_report:
             return None
-        yield from self.replan(moment, state, running)
+        yield from self.update_plan(moment, state, running)
         yield SLICE
-        told = told_of(self.plan, state, running, wall_ms, moment, self.late)
-        for name, one in sorted(running.items()):
+        reports = progress_of_drains(self.plan, state, running, wall_ms, moment, self.late_ns)
+        for name, drain in sorted(running.items()):
             progress = state.part("progress")[name]
-            waves, following, stuck = told[name]
-            if (progress.waves, progress.next, progress.stuck) != (waves, following, stuck):
-                return DrainPlanReport(drain=name, waves=waves, next=following, stuck=stuck)
-            if wall_ms >= max(one.deadline_ms, 1) and moment >= progress.moved + GIVE_UP:
+            waves, next_nodes, stuck = reports[name]
+            if (progress.waves, progress.next, progress.stuck) != (waves, next_nodes, stuck):
+                return DrainPlanReport(drain=name, waves=waves, next=next_nodes, stuck=stuck)
+            if wall_ms >= max(drain.deadline_ms, 1) and moment >= progress.moved + GIVE_UP_NS:
                 return DrainGivenUp(drain=name, moved=progress.moved)
-            if wall_ms >= progress.cordon_ms + HOLD_MS:
-                return DrainCordon(drain=name, cordon_ms=wall_ms + OPEN_MS)
-        self.tell = now + TELL
+            if wall_ms >= progress.cordon_ms + LATE_CORDON_MS:
+                return DrainCordon(drain=name, cordon_ms=wall_ms + CORDON_PAUSE_MS)
+        self.next_report = now + REPORT_INTERVAL_NS
         return None
 
 
-def summing(state):
-    """What a sum over all nodes costs, as nodes placed: that takes some ten times as long."""
+def cost_of_sums(state):
+    """Returns the cost of summing over all nodes, in nodes placed: placing takes some ten times as long."""
     return len(state.part("nodes")) // 10
 
 
-def alike(watched, before):
-    """Whether these parts are the very same; a part that changed is another object."""
+def is_same(watched, before):
+    """Whether these parts are the very same objects; a part that has changed is another object."""
     return before is not None and all(a is b for a, b in zip(watched, before, strict=True))
 
 
-def fits(state, moment, names):
-    return all(may_go(state, name) for name in names) and not constraints.objections(state, moment, names)
+def may_go_together(state, moment, names):
+    return all(may_go(state, name) for name in names) and not constraints.find_violations(
+        state, moment, names
+    )
 
 
 def may_go(state, name):
-    """Whether a drain wants it and no gang holds it; one that is down has no need to."""
-    held = state.part("permits").get(name)
-    if name not in state.part("wants") or (held is not None and held.phase != RECALLED):
+    """Whether a drain wants the node and no gang holds it; False for a node that is down by itself."""
+    permit = state.part("permits").get(name)
+    if name not in state.part("wants") or (permit is not None and permit.phase != RECALLED):
         return False
     node = state.part("nodes")[name]
     return bool(up(node) or node.out) and not state.part("loads").get(name, NO_LOAD).gangs
 
 
-def own_down(state):
-    """Nodes that a drain wants and that went down on their own: they need no wave."""
+def down_by_themselves(state):
+    """Returns the nodes that a drain wants and that went down by themselves: they need no wave."""
     nodes, permits = state.part("nodes"), state.part("permits")
     return [
         name
@@ -302,122 +342,128 @@
     ]
 
 
-def cold(state, names, found):
+def any_site_cold(state, names, sums):
     nodes = state.part("nodes")
-    return any(found[nodes[name].site].warm_at for name in names)
-
-
-def fitting(state, moment, names, found):
-    """As many of a wave as may go now, one by one."""
-    kept = ()
-    for name in names[:MOST_TRIED]:
-        yield len(kept) + 1
-        if may_go(state, name) and not constraints.objections(state, moment, (*kept, name), found):
-            kept = (*kept, name)
-    return kept
-
-
-def alarm(state, moment):
-    """What goes before any plan, in slices: permits to be taken back, and nodes that went down by
-    themselves."""
-    gone = yield from taking(state, moment)
-    if gone:
-        return PermitRevoke(nodes=tuple(sorted(gone)[:MOST_PERMITS]))
-    down = own_down(state)
+    return any(sums[nodes[name].site].warm_at for name in names)
+
+
+def subset_that_may_go(state, moment, names, sums):
+    """Returns as many nodes of a wave as may go now, tried one by one; a generator."""
+    chosen = ()
+    for name in names[:MAX_SINGLE_TRIES]:
+        yield len(chosen) + 1
+        if may_go(state, name) and not constraints.find_violations(state, moment, (*chosen, name), sums):
+            chosen = (*chosen, name)
+    return chosen
+
+
+def find_urgent_command(state, moment):
+    """Returns the command that goes before any plan, as a generator that works in pieces: it revokes permits,
+    or grants them to nodes that went down by themselves."""
+    revoked = yield from find_permits_to_revoke(state, moment)
+    if revoked:
+        return PermitRevoke(nodes=tuple(sorted(revoked)[:MAX_PERMITS]))
+    down = down_by_themselves(state)
     if down:
-        return PermitCommand(nodes=tuple(sorted(down)[:MOST_PERMITS]))
+        return PermitCommand(nodes=tuple(sorted(down)[:MAX_PERMITS]))
     return None
 
 
-def take_back(state, moment):
-    return through(taking(state, moment))
+def permits_to_revoke(state, moment):
+    return run_to_end(find_permits_to_revoke(state, moment))
 
 
-def taking(state, moment):
-    """Names whose permits, not yet acted on, have to go back, as the ground has gone: as many as bring each
-    group and site right, those not yet clear first."""
+def find_permits_to_revoke(state, moment):
+    """Returns the names of nodes whose permits, not acted on yet, have to be revoked because a constraint is
+    violated: as many as satisfy each group and site again, those that are not clear yet first."""
     nodes, loads, permits = state.part("nodes"), state.part("loads"), state.part("permits")
-    open_ = {name: held for name, held in permits.items() if held.phase in (GIVEN, CLEAR)}
-    if not open_:
+    revocable = {name: permit for name, permit in permits.items() if permit.phase in (GIVEN, CLEAR)}
+    if not revocable:
         return set()
     serving = {name for name, node in nodes.items() if node.state == SERVING and not node.out}
-    taken, order = set(), sorted(open_, key=lambda name: (open_[name].phase != GIVEN, name))
-    for group_name in sorted({g for name in open_ for g in loads.get(name, NO_LOAD).groups}):
+    revoked, order = set(), sorted(revocable, key=lambda name: (revocable[name].phase != GIVEN, name))
+    for group_name in sorted({one for name in revocable for one in loads.get(name, NO_LOAD).groups}):
         group = state.part("groups")[group_name]
         short = group.quorum - len(serving.intersection(group.nodes))
         if short <= 0:
             continue
         members = [name for name in group.nodes if nodes[name].state == SERVING and name in permits]
-        short -= sum(name in taken or permits[name].phase == RECALLED for name in members)
+        short -= sum(name in revoked or permits[name].phase == RECALLED for name in members)
         for name in order:
-            if short > 0 and name in members and name not in taken:
-                taken.add(name)
+            if short > 0 and name in members and name not in revoked:
+                revoked.add(name)
                 short -= 1
-    yield summing(state) + len(open_) // 4
-    found = constraints.sums(state, moment, {nodes[name].site for name in open_})
-    yield summing(state)
-    here, back = {}, {}
+    yield cost_of_sums(state) + len(revocable) // 4
+    sums = constraints.sum_sites(state, moment, {nodes[name].site for name in revocable})
+    yield cost_of_sums(state)
+    revocable_by_site, revoked_by_site = {}, {}
     for name in order:
-        here.setdefault(nodes[name].site, []).append(name)
-    for name, held in permits.items():
-        if held.phase == RECALLED or name in taken:
-            back.setdefault(nodes[name].site, []).append(name)
-    for site, sums in sorted(found.items()):
-        short = sums.need - sums.bears
+        revocable_by_site.setdefault(nodes[name].site, []).append(name)
+    for name, permit in permits.items():
+        if permit.phase == RECALLED or name in revoked:
+            revoked_by_site.setdefault(nodes[name].site, []).append(name)
+    for site, site_sums in sorted(sums.items()):
+        short = site_sums.required - site_sums.capacity
         if short <= 0:
             continue
-        short -= sum(back_bears(state, nodes[name], moment) for name in back.get(site, ()))
-        for name in here[site]:
-            if short > 0 and name not in taken:
-                taken.add(name)
-                short -= back_bears(state, nodes[name], moment)
-    return taken
+        short -= sum(units_if_back(state, nodes[name], moment) for name in revoked_by_site.get(site, ()))
+        for name in revocable_by_site[site]:
+            if short > 0 and name not in revoked:
+                revoked.add(name)
+                short -= units_if_back(state, nodes[name], moment)
+    return revoked
 
 
-def back_bears(state, node, moment):
-    """What a node that is out would bear were it taken back."""
+def units_if_back(state, node, moment):
+    """Returns the units that a node with a permit would bear if the permit were revoked."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
     return int(node.units * state.terms.cold_share) if node.warm > moment else node.units
 
 
-def told_of(plan, state, running, wall_ms, moment, late):
-    """Drain to (waves, names of the next one, what stands in the way)."""
+def progress_of_drains(plan, state, running, wall_ms, moment, late_ns):
+    """Returns a dict from drain to (number of waves, names of the next wave, its obstacles)."""
     wants = state.part("wants")
-    waves, following, stuck = dict.fromkeys(running, 0), {n: [] for n in running}, {n: [] for n in running}
+    waves, next_nodes, stuck = (
+        dict.fromkeys(running, 0),
+        {one: [] for one in running},
+        {one: [] for one in running},
+    )
     for names in plan.waves:
-        met = set()
+        drains_of_wave = set()
         for name in names:
             for drain in wants.get(name, ()):
-                met.add(drain)
-        for drain in met:
+                drains_of_wave.add(drain)
+        for drain in drains_of_wave:
             waves[drain] += 1
             if waves[drain] == 1:
-                following[drain] = sorted(name for name in names if drain in wants.get(name, ()))
-    for names, fault in in_the_way(plan, state, wall_ms, moment, late, running):
-        for drain in sorted({one for name in names for one in wants.get(name, ())}):
-            if len(stuck[drain]) < MOST_TOLD:
-                stuck[drain].append(stuck_by(fault))
-    return {name: (waves[name], tuple(following[name][:MOST_NAMED]), tuple(stuck[name])) for name in running}
-
-
-def in_the_way(plan, state, wall_ms, moment, late, running):
-    """(nodes, fault) of each thing that a drain waits for; those of permits and gangs first."""
+                next_nodes[drain] = sorted(name for name in names if drain in wants.get(name, ()))
+    for names, fault in find_obstacles(plan, state, wall_ms, moment, late_ns, running):
+        for drain in sorted({wanting for name in names for wanting in wants.get(name, ())}):
+            if len(stuck[drain]) < MAX_STUCK:
+                stuck[drain].append(stuck_from(fault))
+    return {
+        name: (waves[name], tuple(next_nodes[name][:MAX_NEXT_NODES]), tuple(stuck[name])) for name in running
+    }
+
+
+def find_obstacles(plan, state, wall_ms, moment, late_ns, running):
+    """Yields (nodes, fault) for each thing that a drain waits for: first permits, then gangs, then limits."""
     nodes, loads, permits = state.part("nodes"), state.part("loads"), state.part("permits")
-    wants, held_by, limits = state.part("wants"), {}, {}
+    wants, held_by_gang, blocked_by_limit = state.part("wants"), {}, {}
     for name in sorted(permits):
-        held = permits[name]
+        permit = permits[name]
         if nodes[name].state == FAILED:
             yield [name], NotBack(f"node {name} failed and is not back")
-        elif held.phase != GIVEN and moment - held.moment >= late:
-            yield [name], LATE_BY[held.phase](f"node {name} is {held.phase} since entry {held.at}")
+        elif permit.phase != GIVEN and moment - permit.moment >= late_ns:
+            yield [name], LATE_FAULTS[permit.phase](f"node {name} is {permit.phase} since entry {permit.at}")
     for name in wants:
         for gang in loads.get(name, NO_LOAD).gangs:
             if up(nodes[name]):
-                held_by.setdefault(gang, []).append(name)
-    for gang, names in sorted(held_by.items()):
-        ends, here = state.part("gangs")[gang].ends_ms, named(names)
-        deadlines = [running[one].deadline_ms for name in names for one in wants[name]]
+                held_by_gang.setdefault(gang, []).append(name)
+    for gang, names in sorted(held_by_gang.items()):
+        ends, here = state.part("gangs")[gang].ends_ms, list_names(names)
+        deadlines = [running[drain].deadline_ms for name in names for drain in wants[name]]
         if not ends:
             yield names, GangWithoutEnd(f"gang {gang} has no end known and runs on {here}")
         elif ends <= wall_ms:
@@ -425,14 +471,17 @@
         elif any(deadline and deadline <= wall_ms for deadline in deadlines):
             yield names, GangPastDeadline(f"gang {gang} runs until {ends}, past the deadline, on {here}")
     for name, limit in plan.blocked.items():
-        limits.setdefault(limit, []).append(name)
-    for limit, names in sorted(limits.items()):
+        blocked_by_limit.setdefault(limit, []).append(name)
+    for limit, names in sorted(blocked_by_limit.items()):
         what, key = limit
-        says = f"{named(names)} can't go now"
+        says = f"{list_names(names)} can't go now"
         if what == "group":
             group = state.part("groups")[key]
-            have = constraints.caught_up(state, group)
-            yield names, GroupShort(f"group {key} has {have} caught up, its quorum is {group.quorum}: {says}")
+            count = constraints.caught_up(state, group)
+            yield (
+                names,
+                GroupShort(f"group {key} has {count} caught up, its quorum is {group.quorum}: {says}"),
+            )
         elif what == "units":
             spare = plan.request.caps[limit]
             yield names, SiteShort(f"site {key} has {max(spare, 0)} units to spare: {says}")
@@ -440,5 +489,6 @@
             yield names, SiteShareTaken(f"site {key} has as many nodes away as may be: {says}")
 
 
-LATE_BY = {CLEAR: NotDown, DOWN: NotBack, RETURNING: StaysCatchingUp, RECALLED: StaysOut}
-__all__ = ["DrainTask", "in_the_way", "take_back"]
+# The fault of a permit that stays too long in a phase.
+LATE_FAULTS = {CLEAR: NotDown, DOWN: NotBack, RETURNING: StaysCatchingUp, RECALLED: StaysOut}
+__all__ = ["DrainTask", "find_obstacles", "permits_to_revoke"]
--- a/lemonlead/drains/request_builder.py
+++ b/lemonlead/drains/request_builder.py
@@ -1,114 +1,126 @@
-"""What the planner is asked, kept up to date: after an event only the records that changed are looked at.
+"""Keeps the planner's request up to date: after an event only the records that changed are looked at.
 
-What a wave may take of a limit is reckoned as if those that are away for a drain, and not late, were back
-and all were warm: plans are for later. What may go now is `ground.objections`."""
+What a wave may take of a limit is computed as if all nodes that are away for a drain, and not late, were back
+and all nodes were warm, because a plan is about later waves. `constraints.find_violations` decides what may
+go now."""
 
 from ..ledger.capacity import FAILED, SERVING, up
 from .constraints import NO_LOAD, NO_SITE
-from .planner import PlanRequest, slices, through
+from .planner import PlanRequest, in_pieces, run_to_end
 from .rules import RECALLED
 
 NEVER = 1 << 62
-LOOKED_AT = ("nodes", "loads", "permits", "wants")  # parts whose key is a node
-NOTHING = (0, 0, 0, 0, 0)  # what a node is to its site: nodes, spare units, away, awaited, lasting
+NODE_PARTS = ("nodes", "loads", "permits", "wants")  # parts of the state whose key is a node
+# What a node contributes to its site: nodes, spare units, nodes away, nodes expected back, late nodes.
+NO_CONTRIBUTION = (0, 0, 0, 0, 0)
 
 
 class PlanRequestBuilder:
+    """Computes a PlanRequest from the state, and updates it as the state changes. The limits are
+    ("group", group), ("units", site) and ("share", site)."""
+
     def __init__(self):
         self.request = PlanRequest()
+        # As of the last update: parts of the state by name, and the late nodes.
         self.parts, self.groups, self.sites, self.late, self.running = {}, {}, {}, frozenset(), {}
-        self.is_to, self.hoped = {}, {}  # by node: (site, what it is to it); whether groups may hope for it
-        self.sums, self.hopes = {}, {}  # by site, by group
-        self.share, self.stale = 0, set()  # of what caps have to be reckoned anew
+        # By node: its contribution to its site; whether its groups may count on it.
+        self.contributions, self.counted = {}, {}
+        self.site_sums, self.group_sums = {}, {}  # sums of these, by site and by group
+        # `stale` holds ("site", name) and ("group", name) of the caps that have to be computed again.
+        self.share, self.stale = 0, set()
 
     def update(self, state, running, late):
-        """Makes `asked` right for this state; returns the names whose takes changed and the limits whose
-        caps did. `late`: nodes whose permits are no longer waited for."""
-        return through(self.updating(state, running, late))
+        """Makes `request` match this state. Returns the names of the nodes whose demands changed and the
+        limits whose caps changed. `running`: running drains by name; `late`: nodes whose permits are no
+        longer waited for."""
+        return run_to_end(self.update_in_pieces(state, running, late))
 
-    def updating(self, state, running, late):
-        """In slices; `asked` is right once it is through."""
-        changed = self.changed(state, late)
+    def update_in_pieces(self, state, running, late):
+        """Does the work of `update` as a generator; `request` is right once the generator has ended."""
+        changed = self.changed_nodes(state, late)
         yield len(state.part("nodes")) // 10
         names, limits = changed, set()
-        self.regroup(state, changed)
-        for some in slices(changed):
-            for name in some:
-                self.reckon(state, name, late)
-            yield len(some)
+        self.update_groups(state, changed)
+        for piece in in_pieces(changed):
+            for name in piece:
+                self.update_contribution(state, name, late)
+            yield len(piece)
         self.late = late
-        self.recap(state, limits)
+        self.update_caps(state, limits)
         several = len(running) > 1
         if running != self.running:
             self.running = running
             names.update(self.request.demands)
             self.request.ranks.clear()
-        ranks = {name: (one.deadline_ms or NEVER, one.since) for name, one in running.items()}
-        moved = set()
-        for some in slices(names):
-            for name in some:
-                self.take(state, name, moved)
+        ranks = {name: (drain.deadline_ms or NEVER, drain.since) for name, drain in running.items()}
+        changed_demands = set()
+        for piece in in_pieces(names):
+            for name in piece:
+                self.update_demands(state, name, changed_demands)
                 if several and name in self.request.demands:
-                    self.request.ranks[name] = min(ranks[one] for one in state.part("wants")[name])
-            yield len(some)
-        return moved, limits
+                    self.request.ranks[name] = min(ranks[drain] for drain in state.part("wants")[name])
+            yield len(piece)
+        return changed_demands, limits
 
-    def changed(self, state, late):
-        """Names of the nodes of which any record is another than last time."""
+    def changed_nodes(self, state, late):
+        """Returns the names of the nodes of which any record has changed since the last update."""
         found = set(late ^ self.late)
-        for part in LOOKED_AT:
+        for part in NODE_PARTS:
             old, new = self.parts.get(part, {}), state.part(part)
             if old is not new:
-                had = old.get
-                found.update([name for name, record in new.items() if had(name) is not record])
+                get_old = old.get
+                found.update([name for name, record in new.items() if get_old(name) is not record])
                 found.update([name for name in old if name not in new])
                 self.parts[part] = new
         nodes = state.part("nodes")
         return {name for name in found if name in nodes}
 
-    def regroup(self, state, changed):
-        """Groups that are others than last time: their nodes are looked at anew."""
+    def update_groups(self, state, changed):
+        """Adds the nodes of the groups that have changed since the last update to `changed`."""
         new = state.part("groups")
         if new is not self.groups:
             for name, group in new.items():
                 old = self.groups.get(name)
                 if old is not group:
-                    self.hopes[name] = sum(self.hoped.get(node, 0) for node in group.nodes)
+                    self.group_sums[name] = sum(self.counted.get(node, 0) for node in group.nodes)
                     self.stale.add(("group", name))
                     changed.update(group.nodes, old.nodes if old else ())
             for name in [name for name in self.groups if name not in new]:
                 changed.update(self.groups[name].nodes)
                 self.stale.discard(("group", name))
-                self.hopes.pop(name, None)
+                self.group_sums.pop(name, None)
                 self.request.caps.pop(("group", name), None)
             self.groups = new
 
-    def reckon(self, state, name, late):
-        """What this node is to its site and groups."""
+    def update_contribution(self, state, name, late):
+        """Updates what this node contributes to its site and its groups."""
         node, load = state.part("nodes")[name], state.part("loads").get(name, NO_LOAD)
-        held, failed = state.part("permits").get(name), node.state == FAILED
-        need, is_up = load.units, up(node)
+        permit, failed = state.part("permits").get(name), node.state == FAILED
+        required, is_up = load.units, up(node)
         if not is_up and not node.out:
-            need -= sum(state.part("gangs")[gang].units for gang in load.gangs)
-        awaited = not is_up and held is not None and not failed and name not in late
-        lasting = not is_up and held is not None and not failed and name in late
-        spare = (node.units if is_up or awaited else 0) - need
-        was, now = self.is_to.get(name, NOTHING), (1, spare, int(not is_up), int(awaited), int(lasting))
-        if was != now:
-            sums = self.sums.setdefault(node.site, [0] * 5)
+            required -= sum(state.part("gangs")[gang].units for gang in load.gangs)
+        expected_back = not is_up and permit is not None and not failed and name not in late
+        away_late = not is_up and permit is not None and not failed and name in late
+        spare = (node.units if is_up or expected_back else 0) - required
+        old, new = (
+            self.contributions.get(name, NO_CONTRIBUTION),
+            (1, spare, int(not is_up), int(expected_back), int(away_late)),
+        )
+        if old != new:
+            sums = self.site_sums.setdefault(node.site, [0] * 5)
             for at in range(5):
-                sums[at] += now[at] - was[at]
-            self.is_to[name] = now
+                sums[at] += new[at] - old[at]
+            self.contributions[name] = new
             self.stale.add(("site", node.site))
-        hoped = int((node.state == SERVING and not node.out) or awaited)
-        if hoped != self.hoped.get(name, 0):
+        counted = int((node.state == SERVING and not node.out) or expected_back)
+        if counted != self.counted.get(name, 0):
             for group in load.groups:
-                self.hopes[group] += hoped - self.hoped.get(name, 0)
+                self.group_sums[group] += counted - self.counted.get(name, 0)
                 self.stale.add(("group", group))
-            self.hoped[name] = hoped
+            self.counted[name] = counted
 
-    def recap(self, state, limits):
-        """Caps of the limits that may have moved; `limits` gets those that did."""
+    def update_caps(self, state, limits):
+        """Computes the caps that may have changed, and adds the limits whose caps did to `limits`."""
         sites, terms = state.part("sites"), state.terms
         if sites is not self.sites:
             for site, sums in sites.items():
@@ -118,47 +130,48 @@
             self.sites = sites
         if terms.site_share != self.share:
             self.share = terms.site_share
-            self.stale.update(("site", site) for site in self.sums)
+            self.stale.update(("site", site) for site in self.site_sums)
         for what, key in self.stale:
             if what == "group":
-                self.cap(("group", key), self.hopes[key] - self.groups[key].quorum, limits)
+                self.set_cap(("group", key), self.group_sums[key] - self.groups[key].quorum, limits)
                 continue
-            count, spare, away, awaited, lasting = self.sums.get(key, NOTHING)
-            self.cap(("units", key), spare - sites.get(key, NO_SITE).promised, limits)
-            share = max(1, int(terms.site_share * count)) - away + awaited
-            self.cap(("share", key), share if lasting else max(1, share), limits)  # one may always go
+            count, spare, away, expected_back, away_late = self.site_sums.get(key, NO_CONTRIBUTION)
+            self.set_cap(("units", key), spare - sites.get(key, NO_SITE).promised, limits)
+            share = max(1, int(terms.site_share * count)) - away + expected_back
+            # One node may always go, unless a late one is still away.
+            self.set_cap(("share", key), share if away_late else max(1, share), limits)
         self.stale = set()
 
-    def cap(self, limit, much, limits):
-        if self.request.caps.get(limit) != much:
-            self.request.caps[limit] = much
+    def set_cap(self, limit, amount, limits):
+        if self.request.caps.get(limit) != amount:
+            self.request.caps[limit] = amount
             limits.add(limit)
 
-    def take(self, state, name, moved):
-        """What this node takes, where it is to be planned."""
+    def update_demands(self, state, name, changed_demands):
+        """Updates the demands of this node in the request, which has only nodes that are to be planned."""
         demands, before = self.demands(state, name), self.request.demands.get(name)
         if demands is None:
             self.request.ranks.pop(name, None)
             if before is not None:
                 del self.request.demands[name]
-                moved.add(name)
+                changed_demands.add(name)
         elif demands != before:
             self.request.demands[name] = demands
-            moved.add(name)
+            changed_demands.add(name)
 
     def demands(self, state, name, gangs=False):
-        """What this node takes of its limits, None where it is not to be planned now. `gangs`: as if none
-        held it."""
+        """Returns what this node takes of its limits, or None if it is not to be planned now. With `gangs`,
+        a node that gangs hold is treated as if none did."""
         if name not in state.part("wants"):
             return None
-        held, node = state.part("permits").get(name), state.part("nodes")[name]
+        permit, node = state.part("permits").get(name), state.part("nodes")[name]
         load = state.part("loads").get(name, NO_LOAD)
-        if (held is not None and held.phase != RECALLED) or not (up(node) or node.out):
+        if (permit is not None and permit.phase != RECALLED) or not (up(node) or node.out):
             return None
         if load.gangs and not gangs:
             return None
-        gone = name in self.late  # counted as away already
-        counts = int(node.state == SERVING and not gone)
-        demands = [(("units", node.site), 0 if gone else node.units), (("share", node.site), int(not gone))]
-        demands += [(("group", group), counts) for group in load.groups]
+        away = name in self.late  # it counts as away already
+        serving = int(node.state == SERVING and not away)
+        demands = [(("units", node.site), 0 if away else node.units), (("share", node.site), int(not away))]
+        demands += [(("group", group), serving) for group in load.groups]
         return tuple(demands)
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -1,11 +1,17 @@
-"""The ledger's commands and records of drains. The invariants are kept here, as an entry is applied: a
-permit that was planned on an older state is refused where it no longer holds.
+"""The ledger commands and records of drains, and the rules that apply them.
 
-A permit's phases: `given` (gateways are to stop sending to the node) -> `clear` (each has acknowledged, or
-its lease and grace ran out: the node may end what it holds, report `drained` and go down) -> `down` ->
-`returning` (it reports `catching_up`) -> gone, once it reports `serving`. One taken back while `given` is
-gone at once; one taken back once `clear` is `recalled`, and its node counts as away until it is known that
-it did not act, or has come back."""
+The invariants are checked when an entry is applied: a permit that was planned on an older state is refused
+if it no longer holds.
+
+The phases of a permit:
+
+- `given`: the gateways are to stop sending to the node.
+- `clear`: each gateway has acknowledged that, or its lease and grace have run out. The node may end what it
+  holds, report `drained` and go down.
+- `down`: the node has reported `drained` or `failed`.
+- `returning`: the node has reported `catching_up`. Once it reports `serving` the permit is removed.
+- `recalled`: the permit was revoked while it was `clear`. Its node counts as away until it is known that the
+  node did not act on the permit, or has come back. A permit revoked while `given` is removed at once."""
 
 from typing import Annotated
 
@@ -18,32 +24,42 @@
 from . import constraints, feasibility
 from .faults import GivenUp, GroundGone, NoSuchDrain, TooManyDrains
 
-MOST_RUNNING = 100  # drains at once
-MOST_ENDED = 100  # that are remembered after their end; the oldest goes first
-MOST_PERMITS = 2000  # nodes in one entry
-MOST_TOLD = 20  # things in a drain's way that its record tells
-MOST_NAMED = 100  # nodes of the next wave that its record tells
-WAVE_MS = 60_000  # that a wave is awaited to take, where the cordon has to leave time for the last ones
+MAX_RUNNING_DRAINS = 100
+MAX_ENDED_DRAINS = 100  # ended drains that are remembered; the oldest is forgotten first
+MAX_PERMITS = 2000  # nodes in one command
+MAX_STUCK = 20  # obstacles that the progress record of a drain lists
+MAX_NEXT_NODES = 100  # nodes of the next wave that the progress record of a drain lists
+WAVE_MS = 60_000  # expected time of one wave, used to set the cordon early enough before the deadline
+
+GIVEN = "given"
+CLEAR = "clear"
+DOWN = "down"
+RETURNING = "returning"
+RECALLED = "recalled"
 
-GIVEN, CLEAR, DOWN, RETURNING, RECALLED = "given", "clear", "down", "returning", "recalled"
-RUNNING, DONE, STOPPED, GIVEN_UP = "running", "done", "stopped", "given up"
+RUNNING = "running"
+DONE = "done"
+STOPPED = "stopped"
+GIVEN_UP = "given up"
 
 Index = Annotated[int, Meta(ge=0)]
-Some = Annotated[tuple[Name, ...], Meta(min_length=1, max_length=MOST_PERMITS)]
+PermitNodes = Annotated[tuple[Name, ...], Meta(min_length=1, max_length=MAX_PERMITS)]
 
 
 # ---- records
 
 
 class Drain(Struct, frozen=True):
+    """A drain as it was requested, and its phase."""
+
     nodes: tuple[str, ...]
-    deadline_ms: int = 0  # 0: none, as soon as can be
-    since: int = 0  # index of the entry that began it: its age
+    deadline_ms: int = 0  # Unix time; 0: no deadline, the drain runs as soon as possible
+    since: int = 0  # index of the entry that started it, which gives its age
     phase: str = RUNNING
 
 
 class Stuck(Struct, frozen=True):
-    """One thing in a drain's way, as an error is told."""
+    """An obstacle of a drain, with the same three fields as an error."""
 
     type: str
     says: str
@@ -51,8 +67,9 @@
 
 
 class Progress(Struct, frozen=True):
-    """What changes while a drain runs. `left`: nodes not yet done; `moved`: the ledger's time at which one
-    was last done; `cordon_ms`: from when no gang may hold its nodes. The rest is the leader's plan."""
+    """The part of a drain that changes while it runs. `left`: number of nodes not yet done; `moved`: ledger
+    time at which a node was last done; `cordon_ms`: Unix time from which no gang may hold its nodes. The
+    other fields are the plan that the leader reported."""
 
     left: int
     moved: int
@@ -63,11 +80,12 @@
 
 
 class Permit(Struct, frozen=True):
-    """By node. (`term`, `index`) are those of the entry that gave it: whoever obeys refuses an older one.
-    `at`: index of the entry that brought this phase; `moment`: the ledger's time then."""
+    """The permit of a node to go down; the key is the node. (`term`, `index`) are those of the entry that
+    granted it: a node refuses to obey an older permit than the last one it obeyed. `at` is the index of the
+    entry that set this phase, `moment` the ledger time of that entry."""
 
     drain: str
-    serves: tuple[str, ...]  # the drains that this time away counts for
+    serves: tuple[str, ...]  # the drains for which this absence of the node counts
     term: int
     index: int
     phase: str
@@ -78,7 +96,7 @@
 KINDS = {"drains": Drain, "progress": Progress, "wants": tuple[str, ...], "permits": Permit}
 
 
-def stuck_by(fault):
+def stuck_from(fault):
     return Stuck(type(fault).__name__, fault.says, fault.do)
 
 
@@ -86,7 +104,7 @@
 
 
 class DrainCommand(Command, frozen=True, tag="drain"):
-    """Begins a drain; or gives one that runs another deadline, or other nodes."""
+    """Starts a drain, or gives a running one another deadline or other nodes."""
 
     drain: Name
     nodes: Names
@@ -98,325 +116,369 @@
 
 
 class PermitCommand(Command, frozen=True, tag="permit"):
-    """A leader's own: these nodes may go, all of them or none."""
+    """Proposed by the leader: all of these nodes may go, or none of them."""
 
-    nodes: Some
+    nodes: PermitNodes
 
 
 class PermitClear(Command, frozen=True, tag="permit_clear"):
-    """A leader's own: nobody sends to these nodes any more. `index`: the entry that gave their permits."""
+    """Proposed by the leader: no gateway sends to these nodes any more. `index`: the entry that granted their
+    permits."""
 
-    nodes: Some
+    nodes: PermitNodes
     index: Index
 
 
 class PermitRevoke(Command, frozen=True, tag="permit_back"):
-    nodes: Some
+    """Proposed by the leader: the permits of these nodes are revoked."""
+
+    nodes: PermitNodes
 
 
 class DrainPlanReport(Command, frozen=True, tag="drain_told"):
-    """A leader's own: what it plans, and what stands in the way."""
+    """Proposed by the leader: the plan of a drain and its obstacles, for operators to read."""
 
     drain: Name
     waves: Index
-    next: Annotated[tuple[Name, ...], Meta(max_length=MOST_NAMED)] = ()
-    stuck: Annotated[tuple[Stuck, ...], Meta(max_length=MOST_TOLD)] = ()
+    next: Annotated[tuple[Name, ...], Meta(max_length=MAX_NEXT_NODES)] = ()
+    stuck: Annotated[tuple[Stuck, ...], Meta(max_length=MAX_STUCK)] = ()
 
 
 class DrainCordon(Command, frozen=True, tag="drain_cordon"):
-    """A leader's own: for a drain that is late, gangs that end before this may start meanwhile."""
+    """Proposed by the leader for a late drain: gangs that end before `cordon_ms` may start on its nodes."""
 
     drain: Name
     cordon_ms: Millis
 
 
 class DrainGivenUp(Command, frozen=True, tag="drain_given_up"):
+    """Proposed by the leader for a drain that has made no progress for too long."""
+
     drain: Name
-    moved: Index  # the progress that it was given up for
+    moved: Index  # `Progress.moved` when the leader decided; the command is refused if it has changed
 
 
-# ---- what clients ask
+# ---- rules of the commands that clients send
 
 
-def drain(draft, command):
-    name, nodes, deadline = command.drain, command.nodes, command.deadline_ms
+def start_drain(transaction, command):
+    name = command.drain
+    nodes = command.nodes
+    deadline = command.deadline_ms
     capacity.once(nodes)
     for node in nodes:
-        capacity.known_node(draft, node)
-    feasibility.refuse(draft, nodes, deadline, draft.wall_ms)
-    before = draft.get("drains", name)
+        capacity.known_node(transaction, node)
+    feasibility.check_feasible(transaction, nodes, deadline, transaction.wall_ms)
+    before = transaction.get("drains", name)
     runs = before is not None and before.phase == RUNNING
-    if not runs and sum(one.phase == RUNNING for one in draft.part("drains").values()) >= MOST_RUNNING:
-        raise TooManyDrains(f"{MOST_RUNNING} drains run")
-    old = {node for node in (before.nodes if runs else ()) if name in draft.part("wants").get(node, ())}
-    was = set(before.nodes) if runs else set()
-    for node in sorted(old - set(nodes)):
-        unwant(draft, name, node)
-    left = [node for node in nodes if node in old or node not in was]
-    since = before.since if runs else draft.index
-    draft.put("drains", name, Drain(nodes, deadline, since))
-    cordon = compute_cordon_ms(draft, left, deadline)
-    draft.put("progress", name, Progress(len(left), draft.moment, cordon))
+    if (
+        not runs
+        and sum(drain.phase == RUNNING for drain in transaction.part("drains").values()) >= MAX_RUNNING_DRAINS
+    ):
+        raise TooManyDrains(f"{MAX_RUNNING_DRAINS} drains run")
+    wanted_before = {
+        node for node in (before.nodes if runs else ()) if name in transaction.part("wants").get(node, ())
+    }
+    listed_before = set(before.nodes) if runs else set()
+    for node in sorted(wanted_before - set(nodes)):
+        remove_want(transaction, name, node)
+    left = [node for node in nodes if node in wanted_before or node not in listed_before]
+    since = before.since if runs else transaction.index
+    transaction.put("drains", name, Drain(nodes, deadline, since))
+    cordon = compute_cordon_ms(transaction, left, deadline)
+    transaction.put("progress", name, Progress(len(left), transaction.moment, cordon))
     for node in left:
-        if node not in old:
-            want(draft, name, node)
-    cordon_nodes(draft, sorted(old.union(left)))
-    ended(draft, name)
+        if node not in wanted_before:
+            add_want(transaction, name, node)
+    update_node_cordons(transaction, sorted(wanted_before.union(left)))
+    finish_if_done(transaction, name)
 
 
-def drain_stop(draft, command):
-    before = draft.get("drains", command.drain)
+def stop_drain(transaction, command):
+    before = transaction.get("drains", command.drain)
     if before is None or before.phase != RUNNING:
         raise NoSuchDrain(f"no drain {command.drain} runs")
-    close(draft, command.drain, before, STOPPED)
+    close_drain(transaction, command.drain, before, STOPPED)
 
 
-# ---- what a leader proposes
+# ---- rules of the commands that a leader proposes
 
 
-def permit(draft, command):
-    nodes, wants, permits = draft.part("nodes"), draft.part("wants"), draft.part("permits")
+def grant_permits(transaction, command):
+    nodes, wants, permits = transaction.part("nodes"), transaction.part("wants"), transaction.part("permits")
     capacity.once(command.nodes)
     for name in command.nodes:
         if name not in nodes or name not in wants:
             raise GroundGone(f"no drain wants node {name}")
         if name in permits and permits[name].phase != RECALLED:
             raise GroundGone(f"node {name} has a permit")
-    asked = [name for name in command.nodes if capacity.up(nodes[name]) or nodes[name].out]
-    for fault in constraints.objections(draft, draft.moment, asked):
+    going = [name for name in command.nodes if capacity.up(nodes[name]) or nodes[name].out]
+    for fault in constraints.find_violations(transaction, transaction.moment, going):
         raise GroundGone(fault.says)
     for name in command.nodes:
-        serves = draft.part("wants")[name]
-        lead = min(serves, key=lambda one: draft.get("drains", one).since)
+        serves = transaction.part("wants")[name]
+        oldest = min(serves, key=lambda drain: transaction.get("drains", drain).since)
         down = nodes[name].state in (DRAINED, FAILED)
         phase = DOWN if down else GIVEN
-        draft.put(
-            "permits", name, Permit(lead, serves, draft.term, draft.index, phase, draft.index, draft.moment)
+        transaction.put(
+            "permits",
+            name,
+            Permit(
+                oldest,
+                serves,
+                transaction.term,
+                transaction.index,
+                phase,
+                transaction.index,
+                transaction.moment,
+            ),
         )
         if not down:
-            change_node(draft, name, out=lead)
+            change_node(transaction, name, out=oldest)
 
 
-def permit_clear(draft, command):
+def clear_permits(transaction, command):
     for name in command.nodes:
-        held = draft.get("permits", name)
-        if held is None or held.index != command.index or held.phase != GIVEN:
+        permit = transaction.get("permits", name)
+        if permit is None or permit.index != command.index or permit.phase != GIVEN:
             raise GroundGone(f"node {name} has no such permit")
-        move(draft, name, held, CLEAR)
+        set_permit_phase(transaction, name, permit, CLEAR)
 
 
-def permit_back(draft, command):
+def revoke_permits(transaction, command):
     for name in command.nodes:
-        held = draft.get("permits", name)
-        if held is None or held.phase not in (GIVEN, CLEAR):
-            raise GroundGone(f"node {name} has no permit to take back")
-        take_back(draft, name, held)
+        permit = transaction.get("permits", name)
+        if permit is None or permit.phase not in (GIVEN, CLEAR):
+            raise GroundGone(f"node {name} has no permit that can be revoked")
+        revoke_permit(transaction, name, permit)
 
 
-def drain_told(draft, command):
-    before = draft.get("progress", command.drain)
-    if before is None or draft.get("drains", command.drain).phase != RUNNING:
+def record_plan(transaction, command):
+    before = transaction.get("progress", command.drain)
+    if before is None or transaction.get("drains", command.drain).phase != RUNNING:
         raise GroundGone(f"no drain {command.drain} runs")
     after = replace(before, waves=command.waves, next=command.next, stuck=command.stuck)
-    draft.put("progress", command.drain, after)
+    transaction.put("progress", command.drain, after)
 
 
-def drain_cordon(draft, command):
-    before = draft.get("drains", command.drain)
+def set_cordon(transaction, command):
+    before = transaction.get("drains", command.drain)
     if before is None or before.phase != RUNNING:
         raise GroundGone(f"no drain {command.drain} runs")
-    progress = draft.get("progress", command.drain)
-    draft.put("progress", command.drain, replace(progress, cordon_ms=command.cordon_ms))
-    cordon_nodes(draft, before.nodes)
+    progress = transaction.get("progress", command.drain)
+    transaction.put("progress", command.drain, replace(progress, cordon_ms=command.cordon_ms))
+    update_node_cordons(transaction, before.nodes)
 
 
-def drain_given_up(draft, command):
-    before, progress = draft.get("drains", command.drain), draft.get("progress", command.drain)
+def give_up_drain(transaction, command):
+    before, progress = transaction.get("drains", command.drain), transaction.get("progress", command.drain)
     if before is None or before.phase != RUNNING or progress.moved != command.moved:
-        raise GroundGone(f"drain {command.drain} went on")
-    close(draft, command.drain, before, GIVEN_UP)
+        raise GroundGone(f"drain {command.drain} has made progress or does not run")
+    close_drain(transaction, command.drain, before, GIVEN_UP)
     last = GivenUp(f"drain {command.drain} ended with {progress.left} nodes left")
-    stuck = (*progress.stuck[: MOST_TOLD - 1], stuck_by(last))
-    draft.put("progress", command.drain, replace(progress, waves=0, next=(), stuck=stuck))
+    stuck = (*progress.stuck[: MAX_STUCK - 1], stuck_from(last))
+    transaction.put("progress", command.drain, replace(progress, waves=0, next=(), stuck=stuck))
 
 
-def report(draft, command):
-    """A node's word, and its permit moves on with it."""
-    capacity.report(draft, command)
-    held = draft.get("permits", command.node)
-    if held is None:
+def apply_report(transaction, command):
+    """Applies the report of a node, and moves its permit to the phase that follows from it."""
+    capacity.report(transaction, command)
+    permit = transaction.get("permits", command.node)
+    if permit is None:
         return
     if command.state in (DRAINED, FAILED):
-        if held.phase != DOWN:
-            move(draft, command.node, held, DOWN)
+        if permit.phase != DOWN:
+            set_permit_phase(transaction, command.node, permit, DOWN)
     elif command.state == CATCHING_UP:
-        if held.phase == DOWN:
-            move(draft, command.node, held, RETURNING)
-    elif held.phase in (DOWN, RETURNING):
-        back(draft, command.node, held)
-    elif held.phase == RECALLED and unacted(draft, command, held):
-        go(draft, command.node)
+        if permit.phase == DOWN:
+            set_permit_phase(transaction, command.node, permit, RETURNING)
+    elif permit.phase in (DOWN, RETURNING):
+        complete_permit(transaction, command.node, permit)
+    elif permit.phase == RECALLED and cannot_act(transaction, command, permit):
+        remove_permit(transaction, command.node)
 
 
-def unacted(draft, command, held):
-    """Whether a node that serves can no longer act on a permit taken back: it has seen that, or what it
-    knew of it is older than any lease."""
-    ran_out = held.moment + draft.terms.lease + draft.terms.grace
-    return command.seen >= held.at or draft.moment >= ran_out
+def cannot_act(transaction, command, permit):
+    """Whether a serving node can no longer act on a recalled permit: it has seen the recall, or what it knew
+    of the permit is older than any lease."""
+    expires = permit.moment + transaction.terms.lease + transaction.terms.grace
+    return command.seen >= permit.at or transaction.moment >= expires
 
 
-# ---- parts of these
+# ---- steps that the rules share
 
 
-def want(draft, drain, node):
-    draft.put("wants", node, draft.part("wants").get(node, ()) + (drain,))
-    held = draft.get("permits", node)
-    if held is not None and held.phase in (GIVEN, CLEAR):  # it has yet to go down: once will do for both
-        draft.put("permits", node, replace(held, serves=held.serves + (drain,)))
+def add_want(transaction, drain, node):
+    """Records that this drain wants the node."""
+    transaction.put("wants", node, transaction.part("wants").get(node, ()) + (drain,))
+    permit = transaction.get("permits", node)
+    # The node has not gone down yet, so its one absence counts for this drain as well.
+    if permit is not None and permit.phase in (GIVEN, CLEAR):
+        transaction.put("permits", node, replace(permit, serves=permit.serves + (drain,)))
 
 
-def unwant(draft, drain, node):
-    """A drain wants this node no more; a permit that served it alone is taken back."""
-    rest = tuple(one for one in draft.part("wants").get(node, ()) if one != drain)
+def remove_want(transaction, drain, node):
+    """Records that this drain no longer wants the node. A permit that served only this drain is revoked."""
+    rest = tuple(other for other in transaction.part("wants").get(node, ()) if other != drain)
     if rest:
-        draft.put("wants", node, rest)
+        transaction.put("wants", node, rest)
     else:
-        draft.drop("wants", node)
-    held = draft.get("permits", node)
-    if held is not None and drain in held.serves:
-        serves = tuple(one for one in held.serves if one != drain)
-        if serves and held.drain == drain:
-            held = replace(held, drain=serves[0])
-            if draft.get("nodes", node).out:
-                change_node(draft, node, out=serves[0])
-        held = replace(held, serves=serves)
-        draft.put("permits", node, held)
-        if not serves and held.phase in (GIVEN, CLEAR):
-            take_back(draft, node, held)
-
-
-def close(draft, name, before, phase):
-    """A drain ends; what it still wants is let go."""
+        transaction.drop("wants", node)
+    permit = transaction.get("permits", node)
+    if permit is not None and drain in permit.serves:
+        serves = tuple(other for other in permit.serves if other != drain)
+        if serves and permit.drain == drain:
+            permit = replace(permit, drain=serves[0])
+            if transaction.get("nodes", node).out:
+                change_node(transaction, node, out=serves[0])
+        permit = replace(permit, serves=serves)
+        transaction.put("permits", node, permit)
+        if not serves and permit.phase in (GIVEN, CLEAR):
+            revoke_permit(transaction, node, permit)
+
+
+def close_drain(transaction, name, before, phase):
+    """Ends a drain in this phase and releases the nodes that it still wants."""
     for node in before.nodes:
-        if name in draft.part("wants").get(node, ()):
-            unwant(draft, name, node)
-    draft.put("drains", name, replace(before, phase=phase))
-    cordon_nodes(draft, before.nodes)
-    trim(draft)
-
-
-def ended(draft, name):
-    """A drain with nothing left is done."""
-    if draft.get("progress", name).left == 0:
-        draft.put("drains", name, replace(draft.get("drains", name), phase=DONE))
-        draft.put("progress", name, replace(draft.get("progress", name), waves=0, next=(), stuck=()))
-        trim(draft)
+        if name in transaction.part("wants").get(node, ()):
+            remove_want(transaction, name, node)
+    transaction.put("drains", name, replace(before, phase=phase))
+    update_node_cordons(transaction, before.nodes)
+    forget_old_drains(transaction)
+
+
+def finish_if_done(transaction, name):
+    """Ends a drain that has no nodes left."""
+    if transaction.get("progress", name).left == 0:
+        transaction.put("drains", name, replace(transaction.get("drains", name), phase=DONE))
+        transaction.put(
+            "progress", name, replace(transaction.get("progress", name), waves=0, next=(), stuck=())
+        )
+        forget_old_drains(transaction)
 
 
-def trim(draft):
-    over = sorted((one.since, name) for name, one in draft.part("drains").items() if one.phase != RUNNING)
-    for _, name in over[:-MOST_ENDED]:
-        draft.drop("drains", name)
-        draft.drop("progress", name)
+def forget_old_drains(transaction):
+    ended = sorted(
+        (drain.since, name) for name, drain in transaction.part("drains").items() if drain.phase != RUNNING
+    )
+    for _, name in ended[:-MAX_ENDED_DRAINS]:
+        transaction.drop("drains", name)
+        transaction.drop("progress", name)
 
 
-def move(draft, name, held, phase):
-    draft.put("permits", name, replace(held, phase=phase, at=draft.index, moment=draft.moment))
+def set_permit_phase(transaction, name, permit, phase):
+    transaction.put(
+        "permits", name, replace(permit, phase=phase, at=transaction.index, moment=transaction.moment)
+    )
 
 
-def take_back(draft, name, held):
-    if held.phase == GIVEN:
-        go(draft, name)
+def revoke_permit(transaction, name, permit):
+    if permit.phase == GIVEN:
+        remove_permit(transaction, name)
     else:
-        move(draft, name, held, RECALLED)
-
-
-def go(draft, name):
-    """The permit is no more and its node is back."""
-    draft.drop("permits", name)
-    if draft.get("nodes", name).out:
-        change_node(draft, name, out="")
-
-
-def back(draft, name, held):
-    """A node that was away serves again, cold; it is done for the drains that its time away served."""
-    if draft.get("nodes", name).out:
-        change_node(draft, name, warm=draft.moment + draft.terms.cold)
-    go(draft, name)
-    for one in held.serves:
-        if one in draft.part("wants").get(name, ()):
-            unwant(draft, one, name)
-            progress = draft.get("progress", one)
-            draft.put("progress", one, replace(progress, left=progress.left - 1, moved=draft.moment))
-            ended(draft, one)
-    cordon_nodes(draft, (name,))
-
-
-def compute_cordon_ms(draft, nodes, deadline_ms):
-    """The latest wall moment at which these may still be held: what waves are needed at least, by what
-    their groups and sites let go at once, have to fit in before the deadline."""
+        set_permit_phase(transaction, name, permit, RECALLED)
+
+
+def remove_permit(transaction, name):
+    """Removes the permit; its node counts as present again."""
+    transaction.drop("permits", name)
+    if transaction.get("nodes", name).out:
+        change_node(transaction, name, out="")
+
+
+def complete_permit(transaction, name, permit):
+    """A node that was away serves again, cold. It is done for the drains that its absence served."""
+    if transaction.get("nodes", name).out:
+        change_node(transaction, name, warm=transaction.moment + transaction.terms.cold)
+    remove_permit(transaction, name)
+    for drain in permit.serves:
+        if drain in transaction.part("wants").get(name, ()):
+            remove_want(transaction, drain, name)
+            progress = transaction.get("progress", drain)
+            transaction.put(
+                "progress", drain, replace(progress, left=progress.left - 1, moved=transaction.moment)
+            )
+            finish_if_done(transaction, drain)
+    update_node_cordons(transaction, (name,))
+
+
+def compute_cordon_ms(transaction, nodes, deadline_ms):
+    """Returns the latest Unix time, in milliseconds, until which gangs may hold these nodes. From then on the
+    waves that are needed at least, by how many nodes their groups and sites can spare at once, still fit in
+    before the deadline."""
     if not deadline_ms:
-        return draft.wall_ms
-    rows, loads, groups, sites, sizes = draft.part("groups"), draft.part("loads"), {}, {}, {}
-    for node in draft.part("nodes").values():
-        sizes[node.site] = sizes.get(node.site, 0) + 1
+        return transaction.wall_ms
+    groups, loads, drained_by_group, drained_by_site, site_sizes = (
+        transaction.part("groups"),
+        transaction.part("loads"),
+        {},
+        {},
+        {},
+    )
+    for node in transaction.part("nodes").values():
+        site_sizes[node.site] = site_sizes.get(node.site, 0) + 1
     for name in nodes:
-        site = draft.get("nodes", name).site
-        sites[site] = sites.get(site, 0) + 1
+        site = transaction.get("nodes", name).site
+        drained_by_site[site] = drained_by_site.get(site, 0) + 1
         for group in loads.get(name, constraints.NO_LOAD).groups:
-            groups[group] = groups.get(group, 0) + 1
+            drained_by_group[group] = drained_by_group.get(group, 0) + 1
     waves = 1
-    for name, count in groups.items():
-        waves = max(waves, -(-count // max(1, len(rows[name].nodes) - rows[name].quorum)))
-    for site, count in sites.items():
-        waves = max(waves, -(-count // max(1, int(draft.terms.site_share * sizes[site]))))
-    return max(draft.wall_ms, deadline_ms - waves * WAVE_MS)
-
-
-def cordon_nodes(draft, names):
-    """Each is to be free by the earliest moment of the drains that want it."""
-    wants, progress, nodes = draft.part("wants"), draft.part("progress"), draft.part("nodes")
+    for name, count in drained_by_group.items():
+        waves = max(waves, -(-count // max(1, len(groups[name].nodes) - groups[name].quorum)))
+    for site, count in drained_by_site.items():
+        waves = max(waves, -(-count // max(1, int(transaction.terms.site_share * site_sizes[site]))))
+    return max(transaction.wall_ms, deadline_ms - waves * WAVE_MS)
+
+
+def update_node_cordons(transaction, names):
+    """Sets the cordon of each node to the earliest cordon of the drains that want it."""
+    wants, progress, nodes = (
+        transaction.part("wants"),
+        transaction.part("progress"),
+        transaction.part("nodes"),
+    )
     for name in names:
         if name not in nodes:
             continue
-        cordon = min((max(1, progress[one].cordon_ms) for one in wants.get(name, ())), default=0)
+        cordon = min((max(1, progress[drain].cordon_ms) for drain in wants.get(name, ())), default=0)
         if nodes[name].cordon_ms != cordon:
-            draft.put("nodes", name, replace(nodes[name], cordon_ms=cordon))
+            transaction.put("nodes", name, replace(nodes[name], cordon_ms=cordon))
 
 
 def describe_drains(state):
-    """The part `drains` as it is asked for: each with its plan, and its permits by node."""
+    """Returns the part `drains` in the form in which it is read: each drain with its plan, and with its
+    permits by node."""
     permits = {}
-    for node, held in sorted(state.part("permits").items()):
-        for one in held.serves:
-            permits.setdefault(one, {})[node] = held
+    for node, permit in sorted(state.part("permits").items()):
+        for drain in permit.serves:
+            permits.setdefault(drain, {})[node] = permit
     found = {}
-    for name, one in sorted(state.part("drains").items()):
-        told = state.part("progress")[name]
+    for name, drain in sorted(state.part("drains").items()):
+        progress = state.part("progress")[name]
         found[name] = {
-            "nodes": one.nodes,
-            "deadline_ms": one.deadline_ms,
-            "phase": one.phase,
-            "since": one.since,
-            "left": told.left,
-            "cordon_ms": told.cordon_ms,
-            "plan": {"waves": told.waves, "next": told.next},
-            "stuck": told.stuck,
+            "nodes": drain.nodes,
+            "deadline_ms": drain.deadline_ms,
+            "phase": drain.phase,
+            "since": drain.since,
+            "left": progress.left,
+            "cordon_ms": progress.cordon_ms,
+            "plan": {"waves": progress.waves, "next": progress.next},
+            "stuck": progress.stuck,
             "permits": permits.get(name, {}),
         }
     return found
 
 
 RULES = {
-    DrainCommand: drain,
-    DrainStop: drain_stop,
-    PermitCommand: permit,
-    PermitClear: permit_clear,
-    PermitRevoke: permit_back,
-    DrainPlanReport: drain_told,
-    DrainCordon: drain_cordon,
-    DrainGivenUp: drain_given_up,
-    Report: report,  # in place of capacity's: give these rules after those
+    DrainCommand: start_drain,
+    DrainStop: stop_drain,
+    PermitCommand: grant_permits,
+    PermitClear: clear_permits,
+    PermitRevoke: revoke_permits,
+    DrainPlanReport: record_plan,
+    DrainCordon: set_cordon,
+    DrainGivenUp: give_up_drain,
+    Report: apply_report,  # replaces the rule of `capacity`, so these rules have to be added after those
 }
 INNER = (PermitCommand, PermitClear, PermitRevoke, DrainPlanReport, DrainCordon, DrainGivenUp)
 __all__ = ["INNER", "KINDS", "RULES", "describe_drains"]
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -488,8 +488,8 @@
 
 
 def test_ended_drains_are_forgotten_oldest_first(monkeypatch):
-    monkeypatch.setattr(rules, "MOST_ENDED", 3)
-    monkeypatch.setattr(rules, "MOST_RUNNING", 2)
+    monkeypatch.setattr(rules, "MAX_ENDED_DRAINS", 3)
+    monkeypatch.setattr(rules, "MAX_RUNNING_DRAINS", 2)
     made = world(2)
     for number in range(6):
         assert begin(made, ["n0"], f"d{number}")[0] == 200
@@ -565,7 +565,7 @@
 def whole(plan, request):
     assert sorted(n for wave in plan.waves for n in wave) == sorted(set(request.demands) - set(plan.blocked))
     assert all(fits(request, wave) and wave for wave in plan.waves)
-    assert {name: number for number, wave in enumerate(plan.waves) for name in wave} == plan.where
+    assert {name: number for number, wave in enumerate(plan.waves) for name in wave} == plan.wave_of
 
 
 def test_waves_beside_the_true_optimum_on_small_fleets():
@@ -599,8 +599,8 @@
         plan.change(some, limits)
         whole(plan, request)
         assert set(plan.blocked) == set(Plan(request).blocked) and plan.bound <= len(plan.waves)
-        if plan.far():
-            plan.make(request)
+        if plan.should_rebuild():
+            plan.rebuild(request)
             whole(plan, request)
 
 
@@ -674,14 +674,16 @@
     from lemonlead.drains import constraints
 
     if broken == "quorum":
-        monkeypatch.setattr(constraints, "group_objections", lambda *some: ())
+        monkeypatch.setattr(constraints, "group_violations", lambda *some: ())
         monkeypatch.setattr(PlanRequestBuilder, "demands", without_groups(PlanRequestBuilder.demands))
     elif broken == "gang":
-        monkeypatch.setattr(constraints, "gang_objections", lambda *some: ())
+        monkeypatch.setattr(constraints, "gang_violations", lambda *some: ())
     elif broken == "cold":
         monkeypatch.setattr(constraints, "bears", lambda node, moment, terms: node.units)
     elif broken == "recalled":
-        monkeypatch.setattr(rules, "take_back", lambda draft, name, held: rules.go(draft, name))
+        monkeypatch.setattr(
+            rules, "revoke_permit", lambda draft, name, held: rules.remove_permit(draft, name)
+        )
     made = world(8, pace=(300, 400))
     if broken == "acknowledged":
         made.follow.waited_for = lambda *some: []
@@ -787,7 +789,7 @@
 @given(st.integers(0, 10**6))
 def test_whatever_happens_while_a_look_is_under_way_nothing_breaks_and_each_drain_ends(seed):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(planner, "PIECE", 2)
+        patch.setattr(planner, "NODES_PER_PIECE", 2)
         patch.setattr(leader_task, "SLICE", 8)
         chaos = Chaos(seed)
         chaos.world.slow = True
@@ -809,7 +811,7 @@
             assert (found is None) is made.duty.planning and made.duty.wake_at() <= made.now + 1 or found
             most, before, calls = max(most, placed[0] - before), placed[0], calls + 1
     assert len(found.nodes) == 620 and placed[0] >= 2500  # a quarter of each site
-    assert most <= leader_task.SLICE + planner.PIECE
+    assert most <= leader_task.SLICE + planner.NODES_PER_PIECE
 
 
 def test_a_wave_planned_before_a_node_failed_is_planned_anew():
@@ -818,7 +820,7 @@
     begin(made, names(2))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leader_task, "SLICE", 1)
-        while not made.duty.plan.where:
+        while not made.duty.plan.wave_of:
             assert made.duty.next(made.now, made.wall, made.state, made.follow) is None
         assert made.duty.planning
         made.fail("n2")
