--- a/lemonlead/moves/__init__.py
+++ b/lemonlead/moves/__init__.py
@@ -1,4 +1,4 @@
-"""Moves of a service between two clusters, each with a ledger of its own. Decisions alone: no I/O, no clock.
+"""Moves of a service between two clusters, each of which has its own ledger. No I/O and no clock.
 
-`rules.py` holds the ledger commands of both sides; `steps.py` says what a source does next. The stages of a
-shift are judged by the gateways (`lemonlead/following/sides.py`); `docs/moves.md` tells why."""
+`rules.py` holds the ledger commands of both clusters, `steps.py` decides what the source does next. The
+gateways judge the stages of a move (`lemonlead/following`). `docs/moves.md` gives the reasons."""
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -1,9 +1,11 @@
-"""The ledger's commands for moves, of both sides. `docs/moves.md` tells the steps and why.
+"""The ledger commands and records of moves, and the rules that apply them, for both clusters of a move.
+`docs/moves.md` gives the steps and the reasons.
 
-Source: a record in part "moves"; it alone decides the end. Destination: a record in part "holds", under
-"SOURCE/MOVE"; what it holds are reservations that no client may free. Its commands are sent by the source's
-leader, each with the move's epoch (the index of the source's entry that began it) and a floor (no move of
-that source to here with a lower epoch is open). Each leaves the same when it comes again, or late."""
+The source has a record in the part "moves" and decides alone how the move ends. The destination has a record
+in the part "holds", under "SOURCE/MOVE"; what it holds are reservations that no client may free. The leader
+of the source sends the commands to the destination. Each of them carries the epoch of the move (the index of
+the source's entry that began it) and a floor: no move from that source to this cluster with a lower epoch is
+open. A command that comes again, or late, has no further effect."""
 
 from typing import Annotated
 
@@ -28,37 +30,56 @@
     TooLate,
 )
 
-# Steps of a source's record. While it is ASKED the destination has not been called. Up to SHIFTING a move may
-# be stopped; each that is not done ends by way of GOING_BACK (no request goes there any more) and DROPPING
-# (the destination is told).
-ASKED, RESERVING, WARMING = "asked", "reserving", "warming"
-MEMBERS, SHIFTING = "members", "shifting"
-SETTLING, GOING_BACK, DROPPING = "settling", "going back", "dropping"
-DONE, REFUSED, STOPPED = "done", "refused", "stopped"
-SENT_BACK, OVERDUE, LOST = "sent back", "overdue", "lost"
+# Steps of the source's record. At ASKED the destination has not been called yet. Up to SHIFTING a move may be
+# stopped. A move that is not done ends by way of ROLLING_BACK (no request goes to the destination any more)
+# and DROPPING (the destination is notified).
+ASKED = "asked"
+RESERVING = "reserving"
+WARMING = "warming"
+MEMBERS = "members"
+SHIFTING = "shifting"
+SETTLING = "settling"
+ROLLING_BACK = "going back"
+DROPPING = "dropping"
+# Ends of a move.
+DONE = "done"
+REFUSED = "refused"
+STOPPED = "stopped"
+ROLLED_BACK = "sent back"
+OVERDUE = "overdue"
+LOST = "lost"
+
 BEFORE_SETTLING = (ASKED, RESERVING, WARMING, MEMBERS, SHIFTING)
-# States of a destination's record.
-HELD, WARM, KEPT, DROPPED = "held", "warm", "kept", "dropped"
-
-STAGES = (50, 250, 500, 900, 1000)  # thousandths of the requests that go there; judged up to the last but one
-BAKE = 3_000_000_000  # ledger time that a stage stands at least
-PATIENCE = 1_800_000_000_000  # ledger time after which a step before settling sends the move back
-MOST_OPEN = 64  # moves not yet told to their destinations
-MOST_MOVES = 10_000  # records; past it those told and older than KEEP go, and if none is, moves are refused
-KEEP = 30 * 86_400_000_000_000  # ledger time for which an ended move's name stays known
-MOST_HOLDS = 4096
-MOST_PIECES = 500  # reservations, and groups, of one move
-
-Short = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$")]
-Said = Annotated[str, Meta(max_length=500)]
+
+# States of the destination's record.
+HELD = "held"
+WARM = "warm"
+KEPT = "kept"
+DROPPED = "dropped"
+
+# Thousandths of the requests that go to the destination. Gateways vote on all stages but the last.
+STAGES = (50, 250, 500, 900, 1000)
+MIN_STAGE_NS = 3_000_000_000  # ledger time that a stage lasts at least
+MAX_STEP_NS = 1_800_000_000_000  # ledger time after which a step before settling rolls the move back
+MAX_OPEN_MOVES = 64  # moves whose destinations have not been notified of the end yet
+# Records of moves. Past it ended moves older than REMEMBER_NS are forgotten; if there are none, a new move is
+# refused.
+MAX_MOVES = 10_000
+REMEMBER_NS = 30 * 86_400_000_000_000  # ledger time for which the name of an ended move stays known
+MAX_HOLDS = 4096
+MAX_PIECES = 500  # reservations of one move, its groups, and the members of these groups
+
+ShortName = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$")]
+Reason = Annotated[str, Meta(max_length=500)]
 Index = Annotated[int, Meta(ge=0)]
 
 
 # ---- records
 
 
-class Moved(Struct, frozen=True):
-    """A quorum group under way: as it was here, and how many members the other side has taken over."""
+class MovedGroup(Struct, frozen=True):
+    """A quorum group of a move in the source's record: the group as it was before the move, and `over`, the
+    number of members that the destination has taken over."""
 
     group: str
     nodes: tuple[str, ...]
@@ -67,9 +88,10 @@
 
 
 class Move(Struct, frozen=True):
-    """The source's record. `share`: thousandths of the requests that go there. `at`: index of the entry that
-    last changed where they go. `since`: ledger moment at which the step or stage began. `taken`, `told`:
-    the destination's entries that prove that it holds, and that it knows the end (-1: nobody to tell)."""
+    """The source's record. `share`: thousandths of the requests that go to the destination. `at`: index of
+    the entry that last changed where they go. `since`: ledger time at which the step or stage began. `taken`
+    and `told`: indexes of the destination's entries which prove that it holds the service and that it knows
+    the end of the move (-1: there is nobody to notify)."""
 
     service: str
     to: str
@@ -80,18 +102,18 @@
     at: int = 0
     since: int = 0
     reservations: tuple[str, ...] = ()
-    groups: tuple[Moved, ...] = ()
-    on: tuple[str, ...] = ()  # gateways that voted for the next stage, and those that voted back
-    back: tuple[str, ...] = ()
+    groups: tuple[MovedGroup, ...] = ()
+    on: tuple[str, ...] = ()  # gateways that voted for the next stage
+    back: tuple[str, ...] = ()  # gateways that voted to roll back
     taken: int = 0
     told: int = 0
-    end: str = ""  # how it ends: DONE, REFUSED, ...
+    end: str = ""  # how the move ends: DONE, REFUSED, ...
     says: str = ""
     do: str = ""
 
 
-class Placed(Struct, frozen=True):
-    """A quorum group's nodes at the destination; the first `over` of them are in it."""
+class PlacedGroup(Struct, frozen=True):
+    """The nodes of a quorum group at the destination; the first `over` of them are members by now."""
 
     group: str
     nodes: tuple[str, ...]
@@ -100,8 +122,8 @@
 
 
 class Hold(Struct, frozen=True):
-    """The destination's record. `warm_at`: ledger moment at which it bears all. `by`: an operator's reason,
-    where one ended it."""
+    """The destination's record. `warm_at`: ledger time at which the destination can bear all requests. `by`:
+    the reason that an operator gave for ending the hold."""
 
     source: str
     move: str
@@ -109,34 +131,35 @@
     service: str = ""
     state: str = HELD
     reservations: tuple[str, ...] = ()
-    groups: tuple[Placed, ...] = ()
+    groups: tuple[PlacedGroup, ...] = ()
     warm_at: int = 0
     at: int = 0
     by: str = ""
 
 
-class Floor(Struct, frozen=True):
-    """No move of this source with a lower epoch is open: what ended is forgotten, what comes late refused."""
+class EpochFloor(Struct, frozen=True):
+    """No move of this source with a lower epoch is open. Ended holds of lower epochs are forgotten, and late
+    commands with a lower epoch are refused."""
 
     epoch: int
 
 
-class Open(Struct, frozen=True):
-    """A move that its source's leader still has to act on."""
+class OpenMove(Struct, frozen=True):
+    """A move on which the leader of the source still has to act."""
 
     epoch: int
 
 
-KINDS = {"moves": Move, "moving": Open, "holds": Hold, "floors": Floor}
+KINDS = {"moves": Move, "moving": OpenMove, "holds": Hold, "floors": EpochFloor}
 
 
-# ---- commands of the source: operators', gateways', its leader's own
+# ---- commands of the source, sent by operators and gateways or proposed by its leader
 
 
 class MoveCommand(Command, frozen=True, tag="move"):
-    move: Short
+    move: ShortName
     service: Name
-    to: Short
+    to: ShortName
 
 
 class MoveStop(Command, frozen=True, tag="move_stop"):
@@ -144,16 +167,17 @@
 
 
 class MoveLost(Command, frozen=True, tag="move_lost"):
-    """An operator's word that the destination is lost for good: the source holds on, nobody is told."""
+    """An operator states that the destination is lost for good: the source keeps the service, and the
+    destination is not notified."""
 
-    move: Short
-    because: Said
+    move: ShortName
+    because: Reason
 
 
 class MoveVote(Command, frozen=True, tag="move_vote"):
-    """A gateway's, on the stage as it stands."""
+    """The vote of a gateway on the current stage."""
 
-    move: Short
+    move: ShortName
     epoch: Index
     stage: Index
     gateway: Name
@@ -161,127 +185,136 @@
 
 
 class MoveAdvance(Command, frozen=True, tag="move_next"):
-    """The step (and stage) named is through. `proof`: the destination's entry that shows it. `group`: whose
-    next member serves there, of `serving` that do."""
+    """Proposed by the leader: this step (and stage) is complete. `proof`: index of the destination's entry
+    that shows it. `group`: the group whose next member serves at the destination, where `serving` members
+    do."""
 
-    move: Short
+    move: ShortName
     epoch: Index
     step: str
     stage: int = -1
     proof: Index = 0
     group: str = ""
     serving: Index = 0
-    says: Said = ""
+    says: Reason = ""
 
 
 class MoveRollBack(Command, frozen=True, tag="move_back"):
-    move: Short
+    """Proposed by the leader: the move is rolled back, because the destination refused it or a step took too
+    long."""
+
+    move: ShortName
     epoch: Index
     step: str
     end: Annotated[str, Meta(pattern="^(refused|overdue)$")]
-    says: Said
-    do: Said = ""
+    says: Reason
+    do: Reason = ""
 
 
-def begin(draft, command):
-    if (move := draft.get("moves", command.move)) is not None:
+def start_move(transaction, command):
+    if (move := transaction.get("moves", command.move)) is not None:
         raise MoveKnown(f"move {command.move} is known: {move.end or move.step}, epoch {move.epoch}")
-    for name in draft.part("moving"):
-        other = draft.get("moves", name)
+    for name in transaction.part("moving"):
+        other = transaction.get("moves", name)
         if other.service == command.service and other.step != DROPPING:
             raise MoveOpen(f"move {name} of service {command.service} is {other.step}")
-    if len(draft.part("moving")) >= MOST_OPEN:
-        raise Refused(f"{MOST_OPEN} moves are under way", "wait for the end of one")
-    make_room(draft)
-    there = services.of(draft, command.service)
-    if not there.reservations:
+    if len(transaction.part("moving")) >= MAX_OPEN_MOVES:
+        raise Refused(f"{MAX_OPEN_MOVES} moves are under way", "wait for the end of one")
+    forget_old_moves(transaction)
+    service = services.of(transaction, command.service)
+    if not service.reservations:
         raise NothingToMove(f"service {command.service} has no reservation here")
-    between_runs(draft, command.service)
-    if max(there.reservations, there.groups) > MOST_PIECES:
-        raise too_many(command.service)
-    named = services.names(draft, command.service, "reservations")
-    for name in named:
-        if holder := draft.get("reservations", name).move:
+    check_no_gang_runs(transaction, command.service)
+    if max(service.reservations, service.groups) > MAX_PIECES:
+        raise too_many_pieces(command.service)
+    reservations = services.names(transaction, command.service, "reservations")
+    for name in reservations:
+        if holder := transaction.get("reservations", name).move:
             raise MoveOpen(f"reservation {name} is held by move {holder}")
-    rows = draft.part("groups")
+    rows = transaction.part("groups")
     groups = tuple(
-        Moved(name, rows[name].nodes, rows[name].quorum)
-        for name in services.names(draft, command.service, "groups")
+        MovedGroup(name, rows[name].nodes, rows[name].quorum)
+        for name in services.names(transaction, command.service, "groups")
     )
-    if sum(len(group.nodes) for group in groups) > MOST_PIECES:
-        raise too_many(command.service)
-    mark(draft, named, command.move)
-    services.mark(draft, command.service, command.move)
-    move = Move(command.service, command.to, draft.index, at=draft.index, since=draft.moment)
-    draft.put("moves", command.move, replace(move, reservations=tuple(named), groups=groups))
-    draft.put("moving", command.move, Open(draft.index))
+    if sum(len(group.nodes) for group in groups) > MAX_PIECES:
+        raise too_many_pieces(command.service)
+    mark_reservations(transaction, reservations, command.move)
+    services.mark(transaction, command.service, command.move)
+    move = Move(
+        command.service, command.to, transaction.index, at=transaction.index, since=transaction.moment
+    )
+    transaction.put("moves", command.move, replace(move, reservations=tuple(reservations), groups=groups))
+    transaction.put("moving", command.move, OpenMove(transaction.index))
 
 
-def too_many(service):
-    return Refused(f"service {service} is more than {MOST_PIECES} pieces", "move it by parts")
+def too_many_pieces(service):
+    return Refused(f"service {service} is more than {MAX_PIECES} pieces", "move it in parts")
 
 
-def between_runs(draft, service):
-    if services.of(draft, service).gangs:
-        first = services.names(draft, service, "gangs")[0]
+def check_no_gang_runs(transaction, service):
+    if services.of(transaction, service).gangs:
+        first = services.names(transaction, service, "gangs")[0]
         raise GangRuns(f"gang {first} of service {service} runs")
 
 
-def make_room(draft):
-    if len(draft.part("moves")) < MOST_MOVES:
+def forget_old_moves(transaction):
+    if len(transaction.part("moves")) < MAX_MOVES:
         return
-    for name, move in list(draft.part("moves").items()):
-        if move.told and draft.moment - move.since >= KEEP:
-            draft.drop("moves", name)
-    if len(draft.part("moves")) >= MOST_MOVES:
-        raise Refused(f"{MOST_MOVES} moves of 30 days are known", "wait till the oldest is forgotten")
+    for name, move in list(transaction.part("moves").items()):
+        if move.told and transaction.moment - move.since >= REMEMBER_NS:
+            transaction.drop("moves", name)
+    if len(transaction.part("moves")) >= MAX_MOVES:
+        raise Refused(f"{MAX_MOVES} moves of 30 days are known", "wait till the oldest is forgotten")
 
 
-def mark(draft, names, move):
+def mark_reservations(transaction, names, move):
+    """Sets the move that holds these reservations; an empty name releases them."""
     for name in names:
-        if (held := draft.get("reservations", name)) is not None:
-            draft.put("reservations", name, replace(held, move=move))
+        if (reservation := transaction.get("reservations", name)) is not None:
+            transaction.put("reservations", name, replace(reservation, move=move))
 
 
-def stop(draft, command):
-    move = draft.get("moves", command.move)
+def stop_move(transaction, command):
+    move = transaction.get("moves", command.move)
     if move is None:
-        hold = draft.get("holds", command.move)
+        hold = transaction.get("holds", command.move)
         if hold is None:
             raise Refused(f"no move {command.move}", "nothing is left to do")
         raise DecidedElsewhere(f"the end of {command.move}, {hold.state} here, is decided at {hold.source}")
     if move.step in BEFORE_SETTLING:
-        send_back(draft, command.move, move, STOPPED, "stopped by an operator", "")
+        start_rollback(transaction, command.move, move, STOPPED, "stopped by an operator", "")
     elif move.step in (SETTLING, DONE):
         raise TooLate(f"move {command.move} is {move.step}: all requests go to {move.to}")
-    return {"step": draft.get("moves", command.move).step}
+    return {"step": transaction.get("moves", command.move).step}
 
 
-def lost(draft, command):
-    move = draft.get("moves", command.move)
+def mark_destination_lost(transaction, command):
+    move = transaction.get("moves", command.move)
     if move is None or move.told:
         raise Refused(f"no open move {command.move}", "nothing is left to do")
-    restore(draft, move)
-    mark(draft, move.reservations, "")
-    services.unmark(draft, move.service, command.move)
-    ended = replace(move, step=LOST, end=LOST, share=0, at=draft.index, since=draft.moment, told=-1)
-    draft.put("moves", command.move, replace(ended, says=f"{move.to} lost: {command.because}"[:500]))
-    draft.drop("moving", command.move)
+    restore_groups(transaction, move)
+    mark_reservations(transaction, move.reservations, "")
+    services.unmark(transaction, move.service, command.move)
+    ended = replace(
+        move, step=LOST, end=LOST, share=0, at=transaction.index, since=transaction.moment, told=-1
+    )
+    transaction.put("moves", command.move, replace(ended, says=f"{move.to} lost: {command.because}"[:500]))
+    transaction.drop("moving", command.move)
 
 
-def open_move(draft, command):
-    """The record that a proposal or vote is about, as it was when that was made; else Outdated."""
-    move = draft.get("moves", command.move)
+def find_open_move(transaction, command):
+    """Returns the record that a proposal or vote is about; raises Outdated if its epoch is not open."""
+    move = transaction.get("moves", command.move)
     if move is None or move.epoch != command.epoch:
         raise Outdated(f"move {command.move} of epoch {command.epoch} is not open")
     return move
 
 
-def vote(draft, command):
-    move = open_move(draft, command)
+def record_vote(transaction, command):
+    move = find_open_move(transaction, command)
     if move.step != SHIFTING or move.stage != command.stage:
         raise Outdated(f"move {command.move} is {move.step} at stage {move.stage}")
-    follower, voters = draft.get("followers", command.gateway), voting(draft, move.service)
+    follower, voters = transaction.get("followers", command.gateway), count_voters(transaction, move.service)
     if follower is None or move.service not in follower.services:
         raise Refused(f"gateway {command.gateway} does not follow for {move.service}", "follow first")
     if command.gateway in (move.on if command.verdict == "on" else move.back):
@@ -293,64 +326,66 @@
     else:
         back += (command.gateway,)
     move = replace(move, on=on, back=back)
-    if len(back) >= back_needed(voters):
+    if len(back) >= back_votes_needed(voters):
         says = f"{len(back)} of {voters} gateways found {move.to} worse at {move.share / 10:g} %"
-        do = "look at the machines there, then move anew"
-        send_back(draft, command.move, move, SENT_BACK, says, do)
+        do = "look at the machines there, then start a new move"
+        start_rollback(transaction, command.move, move, ROLLED_BACK, says, do)
     else:
-        draft.put("moves", command.move, move)
+        transaction.put("moves", command.move, move)
     return None
 
 
-def voting(state, service):
-    """How many gateways vote on this service's moves; of a state or a draft."""
+def count_voters(state, service):
+    """Returns how many gateways vote on the moves of this service; `state` may also be a transaction."""
     return sum(service in follower.services for follower in state.part("followers").values())
 
 
-def back_needed(followers):
-    """Votes that send a shift back. Each gateway votes back by luck only seldom; two of many are no luck."""
+def back_votes_needed(followers):
+    """Returns how many votes roll a move back. A gateway seldom votes so by chance, so one vote is enough
+    with up to 10 gateways. With more of them a single vote may be chance, and two are needed."""
     return 1 + (followers > 10)
 
 
-def on_needed(followers):
-    """Votes that a stage wants. Where no gateway follows for the service, nobody shifts its requests by this
-    ledger."""
+def on_votes_needed(followers):
+    """Returns how many votes a stage needs. If no gateway follows for the service, none is needed, because no
+    gateway shifts its requests by this ledger."""
     return (followers + 1) // 2
 
 
-def forward(draft, command):
-    move = open_move(draft, command)
+def advance_move(transaction, command):
+    move = find_open_move(transaction, command)
     if (move.step, move.stage) != (command.step, command.stage):
         raise Outdated(f"move {command.move} is {move.step} at stage {move.stage}")
-    NEXT[move.step](draft, command.move, move, command)
+    STEP_RULES[move.step](transaction, command.move, move, command)
 
 
-def put(draft, name, move, **fields):
-    draft.put("moves", name, replace(move, since=draft.moment, **fields))
+def put_move(transaction, name, move, **fields):
+    transaction.put("moves", name, replace(move, since=transaction.moment, **fields))
 
 
-def known(draft, name, move, command):
-    put(draft, name, move, step=RESERVING)
+def start_reserving(transaction, name, move, command):
+    put_move(transaction, name, move, step=RESERVING)
 
 
-def reserved(draft, name, move, command):
-    """From here on it waits for the service's gangs: none starts any more."""
-    services.mark(draft, move.service, name, closed=True)
-    put(draft, name, move, step=WARMING, taken=command.proof)
+def start_warming(transaction, name, move, command):
+    """From here on the move waits for the gangs of the service, and no further gang may start."""
+    services.mark(transaction, move.service, name, closed=True)
+    put_move(transaction, name, move, step=WARMING, taken=command.proof)
 
 
-def warmed(draft, name, move, command):
+def finish_warming(transaction, name, move, command):
     if move.groups:
-        put(draft, name, move, step=MEMBERS)
+        put_move(transaction, name, move, step=MEMBERS)
     else:
-        shift(draft, name, move, 0)
+        start_stage(transaction, name, move, 0)
 
 
-def member_over(draft, name, move, command):
-    """One member of a group is the other side's: it serves there. With `over` of them there, the quorums are
-    min(over, quorum) there and what is left of it here: they add up, so no drain on either side breaks it."""
+def hand_over_member(transaction, name, move, command):
+    """Hands over one member of a group, which serves at the destination by now. With `over` members there,
+    the quorum there is min(over, quorum) and the quorum here is the rest. The two add up to the quorum of
+    the group, so that no drain in either cluster can break it."""
     if all(group.over == len(group.nodes) for group in move.groups):
-        return shift(draft, name, move, 0)
+        return start_stage(transaction, name, move, 0)
     groups, before = [], None
     for group in move.groups:
         if group.group == command.group and group.over < len(group.nodes):
@@ -360,128 +395,142 @@
         groups.append(group)
     if before is None:
         raise Outdated(f"no member of group {command.group} is to go")
-    here = draft.get("groups", before.group) or Group((), 0)
-    rest = leave_one(draft, here.nodes)
+    here = transaction.get("groups", before.group) or Group((), 0)
+    rest = without_one_node(transaction, here.nodes)
     left = Group(rest, 0)
-    if capacity.caught_up(draft, left) + command.serving < before.quorum:
+    if capacity.caught_up(transaction, left) + command.serving < before.quorum:
         raise NotAwaited(f"group {before.group} would fall below its quorum of {before.quorum}")
-    put_group(draft, before.group, rest, max(before.quorum - before.over - 1, 0))
-    put(draft, name, move, groups=tuple(groups))
+    put_group(transaction, before.group, rest, max(before.quorum - before.over - 1, 0))
+    put_move(transaction, name, move, groups=tuple(groups))
 
 
-def leave_one(draft, nodes):
-    """Without one that does not serve, else without the last."""
-    known = draft.part("nodes")
-    idle = [one for one in nodes if known[one].state != capacity.SERVING or known[one].out]
-    gone = (idle or list(nodes))[-1:]
-    return tuple(one for one in nodes if one not in gone)
+def without_one_node(transaction, nodes):
+    """Returns the nodes without one that does not serve, or without the last one if all serve."""
+    records = transaction.part("nodes")
+    idle = [name for name in nodes if records[name].state != capacity.SERVING or records[name].out]
+    removed = (idle or list(nodes))[-1:]
+    return tuple(name for name in nodes if name not in removed)
 
 
-def put_group(draft, name, nodes, quorum):
-    capacity.room(draft, "groups", name)
-    capacity.put_group(draft, name, Group(nodes, min(quorum, len(nodes))))
+def put_group(transaction, name, nodes, quorum):
+    capacity.room(transaction, "groups", name)
+    capacity.put_group(transaction, name, Group(nodes, min(quorum, len(nodes))))
 
 
-def remove_group(draft, name):
-    capacity.put_group(draft, name, None)
+def remove_group(transaction, name):
+    capacity.put_group(transaction, name, None)
 
 
-def shift(draft, name, move, stage):
-    between_runs(draft, move.service)
-    put(draft, name, move, step=SHIFTING, stage=stage, share=STAGES[stage], at=draft.index, on=(), back=())
+def start_stage(transaction, name, move, stage):
+    check_no_gang_runs(transaction, move.service)
+    put_move(
+        transaction,
+        name,
+        move,
+        step=SHIFTING,
+        stage=stage,
+        share=STAGES[stage],
+        at=transaction.index,
+        on=(),
+        back=(),
+    )
 
 
-def shifted(draft, name, move, command):
-    """The next stage, or once all requests go there, the point of no return."""
-    if draft.moment - move.since < BAKE:
-        raise NotAwaited(f"stage {move.stage} stands since less than {BAKE // 10**9} s")
+def finish_stage(transaction, name, move, command):
+    """Starts the next stage, or settling once all requests go to the destination: then the move can no longer
+    be stopped."""
+    if transaction.moment - move.since < MIN_STAGE_NS:
+        raise NotAwaited(f"stage {move.stage} has lasted less than {MIN_STAGE_NS // 10**9} s")
     if move.share < STAGES[-1]:
-        if len(move.on) < on_needed(voting(draft, move.service)):
+        if len(move.on) < on_votes_needed(count_voters(transaction, move.service)):
             raise NotAwaited(f"{len(move.on)} gateways voted for more")
-        return shift(draft, name, move, move.stage + 1)
-    between_runs(draft, move.service)
-    put(draft, name, move, step=SETTLING)
+        return start_stage(transaction, name, move, move.stage + 1)
+    check_no_gang_runs(transaction, move.service)
+    put_move(transaction, name, move, step=SETTLING)
 
 
-def settled(draft, name, move, command):
-    """The destination keeps it for good: free here."""
+def finish_settling(transaction, name, move, command):
+    """The destination keeps the service for good, so its capacity is freed here."""
     for one in move.reservations:
-        if (held := draft.get("reservations", one)) is not None:
-            capacity.release(draft, one, held)
+        if (reservation := transaction.get("reservations", one)) is not None:
+            capacity.release(transaction, one, reservation)
     for group in move.groups:
-        remove_group(draft, group.group)
-    services.unmark(draft, move.service, name)
-    finish(draft, name, move, DONE, command.proof)
+        remove_group(transaction, group.group)
+    services.unmark(transaction, move.service, name)
+    finish_move(transaction, name, move, DONE, command.proof)
 
 
-def went_back(draft, name, move, command):
-    """No gateway sends there any more (its leader saw to that), and each group has its quorum here."""
+def start_dropping(transaction, name, move, command):
+    """Checks that each group has its quorum here again. The leader has made sure that no gateway sends to the
+    destination any more."""
     for group in move.groups:
-        here = draft.get("groups", group.group)
-        if group.over and here is not None and capacity.caught_up(draft, here) < here.quorum:
-            raise NotAwaited(f"group {group.group} has not its quorum here")
-    mark(draft, move.reservations, "")
-    services.unmark(draft, move.service, name)
-    put(draft, name, move, step=DROPPING)
+        here = transaction.get("groups", group.group)
+        if group.over and here is not None and capacity.caught_up(transaction, here) < here.quorum:
+            raise NotAwaited(f"group {group.group} does not have its quorum here")
+    mark_reservations(transaction, move.reservations, "")
+    services.unmark(transaction, move.service, name)
+    put_move(transaction, name, move, step=DROPPING)
 
 
-def dropped(draft, name, move, command):
-    said = "; ".join(filter(None, (move.says, command.says)))
-    finish(draft, name, replace(move, says=said[:500]), move.end, command.proof)
+def finish_dropping(transaction, name, move, command):
+    reasons = "; ".join(filter(None, (move.says, command.says)))
+    finish_move(transaction, name, replace(move, says=reasons[:500]), move.end, command.proof)
 
 
-def finish(draft, name, move, end, proof):
-    put(draft, name, move, step=end, end=end, told=max(proof, 1))
-    draft.drop("moving", name)
+def finish_move(transaction, name, move, end, proof):
+    put_move(transaction, name, move, step=end, end=end, told=max(proof, 1))
+    transaction.drop("moving", name)
 
 
-NEXT = {
-    ASKED: known,
-    RESERVING: reserved,
-    WARMING: warmed,
-    MEMBERS: member_over,
-    SHIFTING: shifted,
-    SETTLING: settled,
-    GOING_BACK: went_back,
-    DROPPING: dropped,
+STEP_RULES = {
+    ASKED: start_reserving,
+    RESERVING: start_warming,
+    WARMING: finish_warming,
+    MEMBERS: hand_over_member,
+    SHIFTING: finish_stage,
+    SETTLING: finish_settling,
+    ROLLING_BACK: start_dropping,
+    DROPPING: finish_dropping,
 }
 
 
-def backward(draft, command):
-    """Its leader's: the destination refused or ended the hold, or a step took too long. While it settles,
-    only the destination's word that it holds nothing sends it back."""
-    move = open_move(draft, command)
+def roll_back_move(transaction, command):
+    """Rolls a move back because the destination refused or ended the hold, or because a step took too long.
+    While the move settles, only the destination's response that it holds nothing rolls it back."""
+    move = find_open_move(transaction, command)
     if move.step != command.step or move.step not in (*BEFORE_SETTLING, SETTLING):
         raise Outdated(f"move {command.move} is {move.step}")
-    if command.end == OVERDUE and (move.step == SETTLING or draft.moment - move.since < PATIENCE):
+    if command.end == OVERDUE and (move.step == SETTLING or transaction.moment - move.since < MAX_STEP_NS):
         raise NotAwaited(f"move {command.move} is {move.step} and not overdue")
-    send_back(draft, command.move, move, command.end, command.says, command.do)
-
-
-def send_back(draft, name, move, end, says, do):
-    if move.step == ASKED:  # nobody was called, so nobody need be told
-        mark(draft, move.reservations, "")
-        services.unmark(draft, move.service, name)
-        draft.drop("moving", name)
-        return put(draft, name, move, step=end, end=end, says=says, do=do, told=-1)
-    restore(draft, move)
-    services.reopen(draft, move.service, name)
-    put(draft, name, move, step=GOING_BACK, share=0, at=draft.index, end=end, says=says, do=do)
+    start_rollback(transaction, command.move, move, command.end, command.says, command.do)
+
+
+def start_rollback(transaction, name, move, end, says, do):
+    if move.step == ASKED:  # the destination was not called, so it need not be notified
+        mark_reservations(transaction, move.reservations, "")
+        services.unmark(transaction, move.service, name)
+        transaction.drop("moving", name)
+        return put_move(transaction, name, move, step=end, end=end, says=says, do=do, told=-1)
+    restore_groups(transaction, move)
+    services.reopen(transaction, move.service, name)
+    put_move(
+        transaction, name, move, step=ROLLING_BACK, share=0, at=transaction.index, end=end, says=says, do=do
+    )
 
 
-def restore(draft, move):
-    """Each group as it was here; the other side's members go on until the hold is dropped."""
+def restore_groups(transaction, move):
+    """Restores each group here as it was. The members at the destination stay until the hold is dropped."""
     for group in move.groups:
         if group.over:
-            put_group(draft, group.group, group.nodes, group.quorum)
+            put_group(transaction, group.group, group.nodes, group.quorum)
 
 
 # ---- commands of the destination, sent by the source's leader
 
 
 class HoldCommand(Command, frozen=True):
-    source: Short
-    move: Short
+    source: ShortName
+    move: ShortName
     epoch: Index
     floor: Index
 
@@ -490,9 +539,9 @@
         return f"{self.source}/{self.move}"
 
 
-class Piece(Struct, frozen=True, forbid_unknown_fields=True):
-    """A reservation to be held: `units` on each of `nodes` nodes, or in all at a site where `nodes` is 0;
-    the site of that name is tried first."""
+class ReservationPiece(Struct, frozen=True, forbid_unknown_fields=True):
+    """A reservation that the destination is to hold: `units` on each of `nodes` nodes, or in total at one
+    site if `nodes` is 0. The site of the given name is tried first."""
 
     reservation: Name
     units: capacity.Units
@@ -501,126 +550,133 @@
 
 
 class GroupPiece(Struct, frozen=True, forbid_unknown_fields=True):
+    """A group for which the destination is to choose `size` nodes."""
+
     group: Name
-    size: Annotated[int, Meta(ge=1, le=MOST_PIECES)]
+    size: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
     quorum: Annotated[int, Meta(ge=0, le=20_000)]
 
 
 class HoldTake(HoldCommand, frozen=True, tag="hold_take"):
+    """Hold the capacity of this service."""
+
     service: Name
-    pieces: Annotated[tuple[Piece, ...], Meta(min_length=1, max_length=MOST_PIECES)]
-    groups: Annotated[tuple[GroupPiece, ...], Meta(max_length=MOST_PIECES)] = ()
+    pieces: Annotated[tuple[ReservationPiece, ...], Meta(min_length=1, max_length=MAX_PIECES)]
+    groups: Annotated[tuple[GroupPiece, ...], Meta(max_length=MAX_PIECES)] = ()
 
 
 class HoldWarm(HoldCommand, frozen=True, tag="hold_warm"):
-    """Start there, and tell whether it is warm."""
+    """Start the service at the destination, and answer whether it is warm there."""
 
 
 class HoldMember(HoldCommand, frozen=True, tag="hold_member"):
-    """So many members of the group are to be there; tells how many of them serve."""
+    """Have `over` members of the group at the destination, and answer how many of them serve."""
 
     group: Name
-    over: Annotated[int, Meta(ge=1, le=MOST_PIECES)]
+    over: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
 
 
 class HoldKeep(HoldCommand, frozen=True, tag="hold_keep"):
-    """The source's record says that the move is to be done: the destination keeps it for good."""
+    """The source has decided that the move is to be completed: the destination keeps the service for good."""
 
 
 class HoldDrop(HoldCommand, frozen=True, tag="hold_drop"):
-    """The source's record says that the move went back, and no request comes any more."""
+    """The source has rolled the move back, and no request comes from it any more."""
 
 
 class HoldEnd(Command, frozen=True, tag="hold_end"):
-    """An operator's word that the source is lost for good: what is held is kept or dropped."""
+    """An operator states that the source is lost for good: what is held is kept or dropped."""
 
     hold: Annotated[str, Meta(min_length=1, max_length=200)]
     keep: bool
     because: Annotated[str, Meta(min_length=1, max_length=500)]
 
 
-def fenced(draft, command):
-    """The hold of this very move, or None; Outdated where the call is older than what is known. What ended
-    below the source's floor is forgotten."""
-    floor = draft.get("floors", command.source)
+def current_hold(transaction, command):
+    """Returns the hold of this move and epoch, or None. Raises Outdated if the command is older than what is
+    known here. Forgets the ended holds below the floor of the source."""
+    floor = transaction.get("floors", command.source)
     if floor is not None and command.epoch < floor.epoch:
         raise Outdated(f"moves of {command.source} below epoch {floor.epoch} have ended")
-    hold = draft.get("holds", command.key)
+    hold = transaction.get("holds", command.key)
     if hold is not None and hold.epoch > command.epoch:
         raise Outdated(f"{command.key} is of epoch {hold.epoch} here")
     if command.floor > command.epoch:
         raise Senseless(f"floor {command.floor} above epoch {command.epoch}")
     if command.floor > (floor.epoch if floor else 0):
-        draft.put("floors", command.source, Floor(command.floor))
-        for key, other in list(draft.part("holds").items()):
+        transaction.put("floors", command.source, EpochFloor(command.floor))
+        for key, other in list(transaction.part("holds").items()):
             old = other.source == command.source and other.epoch < command.floor
             if old and other.state in (KEPT, DROPPED):
-                draft.drop("holds", key)
+                transaction.drop("holds", key)
     return hold if hold is not None and hold.epoch == command.epoch else None
 
 
-def take(draft, command):
-    hold = fenced(draft, command)
+def take_hold(transaction, command):
+    hold = current_hold(transaction, command)
     if hold is not None:
         if hold.state == DROPPED:
             raise HoldEnded(f"{command.key} was dropped here")
         return {"state": hold.state}
-    stale = draft.get("holds", command.key)
-    if stale is not None and stale.state in (HELD, WARM):
-        raise DecidedElsewhere(f"{command.key} of epoch {stale.epoch} is still {stale.state} here")
-    room(draft, command.key)
+    older = transaction.get("holds", command.key)
+    if older is not None and older.state in (HELD, WARM):
+        raise DecidedElsewhere(f"{command.key} of epoch {older.epoch} is still {older.state} here")
+    check_room(transaction, command.key)
     names = tuple(piece.reservation for piece in command.pieces)
     if len(set(names)) != len(names):
         raise Senseless("a reservation is named twice")
-    # What is pinned to nodes first: it has the least choice.
+    # Reservations on nodes come first, because fewer places suit them.
     for piece in sorted(command.pieces, key=lambda piece: (not piece.nodes, -piece.units, piece.reservation)):
-        if draft.get("reservations", piece.reservation) is not None:
-            raise NoRoomThere(f"reservation {piece.reservation} stands there already", "free it there")
-        capacity.room(draft, "reservations", piece.reservation)
-        held = place(draft, command, piece)
-        capacity.keep(draft, piece.reservation, held)
-    groups = tuple(place_group(draft, piece) for piece in command.groups)
+        if transaction.get("reservations", piece.reservation) is not None:
+            raise NoRoomThere(f"reservation {piece.reservation} exists there already", "free it there")
+        capacity.room(transaction, "reservations", piece.reservation)
+        reservation = place_reservation(transaction, command, piece)
+        capacity.keep(transaction, piece.reservation, reservation)
+    groups = tuple(place_group(transaction, piece) for piece in command.groups)
     hold = Hold(command.source, command.move, command.epoch, command.service, HELD, names, groups)
-    draft.put("holds", command.key, replace(hold, at=draft.index))
-    services.mark(draft, command.service, command.key)
+    transaction.put("holds", command.key, replace(hold, at=transaction.index))
+    services.mark(transaction, command.service, command.key)
     return {"state": HELD}
 
 
-def room(draft, key):
-    if draft.get("holds", key) is None and len(draft.part("holds")) >= MOST_HOLDS:
-        raise NoRoomThere(f"{MOST_HOLDS} holds are known there", "end moves that come here")
+def check_room(transaction, key):
+    if transaction.get("holds", key) is None and len(transaction.part("holds")) >= MAX_HOLDS:
+        raise NoRoomThere(f"{MAX_HOLDS} holds are known there", "end moves that come here")
 
 
-def place(draft, command, piece):
-    """The reservation of this piece, its units taken; NoRoomThere tells what is missing."""
+def place_reservation(transaction, command, piece):
+    """Takes the units of this piece and returns its reservation; raises NoRoomThere with what is missing."""
     if not piece.nodes:
-        site = widest(draft, piece)
-        capacity.take_site(draft, site, piece.units)
+        site = choose_site(transaction, piece)
+        capacity.take_site(transaction, site, piece.units)
         return Reservation(command.service, piece.units, (), site, command.key)
-    free = roomy(draft, piece.units)[: piece.nodes]
-    if len(free) < piece.nodes:
+    chosen = nodes_with_room(transaction, piece.units)[: piece.nodes]
+    if len(chosen) < piece.nodes:
         raise NoRoomThere(
             f"{piece.nodes} nodes with {piece.units} units free are wanted for {piece.reservation}, "
-            f"{len(free)} are there"
+            f"{len(chosen)} are there"
         )
     try:
-        capacity.take_nodes(draft, free, piece.units)
+        capacity.take_nodes(transaction, chosen, piece.units)
     except Refused as error:
         raise NoRoomThere(f"{piece.reservation}: {error.says}") from None
-    for one in free:
-        load = draft.get("loads", one)
-        capacity.pin(draft, one, 0, reservations=(load.reservations if load else 0) + 1)
-    return Reservation(command.service, piece.units, free, "", command.key)
+    for name in chosen:
+        load = transaction.get("loads", name)
+        capacity.pin(transaction, name, 0, reservations=(load.reservations if load else 0) + 1)
+    return Reservation(command.service, piece.units, chosen, "", command.key)
 
 
-def widest(draft, piece):
-    """The site of the same name where it has room, else the one with the most; what is to go for a drain is
-    no room."""
+def choose_site(transaction, piece):
+    """Returns the site of the same name if it has room, else the one with the most room. Nodes that are to go
+    for a drain are not counted as room."""
     leaving = {}
-    for name, node in draft.part("nodes").items():
+    for name, node in transaction.part("nodes").items():
         if node.cordon_ms and capacity.up(node):
-            leaving[node.site] = leaving.get(node.site, 0) + max(capacity.node_free(draft, name), 0)
-    free = {site: capacity.site_free(draft, site) - leaving.get(site, 0) for site in draft.part("sites")}
+            leaving[node.site] = leaving.get(node.site, 0) + max(capacity.node_free(transaction, name), 0)
+    free = {
+        site: capacity.site_free(transaction, site) - leaving.get(site, 0)
+        for site in transaction.part("sites")
+    }
     if free.get(piece.site, -1) >= piece.units:
         return piece.site
     best = max(sorted(free), key=free.get, default="")
@@ -632,132 +688,135 @@
     return best
 
 
-def roomy(draft, units):
-    """Nodes that stay and have so many units free, the emptiest first."""
+def nodes_with_room(transaction, units):
+    """Returns the nodes with so many units free that no drain wants, those with the most free units first."""
     free = []
-    for name, node in draft.part("nodes").items():
+    for name, node in transaction.part("nodes").items():
         if capacity.up(node) and not node.cordon_ms:
-            left = min(capacity.node_free(draft, name), capacity.site_free(draft, node.site))
+            left = min(capacity.node_free(transaction, name), capacity.site_free(transaction, node.site))
             if left >= units:
                 free.append((-left, name))
     return tuple(name for _, name in sorted(free))
 
 
-def place_group(draft, piece):
-    if draft.get("groups", piece.group) is not None:
-        raise NoRoomThere(f"group {piece.group} stands there already", "rename it there")
-    nodes = roomy(draft, 0)[: piece.size]
+def place_group(transaction, piece):
+    if transaction.get("groups", piece.group) is not None:
+        raise NoRoomThere(f"group {piece.group} exists there already", "rename it there")
+    nodes = nodes_with_room(transaction, 0)[: piece.size]
     if len(nodes) < piece.size:
         raise NoRoomThere(f"{piece.size} nodes are wanted for group {piece.group}, {len(nodes)} are there")
-    return Placed(piece.group, nodes, piece.quorum)
+    return PlacedGroup(piece.group, nodes, piece.quorum)
 
 
-def held(draft, command):
-    """The hold of this move as it stands; refused where it was ended, or never was."""
-    hold = fenced(draft, command)
+def active_hold(transaction, command):
+    """Returns the hold of this move; raises HoldEnded if it was ended or never existed."""
+    hold = current_hold(transaction, command)
     if hold is None or hold.state == DROPPED:
         raise HoldEnded(f"{command.key} holds nothing here")
     return hold
 
 
-def warm_hold(draft, command):
-    """The instances start with the first such call; until all are up and warm the shift waits."""
-    hold = held(draft, command)
+def warm_hold(transaction, command):
+    """The first call starts the instances. The shift waits until all of their nodes are up and warm."""
+    hold = active_hold(transaction, command)
     if hold.state == HELD:
-        hold = replace(hold, state=WARM, warm_at=draft.moment + draft.terms.cold, at=draft.index)
-        draft.put("holds", command.key, hold)
-    nodes = draft.part("nodes")
-    ours = [nodes[one] for one in nodes_of(draft, hold)]
-    cold = max([hold.warm_at, *(node.warm for node in ours)]) - draft.moment
-    warm = cold <= 0 and all(capacity.up(node) for node in ours)
-    return {"state": hold.state, "warm": warm, "cold_ms": max(-(-cold // 10**6), 0)}
+        hold = replace(
+            hold, state=WARM, warm_at=transaction.moment + transaction.terms.cold, at=transaction.index
+        )
+        transaction.put("holds", command.key, hold)
+    nodes = transaction.part("nodes")
+    reserved = [nodes[name] for name in reserved_nodes(transaction, hold)]
+    cold_ns = max([hold.warm_at, *(node.warm for node in reserved)]) - transaction.moment
+    warm = cold_ns <= 0 and all(capacity.up(node) for node in reserved)
+    return {"state": hold.state, "warm": warm, "cold_ms": max(-(-cold_ns // 10**6), 0)}
 
 
-def nodes_of(draft, hold):
+def reserved_nodes(transaction, hold):
     for name in hold.reservations:
-        if (reservation := draft.get("reservations", name)) is not None:
+        if (reservation := transaction.get("reservations", name)) is not None:
             yield from reservation.nodes
 
 
-def member(draft, command):
-    """The group has so many members here, of which as many as its quorum, or all, may not go."""
-    hold = held(draft, command)
+def add_member(transaction, command):
+    """Gives the group `over` members here. Its quorum here is its whole quorum, or all members while they are
+    fewer."""
+    hold = active_hold(transaction, command)
     placed = next((group for group in hold.groups if group.group == command.group), None)
     if placed is None or command.over > len(placed.nodes):
         raise Senseless(f"group {command.group} has no member {command.over}")
     if command.over > placed.over and hold.state == WARM:
         over = replace(placed, over=command.over)
-        put_group(draft, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
+        put_group(transaction, command.group, placed.nodes[: command.over], min(command.over, placed.quorum))
         groups = tuple(over if group is placed else group for group in hold.groups)
-        draft.put("holds", command.key, replace(hold, groups=groups, at=draft.index))
-    here = draft.get("groups", command.group)
-    return {"state": hold.state, "serving": capacity.caught_up(draft, here) if here else 0}
+        transaction.put("holds", command.key, replace(hold, groups=groups, at=transaction.index))
+    here = transaction.get("groups", command.group)
+    return {"state": hold.state, "serving": capacity.caught_up(transaction, here) if here else 0}
 
 
-def keep(draft, command):
-    hold = held(draft, command)
+def keep_hold(transaction, command):
+    hold = active_hold(transaction, command)
     if hold.state != KEPT:
-        make_hold_permanent(draft, command.key, hold, "")
+        make_hold_permanent(transaction, command.key, hold, "")
     return {"state": KEPT}
 
 
-def make_hold_permanent(draft, key, hold, by):
-    services.unmark(draft, hold.service, key)
-    mark(draft, hold.reservations, "")
+def make_hold_permanent(transaction, key, hold, by):
+    services.unmark(transaction, hold.service, key)
+    mark_reservations(transaction, hold.reservations, "")
     for group in hold.groups:
         if group.over:
-            put_group(draft, group.group, group.nodes[: group.over], group.quorum)
-    draft.put("holds", key, replace(hold, state=KEPT, at=draft.index, by=by))
+            put_group(transaction, group.group, group.nodes[: group.over], group.quorum)
+    transaction.put("holds", key, replace(hold, state=KEPT, at=transaction.index, by=by))
 
 
-def drop(draft, command):
-    """What is dropped stays known as such: a call to hold it that comes late finds it ended."""
+def drop_hold(transaction, command):
+    """Drops the hold. Its record stays, so that a late command to hold the same move is refused."""
     try:
-        hold = fenced(draft, command)
+        hold = current_hold(transaction, command)
     except Outdated:
         return {"state": DROPPED}
     if hold is None:
-        room(draft, command.key)
-        gone = Hold(command.source, command.move, command.epoch, state=DROPPED, at=draft.index)
-        draft.put("holds", command.key, gone)
+        check_room(transaction, command.key)
+        dropped = Hold(command.source, command.move, command.epoch, state=DROPPED, at=transaction.index)
+        transaction.put("holds", command.key, dropped)
     elif hold.state == KEPT:
         raise HoldKept(f"{command.key} is kept here" + (f": {hold.by}" if hold.by else ""))
     elif hold.state != DROPPED:
-        release_hold(draft, command.key, hold, "")
+        release_hold(transaction, command.key, hold, "")
     return {"state": DROPPED}
 
 
-def release_hold(draft, key, hold, by):
-    services.unmark(draft, hold.service, key)
+def release_hold(transaction, key, hold, by):
+    services.unmark(transaction, hold.service, key)
     for name in hold.reservations:
-        reservation = draft.get("reservations", name)
+        reservation = transaction.get("reservations", name)
         if reservation is not None and reservation.move == key:
-            capacity.release(draft, name, reservation)
+            capacity.release(transaction, name, reservation)
     for group in hold.groups:
         if group.over:
-            remove_group(draft, group.group)
-    draft.put("holds", key, replace(hold, state=DROPPED, at=draft.index, by=by))
+            remove_group(transaction, group.group)
+    transaction.put("holds", key, replace(hold, state=DROPPED, at=transaction.index, by=by))
 
 
-def end_hold(draft, command):
-    hold = draft.get("holds", command.hold)
+def end_hold(transaction, command):
+    hold = transaction.get("holds", command.hold)
     if hold is None or hold.state in (KEPT, DROPPED):
         raise Refused(f"no hold {command.hold} is open", "nothing is left to do")
-    (make_hold_permanent if command.keep else release_hold)(draft, command.hold, hold, command.because)
+    (make_hold_permanent if command.keep else release_hold)(transaction, command.hold, hold, command.because)
 
 
 RULES = {
-    MoveCommand: begin,
-    MoveStop: stop,
-    MoveLost: lost,
-    MoveVote: vote,
-    MoveAdvance: forward,
-    MoveRollBack: backward,
-    HoldTake: take,
+    MoveCommand: start_move,
+    MoveStop: stop_move,
+    MoveLost: mark_destination_lost,
+    MoveVote: record_vote,
+    MoveAdvance: advance_move,
+    MoveRollBack: roll_back_move,
+    HoldTake: take_hold,
     HoldWarm: warm_hold,
-    HoldMember: member,
-    HoldKeep: keep,
-    HoldDrop: drop,
+    HoldMember: add_member,
+    HoldKeep: keep_hold,
+    HoldDrop: drop_hold,
     HoldEnd: end_hold,
 }
 INNER = (MoveAdvance, MoveRollBack)
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -1,8 +1,9 @@
-"""A source's leader's duty: what it does next for each of its moves, by the state alone.
+"""The leader task of moves: what the source of a move does next, decided by the state alone.
 
-Each step is brought on by a command to its own ledger, which checks again. What the destination has to do is
-asked by a call, again and again until it is answered; the answer's proof goes into that command. All that is
-kept here is which call is out and how long to wait: a new leader asks anew, and every call may come twice."""
+Each step is completed by a command to the source's own ledger, which checks the step again. The destination
+is called repeatedly until it responds, and the proof in its response goes into that command. Only the calls
+under way and the waits are kept here: a new leader calls again, and the destination may receive every call
+twice."""
 
 import random
 from dataclasses import dataclass
@@ -16,13 +17,13 @@
 from .faults import HoldKept
 from .rules import (
     ASKED,
-    BAKE,
+    MIN_STAGE_NS,
     BEFORE_SETTLING,
     DROPPING,
-    GOING_BACK,
+    ROLLING_BACK,
     MEMBERS,
     OVERDUE,
-    PATIENCE,
+    MAX_STEP_NS,
     REFUSED,
     RESERVING,
     SETTLING,
@@ -32,259 +33,298 @@
 )
 
 SECOND = 1_000_000_000
-MIN_WAIT_NS, MAX_WAIT_NS = SECOND // 4, 5 * SECOND  # after a call without an answer; doubled, spread
-CALL_LIFE = 15 * SECOND  # a call that the host never answered counts as unknown
-ANSWER_LIFE = 2 * SECOND  # an answer that led to nothing is asked for anew
-LOOK = 5 * SECOND  # how often it looks whether the hold still stands while requests go there
-POLL = SECOND // 5  # how often it looks whether the gateways have obeyed
+# The wait after a call without a response: doubled with each call up to the maximum, with random jitter.
+MIN_WAIT_NS = SECOND // 4
+MAX_WAIT_NS = 5 * SECOND
+CALL_TIMEOUT_NS = 15 * SECOND  # a call without any result from the host counts as unknown then
+RESPONSE_LIFETIME_NS = 2 * SECOND  # a response that led to no command is requested again then
+HOLD_CHECK_NS = 5 * SECOND  # between checks that the hold still exists while requests go there
+ACK_CHECK_NS = SECOND // 5  # between checks whether the gateways have obeyed
 NEVER = 1 << 62
-OK, SENSELESS, NO = 200, 400, 409
+HTTP_OK, HTTP_BAD_REQUEST, HTTP_CONFLICT = 200, 400, 409
 
 
-class Error(Struct, frozen=True):
+class ResponseError(Struct, frozen=True):
+    """The `error` field of a response."""
+
     type: str = ""
     says: str = ""
     do: str = ""
 
 
-class Answer(Struct, frozen=True):
-    """What another cluster answered, as far as it is read; anything else is as good as no answer."""
+class Response(Struct, frozen=True):
+    """The fields that are read from the response of another cluster. A body of another form counts as no
+    response."""
 
     at: Annotated[int, Meta(ge=0, lt=1 << 62)] = 0
     warm: bool = False
     cold_ms: Annotated[int, Meta(ge=0, lt=1 << 40)] = 0
     serving: Annotated[int, Meta(ge=0, lt=1 << 31)] = 0
-    error: Error = Error()
+    error: ResponseError = ResponseError()
 
 
 @dataclass(slots=True)
-class Task:
-    """What is under way for one move at one step; a new step begins a new one."""
+class StepProgress:
+    """The calls of one move in one step. Each step starts with a new object."""
 
     key: tuple
     call: Call | None = None
-    until: int = 0  # when the call that is out counts as unknown
-    wait: int = 0  # no call before this moment
-    tries: int = 0  # calls since the last answer
-    number: int = 0  # of the call; the same again until it is answered
-    answer: tuple | None = None  # (code, Answer), and when it came
-    answered: int = 0
+    call_expires: int = 0  # time at which the call under way counts as unknown
+    wait_until: int = 0  # no call before this time
+    attempts: int = 0  # calls since the last response
+    call_number: int = 0  # part of the command's id; it stays the same until there is a response
+    response: tuple | None = None  # (code, Response)
+    response_time: int = 0
 
 
 class MoveTask:
-    """A ledger.dispatcher.Duty. `cluster`: this cluster's name; `clusters`: names of those that can be
-    called."""
+    """The leader task, as `ledger.dispatcher` runs it. `cluster`: the name of this cluster; `clusters`: the
+    names of the clusters that can be called."""
 
     def __init__(self, cluster, clusters, seed):
         self.cluster, self.clusters, self.rng = cluster, frozenset(clusters), random.Random(seed)
-        self.tasks, self.clock, self.wake, self.turn = {}, (0, 0), NEVER, 0
+        self.progress = {}  # name of a move to its StepProgress
+        self.ledger_clock = (0, 0)  # local time and ledger time at which the ledger time last changed
+        self.wake_time = NEVER
+        self.turn = 0  # which move is looked at first
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
     def took_office(self, now):
-        self.tasks, self.clock, self.wake = {}, (now, 0), now
+        self.progress, self.ledger_clock, self.wake_time = {}, (now, 0), now
 
     def wake_at(self):
-        return self.wake
+        return self.wake_time
 
     def called(self, now, call, code, body):
-        """Its answer counts only while the step for which it was asked stands."""
-        for task in self.tasks.values():
-            if task.call is not None and task.call.data == call.data:
-                task.call = None
-                answer = read(code, body)
-                if answer is not None:
-                    task.answer, task.answered, task.tries = (code, answer), now, 0
-                    task.number += 1
-                    self.counts["refused there"] += code != OK
+        """Takes the result of a call. It counts only while the move is in the step that made the call."""
+        for progress in self.progress.values():
+            if progress.call is not None and progress.call.data == call.data:
+                progress.call = None
+                response = read_response(code, body)
+                if response is not None:
+                    progress.response, progress.response_time, progress.attempts = (code, response), now, 0
+                    progress.call_number += 1
+                    self.counts["refused there"] += code != HTTP_OK
                 else:
-                    self.unanswered(now, task)
-                self.wake = now
+                    self.note_no_response(now, progress)
+                self.wake_time = now
                 return
         self.counts["late"] += 1
 
-    def unanswered(self, now, task):
+    def note_no_response(self, now, progress):
         self.counts["unknown"] += 1
-        longest = min(MIN_WAIT_NS << min(task.tries, 10), MAX_WAIT_NS)
-        task.wait, task.tries = now + int(longest * self.rng.uniform(0.5, 1.0)), task.tries + 1
+        longest = min(MIN_WAIT_NS << min(progress.attempts, 10), MAX_WAIT_NS)
+        progress.wait_until, progress.attempts = (
+            now + int(longest * self.rng.uniform(0.5, 1.0)),
+            progress.attempts + 1,
+        )
 
-    # ---- what is next
+    # ---- choosing the next command or call
 
     def next(self, now, wall_ms, state, followers):
-        if self.clock[1] != state.moment:
-            self.clock = now, state.moment
-        moment = state.moment + now - self.clock[0]  # the ledger's time, as it stands by now
+        if self.ledger_clock[1] != state.moment:
+            self.ledger_clock = now, state.moment
+        moment = state.moment + now - self.ledger_clock[0]  # the present ledger time
         names = sorted(state.part("moving"))
-        for name in [name for name in self.tasks if name not in state.part("moving")]:
-            del self.tasks[name]
-        self.wake, self.turn = NEVER, self.turn + 1
-        for at in range(len(names)):  # another first each time, so that none is kept waiting by others
+        for name in [name for name in self.progress if name not in state.part("moving")]:
+            del self.progress[name]
+        self.wake_time, self.turn = NEVER, self.turn + 1
+        for at in range(len(names)):  # each turn starts with another move, so that none is starved by others
             name = names[(at + self.turn) % len(names)]
             move = state.part("moves")[name]
-            wanted = self.act(now, moment, name, move, state, followers)
-            if wanted is not None:
-                self.wake = now
-                return wanted
+            action = self.run_step(now, moment, name, move, state, followers)
+            if action is not None:
+                self.wake_time = now
+                return action
         return None
 
-    def act(self, now, moment, name, move, state, followers):
+    def run_step(self, now, moment, name, move, state, followers):
+        """Returns the command to propose or the call to make for this move, or None."""
         key = (move.epoch, move.step, move.stage, sum(group.over for group in move.groups))
-        task = self.tasks.get(name)
-        if task is None or task.key != key:
-            task = self.tasks[name] = Task(key)
+        progress = self.progress.get(name)
+        if progress is None or progress.key != key:
+            progress = self.progress[name] = StepProgress(key)
         if move.step in BEFORE_SETTLING:
             if move.to not in self.clusters or move.to == self.cluster:
                 says = f"cluster {move.to} is not among those known here: {', '.join(sorted(self.clusters))}"
-                return self.back(name, move, REFUSED, says, "name one of them, or add it to the settings")
-            if moment - move.since >= PATIENCE:
+                return self.roll_back(
+                    name, move, REFUSED, says, "name one of them, or add it to the settings"
+                )
+            if moment - move.since >= MAX_STEP_NS:
                 says = f"{move.step} for {(moment - move.since) // SECOND} s"
-                return self.back(name, move, OVERDUE, says, f"look at {move.to}, then move anew")
-            self.rouse(now + PATIENCE - (moment - move.since))
-        if task.answer is not None and now - task.answered >= ANSWER_LIFE:
-            task.answer, task.wait = None, max(task.wait, now)
-        return STEPS[move.step](self, now, moment, name, move, state, followers, task)
-
-    def rouse(self, at):
-        self.wake = min(self.wake, at)
-
-    def ask(self, now, name, move, state, task, command, **fields):
-        """The answer to a call if it is there, else (None, None) and the call to make if it is due."""
-        if task.answer is not None:
-            self.rouse(task.answered + ANSWER_LIFE)
-            return task.answer, None
-        if task.call is not None and now >= task.until:
-            task.call = None
-            self.unanswered(now, task)
-        due = task.until if task.call is not None else task.wait
+                return self.roll_back(name, move, OVERDUE, says, f"look at {move.to}, then start a new move")
+            self.wake_by(now + MAX_STEP_NS - (moment - move.since))
+        if progress.response is not None and now - progress.response_time >= RESPONSE_LIFETIME_NS:
+            progress.response, progress.wait_until = None, max(progress.wait_until, now)
+        return STEP_METHODS[move.step](self, now, moment, name, move, state, followers, progress)
+
+    def wake_by(self, at):
+        self.wake_time = min(self.wake_time, at)
+
+    def call_destination(self, now, name, move, state, progress, command, **fields):
+        """Returns ((code, Response), None) if there is a response. Otherwise returns (None, None) with the
+        Call to make, or with None if no call is due."""
+        if progress.response is not None:
+            self.wake_by(progress.response_time + RESPONSE_LIFETIME_NS)
+            return progress.response, None
+        if progress.call is not None and now >= progress.call_expires:
+            progress.call = None
+            self.note_no_response(now, progress)
+        due = progress.call_expires if progress.call is not None else progress.wait_until
         if now < due or move.to not in self.clusters:
-            self.rouse(due if move.to in self.clusters else NEVER)
+            self.wake_by(due if move.to in self.clusters else NEVER)
             return (None, None), None
         moving, moves = state.part("moving"), state.part("moves")
         floor = min(row.epoch for other, row in moving.items() if moves[other].to == move.to)
-        id = f"{self.cluster}/{name}/{move.epoch}/{move.step}/{state.term}.{task.number}"
+        id = f"{self.cluster}/{name}/{move.epoch}/{move.step}/{state.term}.{progress.call_number}"
         fields |= {"source": self.cluster, "move": name, "epoch": move.epoch, "floor": floor}
         data = msgspec.json.encode(command(id=id, **fields))
-        task.call, task.until = Call(move.to, data, self), now + CALL_LIFE
+        progress.call, progress.call_expires = Call(move.to, data, self), now + CALL_TIMEOUT_NS
         self.counts["calls"] += 1
-        return (None, None), task.call
+        return (None, None), progress.call
 
-    def again(self, task, now, wait):
-        """The answer was not yet what is awaited."""
-        task.answer, task.wait = None, now + wait
-        self.rouse(task.wait)
+    def retry_after(self, progress, now, wait):
+        """Discards a response that is not yet the one awaited, and calls again after this wait."""
+        progress.response, progress.wait_until = None, now + wait
+        self.wake_by(progress.wait_until)
 
-    def on(self, name, move, **fields):
+    def advance(self, name, move, **fields):
         return rules.MoveAdvance(move=name, epoch=move.epoch, step=move.step, stage=move.stage, **fields)
 
-    def back(self, name, move, end, says, do=""):
+    def roll_back(self, name, move, end, says, do=""):
         return rules.MoveRollBack(
             move=name, epoch=move.epoch, step=move.step, end=end, says=says[:500], do=do[:500]
         )
 
-    def refused(self, name, move, body):
-        says = f"{move.to}: {body.error.type}: {body.error.says}"
-        return self.back(name, move, REFUSED, says, body.error.do)
+    def roll_back_refused(self, name, move, response):
+        says = f"{move.to}: {response.error.type}: {response.error.says}"
+        return self.roll_back(name, move, REFUSED, says, response.error.do)
 
-    # ---- the steps
+    # ---- the steps of a move
 
-    def first(self, now, moment, name, move, state, followers, task):
-        return self.on(name, move)
+    def run_asked(self, now, moment, name, move, state, followers, progress):
+        return self.advance(name, move)
 
-    def reserve(self, now, moment, name, move, state, followers, task):
-        held = state.part("reservations")
+    def run_reserving(self, now, moment, name, move, state, followers, progress):
+        reservations = state.part("reservations")
         pieces = tuple(
-            rules.Piece(one, held[one].units, len(held[one].nodes), held[one].site)
+            rules.ReservationPiece(
+                one, reservations[one].units, len(reservations[one].nodes), reservations[one].site
+            )
             for one in move.reservations
         )
-        groups = tuple(rules.GroupPiece(g.group, len(g.nodes), g.quorum) for g in move.groups)
-        (code, body), call = self.ask(
-            now, name, move, state, task, rules.HoldTake, service=move.service, pieces=pieces, groups=groups
+        groups = tuple(rules.GroupPiece(group.group, len(group.nodes), group.quorum) for group in move.groups)
+        (code, response), call = self.call_destination(
+            now,
+            name,
+            move,
+            state,
+            progress,
+            rules.HoldTake,
+            service=move.service,
+            pieces=pieces,
+            groups=groups,
         )
         if code is None:
             return call
-        return self.on(name, move, proof=body.at) if code == OK else self.refused(name, move, body)
+        return (
+            self.advance(name, move, proof=response.at)
+            if code == HTTP_OK
+            else self.roll_back_refused(name, move, response)
+        )
 
-    def warm(self, now, moment, name, move, state, followers, task):
-        (code, body), call = self.ask(now, name, move, state, task, rules.HoldWarm)
+    def run_warming(self, now, moment, name, move, state, followers, progress):
+        (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldWarm)
         if code is None:
             return call
-        if code != OK:
-            return self.refused(name, move, body)
-        if body.warm:
-            return self.on(name, move, proof=body.at)
-        return self.again(task, now, min(max(body.cold_ms * 10**6, SECOND), LOOK))
+        if code != HTTP_OK:
+            return self.roll_back_refused(name, move, response)
+        if response.warm:
+            return self.advance(name, move, proof=response.at)
+        return self.retry_after(progress, now, min(max(response.cold_ms * 10**6, SECOND), HOLD_CHECK_NS))
 
-    def hand_over(self, now, moment, name, move, state, followers, task):
+    def run_members(self, now, moment, name, move, state, followers, progress):
         group = next((group for group in move.groups if group.over < len(group.nodes)), None)
         if group is None:
-            return self.on(name, move)
-        (code, body), call = self.ask(
-            now, name, move, state, task, rules.HoldMember, group=group.group, over=group.over + 1
+            return self.advance(name, move)
+        (code, response), call = self.call_destination(
+            now, name, move, state, progress, rules.HoldMember, group=group.group, over=group.over + 1
         )
         if code is None:
             return call
-        if code != OK:
-            return self.refused(name, move, body)
-        if body.serving > group.over:
-            return self.on(name, move, proof=body.at, group=group.group, serving=body.serving)
-        return self.again(task, now, SECOND)
-
-    def shift(self, now, moment, name, move, state, followers, task):
-        """By stages, as the gateways' votes allow; all along it looks whether the hold stands."""
-        if moment - move.since < BAKE:
-            self.rouse(now + BAKE - (moment - move.since))
+        if code != HTTP_OK:
+            return self.roll_back_refused(name, move, response)
+        if response.serving > group.over:
+            return self.advance(name, move, proof=response.at, group=group.group, serving=response.serving)
+        return self.retry_after(progress, now, SECOND)
+
+    def run_shifting(self, now, moment, name, move, state, followers, progress):
+        """Goes through the stages as the gateways' votes allow, and checks meanwhile that the hold exists."""
+        if moment - move.since < MIN_STAGE_NS:
+            self.wake_by(now + MIN_STAGE_NS - (moment - move.since))
         elif move.share < STAGES[-1]:
-            if len(move.on) >= rules.on_needed(rules.voting(state, move.service)):
-                return self.on(name, move)
+            if len(move.on) >= rules.on_votes_needed(rules.count_voters(state, move.service)):
+                return self.advance(name, move)
         elif not followers.waited_for(now, state, move.at):
-            return self.on(name, move)
+            return self.advance(name, move)
         else:
-            self.rouse(now + POLL)
-        (code, body), call = self.ask(now, name, move, state, task, rules.HoldWarm)
+            self.wake_by(now + ACK_CHECK_NS)
+        (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldWarm)
         if code is None:
             return call
-        return self.again(task, now, LOOK) if code == OK else self.refused(name, move, body)
+        return (
+            self.retry_after(progress, now, HOLD_CHECK_NS)
+            if code == HTTP_OK
+            else self.roll_back_refused(name, move, response)
+        )
 
-    def settle(self, now, moment, name, move, state, followers, task):
-        (code, body), call = self.ask(now, name, move, state, task, rules.HoldKeep)
+    def run_settling(self, now, moment, name, move, state, followers, progress):
+        (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldKeep)
         if code is None:
             return call
-        if code == SENSELESS:
-            return self.again(task, now, MAX_WAIT_NS)
-        return self.on(name, move, proof=body.at) if code == OK else self.refused(name, move, body)
+        if code == HTTP_BAD_REQUEST:
+            return self.retry_after(progress, now, MAX_WAIT_NS)
+        return (
+            self.advance(name, move, proof=response.at)
+            if code == HTTP_OK
+            else self.roll_back_refused(name, move, response)
+        )
 
-    def go_back(self, now, moment, name, move, state, followers, task):
-        """Nothing is dropped there while a gateway may still send there."""
+    def run_rolling_back(self, now, moment, name, move, state, followers, progress):
+        """Waits while a gateway may still send to the destination; nothing is dropped there before."""
         if followers.waited_for(now, state, move.at):
-            return self.rouse(now + POLL)
-        return self.on(name, move)
+            return self.wake_by(now + ACK_CHECK_NS)
+        return self.advance(name, move)
 
-    def drop(self, now, moment, name, move, state, followers, task):
-        (code, body), call = self.ask(now, name, move, state, task, rules.HoldDrop)
+    def run_dropping(self, now, moment, name, move, state, followers, progress):
+        (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldDrop)
         if code is None:
             return call
-        if code == OK:
-            return self.on(name, move, proof=body.at)
-        if body.error.type == HoldKept.__name__:
-            return self.on(name, move, says=f"{move.to}: {body.error.says}"[:500])
-        return self.again(task, now, MAX_WAIT_NS)
-
-
-STEPS = {
-    ASKED: MoveTask.first,
-    RESERVING: MoveTask.reserve,
-    WARMING: MoveTask.warm,
-    MEMBERS: MoveTask.hand_over,
-    SHIFTING: MoveTask.shift,
-    SETTLING: MoveTask.settle,
-    GOING_BACK: MoveTask.go_back,
-    DROPPING: MoveTask.drop,
+        if code == HTTP_OK:
+            return self.advance(name, move, proof=response.at)
+        if response.error.type == HoldKept.__name__:
+            return self.advance(name, move, says=f"{move.to}: {response.error.says}"[:500])
+        return self.retry_after(progress, now, MAX_WAIT_NS)
+
+
+STEP_METHODS = {
+    ASKED: MoveTask.run_asked,
+    RESERVING: MoveTask.run_reserving,
+    WARMING: MoveTask.run_warming,
+    MEMBERS: MoveTask.run_members,
+    SHIFTING: MoveTask.run_shifting,
+    SETTLING: MoveTask.run_settling,
+    ROLLING_BACK: MoveTask.run_rolling_back,
+    DROPPING: MoveTask.run_dropping,
 }
 
 
-def read(code, body):
-    """The answer, or None where it tells nothing. A 200 says at which entry."""
+def read_response(code, body):
+    """Returns the Response of a body, or None if it cannot be used. A 200 must name its entry."""
     try:
-        answer = msgspec.convert(body, Answer) if code in (OK, NO, SENSELESS) else None
+        response = (
+            msgspec.convert(body, Response) if code in (HTTP_OK, HTTP_CONFLICT, HTTP_BAD_REQUEST) else None
+        )
     except msgspec.ValidationError:
         return None
-    return None if answer is not None and code == OK and not answer.at else answer
+    return None if response is not None and code == HTTP_OK and not response.at else response
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -238,7 +238,7 @@
 
 def test_a_replica_that_never_serves_there_sends_the_move_back(monkeypatch):
     for module in (rules, steps):
-        monkeypatch.setattr(module, "PATIENCE", 60 * SECOND)
+        monkeypatch.setattr(module, "MAX_STEP_NS", 60 * SECOND)
     world = made(group=3)
     for number in range(4):
         world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
@@ -348,7 +348,7 @@
         if number in (0, 299):
             now = louis.state
             draft = Counted(now, Entry(now.index + 1, 1, COMMAND, now.moment, 1, b""))
-            rules.begin(draft, rules.MoveCommand(move="m", service="search", to="ebene"))
+            rules.start_move(draft, rules.MoveCommand(move="m", service="search", to="ebene"))
             looked.append(draft.looked)
     assert looked[0] == looked[1]
     assert draft.get("moves", "m").reservations == ("r",)
@@ -424,7 +424,7 @@
 
 
 def test_moves_under_way_are_bounded(monkeypatch):
-    monkeypatch.setattr(rules, "MOST_OPEN", 1)
+    monkeypatch.setattr(rules, "MAX_OPEN_MOVES", 1)
     world = made()
     serve(world, "louis", "print")
     begin(world)
@@ -434,7 +434,7 @@
 
 @pytest.mark.parametrize("days, fits", ((29, False), (31, True)))
 def test_ended_moves_are_forgotten_after_a_month_where_room_is_short(monkeypatch, days, fits):
-    monkeypatch.setattr(rules, "MOST_MOVES", 1)
+    monkeypatch.setattr(rules, "MAX_MOVES", 1)
     world = made(gateways=0)
     begin(world)
     ends(world)
@@ -445,11 +445,11 @@
 
 
 def test_waits_grow_and_are_spread():
-    duty, task = steps.MoveTask("louis", ("ebene",), 1), steps.Task(())
+    duty, task = steps.MoveTask("louis", ("ebene",), 1), steps.StepProgress(())
     waits = []
     for _ in range(12):
-        duty.unanswered(0, task)
-        waits.append(task.wait)
+        duty.note_no_response(0, task)
+        waits.append(task.wait_until)
     assert all(steps.MIN_WAIT_NS // 2 <= wait <= steps.MAX_WAIT_NS for wait in waits)
     assert waits[0] < waits[3] and len(set(waits)) == 12 and duty.counts["unknown"] == 12
 
@@ -487,7 +487,7 @@
         epoch=5,
         floor=5,
         service="s",
-        pieces=(rules.Piece("r", 1, 0, "ebene"),),
+        pieces=(rules.ReservationPiece("r", 1, 0, "ebene"),),
     )
     assert made().sides["ebene"].do(take)[0] == code
 
@@ -521,7 +521,7 @@
 
 def keeps_at_once(draft, command):
     """The destination takes what it holds for its own before the source decided."""
-    answer = rules.take(draft, command)
+    answer = rules.take_hold(draft, command)
     rules.make_hold_permanent(draft, command.key, draft.get("holds", command.key), "")
     return answer
 
@@ -548,12 +548,12 @@
 
 def takes_half(draft, command):
     pieces = tuple(msgspec.structs.replace(piece, units=piece.units // 2) for piece in command.pieces)
-    return rules.take(draft, msgspec.structs.replace(command, pieces=pieces))
+    return rules.take_hold(draft, msgspec.structs.replace(command, pieces=pieces))
 
 
 def forgets_ends(draft, command):
     """No fence: a hold that was dropped is forgotten at once."""
-    answer = rules.drop(draft, command)
+    answer = rules.drop_hold(draft, command)
     draft.drop("holds", command.key)
     return answer
 
@@ -569,7 +569,7 @@
 def frees_early(draft, command):
     """Free here before the other side has said that it keeps it."""
     move = draft.get("moves", command.move)
-    rules.forward(draft, command)
+    rules.advance_move(draft, command)
     if move.step == "shifting" and move.share == 1000:
         for one in move.reservations:
             capacity.release(draft, one, draft.get("reservations", one))
@@ -577,13 +577,13 @@
 
 def hands_over_unasked(draft, command):
     """A member goes here whether or not another serves there."""
-    return rules.forward(draft, msgspec.structs.replace(command, serving=99))
+    return rules.advance_move(draft, msgspec.structs.replace(command, serving=99))
 
 
 def stops_late(draft, command):
     move = draft.get("moves", command.move)
     if move.step in ("settling", "done"):
-        rules.finish(draft, command.move, move, "stopped", 1)
+        rules.finish_move(draft, command.move, move, "stopped", 1)
     return {}
 
 
@@ -593,7 +593,7 @@
     hidden = dict(draft.part("moving"))
     for name in hidden:
         draft.drop("moving", name)
-    rules.begin(draft, command)
+    rules.start_move(draft, command)
     for name, row in hidden.items():
         draft.put("moving", name, row)
 
