--- a/lemonlead/distribution/driver.py
+++ b/lemonlead/distribution/driver.py
@@ -9,9 +9,9 @@
 
 from ..gateway import http
 from ..gateway.config import address, now
-from ..gateway.upkeep import CONNECTS, REASONS, read_until
+from ..gateway.managed_connection import CONNECT_TIMEOUT_SECONDS, END_REASONS, read_until
 from .faults import Unusable
-from .listing import Listing
+from .instance_records import InstanceRecords
 from .records import ALL, shown
 from .subscriber import Acknowledge, Subscriber
 
@@ -97,7 +97,7 @@
         except TimeoutError:
             return "silent"
         except OSError as error:
-            return REASONS.get(type(error), "unreachable")
+            return END_REASONS.get(type(error), "unreachable")
         except Exception as error:  # the next stream depends on the thread
             self.counters.add("relay faults")
             return f"fault {type(error).__name__}: {error}"
@@ -106,7 +106,7 @@
         """One stream from its beginning to its end; why it ended."""
         self.sock = connected(address(ask.address))
         post(self.sock, ask, "/v1/subscribe")
-        answer, heard = http.Answer(), time.monotonic()
+        answer, heard = http.Response(), time.monotonic()
         while not self.ending:
             if (line := answer.next()) is http.MORE:
                 if answer.status not in (0, 200):
@@ -186,7 +186,7 @@
 
     def exchange(self, ask):
         post(self.beside, ask, "/v1/acknowledge")
-        answer, until = http.Answer(), time.monotonic() + ANSWERS
+        answer, until = http.Response(), time.monotonic() + ANSWERS
         while (line := answer.next()) is not http.END:
             if line is http.MORE:
                 read_until(self.beside, until)
@@ -223,14 +223,14 @@
         return {**counts, "relay complete": min(made.complete.values())}
 
 
-class Gateway(Driver):
+class GatewayDriver(Driver):
     """The driver of a gateway, which puts records of instances into its balancer's list. `told`: the
     settings' `distribution`, `follow`: theirs of that name."""
 
     def __init__(self, config, told, follow, dispatcher, log, counters):
         if follow is not None:
             raise Unusable("follow and distribution: both tell of one ledger; expected one of them")
-        self.listing, self.dispatcher = Listing(dispatcher, config.start.cold_time), dispatcher
+        self.listing, self.dispatcher = InstanceRecords(dispatcher, config.start.cold_time), dispatcher
         self.wait = told["wait"] / 1e9
         super().__init__(subscriber(told, config.name), self.listing.put, log, counters)
 
@@ -245,7 +245,7 @@
 def connected(where):
     sock = socket.socket()
     try:
-        sock.settimeout(CONNECTS)
+        sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         sock.connect(where)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -26,17 +26,17 @@
     permitted: int = 0
     warm_at: int = 0
 
-    def max_away(self, terms):
-        return max(1, int(terms.site_share * self.nodes))
+    def max_away(self, settings):
+        return max(1, int(settings.site_share * self.nodes))
 
 
 def sum_sites(state, moment, only=None):
     """Returns a dict from site to its SiteSums at this ledger time. `only`: the sites to look at."""
-    loads, gangs, permits, terms = (
+    loads, gangs, permits, settings = (
         state.part("loads"),
         state.part("gangs"),
         state.part("permits"),
-        state.terms,
+        state.settings,
     )
     sums = {}
     for name, node in state.part("nodes").items():
@@ -51,7 +51,7 @@
         if load is not None:
             site.required += load.units
         if up(node):
-            site.capacity += bears(node, moment, terms)
+            site.capacity += bears(node, moment, settings)
             site.warm_capacity += node.units
             if node.warm > moment:
                 site.warm_at = min(site.warm_at or node.warm, node.warm)
@@ -112,11 +112,11 @@
         going_by_site.setdefault(nodes[name].site, []).append(name)
     for site in sorted(sites):
         site_sums, here = sums[site], going_by_site.get(site, ())
-        left = site_sums.capacity - sum(bears(nodes[name], moment, state.terms) for name in here)
+        left = site_sums.capacity - sum(bears(nodes[name], moment, state.settings) for name in here)
         if left < site_sums.required:
             yield SiteShort(f"site {site} would bear {left} units, {site_sums.required} are promised")
         if (
-            site_sums.away + len(here) > site_sums.max_away(state.terms)
+            site_sums.away + len(here) > site_sums.max_away(state.settings)
             and site_sums.permitted + len(here) > 1
         ):
             yield SiteShareTaken(
--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -1,5 +1,5 @@
-"""The leader task of drains: proposes one command at a time (see `ledger.dispatcher`). All that counts is in
-the state. What is kept here, the plan and what was looked at last, a new leader computes again."""
+"""The leader task of drains, a `ledger.dispatcher.LeaderTask`: proposes one command at a time. All that
+counts is in the state. The plan and other values that are kept here are computed again by a new leader."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
 from . import constraints
@@ -60,9 +60,9 @@
 class DrainTask:
     def __init__(self, late=LATE_NS):
         self.late_ns = late
-        self.took_office(0)
+        self.became_leader(0)
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.planned_parts = None  # the watched parts as of the last complete planning pass
         self.next_planning = 0
         self.next_ack_check = 0
@@ -418,7 +418,7 @@
     """Returns the units that a node with a permit would bear if the permit were revoked."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
-    return int(node.units * state.terms.cold_share) if node.warm > moment else node.units
+    return int(node.units * state.settings.cold_share) if node.warm > moment else node.units
 
 
 def progress_of_drains(plan, state, running, wall_ms, moment, late_ns):
--- a/lemonlead/drains/request_builder.py
+++ b/lemonlead/drains/request_builder.py
@@ -121,15 +121,15 @@
 
     def update_caps(self, state, limits):
         """Computes the caps that may have changed, and adds the limits whose caps did to `limits`."""
-        sites, terms = state.part("sites"), state.terms
+        sites, settings = state.part("sites"), state.settings
         if sites is not self.sites:
             for site, sums in sites.items():
                 old = self.sites.get(site, NO_SITE)
                 if sums.promised != old.promised:
                     self.stale.add(("site", site))
             self.sites = sites
-        if terms.site_share != self.share:
-            self.share = terms.site_share
+        if settings.site_share != self.share:
+            self.share = settings.site_share
             self.stale.update(("site", site) for site in self.site_sums)
         for what, key in self.stale:
             if what == "group":
@@ -137,7 +137,7 @@
                 continue
             count, spare, away, expected_back, away_late = self.site_sums.get(key, NO_CONTRIBUTION)
             self.set_cap(("units", key), spare - sites.get(key, NO_SITE).promised, limits)
-            share = max(1, int(terms.site_share * count)) - away + expected_back
+            share = max(1, int(settings.site_share * count)) - away + expected_back
             # One node may always go, unless a late one is still away.
             self.set_cap(("share", key), share if away_late else max(1, share), limits)
         self.stale = set()
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -301,7 +301,7 @@
 def cannot_act(transaction, command, permit):
     """Whether a serving node can no longer act on a recalled permit: it has seen the recall, or what it knew
     of the permit is older than any lease."""
-    expires = permit.moment + transaction.terms.lease + transaction.terms.grace
+    expires = permit.moment + transaction.settings.lease + transaction.settings.grace
     return command.seen >= permit.at or transaction.moment >= expires
 
 
@@ -389,7 +389,7 @@
 def complete_permit(transaction, name, permit):
     """A node that was away serves again, cold. It is done for the drains that its absence served."""
     if transaction.get("nodes", name).out:
-        change_node(transaction, name, warm=transaction.moment + transaction.terms.cold)
+        change_node(transaction, name, warm=transaction.moment + transaction.settings.cold)
     remove_permit(transaction, name)
     for drain in permit.serves:
         if drain in transaction.part("wants").get(name, ()):
@@ -426,7 +426,7 @@
     for name, count in drained_by_group.items():
         waves = max(waves, -(-count // max(1, len(groups[name].nodes) - groups[name].quorum)))
     for site, count in drained_by_site.items():
-        waves = max(waves, -(-count // max(1, int(transaction.terms.site_share * site_sizes[site]))))
+        waves = max(waves, -(-count // max(1, int(transaction.settings.site_share * site_sizes[site]))))
     return max(transaction.wall_ms, deadline_ms - waves * WAVE_MS)
 
 
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -721,7 +721,7 @@
     hold = active_hold(transaction, command)
     if hold.state == HELD:
         hold = replace(
-            hold, state=WARM, warm_at=transaction.moment + transaction.terms.cold, at=transaction.index
+            hold, state=WARM, warm_at=transaction.moment + transaction.settings.cold, at=transaction.index
         )
         transaction.put("holds", command.key, hold)
     nodes = transaction.part("nodes")
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -78,8 +78,8 @@
 
 
 class MoveTask:
-    """The leader task, as `ledger.dispatcher` runs it. `cluster`: the name of this cluster; `clusters`: the
-    names of the clusters that can be called."""
+    """A `ledger.dispatcher.LeaderTask`. `cluster`: the name of this cluster; `clusters`: the names of
+    the clusters that can be called."""
 
     def __init__(self, cluster, clusters, seed):
         self.cluster, self.clusters, self.rng = cluster, frozenset(clusters), random.Random(seed)
@@ -89,7 +89,7 @@
         self.turn = 0  # which move is looked at first
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
-    def took_office(self, now):
+    def became_leader(self, now):
         self.progress, self.ledger_clock, self.wake_time = {}, (now, 0), now
 
     def wake_at(self):
