--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,5 +1,5 @@
-"""Moves between clusters: rules, the duty under every fault at every step, and checkers that catch faults
-put in on purpose."""
+"""Moves between clusters: the rules, the leader task with every fault injected at every step, and a checker
+that has to catch faulty rules."""
 
 import pathlib
 from dataclasses import replace
@@ -20,8 +20,8 @@
 from lemonlead.standins.two_clusters import MS, SECOND, World, furnish, serve
 
 
-def ends(world, most=900 * SECOND):
-    """It comes to its end, on both sides, with nothing broken on the way."""
+def run_until_ended(world, most=900 * SECOND):
+    """Runs until no move is open, checks that nothing was violated, and returns how move `m` ended."""
     assert world.run_till(world.quiet, most), [world.move("m"), world.watch.broken]
     assert world.run_till(lambda: not world.flying)
     world.run(world.now + 5 * SECOND)
@@ -37,14 +37,14 @@
     return world.watch.holders("search-wide")
 
 
-# ---- every step crossed with every fault
+# ---- every step with every fault
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS, ids=NAMES)
-def test_each_step_with_each_fault(step, fault):
+def test_each_step_with_each_injected_fault(step, fault):
     world, met = crossed(*step, fault, seed=STEPS.index(step))
-    assert ends(world) == awaited(step[0], fault)
+    assert run_until_ended(world) == awaited(step[0], fault)
     assert met
     assert holders(world) == (["louis"] if world.move("m").end == "stopped" else ["ebene"])
     group = {name for name, side in world.sides.items() if "search/replicas" in side.state.part("groups")}
@@ -57,68 +57,69 @@
     st.lists(st.tuples(st.integers(0, 40_000), st.sampled_from(sorted(FAULTS))), max_size=6),
     st.floats(0, 0.4),
 )
-def test_schedules(seed, faults, lose):
+def test_random_schedules_of_faults(seed, faults, lose):
     world = made(seed)
     begin(world)
     for later, fault in faults:
         world.at(world.now + later * MS, lambda fault=fault: FAULTS[fault](world))
     lossy(world, 50 * SECOND, lose=lose, twice=lose, straggle=20 * SECOND)
-    end = ends(world)
+    end = run_until_ended(world)
     assert holders(world) == (["ebene"] if end == "done" else ["louis"])
 
 
-# ---- a move that can't be, and several at once
+# ---- refused moves, and several moves at once
 
 
-def test_worse_there_goes_back():
+def test_worse_destination_is_voted_back():
     world = made(judge=lambda world, gateway, move: "back" if move.stage == 2 else "on")
     begin(world)
-    assert ends(world) == "sent back"
+    assert run_until_ended(world) == "sent back"
     assert holders(world) == ["louis"]
     assert "worse at 50 %" in world.move("m").says
 
 
-def test_two_full_clusters_that_swap_are_refused_with_what_is_missing():
+def test_swap_between_full_clusters_is_refused():
     world = World()
     for cluster, service in (("louis", "search"), ("ebene", "print")):
         furnish(world, cluster, nodes=2)
         serve(world, cluster, service, units=12, pinned=4)
     begin(world)
     begin(world, "n", "print", "ebene", "louis")
-    assert ends(world) == "refused"
+    assert run_until_ended(world) == "refused"
     for move in (world.move("m"), world.move("n", "ebene")):
         assert move.end == "refused" and "NoRoomThere" in move.says and "free" in move.says
     assert holders(world) == ["louis"]
     assert world.watch.holders("print-wide") == ["ebene"]
 
 
-def test_a_swap_through_what_is_free():
+def test_swap_with_enough_free_capacity():
     world = World()
     for cluster, service in (("louis", "search"), ("ebene", "print")):
         furnish(world, cluster, nodes=4)
         serve(world, cluster, service, units=12, pinned=4)
     begin(world)
     begin(world, "n", "print", "ebene", "louis")
-    assert ends(world) == "done"
+    assert run_until_ended(world) == "done"
     assert holders(world) == ["ebene"] and world.watch.holders("print-wide") == ["louis"]
 
 
-def test_a_second_move_of_a_service_is_refused():
+def test_second_move_of_a_service_is_refused():
     world = made()
     assert begin(world)[0] == 200
     code, body = begin(world, "n", id="other")
     assert (code, body["error"]["type"]) == (409, "MoveOpen")
     world.when("shifting", lambda: world.answers.append(begin(world, "o", id="later")))
-    ends(world)
-    assert [answer[1]["error"]["type"] for answer in world.answers] == ["MoveOpen"]
+    run_until_ended(world)
+    assert [response[1]["error"]["type"] for response in world.answers] == ["MoveOpen"]
 
 
 @pytest.mark.parametrize("late", (0, 86_400 * SECOND, 86_400 * SECOND * 40))
-def test_the_same_command_again_after_a_day(late):
+def test_repeated_move_command(late):
     world = made(gateways=0)
     first = begin(world)
-    ends(world)
-    serve(world, "louis", "search")  # a new service of that name, which the old command must not move
+    run_until_ended(world)
+    # A new service of the same name, which the repeated command must not move.
+    serve(world, "louis", "search")
     world.run(world.now + late)
     again = begin(world)
     if late:
@@ -129,12 +130,12 @@
     assert world.quiet()
 
 
-def test_each_destination_command_again_after_a_day():
+def test_repeated_destination_commands_change_nothing():
     world = made(gateways=0)
     sent, taken = [], world.taken
     world.taken = lambda call: sent.append(call) or taken(call)
     begin(world)
-    assert ends(world) == "done"
+    assert run_until_ended(world) == "done"
     world.run(world.now + 86_400 * SECOND)
     before = world.sides["ebene"].state.parts
     for call in sent + sent[::-1]:
@@ -142,16 +143,16 @@
     assert world.sides["ebene"].state.parts == before and len(sent) > 5
 
 
-def test_what_ended_is_forgotten_by_the_next_move():
+def test_next_move_forgets_ended_holds():
     world = made(gateways=0)
     late = []
     taken = world.taken
     world.taken = lambda call: late.append(call) or taken(call)
     begin(world)
-    ends(world)
+    run_until_ended(world)
     serve(world, "louis", "print")
     begin(world, "n", "print", id="second")
-    ends(world)
+    run_until_ended(world)
     holds = world.sides["ebene"].state.part("holds")
     assert list(holds) == ["louis/n"]
     world.sides["ebene"].do(capacity.Free(id="f", reservation="search-wide"))
@@ -161,17 +162,17 @@
 
 
 @pytest.mark.parametrize("to", ("atlantis", "louis"))
-def test_move_to_a_cluster_that_nobody_knows_or_to_itself(to):
+def test_move_to_an_unknown_cluster_or_to_itself_is_refused(to):
     world = made()
     begin(world, to=to)
-    assert ends(world) == "refused"
+    assert run_until_ended(world) == "refused"
     assert to in world.move("m").says and holders(world) == ["louis"]
 
 
 @pytest.mark.parametrize("step", STEPS[1:8:2], ids=NAMES[1:8:2])
 @pytest.mark.parametrize("clusters", (("louis",), ("ebene",), ("louis", "ebene")), ids="-".join)
-def test_all_nodes_drained_in_turn_meanwhile(clusters, step):
-    """Neither waits for the other for ever: both come to their end."""
+def test_move_and_drain_of_all_nodes_both_end(clusters, step):
+    """Guards against a deadlock: a move and a drain must not wait for each other."""
     world = made()
 
     def drain():
@@ -183,7 +184,7 @@
 
     world.when(step[0], drain, stage=step[1])
     begin(world)
-    end = ends(world)
+    end = run_until_ended(world)
     assert end == "done" or "ebene" in clusters and step[0] == "reserving" and end == "refused"
     assert holders(world) == (["ebene"] if end == "done" else ["louis"])
     assert world.run_till(
@@ -193,7 +194,7 @@
 
 
 def cordon(side, names):
-    """As a drain of these nodes leaves them before any is out."""
+    """Sets the state that a drain of these nodes causes before any of them is away."""
     nodes = side.state.part("nodes")
     for name in names:
         nodes = nodes.set(name, msgspec.structs.replace(nodes[name], cordon_ms=1))
@@ -201,12 +202,12 @@
 
 
 @pytest.mark.parametrize("left, end", ((2, "done"), (0, "refused")))
-def test_nodes_that_are_to_go_are_no_room(left, end):
-    """They are passed over; where the rest has no room, the move is refused at once."""
+def test_cordoned_nodes_do_not_count_as_room(left, end):
+    """Cordoned nodes are not chosen. If the other nodes have no room, the move is refused at once."""
     world = made(group=0)
     cordon(world.sides["ebene"], [f"ebene-{number}" for number in range(4 - left)])
     begin(world)
-    assert ends(world, 30 * SECOND) == end
+    assert run_until_ended(world, 30 * SECOND) == end
     if left:
         pinned = world.sides["ebene"].state.part("reservations")["search-pinned"]
         assert set(pinned.nodes) == {"ebene-2", "ebene-3"}
@@ -217,7 +218,7 @@
 # ---- groups and gangs
 
 
-def test_a_group_goes_member_by_member():
+def test_group_moves_member_by_member():
     world = made(group=3)
     sizes = []
 
@@ -232,11 +233,11 @@
 
     world.hooks.append(hook)
     begin(world)
-    assert ends(world) == "done"
+    assert run_until_ended(world) == "done"
     assert list(dict.fromkeys(sizes)) == [(3, 1), (2, 1), (2, 2), (1, 2), (1, 3), (0, 3)]
 
 
-def test_a_replica_that_never_serves_there_sends_the_move_back(monkeypatch):
+def test_replica_that_never_serves_makes_the_move_overdue(monkeypatch):
     for module in (rules, steps):
         monkeypatch.setattr(module, "MAX_STEP_NS", 60 * SECOND)
     world = made(group=3)
@@ -244,48 +245,48 @@
         world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
     begin(world)
     assert world.run_till(lambda: world.move("m").step == "members")
-    assert ends(world) == "overdue" and holders(world) == ["louis"]
+    assert run_until_ended(world) == "overdue" and holders(world) == ["louis"]
     assert world.sides["louis"].state.part("groups")["search/replicas"].quorum == 2
 
 
-def test_a_gang_that_runs_is_not_moved():
+def test_service_with_a_running_gang_is_not_moved():
     world = made()
     gang = capacity.GangCommand(id="g", gang="search/night", nodes=("louis-3",), units=1)
     assert world.sides["louis"].do(gang)[0] == 200
     assert begin(world)[1]["error"]["type"] == "GangRuns"
 
 
-def night(number, gang="search/night"):
+def gang_command(number, gang="search/night"):
     return capacity.GangCommand(id=f"g{number}", gang=gang, nodes=("louis-3",), units=1)
 
 
-def test_a_gang_that_starts_on_the_way_is_waited_for_and_none_may_follow_it():
-    """Gangs that follow one another without a gap would hold the move until it is overdue."""
+def test_move_waits_for_a_gang_and_admits_no_other():
+    """Otherwise gangs that follow one another without a gap would hold the move until it is overdue."""
     world = made()
     louis, refused = world.sides["louis"], []
-    world.when("reserving", lambda: louis.do(night(0)))
+    world.when("reserving", lambda: louis.do(gang_command(0)))
     begin(world)
     world.run(world.now + 120 * SECOND)
     assert world.move("m").step == "members" and all(one.over == 3 for one in world.move("m").groups)
-    code, body = louis.do(night(1, "search/day"))
+    code, body = louis.do(gang_command(1, "search/day"))
     assert (code, body["error"]["type"]) == (409, "BeingMoved") and "move m" in body["error"]["says"]
-    assert louis.do(night(2, "searching"))[0] == 200
+    assert louis.do(gang_command(2, "searching"))[0] == 200
     louis.do(capacity.GangEnd(id="e", gang="search/night"))
-    world.when("settling", lambda: refused.append(louis.do(night(3))[0]))
-    assert ends(world) == "done" and refused == [409]
-    assert louis.do(night(4))[0] == 200
+    world.when("settling", lambda: refused.append(louis.do(gang_command(3))[0]))
+    assert run_until_ended(world) == "done" and refused == [409]
+    assert louis.do(gang_command(4))[0] == 200
 
 
-def test_a_move_that_goes_back_lets_gangs_start():
+def test_gangs_may_start_once_a_move_rolls_back():
     world, codes = made(), []
     world.when("shifting", lambda: stop(world), stage=1)
-    world.when("going back", lambda: codes.append(world.sides["louis"].do(night(0))[0]))
+    world.when("going back", lambda: codes.append(world.sides["louis"].do(gang_command(0))[0]))
     begin(world)
-    assert ends(world) == "stopped" and codes == [200]
+    assert run_until_ended(world) == "stopped" and codes == [200]
 
 
 @pytest.mark.parametrize("step, stage", [one for one in STEPS if one[0] not in ("asked", "dropping")])
-def test_a_group_that_is_being_moved_is_not_declared_anew(step, stage):
+def test_group_cannot_be_redeclared_while_it_moves(step, stage):
     world, told = made(), {}
 
     def declare(name, number=0):
@@ -295,35 +296,35 @@
         )
 
     def both():
-        held = world.sides["ebene"].state.part("holds").get("louis/m")
-        for name in ("louis", "ebene") if held is not None and held.state != "dropped" else ("louis",):
+        hold = world.sides["ebene"].state.part("holds").get("louis/m")
+        for name in ("louis", "ebene") if hold is not None and hold.state != "dropped" else ("louis",):
             told[name] = declare(name)[1].get("error", {}).get("type")
 
     if step == "going back":
         world.when("shifting", lambda: stop(world), stage=1)
     world.when(step, both, stage=stage)
     begin(world)
-    assert ends(world) == ("stopped" if step == "going back" else "done")
+    assert run_until_ended(world) == ("stopped" if step == "going back" else "done")
     assert told and set(told.values()) == {"BeingMoved"}
     assert [declare(name, 1)[0] for name in world.sides] == [200, 200]
 
 
-class Counted(state.Transaction):
-    """Counts what is gone over, and forbids to go over a part that holds records of all services."""
+class CountingTransaction(state.Transaction):
+    """Counts reads, and forbids iteration over parts that hold records of all services."""
 
-    looked = 0
+    reads = 0
 
     def get(self, part, key):
-        self.looked += 1
+        self.reads += 1
         return super().get(part, key)
 
     def part(self, name):
         whole = super().part(name)
-        return Closed(whole) if name in ("reservations", "gangs", "groups") else whole
+        return LookupOnlyPart(whole) if name in ("reservations", "gangs", "groups") else whole
 
 
-class Closed:
-    """A part that may be looked up in and counted, and not gone over."""
+class LookupOnlyPart:
+    """A part that allows lookups and `len`, but no iteration."""
 
     def __init__(self, whole):
         self.get, self.set, self.whole = whole.get, whole.set, whole
@@ -335,10 +336,10 @@
         return len(self.whole)
 
 
-def test_a_move_looks_at_its_own_service_alone():
+def test_move_reads_only_records_of_its_service():
     world = World(gateways=0)
     furnish(world, "louis", nodes=4, units=1000)
-    louis, looked = world.sides["louis"], []
+    louis, reads = world.sides["louis"], []
     louis.do(capacity.Reserve(reservation="r", service="search", units=1, site="louis"))
     louis.do(capacity.GroupCommand(group="search/a", nodes=("louis-0", "louis-1"), quorum=1))
     louis.do(capacity.GroupCommand(group="searching", nodes=("louis-0", "louis-1"), quorum=1))
@@ -347,16 +348,16 @@
         louis.do(capacity.GangCommand(gang=f"other/{number}", nodes=("louis-0",), units=1))
         if number in (0, 299):
             now = louis.state
-            draft = Counted(now, Entry(now.index + 1, 1, COMMAND, now.moment, 1, b""))
-            rules.start_move(draft, rules.MoveCommand(move="m", service="search", to="ebene"))
-            looked.append(draft.looked)
-    assert looked[0] == looked[1]
-    assert draft.get("moves", "m").reservations == ("r",)
-    assert [group.group for group in draft.get("moves", "m").groups] == ["search/a"]
+            transaction = CountingTransaction(now, Entry(now.index + 1, 1, COMMAND, now.moment, 1, b""))
+            rules.start_move(transaction, rules.MoveCommand(move="m", service="search", to="ebene"))
+            reads.append(transaction.reads)
+    assert reads[0] == reads[1]
+    assert transaction.get("moves", "m").reservations == ("r",)
+    assert [group.group for group in transaction.get("moves", "m").groups] == ["search/a"]
 
 
 @pytest.mark.parametrize("fields, says", [({"moves": ()}, "under way"), ({"closed": ""}, "wait for gangs")])
-def test_marks_that_are_left_out_are_seen(fields, says):
+def test_checker_reports_missing_service_marks(fields, says):
     world = made()
     begin(world)
     assert world.run_till(lambda: world.move("m").step == "warming")
@@ -366,10 +367,10 @@
     assert [fault for fault in promises.faults(here) if says in fault]
 
 
-# ---- who may end what
+# ---- who may end a move or a hold
 
 
-def test_the_destination_ends_no_hold_that_its_source_relies_on():
+def test_destination_cannot_end_a_hold_in_use():
     world = made()
     begin(world)
     world.run_till(lambda: world.move("m").step == "shifting")
@@ -377,34 +378,34 @@
     refused = [stop(world, "louis/m", "ebene"), ebene.do(capacity.Free(id="f", reservation="search-wide"))]
     assert [code for code, _ in refused] == [409, 409]
     assert refused[0][1]["error"]["type"] == "DecidedElsewhere"
-    assert ends(world) == "done"
+    assert run_until_ended(world) == "done"
 
 
 @pytest.mark.parametrize("keep", (True, False))
-def test_a_source_lost_for_good(keep):
+def test_operator_ends_a_hold_whose_source_is_lost(keep):
     world = made()
     begin(world)
     world.run_till(lambda: world.move("m").step == "shifting")
     world.sides["louis"].up = False
     ebene = world.sides["ebene"]
     assert ebene.do(rules.HoldEnd(id="end", hold="louis/m", keep=keep, because="burnt down"))[0] == 200
-    held = ebene.state.part("reservations")
-    assert all(row.move == "" for row in held.values()) and bool(held) is keep
+    reservations = ebene.state.part("reservations")
+    assert all(row.move == "" for row in reservations.values()) and bool(reservations) is keep
     assert ebene.state.part("holds")["louis/m"].by == "burnt down"
     assert ebene.do(rules.HoldEnd(id="2", hold="louis/m", keep=keep, because="again"))[0] == 409
 
 
-def test_a_hold_ended_by_hand_while_its_source_lives():
+def test_hold_ended_by_an_operator_rolls_the_move_back():
     world = made()
     end = rules.HoldEnd(id="end", hold="louis/m", keep=False, because="mistaken")
     world.when("shifting", lambda: world.sides["ebene"].do(end), stage=4)
     begin(world)
-    assert ends(world) == "refused" and holders(world) == ["louis"]
+    assert run_until_ended(world) == "refused" and holders(world) == ["louis"]
     assert "HoldEnded" in world.move("m").says
 
 
 @pytest.mark.parametrize("step", STEPS[1:8], ids=NAMES[1:8])
-def test_a_destination_lost_for_good(step):
+def test_operator_ends_a_move_whose_destination_is_lost(step):
     world = made()
     world.when(step[0], lambda: setattr(world.sides["ebene"], "up", False), stage=step[1])
     begin(world)
@@ -414,8 +415,10 @@
     world.run(world.now + 60 * SECOND)
     move = world.move("m")
     assert (move.end, move.share, world.quiet()) == ("lost", 0, True) and "flooded" in move.says
-    held = world.sides["louis"].state.part("reservations")
-    assert sorted(held) == ["search-pinned", "search-wide"] and not any(r.move for r in held.values())
+    reservations = world.sides["louis"].state.part("reservations")
+    assert sorted(reservations) == ["search-pinned", "search-wide"] and not any(
+        r.move for r in reservations.values()
+    )
     assert len(world.sides["louis"].state.part("groups")["search/replicas"].nodes) == 3
     assert world.watch.broken == []
 
@@ -423,7 +426,7 @@
 # ---- bounds
 
 
-def test_moves_under_way_are_bounded(monkeypatch):
+def test_number_of_open_moves_is_bounded(monkeypatch):
     monkeypatch.setattr(rules, "MAX_OPEN_MOVES", 1)
     world = made()
     serve(world, "louis", "print")
@@ -433,28 +436,28 @@
 
 
 @pytest.mark.parametrize("days, fits", ((29, False), (31, True)))
-def test_ended_moves_are_forgotten_after_a_month_where_room_is_short(monkeypatch, days, fits):
+def test_old_ended_moves_are_forgotten_to_make_room(monkeypatch, days, fits):
     monkeypatch.setattr(rules, "MAX_MOVES", 1)
     world = made(gateways=0)
     begin(world)
-    ends(world)
+    run_until_ended(world)
     serve(world, "louis", "print")
     world.run(world.now + days * 86_400 * SECOND)
     code, _ = begin(world, "n", "print", id="n")
     assert (code == 200) is fits and ("m" in world.sides["louis"].state.part("moves")) is not fits
 
 
-def test_waits_grow_and_are_spread():
-    duty, task = steps.MoveTask("louis", ("ebene",), 1), steps.StepProgress(())
+def test_waits_between_calls_grow_with_jitter():
+    move_task, progress = steps.MoveTask("louis", ("ebene",), 1), steps.StepProgress(())
     waits = []
     for _ in range(12):
-        duty.note_no_response(0, task)
-        waits.append(task.wait_until)
+        move_task.note_no_response(0, progress)
+        waits.append(progress.wait_until)
     assert all(steps.MIN_WAIT_NS // 2 <= wait <= steps.MAX_WAIT_NS for wait in waits)
-    assert waits[0] < waits[3] and len(set(waits)) == 12 and duty.counts["unknown"] == 12
+    assert waits[0] < waits[3] and len(set(waits)) == 12 and move_task.counts["unknown"] == 12
 
 
-# ---- what another cluster answers may be anything
+# ---- responses of another cluster may be anything
 
 ANYTHING = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
@@ -470,16 +473,16 @@
 
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from((0, -1, 200, 400, 409, 500, 503)), ANYTHING), max_size=6))
-def test_answers_that_make_no_sense_harm_nothing(garbage):
-    world, rest = made(group=1), list(garbage)
+def test_invalid_responses_do_no_harm(invalid_responses):
+    world, rest = made(group=1), list(invalid_responses)
     taken = world.taken
     world.taken = lambda call: rest.pop() if rest else taken(call)
     begin(world)
-    assert ends(world) in ("done", "refused")
+    assert run_until_ended(world) in ("done", "refused")
 
 
 @pytest.mark.parametrize("source, code", (("louis", 200), ("a/b", 400), ("", 400)))
-def test_a_source_whose_name_could_be_taken_for_another_makes_no_sense(source, code):
+def test_invalid_source_names_are_rejected(source, code):
     take = rules.HoldTake(
         id="x",
         source=source,
@@ -492,13 +495,13 @@
     assert made().sides["ebene"].do(take)[0] == code
 
 
-def test_the_ledger_of_the_program_takes_moves_in():
+def test_ledger_of_the_program_includes_moves():
     found = whole.ledger()
     assert set(rules.RULES) <= set(found.rules) and set(rules.KINDS) <= set(found.kinds)
     assert set(rules.INNER) <= set(found.inner)
 
 
-def test_each_error_says_what_to_do_and_is_on_the_page_for_on_call():
+def test_errors_have_advice_and_are_documented():
     page = pathlib.Path("docs/oncall.md").read_text()
     found = [one for one in vars(faults).values() if getattr(one, "__module__", "") == faults.__name__]
     assert len(found) >= 11
@@ -506,34 +509,34 @@
         assert fault("found").read()["do"] != Refused("found").read()["do"] and f"`{fault.__name__}`" in page
 
 
-# ---- the checker catches faults put in on purpose
+# ---- the checker catches faulty rules
 
 
 def never_refused(function):
-    def rule(draft, command):
+    def rule(transaction, command):
         try:
-            return function(draft, command)
+            return function(transaction, command)
         except Refused:
             return None
 
     return rule
 
 
-def keeps_at_once(draft, command):
-    """The destination takes what it holds for its own before the source decided."""
-    answer = rules.take_hold(draft, command)
-    rules.make_hold_permanent(draft, command.key, draft.get("holds", command.key), "")
-    return answer
+def keep_at_once(transaction, command):
+    """The destination keeps the capacity for good before the source has decided."""
+    response = rules.take_hold(transaction, command)
+    rules.make_hold_permanent(transaction, command.key, transaction.get("holds", command.key), "")
+    return response
 
 
-def takes_too_much(draft, command):
+def take_too_much(transaction, command):
     for piece in command.pieces:
         capacity.keep(
-            draft,
+            transaction,
             piece.reservation,
             capacity.Reservation(command.service, piece.units, (), "ebene", command.key),
         )
-    draft.put(
+    transaction.put(
         "holds",
         command.key,
         rules.Hold(
@@ -546,101 +549,101 @@
     )
 
 
-def takes_half(draft, command):
+def take_half(transaction, command):
     pieces = tuple(msgspec.structs.replace(piece, units=piece.units // 2) for piece in command.pieces)
-    return rules.take_hold(draft, msgspec.structs.replace(command, pieces=pieces))
+    return rules.take_hold(transaction, msgspec.structs.replace(command, pieces=pieces))
 
 
-def forgets_ends(draft, command):
-    """No fence: a hold that was dropped is forgotten at once."""
-    answer = rules.drop_hold(draft, command)
-    draft.drop("holds", command.key)
-    return answer
+def forget_dropped_hold(transaction, command):
+    """A dropped hold is forgotten at once, so that a late command can hold the service again."""
+    response = rules.drop_hold(transaction, command)
+    transaction.drop("holds", command.key)
+    return response
 
 
-def drops_while_shifting(draft, command):
-    hold = draft.get("holds", command.key)
-    answer = rules.warm_hold(draft, command)
-    if hold.state == "warm" and answer["warm"]:
-        rules.release_hold(draft, command.key, draft.get("holds", command.key), "")
-    return answer
+def drop_while_shifting(transaction, command):
+    hold = transaction.get("holds", command.key)
+    response = rules.warm_hold(transaction, command)
+    if hold.state == "warm" and response["warm"]:
+        rules.release_hold(transaction, command.key, transaction.get("holds", command.key), "")
+    return response
 
 
-def frees_early(draft, command):
-    """Free here before the other side has said that it keeps it."""
-    move = draft.get("moves", command.move)
-    rules.advance_move(draft, command)
+def release_too_early(transaction, command):
+    """The source frees its capacity before the destination has confirmed that it keeps the service."""
+    move = transaction.get("moves", command.move)
+    rules.advance_move(transaction, command)
     if move.step == "shifting" and move.share == 1000:
         for one in move.reservations:
-            capacity.release(draft, one, draft.get("reservations", one))
+            capacity.release(transaction, one, transaction.get("reservations", one))
 
 
-def hands_over_unasked(draft, command):
-    """A member goes here whether or not another serves there."""
-    return rules.advance_move(draft, msgspec.structs.replace(command, serving=99))
+def hand_over_too_early(transaction, command):
+    """The source gives up a member whether or not one serves at the destination."""
+    return rules.advance_move(transaction, msgspec.structs.replace(command, serving=99))
 
 
-def stops_late(draft, command):
-    move = draft.get("moves", command.move)
+def stop_too_late(transaction, command):
+    move = transaction.get("moves", command.move)
     if move.step in ("settling", "done"):
-        rules.finish_move(draft, command.move, move, "stopped", 1)
+        rules.finish_move(transaction, command.move, move, "stopped", 1)
     return {}
 
 
-def two_moves(draft, command):
-    for name, held in draft.part("reservations").items():
-        draft.put("reservations", name, msgspec.structs.replace(held, move=""))
-    hidden = dict(draft.part("moving"))
+def move_twice(transaction, command):
+    for name, reservation in transaction.part("reservations").items():
+        transaction.put("reservations", name, msgspec.structs.replace(reservation, move=""))
+    hidden = dict(transaction.part("moving"))
     for name in hidden:
-        draft.drop("moving", name)
-    rules.start_move(draft, command)
+        transaction.drop("moving", name)
+    rules.start_move(transaction, command)
     for name, row in hidden.items():
-        draft.put("moving", name, row)
-
-
-FORGED = {
-    "keeps at once": (None, {"HoldTake": keeps_at_once}, None),
-    "takes too much": (None, {"HoldTake": takes_too_much}, "full"),
-    "takes half": (None, {"HoldTake": takes_half}, None),
-    "forgets ends": (None, {"HoldDrop": forgets_ends}, "late take"),
-    "drops while shifting": (None, {"HoldWarm": drops_while_shifting}, None),
-    "frees early": ({"MoveAdvance": frees_early}, None, None),
-    "hands over unasked": ({"MoveAdvance": hands_over_unasked}, None, "replicas lag"),
-    "stops late": ({"MoveStop": stops_late}, None, "stop late"),
-    "two moves": ({"MoveCommand": two_moves}, None, "two moves"),
+        transaction.put("moving", name, row)
+
+
+FAULTY_RULES = {
+    "keeps at once": (None, {"HoldTake": keep_at_once}, None),
+    "takes too much": (None, {"HoldTake": take_too_much}, "full"),
+    "takes half": (None, {"HoldTake": take_half}, None),
+    "forgets dropped holds": (None, {"HoldDrop": forget_dropped_hold}, "late take"),
+    "drops while shifting": (None, {"HoldWarm": drop_while_shifting}, None),
+    "frees early": ({"MoveAdvance": release_too_early}, None, None),
+    "hands over too early": ({"MoveAdvance": hand_over_too_early}, None, "replicas lag"),
+    "stops late": ({"MoveStop": stop_too_late}, None, "stop late"),
+    "two moves": ({"MoveCommand": move_twice}, None, "two moves"),
 }
 
 
-@pytest.mark.parametrize("forged", FORGED)
-def test_the_checker_catches(forged):
-    here, there, scene = FORGED[forged]
+@pytest.mark.parametrize("faulty_rule", FAULTY_RULES)
+def test_checker_catches_a_faulty_rule(faulty_rule):
+    here, there, scenario = FAULTY_RULES[faulty_rule]
     ledgers = {"louis": two_clusters.ledger(**here or {}), "ebene": two_clusters.ledger(**there or {})}
     world = made(group=3, ledgers=ledgers)
-    if scene == "full":
+    if scenario == "full":
         world.sides["ebene"].do(
             capacity.Reserve(id="r", reservation="other", service="other", units=30, site="ebene")
         )
-    if scene == "replicas lag":
+    if scenario == "replicas lag":
         for number in range(4):
             world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
-    if scene == "late take":
+    if scenario == "late take":
         calls, taken = [], world.taken
         world.taken = lambda call: calls.append(call) or taken(call)
         world.when("shifting", lambda: stop(world))
-    if scene == "stop late":
+    if scenario == "stop late":
         world.when("settling", lambda: (world.cut_for(5 * SECOND), stop(world)))
-    if scene == "two moves":
+    if scenario == "two moves":
         world.when("shifting", lambda: begin(world, "n", id="n"))
     begin(world)
     world.run(world.now + 60 * SECOND)
-    if scene == "late take":
+    if scenario == "late take":
         world.taken(calls[0])
     world.watch.settled()
     assert world.watch.broken
 
 
-def test_the_checker_finds_nothing_where_nothing_is_wrong():
+def test_checker_reports_nothing_without_a_fault():
     world = made()
     begin(world)
-    assert ends(world) == "done"
+    assert run_until_ended(world) == "done"
     assert world.watch.pieces and world.watch.takes == {("ebene", "louis/m", world.move("m").epoch): 1}
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -352,7 +352,7 @@
 
     world = test_moves.made(judge=judge)
     test_moves.begin(world)
-    assert test_moves.ends(world) == "sent back" and test_moves.holders(world) == ["louis"]
+    assert test_moves.run_until_ended(world) == "sent back" and test_moves.holders(world) == ["louis"]
 
 
 # ---- a real build on trial
