--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -14,7 +14,7 @@
 from lemonlead.distribution.subscriber import Acknowledge, Subscribe, Subscriber
 from lemonlead.gateway import http
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.told import started
+from lemonlead.start_settings import start_from_settings
 
 from .tally import Tally
 
@@ -66,7 +66,7 @@
         seed = self.seed + self.starts
         self.started_at = self.not_before = now()
         self.subscriber = Subscriber(self.name, self.region, list(self.scopes), self.process.relays, seed)
-        self.balancer = Balancer(started(SETTINGS, seed, self.started_at))
+        self.balancer = Balancer(start_from_settings(SETTINGS, seed, self.started_at))
         self.listing = InstanceRecords(self, self.balancer.cold_time)
         self.listing.begin(self, *self.listed())
         self.queue, self.complete, self.early, self.ready_at = deque(), {}, set(), 0
@@ -75,7 +75,7 @@
         """What discovery lists at the start; the balancer is told it."""
         rows = (row for scope in self.scopes for row in self.process.instances.get(scope, ()))
         lines = [line_of(*row) for row in rows]
-        self.balancer.listed(self.started_at, lines, True, True)
+        self.balancer.list_received(self.started_at, lines, True, True)
         return lines, dict.fromkeys((line.id for line in lines), (ADDRESS, 0))
 
     def hang_up(self):
@@ -88,7 +88,7 @@
         self.tally.counts[f"ended: {reason}"] += 1
         self.hang_up()
         self.queue.clear()
-        self.subscriber.ended(now(), reason)
+        self.subscriber.stream_ended(now(), reason)
         self.turn()
 
     # ---- what to do next
@@ -148,7 +148,7 @@
         if wire.answer.status == 404:
             return self.ended("acknowledge: not subscribed there")
         if lines[-1] is http.END:
-            self.subscriber.acknowledged(now(), wire.answer.status == 200)
+            self.subscriber.acknowledgement_ended(now(), wire.answer.status == 200)
             self.acknowledge()
         return None
 
@@ -157,7 +157,7 @@
             if wire.answer.status != 200 or line is http.END:
                 return self.ended(f"stream: status {wire.answer.status}")
             moment = now()
-            changes = self.subscriber.told(moment, line)
+            changes = self.subscriber.receive_line(moment, line)
             if changes:
                 self.use(changes)
             if line:
@@ -186,7 +186,7 @@
             pass
 
     def publish(self, moment, lines, _, whole, fresh):
-        self.balancer.listed(moment, lines, whole, fresh)
+        self.balancer.list_received(moment, lines, whole, fresh)
 
     def note(self, moment, scope, after, upto, early):
         """What was committed to a scope past one index up to the other is in force; `early`: before the scope
--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..ledger.capacity import FAILED, SERVING, Load, Site, bears, up
+from ..ledger.capacity import FAILED, SERVING, Load, Site, up, usable_units
 from .faults import GangRuns, GroupShort, SiteShareTaken, SiteShort
 
 NO_LOAD, NO_SITE = Load(), Site()
@@ -51,7 +51,7 @@
         if load is not None:
             site.required += load.units
         if up(node):
-            site.capacity += bears(node, moment, settings)
+            site.capacity += usable_units(node, moment, settings)
             site.warm_capacity += node.units
             if node.warm > moment:
                 site.warm_at = min(site.warm_at or node.warm, node.warm)
@@ -112,7 +112,7 @@
         going_by_site.setdefault(nodes[name].site, []).append(name)
     for site in sorted(sites):
         site_sums, here = sums[site], going_by_site.get(site, ())
-        left = site_sums.capacity - sum(bears(nodes[name], moment, state.settings) for name in here)
+        left = site_sums.capacity - sum(usable_units(nodes[name], moment, state.settings) for name in here)
         if left < site_sums.required:
             yield SiteShort(f"site {site} would bear {left} units, {site_sums.required} are promised")
         if (
--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -165,7 +165,7 @@
     name = command.drain
     nodes = command.nodes
     deadline = command.deadline_ms
-    capacity.once(nodes)
+    capacity.check_distinct(nodes)
     for node in nodes:
         capacity.known_node(transaction, node)
     feasibility.check_feasible(transaction, nodes, deadline, transaction.wall_ms)
@@ -206,7 +206,7 @@
 
 def grant_permits(transaction, command):
     nodes, wants, permits = transaction.part("nodes"), transaction.part("wants"), transaction.part("permits")
-    capacity.once(command.nodes)
+    capacity.check_distinct(command.nodes)
     for name in command.nodes:
         if name not in nodes or name not in wants:
             raise GroundGone(f"no drain wants node {name}")
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -221,20 +221,20 @@
     if len(transaction.part("moving")) >= MAX_OPEN_MOVES:
         raise Refused(f"{MAX_OPEN_MOVES} moves are under way", "wait for the end of one")
     forget_old_moves(transaction)
-    service = services.of(transaction, command.service)
+    service = services.service_row(transaction, command.service)
     if not service.reservations:
         raise NothingToMove(f"service {command.service} has no reservation here")
     check_no_gang_runs(transaction, command.service)
     if max(service.reservations, service.groups) > MAX_PIECES:
         raise too_many_pieces(command.service)
-    reservations = services.names(transaction, command.service, "reservations")
+    reservations = services.record_names(transaction, command.service, "reservations")
     for name in reservations:
         if holder := transaction.get("reservations", name).move:
             raise MoveOpen(f"reservation {name} is held by move {holder}")
     rows = transaction.part("groups")
     groups = tuple(
         MovedGroup(name, rows[name].nodes, rows[name].quorum)
-        for name in services.names(transaction, command.service, "groups")
+        for name in services.record_names(transaction, command.service, "groups")
     )
     if sum(len(group.nodes) for group in groups) > MAX_PIECES:
         raise too_many_pieces(command.service)
@@ -252,8 +252,8 @@
 
 
 def check_no_gang_runs(transaction, service):
-    if services.of(transaction, service).gangs:
-        first = services.names(transaction, service, "gangs")[0]
+    if services.service_row(transaction, service).gangs:
+        first = services.record_names(transaction, service, "gangs")[0]
         raise GangRuns(f"gang {first} of service {service} runs")
 
 
@@ -398,7 +398,7 @@
     here = transaction.get("groups", before.group) or Group((), 0)
     rest = without_one_node(transaction, here.nodes)
     left = Group(rest, 0)
-    if capacity.caught_up(transaction, left) + command.serving < before.quorum:
+    if capacity.count_caught_up(transaction, left) + command.serving < before.quorum:
         raise NotAwaited(f"group {before.group} would fall below its quorum of {before.quorum}")
     put_group(transaction, before.group, rest, max(before.quorum - before.over - 1, 0))
     put_move(transaction, name, move, groups=tuple(groups))
@@ -413,7 +413,7 @@
 
 
 def put_group(transaction, name, nodes, quorum):
-    capacity.room(transaction, "groups", name)
+    capacity.check_part_size(transaction, "groups", name)
     capacity.put_group(transaction, name, Group(nodes, min(quorum, len(nodes))))
 
 
@@ -453,7 +453,7 @@
     """The destination keeps the service for good, so its capacity is freed here."""
     for one in move.reservations:
         if (reservation := transaction.get("reservations", one)) is not None:
-            capacity.release(transaction, one, reservation)
+            capacity.remove_reservation(transaction, one, reservation)
     for group in move.groups:
         remove_group(transaction, group.group)
     services.unmark(transaction, move.service, name)
@@ -465,7 +465,7 @@
     destination any more."""
     for group in move.groups:
         here = transaction.get("groups", group.group)
-        if group.over and here is not None and capacity.caught_up(transaction, here) < here.quorum:
+        if group.over and here is not None and capacity.count_caught_up(transaction, here) < here.quorum:
             raise NotAwaited(f"group {group.group} does not have its quorum here")
     mark_reservations(transaction, move.reservations, "")
     services.unmark(transaction, move.service, name)
@@ -629,9 +629,9 @@
     for piece in sorted(command.pieces, key=lambda piece: (not piece.nodes, -piece.units, piece.reservation)):
         if transaction.get("reservations", piece.reservation) is not None:
             raise NoRoomThere(f"reservation {piece.reservation} exists there already", "free it there")
-        capacity.room(transaction, "reservations", piece.reservation)
+        capacity.check_part_size(transaction, "reservations", piece.reservation)
         reservation = place_reservation(transaction, command, piece)
-        capacity.keep(transaction, piece.reservation, reservation)
+        capacity.add_reservation(transaction, piece.reservation, reservation)
     groups = tuple(place_group(transaction, piece) for piece in command.groups)
     hold = Hold(command.source, command.move, command.epoch, command.service, HELD, names, groups)
     transaction.put("holds", command.key, replace(hold, at=transaction.index))
@@ -662,7 +662,7 @@
         raise NoRoomThere(f"{piece.reservation}: {error.says}") from None
     for name in chosen:
         load = transaction.get("loads", name)
-        capacity.pin(transaction, name, 0, reservations=(load.reservations if load else 0) + 1)
+        capacity.change_load(transaction, name, 0, reservations=(load.reservations if load else 0) + 1)
     return Reservation(command.service, piece.units, chosen, "", command.key)
 
 
@@ -750,7 +750,7 @@
         groups = tuple(over if group is placed else group for group in hold.groups)
         transaction.put("holds", command.key, replace(hold, groups=groups, at=transaction.index))
     here = transaction.get("groups", command.group)
-    return {"state": hold.state, "serving": capacity.caught_up(transaction, here) if here else 0}
+    return {"state": hold.state, "serving": capacity.count_caught_up(transaction, here) if here else 0}
 
 
 def keep_hold(transaction, command):
@@ -791,7 +791,7 @@
     for name in hold.reservations:
         reservation = transaction.get("reservations", name)
         if reservation is not None and reservation.move == key:
-            capacity.release(transaction, name, reservation)
+            capacity.remove_reservation(transaction, name, reservation)
     for group in hold.groups:
         if group.over:
             remove_group(transaction, group.group)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -693,7 +693,7 @@
     elif broken == "gang":
         monkeypatch.setattr(constraints, "gang_violations", lambda *arguments: ())
     elif broken == "cold":
-        monkeypatch.setattr(constraints, "bears", lambda node, moment, terms: node.units)
+        monkeypatch.setattr(constraints, "usable_units", lambda node, moment, terms: node.units)
     elif broken == "recalled":
         monkeypatch.setattr(
             rules, "revoke_permit", lambda transaction, name, permit: rules.remove_permit(transaction, name)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -531,7 +531,7 @@
 
 def take_too_much(transaction, command):
     for piece in command.pieces:
-        capacity.keep(
+        capacity.add_reservation(
             transaction,
             piece.reservation,
             capacity.Reservation(command.service, piece.units, (), "ebene", command.key),
@@ -575,7 +575,7 @@
     rules.advance_move(transaction, command)
     if move.step == "shifting" and move.share == 1000:
         for one in move.reservations:
-            capacity.release(transaction, one, transaction.get("reservations", one))
+            capacity.remove_reservation(transaction, one, transaction.get("reservations", one))
 
 
 def hand_over_too_early(transaction, command):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -23,7 +23,7 @@
 from lemonlead.following import service as services
 from lemonlead.following.faults import Unusable
 from lemonlead.following.service import Service
-from lemonlead.following.move_routing import FIRST, LOOKED, MoveRouting, width
+from lemonlead.following.move_routing import ENDS_IN_VIEW, FIRST_FAR_BUILD, MoveRouting, instances_for_share
 from lemonlead.following.responses import LedgerUpdate
 from lemonlead.gateway import dispatcher as dispatchers
 from lemonlead.gateway.counters import Counters
@@ -39,8 +39,8 @@
 
 
 def release(**more):
-    values = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_life=4 * SECOND, answer_time=800 * MS,
-                votes_per_s=100.0, bake=SECOND)  # fmt: skip
+    values = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_lifetime=4 * SECOND,
+                  vote_timeout=800 * MS, votes_per_s=100.0, bake=SECOND)  # fmt: skip
     return at.Release(**{**values, **more})
 
 
@@ -73,7 +73,7 @@
             may_duplicate=True,
             may_cancel=True,
         )
-        start = at.Start(now=NOW, seed=seed, **{**values, **(start or {})})
+        start = at.StartSettings(now=NOW, seed=seed, **{**values, **(start or {})})
         self.config = SimpleNamespace(zones=ZONES, start=start, discovery=("", 1), kinds={})
         self.counters = Counters()
         dispatcher = self.dispatcher = dispatchers.Dispatcher(
@@ -82,14 +82,14 @@
         dispatcher.instances, dispatcher.releases, self.pools = self, self, {}
         dispatcher.discovery = Discovery(self.config, dispatcher, None, self.counters)
         self.service = Service(FOLLOW, self.config, dispatcher, self, dispatcher.log_line, self.counters)
-        self.sides, self.version, self.index, self.logged = self.service.sides, 0, 0, []
+        self.sides, self.version, self.index, self.logged = self.service.routing, 0, 0, []
         dispatcher.discovery.merge = self.service
         self.with_simulated_clock(self.begin, lines, news)
 
     def begin(self, lines, news):
         with self.dispatcher.lock:
             if news is not None:
-                self.dispatcher.balancer.stage_told(self.now, *news)
+                self.dispatcher.balancer.stage_reported(self.now, *news)
             self.service.begin(self.now, news)
         self.list(lines, True)
 
@@ -140,7 +140,9 @@
             return self.real.append(values)
         self.votes.append(values[0])
         number = len(self.votes)
-        self.at(self.now + 5 * MS, lambda: self.dispatcher.handle(self.service.voted, number, at.COUNTED))
+        self.at(
+            self.now + 5 * MS, lambda: self.dispatcher.handle(self.service.vote_answered, number, at.COUNTED)
+        )
         return number
 
     # ---- events
@@ -162,13 +164,13 @@
         return self
 
     def obey(self, now, news):
-        values = self.service.heard(now, news)
+        values = self.service.apply_update(now, news)
         if values is not None and values[0]:
             self.dispatcher.discovery.publish(now, *values, False, False)
 
     def platform(self, number, stage, phase, cap):
         self.with_simulated_clock(
-            self.dispatcher.handle, self.dispatcher.stage_told, number, stage, phase, cap, 0
+            self.dispatcher.handle, self.dispatcher.stage_reported, number, stage, phase, cap, 0
         )
 
     def ask(self, number):
@@ -250,7 +252,7 @@
     gateway = Gateway([*fleet(), instance("e0", ELSEWHERE)]).apply_records(*records)
     ready = [id[0] for id, where in gateway.pools.items() if where]
     assert sorted(ready) == sorted(
-        gateway.dispatcher.balancer.members[id].id[0] for id in gateway.dispatcher.balancer.members
+        gateway.dispatcher.balancer.instances[id].id[0] for id in gateway.dispatcher.balancer.instances
     )
     assert (ready.count("n"), ready.count("f")) == (near, far)
 
@@ -259,7 +261,11 @@
     "share, near, far", ((0, 0, 0), (50, 1, 1), (250, 3, 5), (900, 9, 18), (1000, 10, 20))
 )
 def test_number_of_listed_instances_by_share(share, near, far):
-    assert (width(10, share), width(20, share), width(0, share)) == (near, far, 0)
+    assert (
+        instances_for_share(10, share),
+        instances_for_share(20, share),
+        instances_for_share(0, share),
+    ) == (near, far, 0)
 
 
 def test_smaller_far_side_does_not_overload_the_near_one():
@@ -332,12 +338,12 @@
         .apply_records(move_record("done", 4, 1000, at=40))
         .run(2)
     )
-    assert gateway.dispatcher.balancer.told.number == 1
-    assert {member.build.number for member in gateway.dispatcher.balancer.members.values()} == {1}
+    assert gateway.dispatcher.balancer.reported_build.number == 1
+    assert {member.build.number for member in gateway.dispatcher.balancer.instances.values()} == {1}
     assert all(gateway.far(gateway.now - SECOND))
 
 
-@pytest.mark.parametrize("end", (at.UNCONNECTED, at.RESET, at.SPOILT))
+@pytest.mark.parametrize("end", (at.UNCONNECTED, at.RESET, at.UNREADABLE))
 def test_far_side_that_loses_requests_is_left_and_voted_back(end):
     gateway = Gateway(fleet(), works=far_behavior(end=end)).apply_records(move_record(share=500)).run(6)
     assert gateway.verdicts() == ["back"] and not any(gateway.far(gateway.now - SECOND))
@@ -350,10 +356,10 @@
 
 def test_equal_losses_on_both_sides_blame_neither():
     sides = MoveRouting("search", {"ebene": {THERE}})
-    sides.heard([("moves", "m", move_record())])
-    for n in range(4 * LOOKED):
-        sides.ended((HERE, THERE)[n % 2], at.RESET)
-    assert sides.lost is None
+    sides.apply_changes([("moves", "m", move_record())])
+    for n in range(4 * ENDS_IN_VIEW):
+        sides.attempt_ended((HERE, THERE)[n % 2], at.RESET)
+    assert sides.far_lost_at is None
 
 
 def test_votes_of_real_gateways_roll_a_worse_move_back():
@@ -395,7 +401,7 @@
     gateway.with_simulated_clock(gateway.list, [instance("x0", zone, build=2)])
     moment = gateway.now
     gateway.run(2)
-    assert not any(gateway.far(moment + 1)) and gateway.dispatcher.balancer.told.number == 1
+    assert not any(gateway.far(moment + 1)) and gateway.dispatcher.balancer.reported_build.number == 1
     x = [moment for moment, id, _ in gateway.attempts if id == "x0"]
     assert len(x) <= 2 + 0.1 * 400
     gateway.with_simulated_clock(gateway.list, [instance("x0", zone, build=2, state=at.GONE)])
@@ -410,10 +416,10 @@
 
 def test_move_shifts_and_rolls_back_without_a_platform():
     gateway = Gateway(fleet(), news=None).apply_records(move_record(share=500)).run(1)
-    assert any(gateway.far()) and gateway.dispatcher.balancer.told.number == FIRST + 7
+    assert any(gateway.far()) and gateway.dispatcher.balancer.reported_build.number == FIRST_FAR_BUILD + 7
     gateway.apply_records(move_record("going back", share=0, at=30)).run(0.1)
     moment = gateway.now
-    assert not any(gateway.run(1).far(moment)) and gateway.dispatcher.balancer.told.number == 1
+    assert not any(gateway.run(1).far(moment)) and gateway.dispatcher.balancer.reported_build.number == 1
 
 
 # ---- random events in any order
@@ -488,14 +494,14 @@
 
 
 def cast_vote(gateway, verdict, stage=1, epoch=7):
-    gateway.dispatcher.handle(lambda now: gateway.dispatcher.vote(FIRST + epoch, stage, verdict))
+    gateway.dispatcher.handle(lambda now: gateway.dispatcher.vote(FIRST_FAR_BUILD + epoch, stage, verdict))
 
 
 def test_no_far_instance_is_ready_after_an_acknowledged_rollback(ledger, gateway):
     ledger.acknowledged("g0", ledger.put("moves", "m", move_record(share=500)))
     assert [id[0] for id in gateway.ready()] == ["f", "i"]
     ledger.acknowledged("g0", ledger.put("moves", "m", move_record("going back", 1, 0, at=30)))
-    assert gateway.ready() == ["i0", "i1"] and gateway.dispatcher.balancer.told.number == 1
+    assert gateway.ready() == ["i0", "i1"] and gateway.dispatcher.balancer.reported_build.number == 1
     ledger.acknowledged("g0", ledger.put("moves", "n", move_record(share=1000, epoch=40, at=41)))
     assert gateway.ready() == ["f0", "f1"]
     ledger.forget()  # a gateway without the changes gets the whole state
@@ -505,13 +511,13 @@
 
 def test_vote_without_response_is_resent_and_counts_once(ledger, gateway):
     ledger.acknowledged("g0", ledger.put("moves", "m", move_record(share=500)))
-    cast_vote(gateway, at.HOLD)
+    cast_vote(gateway, at.VERDICT_HOLD)
     for server in ledger.servers:
         server.wrong.append(lambda path, body: body and (ledger.command(json.loads(body)), None)[1])
-    cast_vote(gateway, at.ON)
+    cast_vote(gateway, at.VERDICT_PROMOTE)
     until(lambda: gateway.count("shift votes counted") == 1, "the vote is counted")
-    cast_vote(gateway, at.ON)
-    cast_vote(gateway, at.BACK)
+    cast_vote(gateway, at.VERDICT_PROMOTE)
+    cast_vote(gateway, at.VERDICT_ROLL_BACK)
     until(lambda: gateway.count("shift votes counted") == 2, "the other vote is counted")
     values = [(vote["move"], vote["epoch"], vote["stage"], vote["verdict"]) for vote in ledger.votes]
     assert values == [("m", 7, 1, "on"), ("m", 7, 1, "back")]
@@ -519,9 +525,9 @@
 
 def test_vote_on_a_past_stage_is_not_sent(ledger, gateway):
     ledger.acknowledged("g0", ledger.put("moves", "m", move_record(stage=2, share=500)))
-    cast_vote(gateway, at.BACK)
+    cast_vote(gateway, at.VERDICT_ROLL_BACK)
     ledger.acknowledged("g0", ledger.put("moves", "m", move_record("going back", 2, 0, at=30)))
-    cast_vote(gateway, at.BACK, stage=2)
+    cast_vote(gateway, at.VERDICT_ROLL_BACK, stage=2)
     ledger.acknowledged("g0", ledger.node("i0"))
     assert ledger.votes == []
 
@@ -529,7 +535,7 @@
 @pytest.mark.parametrize("field, value", [("share", 1001), ("share", "x"), ("epoch", None), ("to", 3)])
 def test_invalid_record_only_ends_the_call(ledger, gateway, field, value):
     ledger.put("moves", "m", {**move_record(share=500), field: value})
-    until(lambda: gateway.follower.course.counts["failures"], "it was read")
+    until(lambda: gateway.follower.polling.counts["failures"], "it was read")
     assert gateway.ready() == ["i0", "i1"]
     ledger.put("moves", "m", move_record(share=1000))
     ledger.forget()
