--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -30,7 +30,7 @@
         return max(1, int(settings.site_share * self.nodes))
 
 
-def sum_sites(state, moment, only=None):
+def sum_sites(state, ledger_time, only=None):
     """Returns a dict from site to its SiteSums at this ledger time. `only`: the sites to look at."""
     loads, gangs, permits, settings = (
         state.part("loads"),
@@ -51,9 +51,9 @@
         if load is not None:
             site.required += load.units
         if up(node):
-            site.capacity += usable_units(node, moment, settings)
+            site.capacity += usable_units(node, ledger_time, settings)
             site.warm_capacity += node.units
-            if node.warm > moment:
+            if node.warm > ledger_time:
                 site.warm_at = min(site.warm_at or node.warm, node.warm)
             continue
         site.away += 1
@@ -70,7 +70,7 @@
     return sum(nodes[name].state == SERVING and not nodes[name].out for name in group.nodes)
 
 
-def find_violations(state, moment, names, sums=None):
+def find_violations(state, ledger_time, names, sums=None):
     """Returns the faults for which these nodes may not go away together now; an empty list if they may.
     Nodes that are away already cost nothing more, but the constraints must hold with them. `sums`: the
     result of `sum_sites`, where it is known."""
@@ -78,13 +78,13 @@
     live = [name for name in names if up(nodes[name])]
     sites = {nodes[name].site for name in names}
     if sums is None:
-        sums = sum_sites(state, moment, sites)
+        sums = sum_sites(state, ledger_time, sites)
     return [
         *gang_violations(state, names),
         *group_violations(
             state, {group for node in names for group in loads.get(node, NO_LOAD).groups}, set(live)
         ),
-        *site_violations(state, moment, sites, live, sums),
+        *site_violations(state, ledger_time, sites, live, sums),
     ]
 
 
@@ -106,13 +106,15 @@
             yield GroupShort(f"group {name} would have {left} caught up, {group.quorum} are its quorum")
 
 
-def site_violations(state, moment, sites, going, sums):
+def site_violations(state, ledger_time, sites, going, sums):
     nodes, going_by_site = state.part("nodes"), {}
     for name in going:
         going_by_site.setdefault(nodes[name].site, []).append(name)
     for site in sorted(sites):
         site_sums, here = sums[site], going_by_site.get(site, ())
-        left = site_sums.capacity - sum(usable_units(nodes[name], moment, state.settings) for name in here)
+        left = site_sums.capacity - sum(
+            usable_units(nodes[name], ledger_time, state.settings) for name in here
+        )
         if left < site_sums.required:
             yield SiteShort(f"site {site} would bear {left} units, {site_sums.required} are promised")
         if (
--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -58,6 +58,9 @@
 
 
 class DrainTask:
+    """Plans the waves of all running drains and proposes the commands for them. `late`: nanoseconds after
+    which a node that stays in one phase no longer holds up the next wave."""
+
     def __init__(self, late=LATE_NS):
         self.late_ns = late
         self.became_leader(0)
@@ -91,12 +94,14 @@
         return self.planning_work is not None or self.alarm_work is not None
 
     def called(self, now, call, code, body):
+        """Never used, because this task makes no calls to other clusters."""
         raise AssertionError("drains call nobody")
 
     def wake_at(self):
         return self.wake_time
 
     def next(self, now, wall_ms, state, followers):
+        """Returns the next command to propose, or None."""
         permits = state.part("permits")
         running = {name: drain for name, drain in state.part("drains").items() if drain.phase == RUNNING}
         if not running and not permits:
@@ -111,15 +116,15 @@
             for name, permit in permits.items():
                 if permit.phase == GIVEN:
                     self.given.setdefault(permit.index, []).append(name)
-        moment = state.moment + now - self.index_seen  # the ledger time, or a little earlier
+        ledger_time = state.moment + now - self.index_seen  # exact or a little too early
         command = self.clear_acknowledged(now, state, followers)
         watched = tuple(state.part(name) for name in WATCHED_PARTS)
         if command is None and (
             self.planning or now >= self.next_planning or not is_same(watched, self.planned_parts)
         ):
-            command = self.run_alarm_slice(now, moment, state, watched)
+            command = self.run_alarm_slice(now, ledger_time, state, watched)
             if command is None and self.alarm_work is None:
-                command = self.run_planning_slice(now, wall_ms, moment, state, running, watched)
+                command = self.run_planning_slice(now, wall_ms, ledger_time, state, running, watched)
         self.wake_time = now + ACK_INTERVAL_NS if self.given else max(self.next_planning, now + 1)
         if self.planning:
             self.wake_time = now + 1
@@ -136,7 +141,7 @@
         self.next_ack_check = now + ACK_INTERVAL_NS
         return None
 
-    def run_alarm_slice(self, now, moment, state, watched):
+    def run_alarm_slice(self, now, ledger_time, state, watched):
         """Does a slice of the search for urgent commands, which do not wait for a planning pass. While a
         planning pass is under way the search runs at most every other time, so that the pass ends even if
         there are many events."""
@@ -147,7 +152,7 @@
                 self.slice_spent = 0
                 return None
             self.alarm_work, self.alarm_parts, self.next_alarm = (
-                find_urgent_command(state, moment),
+                find_urgent_command(state, ledger_time),
                 watched,
                 now + PLANNING_INTERVAL_NS,
             )
@@ -160,13 +165,13 @@
             self.alarm_work = None
             return ended.value
 
-    def run_planning_slice(self, now, wall_ms, moment, state, running, watched):
+    def run_planning_slice(self, now, wall_ms, ledger_time, state, running, watched):
         """Does a slice of a planning pass. The pass works on the state as of its start: a leader that looked
         at 10,000 nodes at once would send its heartbeats late. A wave that does not fit the present state is
         planned again."""
         if self.planning_work is None:
             self.planning_work, self.planning_parts = (
-                self.run_planning(now, wall_ms, moment, state, running),
+                self.run_planning(now, wall_ms, ledger_time, state, running),
                 watched,
             )
         left, command = SLICE - self.slice_spent, None
@@ -180,7 +185,7 @@
         if (
             isinstance(command, PermitCommand)
             and not fresh
-            and not may_go_together(state, moment, command.nodes)
+            and not may_go_together(state, ledger_time, command.nodes)
         ):
             self.rest_of_wave, command = (), None
         if command is None:
@@ -190,55 +195,55 @@
             )
         return command
 
-    def run_planning(self, now, wall_ms, moment, state, running):
+    def run_planning(self, now, wall_ms, ledger_time, state, running):
         """A planning pass, as a generator: returns the command for the next wave or a progress report."""
-        wave = yield from self.next_wave(wall_ms, moment, state, running)
+        wave = yield from self.next_wave(wall_ms, ledger_time, state, running)
         if wave:
             return PermitCommand(nodes=wave)
-        return (yield from self.report_progress(now, wall_ms, moment, state, running))
+        return (yield from self.report_progress(now, wall_ms, ledger_time, state, running))
 
     # ---- waves
 
-    def is_late(self, permit, moment):
-        return permit.phase != GIVEN and moment - permit.moment >= self.late_ns
+    def is_late(self, permit, ledger_time):
+        return permit.phase != GIVEN and ledger_time - permit.moment >= self.late_ns
 
-    def next_wave(self, wall_ms, moment, state, running):
+    def next_wave(self, wall_ms, ledger_time, state, running):
         """Returns the next nodes to go, once those of the last wave are back, late or failed."""
         nodes, permits = state.part("nodes"), state.part("permits")
         busy = any(
-            permit.phase != RECALLED and nodes[name].state != FAILED and not self.is_late(permit, moment)
+            permit.phase != RECALLED and nodes[name].state != FAILED and not self.is_late(permit, ledger_time)
             for name, permit in permits.items()
         )
         if self.rest_of_wave:  # the wave was too long for one entry
             rest, self.rest_of_wave = self.rest_of_wave[:MAX_PERMITS], self.rest_of_wave[MAX_PERMITS:]
-            if may_go_together(state, moment, rest):
+            if may_go_together(state, ledger_time, rest):
                 return rest
         if busy:
             return ()
-        if not (yield from self.update_plan(moment, state, running)) and moment < self.held_until:
+        if not (yield from self.update_plan(ledger_time, state, running)) and ledger_time < self.held_until:
             return ()
         if self.plan.should_rebuild():
             yield from self.plan.rebuild_in_pieces(self.builder.request)
-        if self.plan.waves and (yield from self.should_wait_for_gangs(wall_ms, moment, state)):
-            self.held_until = moment + REPORT_INTERVAL_NS
+        if self.plan.waves and (yield from self.should_wait_for_gangs(wall_ms, ledger_time, state)):
+            self.held_until = ledger_time + REPORT_INTERVAL_NS
             return ()
-        sums = constraints.sum_sites(state, moment) if self.plan.waves else {}
+        sums = constraints.sum_sites(state, ledger_time) if self.plan.waves else {}
         yield cost_of_sums(state)
         for wave in self.plan.waves[:MAX_WAVES_TRIED]:
             names = tuple(sorted(wave))
             yield len(names)
-            faults = constraints.find_violations(state, moment, names, sums)
+            faults = constraints.find_violations(state, ledger_time, names, sums)
             if not faults:
                 self.rest_of_wave = names[MAX_PERMITS:]
                 return names[:MAX_PERMITS]
             if all(isinstance(fault, SiteShort) for fault in faults) and any_site_cold(state, names, sums):
                 return ()  # the wave fits once the nodes that came back are warm
-            names = yield from subset_that_may_go(state, moment, names, sums)
+            names = yield from subset_that_may_go(state, ledger_time, names, sums)
             if names:
                 return names
         return ()
 
-    def should_wait_for_gangs(self, wall_ms, moment, state):
+    def should_wait_for_gangs(self, wall_ms, ledger_time, state):
         """Returns whether the next wave would save no waves: with the nodes whose gangs end soon, as many
         waves are needed after it as without it. Waiting for those gangs then costs no time and spares a wave.
         The wait is short, and does not go past the cordon of their drains. A generator."""
@@ -251,7 +256,7 @@
                 state.part("gangs")[gang].ends_ms for gang in state.part("loads").get(name, NO_LOAD).gangs
             ]
             last = min(wall_ms + MAX_GANG_WAIT_MS, *(progress[drain].cordon_ms for drain in drains))
-            waited = max(moment - progress[drain].moved for drain in drains)
+            waited = max(ledger_time - progress[drain].moved for drain in drains)
             if (
                 ends
                 and wall_ms < min(ends) + GANG_OVERRUN_MS
@@ -274,10 +279,10 @@
             yield from lower_bound_in_pieces(whole, whole.demands)
         )
 
-    def update_plan(self, moment, state, running):
+    def update_plan(self, ledger_time, state, running):
         """Updates the plan, and returns whether anything that waves depend on has changed."""
         late = frozenset(
-            name for name, permit in state.part("permits").items() if self.is_late(permit, moment)
+            name for name, permit in state.part("permits").items() if self.is_late(permit, ledger_time)
         )
         names, limits = yield from self.builder.update_in_pieces(state, running, late)
         if len(names) * 4 > len(self.builder.request.demands):
@@ -288,18 +293,18 @@
 
     # ---- progress reports, and drains that are late
 
-    def report_progress(self, now, wall_ms, moment, state, running):
+    def report_progress(self, now, wall_ms, ledger_time, state, running):
         if not running or now < self.next_report:
             return None
-        yield from self.update_plan(moment, state, running)
+        yield from self.update_plan(ledger_time, state, running)
         yield SLICE
-        reports = progress_of_drains(self.plan, state, running, wall_ms, moment, self.late_ns)
+        reports = progress_of_drains(self.plan, state, running, wall_ms, ledger_time, self.late_ns)
         for name, drain in sorted(running.items()):
             progress = state.part("progress")[name]
             waves, next_nodes, stuck = reports[name]
             if (progress.waves, progress.next, progress.stuck) != (waves, next_nodes, stuck):
                 return DrainPlanReport(drain=name, waves=waves, next=next_nodes, stuck=stuck)
-            if wall_ms >= max(drain.deadline_ms, 1) and moment >= progress.moved + GIVE_UP_NS:
+            if wall_ms >= max(drain.deadline_ms, 1) and ledger_time >= progress.moved + GIVE_UP_NS:
                 return DrainGivenUp(drain=name, moved=progress.moved)
             if wall_ms >= progress.cordon_ms + LATE_CORDON_MS:
                 return DrainCordon(drain=name, cordon_ms=wall_ms + CORDON_PAUSE_MS)
@@ -317,9 +322,9 @@
     return before is not None and all(a is b for a, b in zip(watched, before, strict=True))
 
 
-def may_go_together(state, moment, names):
+def may_go_together(state, ledger_time, names):
     return all(may_go(state, name) for name in names) and not constraints.find_violations(
-        state, moment, names
+        state, ledger_time, names
     )
 
 
@@ -347,20 +352,20 @@
     return any(sums[nodes[name].site].warm_at for name in names)
 
 
-def subset_that_may_go(state, moment, names, sums):
+def subset_that_may_go(state, ledger_time, names, sums):
     """Returns as many nodes of a wave as may go now, tried one by one; a generator."""
     chosen = ()
     for name in names[:MAX_SINGLE_TRIES]:
         yield len(chosen) + 1
-        if may_go(state, name) and not constraints.find_violations(state, moment, (*chosen, name), sums):
+        if may_go(state, name) and not constraints.find_violations(state, ledger_time, (*chosen, name), sums):
             chosen = (*chosen, name)
     return chosen
 
 
-def find_urgent_command(state, moment):
+def find_urgent_command(state, ledger_time):
     """Returns the command that goes before any plan, as a generator that works in pieces: it revokes permits,
     or grants them to nodes that went down by themselves."""
-    revoked = yield from find_permits_to_revoke(state, moment)
+    revoked = yield from find_permits_to_revoke(state, ledger_time)
     if revoked:
         return PermitRevoke(nodes=tuple(sorted(revoked)[:MAX_PERMITS]))
     down = down_by_themselves(state)
@@ -369,11 +374,11 @@
     return None
 
 
-def permits_to_revoke(state, moment):
-    return run_to_end(find_permits_to_revoke(state, moment))
+def permits_to_revoke(state, ledger_time):
+    return run_to_end(find_permits_to_revoke(state, ledger_time))
 
 
-def find_permits_to_revoke(state, moment):
+def find_permits_to_revoke(state, ledger_time):
     """Returns the names of nodes whose permits, not acted on yet, have to be revoked because a constraint is
     violated: as many as satisfy each group and site again, those that are not clear yet first."""
     nodes, loads, permits = state.part("nodes"), state.part("loads"), state.part("permits")
@@ -394,7 +399,7 @@
                 revoked.add(name)
                 short -= 1
     yield cost_of_sums(state) + len(revocable) // 4
-    sums = constraints.sum_sites(state, moment, {nodes[name].site for name in revocable})
+    sums = constraints.sum_sites(state, ledger_time, {nodes[name].site for name in revocable})
     yield cost_of_sums(state)
     revocable_by_site, revoked_by_site = {}, {}
     for name in order:
@@ -406,22 +411,22 @@
         short = site_sums.required - site_sums.capacity
         if short <= 0:
             continue
-        short -= sum(units_if_back(state, nodes[name], moment) for name in revoked_by_site.get(site, ()))
+        short -= sum(units_if_back(state, nodes[name], ledger_time) for name in revoked_by_site.get(site, ()))
         for name in revocable_by_site[site]:
             if short > 0 and name not in revoked:
                 revoked.add(name)
-                short -= units_if_back(state, nodes[name], moment)
+                short -= units_if_back(state, nodes[name], ledger_time)
     return revoked
 
 
-def units_if_back(state, node, moment):
+def units_if_back(state, node, ledger_time):
     """Returns the units that a node with a permit would bear if the permit were revoked."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
-    return int(node.units * state.settings.cold_share) if node.warm > moment else node.units
+    return int(node.units * state.settings.cold_share) if node.warm > ledger_time else node.units
 
 
-def progress_of_drains(plan, state, running, wall_ms, moment, late_ns):
+def progress_of_drains(plan, state, running, wall_ms, ledger_time, late_ns):
     """Returns a dict from drain to (number of waves, names of the next wave, its obstacles)."""
     wants = state.part("wants")
     waves, next_nodes, stuck = (
@@ -438,7 +443,7 @@
             waves[drain] += 1
             if waves[drain] == 1:
                 next_nodes[drain] = sorted(name for name in names if drain in wants.get(name, ()))
-    for names, fault in find_obstacles(plan, state, wall_ms, moment, late_ns, running):
+    for names, fault in find_obstacles(plan, state, wall_ms, ledger_time, late_ns, running):
         for drain in sorted({wanting for name in names for wanting in wants.get(name, ())}):
             if len(stuck[drain]) < MAX_STUCK:
                 stuck[drain].append(stuck_from(fault))
@@ -447,7 +452,7 @@
     }
 
 
-def find_obstacles(plan, state, wall_ms, moment, late_ns, running):
+def find_obstacles(plan, state, wall_ms, ledger_time, late_ns, running):
     """Yields (nodes, fault) for each thing that a drain waits for: first permits, then gangs, then limits."""
     nodes, loads, permits = state.part("nodes"), state.part("loads"), state.part("permits")
     wants, held_by_gang, blocked_by_limit = state.part("wants"), {}, {}
@@ -455,7 +460,7 @@
         permit = permits[name]
         if nodes[name].state == FAILED:
             yield [name], NotBack(f"node {name} failed and is not back")
-        elif permit.phase != GIVEN and moment - permit.moment >= late_ns:
+        elif permit.phase != GIVEN and ledger_time - permit.moment >= late_ns:
             yield [name], LATE_FAULTS[permit.phase](f"node {name} is {permit.phase} since entry {permit.at}")
     for name in wants:
         for gang in loads.get(name, NO_LOAD).gangs:
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -112,6 +112,7 @@
         self.counts["late"] += 1
 
     def note_no_response(self, now, progress):
+        """Counts a call without a response, and sets the wait before the next one."""
         self.counts["unknown"] += 1
         longest = min(MIN_WAIT_NS << min(progress.attempts, 10), MAX_WAIT_NS)
         progress.wait_until, progress.attempts = (
@@ -122,9 +123,10 @@
     # ---- choosing the next command or call
 
     def next(self, now, wall_ms, state, followers):
+        """Returns the next command to propose or call to make, or None."""
         if self.ledger_clock[1] != state.moment:
             self.ledger_clock = now, state.moment
-        moment = state.moment + now - self.ledger_clock[0]  # the present ledger time
+        ledger_time = state.moment + now - self.ledger_clock[0]
         names = sorted(state.part("moving"))
         for name in [name for name in self.progress if name not in state.part("moving")]:
             del self.progress[name]
@@ -132,13 +134,13 @@
         for at in range(len(names)):  # each turn starts with another move, so that none is starved by others
             name = names[(at + self.turn) % len(names)]
             move = state.part("moves")[name]
-            action = self.run_step(now, moment, name, move, state, followers)
+            action = self.run_step(now, ledger_time, name, move, state, followers)
             if action is not None:
                 self.wake_time = now
                 return action
         return None
 
-    def run_step(self, now, moment, name, move, state, followers):
+    def run_step(self, now, ledger_time, name, move, state, followers):
         """Returns the command to propose or the call to make for this move, or None."""
         key = (move.epoch, move.step, move.stage, sum(group.over for group in move.groups))
         progress = self.progress.get(name)
@@ -150,15 +152,16 @@
                 return self.roll_back(
                     name, move, REFUSED, says, "name one of them, or add it to the settings"
                 )
-            if moment - move.since >= MAX_STEP_NS:
-                says = f"{move.step} for {(moment - move.since) // SECOND} s"
+            if ledger_time - move.since >= MAX_STEP_NS:
+                says = f"{move.step} for {(ledger_time - move.since) // SECOND} s"
                 return self.roll_back(name, move, OVERDUE, says, f"look at {move.to}, then start a new move")
-            self.wake_by(now + MAX_STEP_NS - (moment - move.since))
+            self.wake_by(now + MAX_STEP_NS - (ledger_time - move.since))
         if progress.response is not None and now - progress.response_time >= RESPONSE_LIFETIME_NS:
             progress.response, progress.wait_until = None, max(progress.wait_until, now)
-        return STEP_METHODS[move.step](self, now, moment, name, move, state, followers, progress)
+        return STEP_METHODS[move.step](self, now, ledger_time, name, move, state, followers, progress)
 
     def wake_by(self, at):
+        """Sets the wakeup to this time unless it is earlier already."""
         self.wake_time = min(self.wake_time, at)
 
     def call_destination(self, now, name, move, state, progress, command, **fields):
@@ -197,15 +200,16 @@
         )
 
     def roll_back_refused(self, name, move, response):
+        """Rolls back with the error of the destination as the reason."""
         says = f"{move.to}: {response.error.type}: {response.error.says}"
         return self.roll_back(name, move, REFUSED, says, response.error.do)
 
     # ---- the steps of a move
 
-    def run_asked(self, now, moment, name, move, state, followers, progress):
+    def run_asked(self, now, ledger_time, name, move, state, followers, progress):
         return self.advance(name, move)
 
-    def run_reserving(self, now, moment, name, move, state, followers, progress):
+    def run_reserving(self, now, ledger_time, name, move, state, followers, progress):
         reservations = state.part("reservations")
         pieces = tuple(
             rules.ReservationPiece(
@@ -233,7 +237,7 @@
             else self.roll_back_refused(name, move, response)
         )
 
-    def run_warming(self, now, moment, name, move, state, followers, progress):
+    def run_warming(self, now, ledger_time, name, move, state, followers, progress):
         (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldWarm)
         if code is None:
             return call
@@ -243,7 +247,7 @@
             return self.advance(name, move, proof=response.at)
         return self.retry_after(progress, now, min(max(response.cold_ms * 10**6, SECOND), HOLD_CHECK_NS))
 
-    def run_members(self, now, moment, name, move, state, followers, progress):
+    def run_members(self, now, ledger_time, name, move, state, followers, progress):
         group = next((group for group in move.groups if group.over < len(group.nodes)), None)
         if group is None:
             return self.advance(name, move)
@@ -258,10 +262,10 @@
             return self.advance(name, move, proof=response.at, group=group.group, serving=response.serving)
         return self.retry_after(progress, now, SECOND)
 
-    def run_shifting(self, now, moment, name, move, state, followers, progress):
+    def run_shifting(self, now, ledger_time, name, move, state, followers, progress):
         """Goes through the stages as the gateways' votes allow, and checks meanwhile that the hold exists."""
-        if moment - move.since < MIN_STAGE_NS:
-            self.wake_by(now + MIN_STAGE_NS - (moment - move.since))
+        if ledger_time - move.since < MIN_STAGE_NS:
+            self.wake_by(now + MIN_STAGE_NS - (ledger_time - move.since))
         elif move.share < STAGES[-1]:
             if len(move.on) >= rules.on_votes_needed(rules.count_voters(state, move.service)):
                 return self.advance(name, move)
@@ -278,7 +282,7 @@
             else self.roll_back_refused(name, move, response)
         )
 
-    def run_settling(self, now, moment, name, move, state, followers, progress):
+    def run_settling(self, now, ledger_time, name, move, state, followers, progress):
         (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldKeep)
         if code is None:
             return call
@@ -290,13 +294,13 @@
             else self.roll_back_refused(name, move, response)
         )
 
-    def run_rolling_back(self, now, moment, name, move, state, followers, progress):
+    def run_rolling_back(self, now, ledger_time, name, move, state, followers, progress):
         """Waits while a gateway may still send to the destination; nothing is dropped there before."""
         if followers.waited_for(now, state, move.at):
             return self.wake_by(now + ACK_CHECK_NS)
         return self.advance(name, move)
 
-    def run_dropping(self, now, moment, name, move, state, followers, progress):
+    def run_dropping(self, now, ledger_time, name, move, state, followers, progress):
         (code, response), call = self.call_destination(now, name, move, state, progress, rules.HoldDrop)
         if code is None:
             return call
