--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -132,7 +132,7 @@
     def cancel(self, attempt):
         """Does nothing: a cancelled attempt may still end in any way."""
 
-    def drop(self, attempts):
+    def drop_unwritten(self, attempts):
         """Does nothing: no attempt is partly written here."""
 
     def vote(self, *values):
