--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -294,6 +294,7 @@
     # ---- progress reports, and drains that are late
 
     def report_progress(self, now, wall_ms, ledger_time, state, running):
+        """Returns a command for one drain whose plan has changed, or that is late; a generator."""
         if not running or now < self.next_report:
             return None
         yield from self.update_plan(ledger_time, state, running)
@@ -323,6 +324,7 @@
 
 
 def may_go_together(state, ledger_time, names):
+    """Whether each of these nodes may go, and all of them together violate no constraint."""
     return all(may_go(state, name) for name in names) and not constraints.find_violations(
         state, ledger_time, names
     )
@@ -348,6 +350,7 @@
 
 
 def any_site_cold(state, names, sums):
+    """Whether a site of these nodes has a node that is still cold."""
     nodes = state.part("nodes")
     return any(sums[nodes[name].site].warm_at for name in names)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -287,7 +287,7 @@
 
 @pytest.mark.parametrize("step, stage", [one for one in STEPS if one[0] not in ("asked", "dropping")])
 def test_group_cannot_be_redeclared_while_it_moves(step, stage):
-    world, told = made(), {}
+    world, error_types = made(), {}
 
     def declare(name, number=0):
         nodes = (f"{name}-0", f"{name}-1")
@@ -298,14 +298,14 @@
     def both():
         hold = world.sides["ebene"].state.part("holds").get("louis/m")
         for name in ("louis", "ebene") if hold is not None and hold.state != "dropped" else ("louis",):
-            told[name] = declare(name)[1].get("error", {}).get("type")
+            error_types[name] = declare(name)[1].get("error", {}).get("type")
 
     if step == "going back":
         world.when("shifting", lambda: stop(world), stage=1)
     world.when(step, both, stage=stage)
     begin(world)
     assert run_until_ended(world) == ("stopped" if step == "going back" else "done")
-    assert told and set(told.values()) == {"BeingMoved"}
+    assert error_types and set(error_types.values()) == {"BeingMoved"}
     assert [declare(name, 1)[0] for name in world.sides] == [200, 200]
 
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -147,8 +147,8 @@
 
     # ---- events
 
-    def at(self, moment, action):
-        heapq.heappush(self.events, (moment, next(self.turns), action))
+    def at(self, timestamp, action):
+        heapq.heappush(self.events, (timestamp, next(self.turns), action))
 
     def list(self, lines, whole=False):
         self.version += 1
@@ -200,16 +200,16 @@
         return [vote["verdict"] for vote in self.votes]
 
     def far(self, since=0):
-        return [far for moment, _, far in self.attempts if moment >= since]
+        return [far for timestamp, _, far in self.attempts if timestamp >= since]
 
     def check_cap(self, cap):
         """Checks that in no window more was sent to the far side than the cap allows, to the nanosecond."""
-        sent = [moment for moment, _, far in self.attempts if far]
+        sent = [timestamp for timestamp, _, far in self.attempts if far]
         arrivals = sorted(self.arrival_times())
-        for first, moment in enumerate(sent):
-            since = moment - 2 * SECOND
-            inside = sum(since < one <= moment for one in sent[: first + 1][-500:])
-            assert inside <= 2 + cap * sum(since < one <= moment for one in arrivals)
+        for first, timestamp in enumerate(sent):
+            since = timestamp - 2 * SECOND
+            inside = sum(since < one <= timestamp for one in sent[: first + 1][-500:])
+            assert inside <= 2 + cap * sum(since < one <= timestamp for one in arrivals)
 
     def arrival_times(self):
         return [NOW + n * (SECOND // 100) for n in range(len(self.asked) + 1)]
@@ -306,9 +306,9 @@
 def test_lower_share_takes_effect_at_once():
     gateway = Gateway(fleet()).apply_records(move_record(share=500)).run(3)
     gateway.apply_records(move_record(stage=0, share=50, at=30))
-    moment = gateway.now
+    timestamp = gateway.now
     gateway.run(1)
-    assert not any(gateway.far(moment + 1))
+    assert not any(gateway.far(timestamp + 1))
 
 
 def test_share_survives_a_recreated_cluster():
@@ -382,9 +382,9 @@
 def test_move_waits_while_a_real_build_is_on_trial():
     gateway = Gateway(fleet()).apply_records(move_record(share=500)).run(1)
     gateway.platform(2, 0, at.ON_TRIAL, 0.1)
-    moment = gateway.now
+    timestamp = gateway.now
     gateway.run(1)
-    assert not any(gateway.far(moment + 1)) and gateway.service.figures()["shift waits"] == 1
+    assert not any(gateway.far(timestamp + 1)) and gateway.service.figures()["shift waits"] == 1
     gateway.platform(2, 1, at.RELEASED, 1.0)
     gateway.run(2)
     assert any(gateway.far(gateway.now - SECOND)) and gateway.service.figures() == {
@@ -399,10 +399,10 @@
     count as an earlier one."""
     gateway = Gateway(fleet()).apply_records(move_record(share=500)).run(1)
     gateway.with_simulated_clock(gateway.list, [instance("x0", zone, build=2)])
-    moment = gateway.now
+    timestamp = gateway.now
     gateway.run(2)
-    assert not any(gateway.far(moment + 1)) and gateway.dispatcher.balancer.reported_build.number == 1
-    x = [moment for moment, id, _ in gateway.attempts if id == "x0"]
+    assert not any(gateway.far(timestamp + 1)) and gateway.dispatcher.balancer.reported_build.number == 1
+    x = [timestamp for timestamp, id, _ in gateway.attempts if id == "x0"]
     assert len(x) <= 2 + 0.1 * 400
     gateway.with_simulated_clock(gateway.list, [instance("x0", zone, build=2, state=at.GONE)])
     assert gateway.run(2).service.figures()["shift share"] == 500
@@ -418,8 +418,8 @@
     gateway = Gateway(fleet(), news=None).apply_records(move_record(share=500)).run(1)
     assert any(gateway.far()) and gateway.dispatcher.balancer.reported_build.number == FIRST_FAR_BUILD + 7
     gateway.apply_records(move_record("going back", share=0, at=30)).run(0.1)
-    moment = gateway.now
-    assert not any(gateway.run(1).far(moment)) and gateway.dispatcher.balancer.reported_build.number == 1
+    timestamp = gateway.now
+    assert not any(gateway.run(1).far(timestamp)) and gateway.dispatcher.balancer.reported_build.number == 1
 
 
 # ---- random events in any order
@@ -569,19 +569,26 @@
 
     def faults(self, window=4.0):
         """Returns where a gateway sent more to the far side than a stage allows, counted at the nodes."""
-        found, ends = [], [moment for moment, _ in self.stages[1:]] + [self.last]
+        found, ends = [], [timestamp for timestamp, _ in self.stages[1:]] + [self.last]
         for (begin, share), end in zip(self.stages, ends, strict=True):
             for name in self.installation.names if share < 1000 else ():
                 far, near = (
-                    sorted(moment for node in nodes for moment, who, _ in list(node.attempts) if who == name)
+                    sorted(
+                        timestamp
+                        for node in nodes
+                        for timestamp, who, _ in list(node.attempts)
+                        if who == name
+                    )
                     for nodes in (self.installation.far, self.installation.nodes)
                 )
-                for moment in [moment for moment in far if begin < moment <= end]:
-                    there, here = (count_between(side, moment - window, moment) for side in (far, near))
+                for timestamp in [timestamp for timestamp in far if begin < timestamp <= end]:
+                    there, here = (count_between(side, timestamp - window, timestamp) for side in (far, near))
                     # Two free attempts, and four for those that cross the ends of the windows.
                     most = 2 + share / 1000 * (there + here) + 4
                     if there > most:
-                        found.append(f"{name}: {there} of {there + here} at {share}, {moment - begin:.1f} s")
+                        found.append(
+                            f"{name}: {there} of {there + here} at {share}, {timestamp - begin:.1f} s"
+                        )
         return found
 
 
