--- a/lemonlead/drains/rules.py
+++ b/lemonlead/drains/rules.py
@@ -249,7 +249,7 @@
     for name in command.nodes:
         permit = transaction.get("permits", name)
         if permit is None or permit.phase not in (GIVEN, CLEAR):
-            raise GroundGone(f"node {name} has no permit that can be revoked")
+            raise GroundGone(f"node {name} has no permit to take back")
         revoke_permit(transaction, name, permit)
 
 
@@ -273,7 +273,7 @@
 def give_up_drain(transaction, command):
     before, progress = transaction.get("drains", command.drain), transaction.get("progress", command.drain)
     if before is None or before.phase != RUNNING or progress.moved != command.moved:
-        raise GroundGone(f"drain {command.drain} has made progress or does not run")
+        raise GroundGone(f"drain {command.drain} went on")
     close_drain(transaction, command.drain, before, GIVEN_UP)
     last = GivenUp(f"drain {command.drain} ended with {progress.left} nodes left")
     stuck = (*progress.stuck[: MAX_STUCK - 1], stuck_from(last))
--- a/lemonlead/moves/faults.py
+++ b/lemonlead/moves/faults.py
@@ -6,7 +6,7 @@
 class MoveKnown(Refused):
     """A move of this name exists, or ended within the last weeks."""
 
-    do = "look under moves; give a new move another name, because a name is not taken twice"
+    do = "look under moves; name a new move otherwise, for a name is not taken twice"
 
 
 class MoveOpen(Refused):
@@ -30,7 +30,7 @@
 class NoRoomThere(Refused):
     """The destination does not have room for everything that moves."""
 
-    do = "free what is missing or add nodes, then move under a new name; full clusters that swap need it too"
+    do = "free what is missing or add nodes, then move under a new name; two full ones that swap need it too"
 
 
 class Outdated(Refused):
@@ -42,7 +42,7 @@
 class HoldEnded(Refused):
     """The hold at the destination was ended; nothing is held there for this move any more."""
 
-    do = "nothing: the source keeps the service"
+    do = "nothing: the source goes on holding the service"
 
 
 class HoldKept(Refused):
@@ -66,4 +66,4 @@
 class NotAwaited(Refused):
     """A step was proposed before its condition was met."""
 
-    do = "nothing: the leader proposes it again"
+    do = "nothing: the leader asks again"
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -248,7 +248,7 @@
 
 
 def too_many_pieces(service):
-    return Refused(f"service {service} is more than {MAX_PIECES} pieces", "move it in parts")
+    return Refused(f"service {service} is more than {MAX_PIECES} pieces", "move it by parts")
 
 
 def check_no_gang_runs(transaction, service):
@@ -328,7 +328,7 @@
     move = replace(move, on=on, back=back)
     if len(back) >= back_votes_needed(voters):
         says = f"{len(back)} of {voters} gateways found {move.to} worse at {move.share / 10:g} %"
-        do = "look at the machines there, then start a new move"
+        do = "look at the machines there, then move anew"
         start_rollback(transaction, command.move, move, ROLLED_BACK, says, do)
     else:
         transaction.put("moves", command.move, move)
@@ -466,7 +466,7 @@
     for group in move.groups:
         here = transaction.get("groups", group.group)
         if group.over and here is not None and capacity.count_caught_up(transaction, here) < here.quorum:
-            raise NotAwaited(f"group {group.group} does not have its quorum here")
+            raise NotAwaited(f"group {group.group} has not its quorum here")
     mark_reservations(transaction, move.reservations, "")
     services.unmark(transaction, move.service, name)
     put_move(transaction, name, move, step=DROPPING)
@@ -628,7 +628,7 @@
     # Reservations on nodes come first, because fewer places suit them.
     for piece in sorted(command.pieces, key=lambda piece: (not piece.nodes, -piece.units, piece.reservation)):
         if transaction.get("reservations", piece.reservation) is not None:
-            raise NoRoomThere(f"reservation {piece.reservation} exists there already", "free it there")
+            raise NoRoomThere(f"reservation {piece.reservation} stands there already", "free it there")
         capacity.check_part_size(transaction, "reservations", piece.reservation)
         reservation = place_reservation(transaction, command, piece)
         capacity.add_reservation(transaction, piece.reservation, reservation)
@@ -701,7 +701,7 @@
 
 def place_group(transaction, piece):
     if transaction.get("groups", piece.group) is not None:
-        raise NoRoomThere(f"group {piece.group} exists there already", "rename it there")
+        raise NoRoomThere(f"group {piece.group} stands there already", "rename it there")
     nodes = nodes_with_room(transaction, 0)[: piece.size]
     if len(nodes) < piece.size:
         raise NoRoomThere(f"{piece.size} nodes are wanted for group {piece.group}, {len(nodes)} are there")
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -154,7 +154,7 @@
                 )
             if ledger_time - move.since >= MAX_STEP_NS:
                 says = f"{move.step} for {(ledger_time - move.since) // SECOND} s"
-                return self.roll_back(name, move, OVERDUE, says, f"look at {move.to}, then start a new move")
+                return self.roll_back(name, move, OVERDUE, says, f"look at {move.to}, then move anew")
             self.wake_by(now + MAX_STEP_NS - (ledger_time - move.since))
         if progress.response is not None and now - progress.response_time >= RESPONSE_LIFETIME_NS:
             progress.response, progress.wait_until = None, max(progress.wait_until, now)
