--- a/lemonlead/distribution/records.py
+++ b/lemonlead/distribution/records.py
@@ -114,7 +114,8 @@
     """Returns the scope name, checked."""
     if type(scope) is not str or scope and not NAME.fullmatch(scope):
         raise fault(
-            f"{where}: scope {describe_value(scope)}; expected a name of 1 to 100 characters, or '' for the scope of all gateways"
+            f"{where}: scope {describe_value(scope)}; "
+            "expected a name of 1 to 100 characters, or '' for the scope of all gateways"
         )
     return scope
 
