--- a/lemonlead/ledger/__init__.py
+++ b/lemonlead/ledger/__init__.py
@@ -1,5 +1,6 @@
-"""The ledger: what the members of a cluster promise together. Decisions alone: no I/O, no clock, no thread.
+"""The ledger: the state that the members of a cluster replicate. Pure decision code: no I/O, clock or thread.
 
-`records.py` names what passes between the parts; `replica.py` decides what is committed (Raft); `state.py`
-is the one function from state and command to state and answer; `faults.py` holds the errors.
-`docs/cluster.md` tells why."""
+`records.py` has the types that pass between the modules. `replica.py` decides what is committed (Raft).
+`state.py` computes a new state and an answer from a state and a command. `faults.py` has the errors.
+`docs/cluster.md` gives the design and its reasons.
+"""
--- a/lemonlead/ledger/backoff.py
+++ b/lemonlead/ledger/backoff.py
@@ -1,21 +1,22 @@
-"""How long to wait after a failure before the next try: longer with each one in a row, and spread, so that
-members that failed together do not come back together."""
+"""Randomized exponential backoff, so that members that failed together do not retry together."""
 
 import random
 
 
 class Backoff:
-    """`first` and `most`: nanoseconds."""
+    """Delays after failures in a row. `first` is the delay after one failure, `most` the longest delay, both
+    in nanoseconds."""
 
     def __init__(self, seed, first, most):
-        self.chance, self.first, self.most = random.Random(seed), first, most
-        self.row = 0  # failures in a row
+        self.rng, self.first, self.most = random.Random(seed), first, most
+        self.failures = 0  # in a row
 
     def failed(self):
-        """Nanoseconds to wait now: between half and the whole of what the row of failures asks."""
-        asked = min(self.first << min(self.row, 20), self.most)
-        self.row += 1
-        return asked // 2 + self.chance.randrange(asked // 2 + 1)
+        """Records a failure and returns how long to wait: a random time between half of the delay and all of
+        it, in nanoseconds."""
+        delay = min(self.first << min(self.failures, 20), self.most)
+        self.failures += 1
+        return delay // 2 + self.rng.randrange(delay // 2 + 1)
 
     def worked(self):
-        self.row = 0
+        self.failures = 0
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -13,7 +13,7 @@
 
 from .faults import Senseless
 from .followers import Followers
-from .log import WEIGHT
+from .log import ENTRY_OVERHEAD_BYTES
 from .membership import Change
 from .polls import Poll, Polls
 from .records import LEADER, NOT_DONE, SnapshotBase, Write
@@ -234,7 +234,7 @@
         for entry in entries:
             self.state, applied = self.ledger.apply(self.state, entry)
             self.codes[entry.index] = applied.code, applied.body
-            self.log_bytes += len(entry.data) + WEIGHT
+            self.log_bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
             if applied.changes and applied.code == 200:
                 self.polls.add(entry.index, applied.changes)
 
--- a/lemonlead/ledger/elections.py
+++ b/lemonlead/ledger/elections.py
@@ -1,25 +1,32 @@
-"""Elections: a member stands, others give their ballot. First all that would be asked are asked whether they
-would vote (9.6), which changes nothing anywhere; only then the term moves."""
+"""Elections: requesting votes and granting them.
+
+A candidate first runs a pre-vote: it asks the voters whether they would vote for it, which changes nothing
+anywhere (9.6). Only after it wins the pre-vote does it raise the term.
+"""
 
 from .leader import LeaderState
 from .records import CANDIDATE, LEADER, OUTSIDE, VoteRequest, VoteResponse
 
-SLOW_DISK = 2  # election times that one Write may take before this member does not stand
-AGAIN = 2  # heartbeats before whoever has not answered is asked again
+SLOW_DISK_ELECTIONS = 2  # election timeouts that a Write may take before this member does not stand
+REPEAT_HEARTBEATS = 2  # heartbeats before a voter that has not responded is asked again
 
 
 class Candidacy:
+    """A pre-vote (`early`) or an election in progress. `handed`: the old leader asked for it."""
+
     def __init__(self, replica, now, early, handed=False):
-        self.replica, self.early, self.handed = replica, early, handed
-        self.ballots = {replica.name}
-        self.canvass(now)
+        self.replica = replica
+        self.early = early
+        self.handed = handed
+        self.votes = {replica.name}
+        self.request_votes(now)
 
-    def canvass(self, now):
+    def request_votes(self, now):
         """Asks each voter that has not given its vote."""
         replica, config, log = self.replica, self.replica.config, self.replica.log
-        self.again = now + AGAIN * config.heartbeat
+        self.repeat_at = now + REPEAT_HEARTBEATS * config.heartbeat
         for name in replica.voters:
-            if name not in self.ballots:
+            if name not in self.votes:
                 message = VoteRequest(
                     config.cluster, config.name, config.folder,
                     name, replica.members[name].folder, replica.term,
@@ -28,77 +35,79 @@
                 replica.post(message)
 
     def decide(self, now):
-        if now < self.again:
+        if now < self.repeat_at:
             return False
-        self.canvass(now)
+        self.request_votes(now)
         return True
 
-    def ballot(self, now, message):
+    def handle_response(self, now, message):
         replica = self.replica
         if message.sender not in replica.voters or message.early != self.early or not message.given:
             return
         if message.early or message.term == replica.term:
-            self.ballots.add(message.sender)
-            self.elect(now)
+            self.votes.add(message.sender)
+            self.count_votes(now)
 
-    def elect(self, now):
-        """Goes on where a majority gave its vote. One's own counts once it is on disk, as any other."""
-        replica, given = self.replica, self.ballots
-        if not self.early and replica.term_after > replica.pending_writes.done:
+    def count_votes(self, now):
+        """Continues if a majority gave its vote. The own vote counts once it is on disk, like any other."""
+        replica, given = self.replica, self.votes
+        if not self.early and replica.term_write > replica.pending_writes.done:
             given = given - {replica.name}
         if sum(name in given for name in replica.voters) < replica.quorum:
             return
         if self.early:
-            return stand_now(replica, now, False)
+            return start_election(replica, now, False)
         replica.count("elected")
         replica.role, replica.leader, replica.candidacy = LEADER, replica.name, None
         replica.leader_state = LeaderState(replica, now)
 
 
-def stand(replica, now):
-    """Nothing was heard of a leader for long."""
+def start_pre_vote(replica, now):
+    """The election timeout has passed without contact from a leader."""
     replica.step_down(now)
-    replica.listen(now)
+    replica.reset_election_timer(now)
     replica.leader = ""
-    if replica.may_stand() and not replica.pending_writes.slow(now, SLOW_DISK * replica.config.election):
+    if replica.may_stand() and not replica.pending_writes.is_slow(
+        now, SLOW_DISK_ELECTIONS * replica.config.election
+    ):
         replica.count("stood")
         replica.role, replica.candidacy = CANDIDATE, Candidacy(replica, now, True)
-        replica.candidacy.elect(now)
+        replica.candidacy.count_votes(now)
 
 
-def stand_now(replica, now, handed):
-    """The election itself."""
-    replica.begin(replica.term + 1, replica.name)
+def start_election(replica, now, handed):
+    """Starts the election itself, in a new term."""
+    replica.begin_term(replica.term + 1, replica.name)
     replica.role, replica.candidacy = CANDIDATE, Candidacy(replica, now, False, handed)
-    replica.listen(now)
+    replica.reset_election_timer(now)
 
 
-def take_over(replica, now, message):
-    """The leader asks this member to stand at once (3.10)."""
+def handle_timeout_now(replica, now, message):
+    """The leader asks this member to start an election at once (3.10)."""
     if replica.leader_state is None and replica.may_stand() and message.sender == replica.leader:
         replica.count("took over")
-        stand_now(replica, now, True)
+        start_election(replica, now, True)
 
 
-def canvassed(replica, now, message):
-    """Someone stands. While a leader is heard of, that changes nothing here (4.2.3), unless the leader
-    itself asked for it."""
+def handle_vote_request(replica, now, message):
+    """A member asks for a vote. While this member is in contact with a leader, the request changes nothing
+    here (4.2.3), unless the leader itself started the election."""
     if replica.leader_state is not None:
-        replica.leader_state.canvassed(now, message.sender)
+        replica.leader_state.note_vote_request(now, message.sender)
     if message.term < replica.term:
         return replica.reply(message, VoteResponse, early=message.early)
-    lately = now - replica.heard_leader < replica.config.election
-    if (replica.leader_state is not None or replica.leader and lately) and not message.handed:
+    recent_contact = now - replica.last_leader_contact < replica.config.election
+    if (replica.leader_state is not None or replica.leader and recent_contact) and not message.handed:
         return replica.count("canvass while led")
     if message.term > replica.term and not message.early:
-        replica.adopt(now, message.term)
-    if replica.rest() == OUTSIDE or replica.pending_writes.base is not None:
+        replica.adopt_term(now, message.term)
+    if replica.resting_role() == OUTSIDE or replica.pending_writes.base is not None:
         return
-    ahead = (message.last_term, message.last_index) >= (replica.log.last_term, replica.log.last)
+    up_to_date = (message.last_term, message.last_index) >= (replica.log.last_term, replica.log.last)
     if message.early:
-        return replica.reply(message, VoteResponse, given=ahead, early=True)
+        return replica.reply(message, VoteResponse, given=up_to_date, early=True)
     given = replica.voted == message.sender and replica.voted_seal in ("", message.seal)
-    if ahead and not replica.voted:
-        replica.vote(now, message)
+    if up_to_date and not replica.voted:
+        replica.grant_vote(now, message)
         given = True
     replica.reply(message, VoteResponse, given=given)
--- a/lemonlead/ledger/faults.py
+++ b/lemonlead/ledger/faults.py
@@ -1,8 +1,8 @@
-"""Errors of the ledger. Each says what was found, and what an operator can do."""
+"""Errors of the ledger. Each says what was found and what an operator can do."""
 
 
 class Fault(Exception):
-    """Every error that reaches an operator. `type` is the class's name."""
+    """Base of all errors that reach an operator. `says` is what was found, `do` is the advice."""
 
     do = "see docs/oncall.md"
 
@@ -13,27 +13,27 @@
             self.do = do
 
     def read(self):
-        """As it stands in an answer: `shared` page's `error`."""
+        """Returns the `error` object of a response; its `type` is the name of the class."""
         return {"type": type(self).__name__, "says": self.says, "do": self.do}
 
 
 class Refused(Fault):
-    """A rule forbids it; nothing was changed (409)."""
+    """A rule forbids the command; nothing was changed (409)."""
 
 
 class BeingMoved(Refused):
-    """A move of the service is under way: it waits for its gangs, or holds its groups."""
+    """A move of the service is in progress: it waits for the service's gangs to end or holds its groups."""
 
     do = "ask again once that move has ended (part moves; holds where it comes from elsewhere), or stop it"
 
 
 class Senseless(Fault):
-    """It makes no sense; nothing was changed (400)."""
+    """The command is invalid; nothing was changed (400)."""
 
     do = "correct the command; docs/cluster.md lists the kinds and their fields"
 
 
 class Unusable(Fault):
-    """Settings, folder or address that cannot be used (exit 2)."""
+    """Settings, a folder or an address can't be used (exit status 2)."""
 
     do = "correct what the line names, then start it again"
--- a/lemonlead/ledger/leader.py
+++ b/lemonlead/ledger/leader.py
@@ -1,4 +1,4 @@
-"""A leader's office: what a replica holds only while it leads, dropped whole when it steps down."""
+"""The state that a replica has only while it leads. It is dropped when the replica steps down."""
 
 from collections import deque
 
@@ -19,151 +19,169 @@
     TimeoutNow,
 )
 
-MOST_ROUNDS = 64  # rounds whose moment is remembered
-MOST_BYTES = 64  # messages' worth of data of clients' entries that may wait to be committed
-NOTICE = 8  # part of a heartbeat after which an idle peer hears that more is committed
-SLOW_DISK = 2  # election times that one Write may take before the leader gives up
+MAX_ROUNDS = 64  # heartbeat rounds whose time is remembered
+MAX_PENDING_MESSAGES = 64  # client entries that wait to be committed hold at most this times `most_bytes`
+COMMIT_NOTICE_DIVISOR = 8  # an idle peer is sent a new commit index after this part of a heartbeat
+SLOW_DISK_ELECTIONS = 2  # election timeouts that one Write may take before the leader steps down
 
 
 class LeaderState:
+    """What a leader knows: its peers, proposals and reads that wait, and a leadership transfer."""
+
     def __init__(self, replica, now):
-        self.replica, self.config, self.log = replica, replica.config, replica.log
-        self.term, self.since = replica.term, now
-        self.moment, self.wall_ms = self.log.moment, self.log.wall_ms  # as it took office
-        self.peers, self.leaving = {}, []
-        self.tickets = deque()  # (index, ticket, bytes) of entries whose end is awaited
-        self.bytes = 0  # of clients' entries that wait
-        self.asked, self.reads, self.waiting = [], deque(), 0  # without a round; (round, index, tickets)
-        self.round, self.rounds, self.confirmed = 0, deque(), -1
-        self.beat, self.check, self.moved = now, now + self.config.election, 0
-        self.handing = None  # (name, moment at which it is given up)
+        self.replica = replica
+        self.config = replica.config
+        self.log = replica.log
+        self.term = replica.term
+        self.start = now
+        self.start_moment = self.log.moment  # the ledger time at `start`
+        self.wall_ms = self.log.wall_ms
+        self.peers, self.leaving = {}, []  # `leaving`: names that are no longer in the membership
+        self.pending = deque()  # (index, ticket, bytes) of entries whose result is awaited
+        self.pending_bytes = 0  # of client entries
+        # Reads without a round; reads as (round, index, tickets); how many wait in all.
+        self.unassigned_reads, self.reads, self.waiting_reads = [], deque(), 0
+        self.round, self.rounds, self.confirmed_round = 0, deque(), -1
+        self.heartbeat_due = now
+        self.quorum_check_due = now + self.config.election
+        self.commit_advanced_at = 0
+        self.transfer = None  # (name, time at which it is given up, whether TimeoutNow was sent)
         self.update_peers(now)
-        self.first = self.append(now, NOTHING, b"").index
+        self.first_index = self.append_entry(now, NOTHING, b"").index
 
     # ---- the log
 
-    def append(self, now, what, data, wall_ms=0):
+    def append_entry(self, now, what, data, wall_ms=0):
         self.wall_ms = max(self.wall_ms, wall_ms)
-        moment = self.moment + max(now - self.since, 0)
+        moment = self.start_moment + max(now - self.start, 0)
         entry = Entry(self.log.last + 1, self.term, what, moment, self.wall_ms, data)
         self.log.extend([entry])
         return entry
 
     def propose(self, now, wall_ms, data, ticket):
-        waits = self.log.last - self.replica.committed >= self.config.uncommitted
-        if waits or self.bytes + len(data) > MOST_BYTES * self.config.most_bytes or self.handing:
-            self.replica.count("turned away: handing over" if self.handing else "turned away: uncommitted")
+        full = self.log.last - self.replica.committed >= self.config.uncommitted
+        if (
+            full
+            or self.pending_bytes + len(data) > MAX_PENDING_MESSAGES * self.config.most_bytes
+            or self.transfer
+        ):
+            self.replica.count("turned away: handing over" if self.transfer else "turned away: uncommitted")
             return self.replica.refuse(ticket, NOT_DONE)
-        entry = self.append(now, COMMAND, data, wall_ms)
-        self.bytes += len(data)
-        self.tickets.append((entry.index, ticket, len(data)))
+        entry = self.append_entry(now, COMMAND, data, wall_ms)
+        self.pending_bytes += len(data)
+        self.pending.append((entry.index, ticket, len(data)))
 
     def applied(self, upto):
-        """Entries up to there were given to the state: whoever waits for them is answered."""
-        while self.tickets and self.tickets[0][0] <= upto:
-            index, ticket, size = self.tickets.popleft()
-            self.bytes -= size
-            self.replica.ends.append((index, ticket, "", ""))
-
-    def settle(self, now):
-        """Counts what a majority of the voters' disks hold; only an entry of the own term is committed by
-        counting (3.6.2)."""
+        """The entries up to `upto` were applied to the state, so the calls waiting for them end."""
+        while self.pending and self.pending[0][0] <= upto:
+            index, ticket, size = self.pending.popleft()
+            self.pending_bytes -= size
+            self.replica.results.append((index, ticket, "", ""))
+
+    def advance_commit(self, now):
+        """Advances the commit index to what a majority of the voters have on disk. Only an entry of the own
+        term is committed by counting (3.6.2)."""
         replica = self.replica
-        index = replica.majority(lambda name: self.peers[name].match, replica.pending_writes.on_disk)
+        index = replica.majority(lambda name: self.peers[name].match_index, replica.pending_writes.on_disk)
         if index > replica.committed and self.log.term(index) == self.term:
             replica.committed = index
-            self.moved = now
-            self.seated(now)
+            self.commit_advanced_at = now
+            self.finish_member_change(now)
 
-    def seated(self, now):
-        """After the newest MEMBERS entry is committed: whoever was removed hears so once and is let go."""
-        if self.replica.changing():
+    def finish_member_change(self, now):
+        """Once the newest MEMBERS entry is committed, notifies each removed peer once and forgets it."""
+        if self.replica.is_changing_members():
             return
         for name in self.leaving:
-            if (peer := self.peers.pop(name, None)) is not None and not peer.silent(
+            if (peer := self.peers.pop(name, None)) is not None and not peer.is_silent(
                 now, self.config.election
             ):
                 self.replica.post(self.message(AppendEntries, peer, committed=self.replica.committed))
         self.leaving = []
-        if not self.replica.votes():
+        if not self.replica.is_voter():
             self.leave(now)
 
     def leave(self, now):
-        """Removed: the peers hear that it is so, and the furthest that it may lead at once."""
+        """This leader was removed: notifies its peers and lets the one with the most entries lead at once."""
         committed = self.replica.committed
         for peer in self.peers.values():
             self.replica.post(self.message(AppendEntries, peer, committed=committed))
-        best = max(self.replica.voters, key=lambda name: (self.peers[name].match, name))
+        best = max(self.replica.voters, key=lambda name: (self.peers[name].match_index, name))
         self.replica.post(self.message(TimeoutNow, self.peers[best]))
         self.replica.step_down(now)
 
-    # ---- members
+    # ---- membership
 
     def update_peers(self, now):
-        """Peers by the newest MEMBERS entry; one that goes is kept until that is committed."""
+        """Creates peers for the newest MEMBERS entry. A removed one is kept until that entry is committed."""
         members, name = self.log.memberships[-1][1], self.replica.name
-        for other, seat in members.items():
+        for other, member in members.items():
             if other != name:
                 if other not in self.peers:
                     last = self.log.last
-                    self.peers[other] = Peer(other, seat, last, now, self.config.heartbeat)
-                self.peers[other].seat = seat
+                    self.peers[other] = Peer(other, member, last, now, self.config.heartbeat)
+                self.peers[other].member = member
         self.leaving = [other for other in self.peers if other not in members]
 
-    def open(self):
-        """Whether the members may be changed now (4.1; and the fix of it: an entry of the own term first)."""
+    def may_change_members(self):
+        """Whether the members may be changed now: no change is in progress, and an entry of the own term is
+        committed (4.1 and its published correction)."""
         replica = self.replica
-        return not replica.changing() and self.first <= replica.committed and not self.handing
+        return (
+            not replica.is_changing_members() and self.first_index <= replica.committed and not self.transfer
+        )
 
-    def change(self, now, members, ticket):
-        if not self.open() or not one_apart(self.log.memberships[-1][1], members):
+    def change_members(self, now, members, ticket):
+        if not self.may_change_members() or not one_apart(self.log.memberships[-1][1], members):
             self.replica.count("turned away: members")
             return self.replica.refuse(ticket, NOT_DONE)
-        self.tickets.append((self.seat(now, members), ticket, 0))
+        self.pending.append((self.append_members(now, members), ticket, 0))
 
-    def seat(self, now, members):
+    def append_members(self, now, members):
         data = msgspec.json.encode(dict(members))
-        index = self.append(now, MEMBERS, data).index
+        index = self.append_entry(now, MEMBERS, data).index
         self.update_peers(now)
         self.replica.refresh_members()
         return index
 
-    def promote(self, now):
-        """A learner that has caught up gets its vote."""
+    def promote_learner(self, now):
+        """Gives a learner that has caught up its vote. Returns whether it did."""
         members = self.replica.members
         if len(members) == len(self.replica.voters):
             return False
-        for name, seat in members.items():
+        for name, member in members.items():
             peer = self.peers.get(name)
-            if not seat.votes and peer is not None and peer.caught and peer.mode == STREAM:
-                if not self.open() or peer.silent(now, self.config.election):
+            if not member.votes and peer is not None and peer.caught_up and peer.mode == STREAM:
+                if not self.may_change_members() or peer.is_silent(now, self.config.election):
                     return False
-                self.seat(now, {**members, name: ConfiguredMember(seat.address, seat.folder, True)})
+                self.append_members(
+                    now, {**members, name: ConfiguredMember(member.address, member.folder, True)}
+                )
                 return True
         return False
 
-    # ---- hand-over (3.10)
+    # ---- leadership transfer (3.10)
 
     def hand_over(self, now, to):
-        if self.handing:
+        if self.transfer:
             return
-        fit = [
+        eligible = [
             name
             for name in self.replica.voters
-            if name != self.replica.name and (to == name or not to) and not self.silent(name, now)
+            if name != self.replica.name and (to == name or not to) and not self.is_silent(name, now)
         ]
-        if fit:
-            to = max(fit, key=lambda name: (self.peers[name].match, name))
-            self.handing = to, now + self.config.election, False
+        if eligible:
+            to = max(eligible, key=lambda name: (self.peers[name].match_index, name))
+            self.transfer = to, now + self.config.election, False
 
-    def hand(self, now):
-        to, until, sent = self.handing
+    def continue_transfer(self, now):
+        to, until, sent = self.transfer
         peer = self.peers.get(to)
         if now >= until or peer is None or to not in self.replica.voters:
-            self.handing = None
+            self.transfer = None
             return True
-        if not sent and peer.match == self.log.last == self.replica.committed:
-            self.handing = to, until, True
+        if not sent and peer.match_index == self.log.last == self.replica.committed:
+            self.transfer = to, until, True
             self.replica.post(self.message(TimeoutNow, peer))
             return True
         return False
@@ -171,152 +189,162 @@
     # ---- reads (6.4)
 
     def read(self, ticket):
-        if self.waiting >= self.config.waiting:
+        if self.waiting_reads >= self.config.waiting:
             self.replica.count("turned away: reads")
             return self.replica.refuse(ticket, NOT_DONE)
-        self.waiting += 1
-        self.asked.append(ticket)
+        self.waiting_reads += 1
+        self.unassigned_reads.append(ticket)
 
-    def next_round(self, now):
+    def start_round(self, now):
         self.round += 1
-        if self.first <= self.replica.committed:
+        if self.first_index <= self.replica.committed:
             self.rounds.append((self.round, now, self.replica.committed))
-        if len(self.rounds) > MOST_ROUNDS:
+        if len(self.rounds) > MAX_ROUNDS:
             self.rounds.popleft()
 
-    def confirm(self):
-        """What a majority answered: reads whose round it was may be answered, once applied so far."""
+    def confirm_rounds(self):
+        """Updates the newest round that a majority has answered. Reads of confirmed rounds may be answered
+        once their index is applied."""
         replica = self.replica
-        self.confirmed = replica.majority(lambda name: self.peers[name].answered, self.round)
-        while self.rounds and self.rounds[0][0] <= self.confirmed:
-            _, moment, committed = self.rounds.popleft()
+        self.confirmed_round = replica.majority(lambda name: self.peers[name].answered_round, self.round)
+        while self.rounds and self.rounds[0][0] <= self.confirmed_round:
+            _, time, committed = self.rounds.popleft()
             if committed <= replica.applied:
-                replica.fresh_as_of = max(replica.fresh_as_of, moment)
+                replica.fresh_as_of = max(replica.fresh_as_of, time)
 
     def serve_reads(self, now):
         replica = self.replica
-        if self.asked and self.first <= replica.committed and not self.reads:
-            self.next_round(now)
-            self.assign()
-            self.confirm()
+        if self.unassigned_reads and self.first_index <= replica.committed and not self.reads:
+            self.start_round(now)
+            self.assign_reads()
+            self.confirm_rounds()
         if self.reads:
             round, index, tickets = self.reads[0]
-            if round <= self.confirmed and index <= replica.applied:
+            if round <= self.confirmed_round and index <= replica.applied:
                 self.reads.popleft()
-                self.waiting -= len(tickets)
-                replica.ends.extend((0, ticket, "", "") for ticket in tickets)
+                self.waiting_reads -= len(tickets)
+                replica.results.extend((0, ticket, "", "") for ticket in tickets)
                 return True
         return False
 
-    def assign(self):
-        if self.asked and self.first <= self.replica.committed:
-            self.reads.append((self.round, self.replica.committed, self.asked))
-            self.asked = []
+    def assign_reads(self):
+        """Assigns the reads that have no round yet to the current one."""
+        if self.unassigned_reads and self.first_index <= self.replica.committed:
+            self.reads.append((self.round, self.replica.committed, self.unassigned_reads))
+            self.unassigned_reads = []
 
-    # ---- answers of peers
+    # ---- responses of peers
 
-    def appended(self, now, message):
+    def handle_response(self, now, message):
+        """Handles an AppendResponse or a SnapshotChunkResponse."""
         peer = self.peers.get(message.sender)
-        if peer is None or peer.seat.folder != message.seal or message.round > self.round:
+        if peer is None or peer.member.folder != message.seal or message.round > self.round:
             return
         if isinstance(message, AppendResponse):
             if not 0 <= message.match <= self.log.last:
                 return self.replica.count("garbled")
-            self.answered(now, peer, message.round)
+            self.note_response(now, peer, message.round)
             if message.fits:
-                if peer.mode != SNAPSHOT or message.match >= max(peer.base.index, self.log.first - 1):
+                if peer.mode != SNAPSHOT or message.match >= max(
+                    peer.snapshot_base.index, self.log.first - 1
+                ):
                     if peer.mode == SNAPSHOT:
                         peer.probe(message.match + 1)
                     if peer.matched(now, message.match, self.log.last, self.config.election):
-                        self.settle(now)
+                        self.advance_commit(now)
             elif peer.mode != SNAPSHOT:
-                peer.missed(message.match)
+                peer.mismatched(message.match)
         else:
-            self.answered(now, peer, message.round)
-            if peer.mode == SNAPSHOT and message.base_index == peer.base.index:
+            self.note_response(now, peer, message.round)
+            if peer.mode == SNAPSHOT and message.base_index == peer.snapshot_base.index:
                 if message.done:
                     peer.probe(message.base_index + 1)
                     if peer.matched(now, message.base_index, self.log.last, self.config.election):
-                        self.settle(now)
+                        self.advance_commit(now)
                 else:
-                    peer.wanted(now, message.offset, self.config.most_bytes, self.config.heartbeat)
+                    peer.requested_offset(now, message.offset, self.config.most_bytes, self.config.heartbeat)
 
-    def answered(self, now, peer, round):
-        peer.spoke(now, self.config.heartbeat)
-        if round > peer.answered:
-            peer.answered = round
-            self.confirm()
+    def note_response(self, now, peer, round):
+        peer.responded(now, self.config.heartbeat)
+        if round > peer.answered_round:
+            peer.answered_round = round
+            self.confirm_rounds()
 
-    def canvassed(self, now, name):
-        """A peer that seeks a leader is alive, whatever it was before."""
+    def note_vote_request(self, now, name):
+        """A peer that requests votes is alive, so a long retry delay for it ends."""
         peer = self.peers.get(name)
-        if peer is not None and peer.wait > self.config.heartbeat:
-            peer.wait, peer.due = self.config.heartbeat, now
+        if peer is not None and peer.retry_delay > self.config.heartbeat:
+            peer.retry_delay, peer.send_due = self.config.heartbeat, now
 
-    def silent(self, name, now):
+    def is_silent(self, name, now):
         peer = self.peers.get(name)
-        return peer is None or peer.silent(now, self.config.election)
+        return peer is None or peer.is_silent(now, self.config.election)
 
     # ---- decisions
 
     def decide(self, now, door):
         replica, config = self.replica, self.config
-        if now >= self.check:
-            heard = replica.majority(lambda name: self.peers[name].heard, now)
-            self.check = heard + config.election + 1
-            if now >= self.check or replica.pending_writes.slow(now, SLOW_DISK * config.election):
-                replica.count("stepped down: no majority" if now >= self.check else "stepped down: slow disk")
+        if now >= self.quorum_check_due:
+            majority_heard = replica.majority(lambda name: self.peers[name].last_heard, now)
+            self.quorum_check_due = majority_heard + config.election + 1
+            if now >= self.quorum_check_due or replica.pending_writes.is_slow(
+                now, SLOW_DISK_ELECTIONS * config.election
+            ):
+                replica.count(
+                    "stepped down: no majority" if now >= self.quorum_check_due else "stepped down: slow disk"
+                )
                 replica.step_down(now)
                 return True
-            self.check = min(self.check, now + config.election // 2)
-        if self.handing and self.hand(now):
+            self.quorum_check_due = min(self.quorum_check_due, now + config.election // 2)
+        if self.transfer and self.continue_transfer(now):
             return True
-        if now >= self.beat:
-            self.beat = now + config.heartbeat
-            self.next_round(now)
-            self.assign()
-            self.confirm()
-        if self.serve_reads(now) or self.promote(now):
+        if now >= self.heartbeat_due:
+            self.heartbeat_due = now + config.heartbeat
+            self.start_round(now)
+            self.assign_reads()
+            self.confirm_rounds()
+        if self.serve_reads(now) or self.promote_learner(now):
             return True
-        return any(self.feed(now, peer, door) for peer in self.peers.values())
+        return any(self.send_next(now, peer, door) for peer in self.peers.values())
 
-    def feed(self, now, peer, door):
-        """Sends a peer the next message, where one is due."""
-        config, log, chance = self.config, self.log, self.replica.chance
-        if peer.mode != SNAPSHOT and peer.next < log.first:
+    def send_next(self, now, peer, door):
+        """Sends a peer its next message if one is due. Returns whether it did."""
+        config, log, rng = self.config, self.log, self.replica.rng
+        if peer.mode != SNAPSHOT and peer.next_index < log.first:
             peer.start_snapshot(now, self.replica.base, config.heartbeat)
-        if peer.silent(now, config.election):
-            if now < peer.due:
+        if peer.is_silent(now, config.election):
+            if now < peer.send_due:
                 return False
-            peer.put_off(now, config.heartbeat, chance)
+            peer.back_off(now, config.heartbeat, rng)
             if peer.mode == SNAPSHOT:
-                peer.part_due = min(peer.part_due, now)
+                peer.chunk_due = min(peer.chunk_due, now)
             else:
-                peer.probe(peer.next)
-            return self.send(peer, door, 0)
-        if peer.mode == SNAPSHOT and now >= peer.part_due:
+                peer.probe(peer.next_index)
+            return self.send_entries(peer, door, 0)
+        if peer.mode == SNAPSHOT and now >= peer.chunk_due:
             return self.send_chunk(now, peer, door)
-        if peer.mode == STREAM and peer.next <= log.last and len(peer.flight) < config.in_flight:
-            return self.send(peer, door, config.most_entries)
-        if peer.mode == PROBE and (not peer.waiting or now >= peer.due):
-            peer.waiting, peer.due = True, now + config.heartbeat
-            return self.send(peer, door, config.most_entries)
-        notice = (
-            peer.announced_commit < self.replica.committed and now >= self.moved + config.heartbeat // NOTICE
+        if peer.mode == STREAM and peer.next_index <= log.last and len(peer.in_flight) < config.in_flight:
+            return self.send_entries(peer, door, config.most_entries)
+        if peer.mode == PROBE and (not peer.probe_sent or now >= peer.send_due):
+            peer.probe_sent, peer.send_due = True, now + config.heartbeat
+            return self.send_entries(peer, door, config.most_entries)
+        notice_due = (
+            peer.announced_commit < self.replica.committed
+            and now >= self.commit_advanced_at + config.heartbeat // COMMIT_NOTICE_DIVISOR
         )
-        if peer.round < self.round or (notice and not peer.flight):
-            return self.send(peer, door, 0)
+        if peer.sent_round < self.round or (notice_due and not peer.in_flight):
+            return self.send_entries(peer, door, 0)
         return False
 
-    def send(self, peer, door, count):
-        """Entries from `next` on, or a heartbeat."""
+    def send_entries(self, peer, door, count):
+        """Sends up to `count` entries from `next_index` on, or a heartbeat."""
         log = self.log
-        prev = 0 if peer.mode == SNAPSHOT else peer.next - 1
+        prev = 0 if peer.mode == SNAPSHOT else peer.next_index - 1
         entries = log.batch(prev + 1, count, self.config.most_bytes) if count and prev < log.last else []
         if entries and peer.mode == STREAM:
-            peer.next = entries[-1].index + 1
-            peer.flight.append(peer.next - 1)
-        peer.round, peer.announced_commit = self.round, self.replica.committed
+            peer.next_index = entries[-1].index + 1
+            peer.in_flight.append(peer.next_index - 1)
+        peer.sent_round, peer.announced_commit = self.round, self.replica.committed
         term = 0 if peer.mode == SNAPSHOT else log.term(prev)
         message = self.message(
             AppendEntries,
@@ -332,75 +360,84 @@
 
     def send_chunk(self, now, peer, door):
         base = self.replica.base
-        if peer.base.index != base.index:  # a host keeps one snapshot alone
+        if peer.snapshot_base.index != base.index:  # a host keeps only one snapshot
             peer.start_snapshot(now, base, self.config.heartbeat)
-        peer.put_off_part(now, self.config.heartbeat, self.replica.chance)
-        peer.round = self.round
-        part = self.message(SnapshotChunk, peer, base=peer.base, offset=peer.offset, round=self.round)
-        door.send_chunk(peer.name, part, self.config.most_bytes)
+        peer.back_off_chunk(now, self.config.heartbeat, self.replica.rng)
+        peer.sent_round = self.round
+        chunk = self.message(
+            SnapshotChunk, peer, base=peer.snapshot_base, offset=peer.snapshot_offset, round=self.round
+        )
+        door.send_chunk(peer.name, chunk, self.config.most_bytes)
         return True
 
     def message(self, kind, peer, **fields):
         config = self.config
         return kind(
-            config.cluster, config.name, config.folder, peer.name, peer.seat.folder, self.term, **fields
+            config.cluster, config.name, config.folder, peer.name, peer.member.folder, self.term, **fields
         )
 
-    def needed(self, now):
-        """The last index that every peer has that answers, or will have once its snapshot is whole."""
+    def needed_index(self, now):
+        """Returns the last index that all responding peers have, or will have with their snapshot."""
         return min(
             (
-                peer.base.index if peer.mode == SNAPSHOT else peer.match
+                peer.snapshot_base.index if peer.mode == SNAPSHOT else peer.match_index
                 for peer in self.peers.values()
-                if not peer.silent(now, self.config.election)
+                if not peer.is_silent(now, self.config.election)
             ),
             default=self.log.last,
         )
 
     def sends_snapshot(self, now):
         return any(
-            peer.mode == SNAPSHOT and not peer.silent(now, self.config.election)
+            peer.mode == SNAPSHOT and not peer.is_silent(now, self.config.election)
             for peer in self.peers.values()
         )
 
     def wake_at(self):
-        moments = [self.beat, self.check]
-        if self.handing:
-            moments.append(self.handing[1])
+        times = [self.heartbeat_due, self.quorum_check_due]
+        if self.transfer:
+            times.append(self.transfer[1])
         for peer in self.peers.values():
-            if not peer.silent(self.replica.now, self.config.election):
+            if not peer.is_silent(self.replica.now, self.config.election):
                 if peer.mode == SNAPSHOT:
-                    moments.append(peer.part_due)
-                if peer.announced_commit < self.replica.committed and not peer.flight:
-                    moments.append(self.moved + self.config.heartbeat // NOTICE)
+                    times.append(peer.chunk_due)
+                if peer.announced_commit < self.replica.committed and not peer.in_flight:
+                    times.append(self.commit_advanced_at + self.config.heartbeat // COMMIT_NOTICE_DIVISOR)
                 if peer.mode != PROBE:
                     continue
-            moments.append(peer.due)
-        return min(moments)
+            times.append(peer.send_due)
+        return min(times)
 
-    # ---- the end of it
+    # ---- stepping down
 
     def close(self):
-        """Refuses whoever still waits. Entries that are committed get their answer once applied."""
+        """Refuses all calls that wait. Returns the tickets of committed entries, which are answered once they
+        are applied."""
         replica, kept = self.replica, deque()
-        for index, ticket, size in self.tickets:
+        for index, ticket, size in self.pending:
             if index <= replica.committed and not replica.failed:
                 kept.append((index, ticket, size))
             else:
                 replica.refuse(ticket, UNKNOWN)
-        for ticket in [*self.asked, *(ticket for _, _, tickets in self.reads for ticket in tickets)]:
+        for ticket in [
+            *self.unassigned_reads,
+            *(ticket for _, _, tickets in self.reads for ticket in tickets),
+        ]:
             replica.refuse(ticket, NOT_DONE)
         return kept
 
 
 def one_apart(before, after):
-    """Whether the members differ by one learner more, one member less, or one address, with a voter left."""
+    """Whether the two memberships differ by one new learner, one removed member or one changed address, and a
+    voter is left."""
     names = set(before) ^ set(after)
     changed = [name for name in before if name in after and before[name] != after[name]]
-    if len(names) + len(changed) != 1 or not any(seat.votes for seat in after.values()):
+    if len(names) + len(changed) != 1 or not any(member.votes for member in after.values()):
         return False
     for name in set(after) - set(before):
-        return not after[name].votes and all(seat.folder != after[name].folder for seat in before.values())
+        return not after[name].votes and all(
+            member.folder != after[name].folder for member in before.values()
+        )
     return all(
         (before[name].folder, before[name].votes) == (after[name].folder, after[name].votes)
         for name in changed
--- a/lemonlead/ledger/membership.py
+++ b/lemonlead/ledger/membership.py
@@ -101,7 +101,7 @@
                 seats.pop(name, None)
             self.again = now + AWAIT
             if seats != self.dispatcher.replica.members:
-                self.dispatcher.replica.change(now, seats, Change())
+                self.dispatcher.replica.change_members(now, seats, Change())
         return None
 
     def called(self, now, call, code, body):
--- a/lemonlead/ledger/peers.py
+++ b/lemonlead/ledger/peers.py
@@ -1,72 +1,89 @@
-"""What a leader knows of a peer, and when it is told something next. One that does not answer is asked with
-one small message at a time, after waits that grow and are spread by chance."""
+"""What a leader knows of a peer, and when it sends it something next.
+
+A peer that does not respond is sent one small message at a time, after growing, randomized delays.
+"""
 
 from collections import deque
 
 PROBE, STREAM, SNAPSHOT = "probe", "stream", "snapshot"
-SLOWEST = 16  # heartbeats: the longest wait before a peer that is silent is asked again
-SLOWEST_PART = 12  # heartbeats: the longest wait before a piece of a snapshot is sent again
+MAX_RETRY_HEARTBEATS = 16  # the longest delay before a silent peer is sent another message
+MAX_CHUNK_RETRY_HEARTBEATS = 12  # the longest delay before a snapshot chunk is sent again
 
 
 class Peer:
-    def __init__(self, name, seat, last, now, heartbeat):
-        self.name, self.seat = name, seat
-        self.next, self.match = last + 1, 0  # the next entry to send; the last known to be on its disk
-        self.mode, self.waiting = PROBE, False  # whether a probe is out
-        self.heard, self.wait, self.due = now, heartbeat, now  # due: when something is sent at the latest
-        self.flight = deque()  # the last index of each message with entries not yet answered
-        self.round = self.answered = -1  # of heartbeats: sent, answered
-        self.announced_commit = 0  # index up to which it was told that entries are committed
-        self.base, self.offset, self.part_due, self.part_wait = None, 0, now, heartbeat
-        self.goal, self.since, self.caught = last, now, False  # a learner's catching up, by rounds (4.2.1)
+    """The replication state of one peer. Times and delays are in nanoseconds."""
+
+    def __init__(self, name, member, last, now, heartbeat):
+        self.name = name
+        self.member = member
+        self.next_index = last + 1  # the next entry to send
+        self.match_index = 0  # the last entry known to be on its disk
+        self.mode = PROBE
+        self.probe_sent = False
+        self.last_heard = now
+        self.retry_delay = heartbeat
+        self.send_due = now  # when something is sent at the latest
+        self.in_flight = deque()  # the last index of each message with entries that is not yet answered
+        self.sent_round = self.answered_round = -1  # of heartbeats
+        self.announced_commit = 0  # the commit index that it was last sent
+        self.snapshot_base = None
+        self.snapshot_offset = 0
+        self.chunk_due = now
+        self.chunk_delay = heartbeat
+        # A learner catches up in rounds: each ends once the log's end as of its start is on its disk (4.2.1).
+        self.catch_up_index = last
+        self.catch_up_start = now
+        self.caught_up = False
 
-    def silent(self, now, election):
-        return now - self.heard > election
+    def is_silent(self, now, election):
+        return now - self.last_heard > election
 
-    def spoke(self, now, heartbeat):
-        """A valid answer came."""
-        self.heard, self.wait = now, heartbeat
-        self.due = min(self.due, now + heartbeat)
+    def responded(self, now, heartbeat):
+        """A valid response arrived."""
+        self.last_heard, self.retry_delay = now, heartbeat
+        self.send_due = min(self.send_due, now + heartbeat)
 
     def probe(self, index):
-        """Looks from this entry on for where its log is the leader's."""
-        self.mode, self.next, self.waiting = PROBE, max(index, self.match + 1), False
-        self.flight.clear()
+        """Starts to look, from this entry on, for the point where its log equals the leader's."""
+        self.mode, self.next_index, self.probe_sent = PROBE, max(index, self.match_index + 1), False
+        self.in_flight.clear()
 
     def matched(self, now, match, last, election):
-        """Its disk holds the leader's entries up to `match`. Whether that was news."""
-        news = match > self.match
-        self.match = max(self.match, match)
-        while self.flight and self.flight[0] <= self.match:
-            self.flight.popleft()
+        """Records that its disk holds the leader's entries up to `match`. Returns whether that is news."""
+        is_news = match > self.match_index
+        self.match_index = max(self.match_index, match)
+        while self.in_flight and self.in_flight[0] <= self.match_index:
+            self.in_flight.popleft()
         if self.mode == PROBE:
-            self.mode, self.waiting = STREAM, False
-        self.next = max(self.next, self.match + 1)
-        if self.match >= self.goal:
-            self.caught = now - self.since <= election
-            self.goal, self.since = last, now
-        return news
+            self.mode, self.probe_sent = STREAM, False
+        self.next_index = max(self.next_index, self.match_index + 1)
+        if self.match_index >= self.catch_up_index:
+            self.caught_up = now - self.catch_up_start <= election
+            self.catch_up_index, self.catch_up_start = last, now
+        return is_news
 
-    def missed(self, hint):
-        """Its log is not the leader's at `next` - 1; `hint`: where to look next."""
-        if hint >= self.match and (self.mode == STREAM or hint + 1 < self.next):
-            self.probe(max(min(self.next - 1, hint + 1), 1))
+    def mismatched(self, hint):
+        """Its log differs from the leader's at `next_index` - 1. `hint` is the index to look at next."""
+        if hint >= self.match_index and (self.mode == STREAM or hint + 1 < self.next_index):
+            self.probe(max(min(self.next_index - 1, hint + 1), 1))
 
     def start_snapshot(self, now, base, heartbeat):
-        self.mode, self.base, self.offset = SNAPSHOT, base, 0
-        self.part_due, self.part_wait, self.waiting = now, heartbeat * 2, False
-        self.flight.clear()
+        self.mode, self.snapshot_base, self.snapshot_offset = SNAPSHOT, base, 0
+        self.chunk_due, self.chunk_delay, self.probe_sent = now, heartbeat * 2, False
+        self.in_flight.clear()
 
-    def wanted(self, now, offset, most, heartbeat):
-        """It asks for the snapshot from this byte on. Against garbled ones: none past what it can have."""
-        if 0 <= offset <= self.offset + most and offset != self.offset:
-            self.offset, self.part_due, self.part_wait = offset, now, heartbeat * 2
+    def requested_offset(self, now, offset, most, heartbeat):
+        """It asks for the snapshot from this byte on. Offsets that it can't have reached are ignored, since
+        the message may be garbled."""
+        if 0 <= offset <= self.snapshot_offset + most and offset != self.snapshot_offset:
+            self.snapshot_offset, self.chunk_due, self.chunk_delay = offset, now, heartbeat * 2
 
-    def put_off(self, now, heartbeat, chance):
-        """It is silent: the next message waits longer."""
-        self.wait = min(self.wait * 2, heartbeat * SLOWEST)
-        self.due = now + self.wait + chance.randrange(max(self.wait // 2, 1))
+    def back_off(self, now, heartbeat, rng):
+        """It is silent, so the next message is sent after a longer delay."""
+        self.retry_delay = min(self.retry_delay * 2, heartbeat * MAX_RETRY_HEARTBEATS)
+        self.send_due = now + self.retry_delay + rng.randrange(max(self.retry_delay // 2, 1))
 
-    def put_off_part(self, now, heartbeat, chance):
-        self.part_due = now + self.part_wait + chance.randrange(max(self.part_wait // 4, 1))
-        self.part_wait = min(self.part_wait * 3 // 2, heartbeat * SLOWEST_PART)
+    def back_off_chunk(self, now, heartbeat, rng):
+        """Schedules when the current snapshot chunk is sent again."""
+        self.chunk_due = now + self.chunk_delay + rng.randrange(max(self.chunk_delay // 4, 1))
+        self.chunk_delay = min(self.chunk_delay * 3 // 2, heartbeat * MAX_CHUNK_RETRY_HEARTBEATS)
--- a/lemonlead/ledger/replica.py
+++ b/lemonlead/ledger/replica.py
@@ -1,17 +1,20 @@
-"""The replication core: Raft with pre-vote, hand-over, one-at-a-time changes of members, learners,
-snapshots in pieces and reads without a log write. It is fed messages and moments, and asked for decisions;
-it does no I/O and reads no clock. Chapters named are those of Ongaro's dissertation.
+"""The replication core: Raft with pre-vote, leadership transfer, single-member membership changes, learners,
+snapshots in chunks, and linearizable reads without a log write.
 
-Here: terms, who is who, what goes out and when. `standing.py`: elections; `following.py`: what a follower
-takes from its leader; `office.py`: what a leader does; `peers.py`: what it knows of each peer; `log.py`: the
-log in memory and on its way to disk."""
+It is given messages and times and is asked for decisions; it does no I/O and reads no clock. Section numbers
+in comments are those of Ongaro's dissertation.
+
+This module has the terms, the membership and the outgoing messages. `elections.py` has the elections,
+`follower.py` what a follower accepts from its leader, `leader.py` what a leader does, `peers.py` what it
+knows of each peer, and `log.py` the log in memory and on its way to disk.
+"""
 
 from collections import deque
 from random import Random
 
-from .elections import canvassed, stand, take_over
+from .elections import handle_timeout_now, handle_vote_request, start_pre_vote
 from .follower import FollowerState
-from .log import BIGGEST, Log, PendingWrites
+from .log import MAX_INTEGER, Log, PendingWrites
 from .records import (
     CANDIDATE,
     FOLLOWER,
@@ -29,64 +32,72 @@
     VoteResponse,
 )
 
-MOST_OUT = 1024  # messages that wait for the host to take them or for the disk; past it one is lost
-MOST_COMMIT = 256  # entries in one call of `commit`
-STRETCH = 8  # times `keep` that are kept at most for a peer that answers and has not got them yet
+MAX_QUEUED_MESSAGES = 1024  # that wait for the host or for the disk; beyond it a message is dropped
+MAX_COMMIT_ENTRIES = 256  # in one call of `commit`
+MAX_KEEP_FACTOR = 8  # times `keep`: entries kept at most for a responding peer that does not have them yet
 
 
 class Replica:
-    """One member's part in the log.
-
-    Inputs (each with `now`, nanoseconds of the host's monotonic clock) only update what is known; then
-    `decide(now, door)` is called until it returns False: it does one thing through the door at a time."""
-
-    def __init__(self, config, kept, now):
-        self.config, self.now, self.name = config, now, config.name
-        self.term, self.voted, self.base = kept.term, kept.voted, kept.base
-        self.chance = Random(f"{config.seed}/{config.name}")
-        self.log = Log(kept.base, list(kept.entries))
+    """One member's replica of the log.
+
+    Inputs take `now`, nanoseconds of the host's monotonic clock, and only update state. After them the host
+    calls `decide(now, door)` until it returns False; each call does one thing through `door`, a ReplicaHost.
+    """
+
+    def __init__(self, config, stored, now):
+        self.config = config
+        self.now = now
+        self.name = config.name
+        self.term = stored.term
+        self.voted = stored.voted
+        self.base = stored.base
+        self.rng = Random(f"{config.seed}/{config.name}")
+        self.log = Log(stored.base, list(stored.entries))
         self.pending_writes = PendingWrites(self.log.last)
-        self.role, self.leader = FOLLOWER, ""  # whom this member believes to lead, empty where it knows none
-        self.committed = self.applied = kept.base.index  # index up to which entries are known to be committed
-        self.fresh_as_of = (
-            0  # the moment at which what is applied was last known to be what the cluster had committed
-        )
+        self.role = FOLLOWER
+        self.leader = ""  # the member that it believes to lead, empty if it knows none
+        self.committed = self.applied = stored.base.index  # last index known to be committed, and applied
+        self.fresh_as_of = 0  # when the applied state was last known to be all that the cluster had committed
         self.failed = ""  # why the disk failed, empty while it works
         self.counts = {}
-        self.leader_state, self.tickets = (
-            None,
-            deque(),
-        )  # tickets of an office left, whose entries are committed
-        self.ends, self.out, self.held = deque(), deque(), {}  # held: messages that wait for a Write
-        self.term_after = 0  # the Write that moved the term to disk
-        self.voted_seal, self.leader_seal = "", ""
-        self.heard_leader = now - config.election
+        # Tickets are of committed entries that it proposed before it stepped down.
+        self.leader_state, self.committed_tickets = None, deque()
+        # Results are (index, ticket, outcome, leader) of calls that have ended. Messages are held until a
+        # Write is on disk.
+        self.results, self.outbox, self.held_messages = deque(), deque(), {}
+        self.term_write = 0  # number of the Write that has the current term and vote
+        self.voted_seal = ""
+        self.leader_seal = ""
+        self.last_leader_contact = now - config.election
         self.follower_state, self.candidacy = FollowerState(self), None
-        self.members, self.voters, self.quorum = {}, [], 1
+        self.members = {}
+        self.voters = []
+        self.quorum = 1
         self.refresh_members()
-        self.listen(now)
+        self.reset_election_timer(now)
 
     @property
     def last(self):
         return self.log.last
 
     def members_at(self, index):
-        """The members as of this entry, which is applied and not yet compacted."""
+        """Returns the members as of this entry, which must be applied and not yet compacted."""
         return dict(self.log.members_at(index))
 
     def reachable_members(self, now):
-        """A leader's: names of the members, itself among them, heard within the election time."""
+        """Returns the names of the members that a leader has heard from within the election timeout, and its
+        own."""
         if self.leader_state is None:
             return {self.name}
         return {
             self.name,
-            *(name for name in self.leader_state.peers if not self.leader_state.silent(name, now)),
+            *(name for name in self.leader_state.peers if not self.leader_state.is_silent(name, now)),
         }
 
     # ---- inputs
 
     def receive(self, now, message):
-        """A message of a peer."""
+        """Handles a message of a peer."""
         self.tick(now)
         if not self.accepts(message):
             return self.count("dropped: not meant")
@@ -96,11 +107,11 @@
             return
         kind = type(message)
         if kind is VoteRequest:
-            return canvassed(self, now, message)
+            return handle_vote_request(self, now, message)
         if message.term > self.term:
             if kind is VoteResponse and message.given:
                 return self.count("garbled")
-            self.adopt(now, message.term)
+            self.adopt_term(now, message.term)
         if kind in (AppendEntries, SnapshotChunk):
             if message.term < self.term:
                 if kind is AppendEntries:
@@ -111,46 +122,47 @@
             if self.role == LEADER or self.leader not in ("", message.sender):
                 return self.count("garbled")
             self.follow(now, message)
-            follower_state = self.follower_state
-            return (
-                follower_state.append(now, message) if kind is AppendEntries else follower_state.part(message)
-            )
+            state = self.follower_state
+            return state.handle_append(now, message) if kind is AppendEntries else state.handle_chunk(message)
         if kind is VoteResponse:
             if self.candidacy is not None:
-                self.candidacy.ballot(now, message)
+                self.candidacy.handle_response(now, message)
             return
         if message.term < self.term:
             return
         if kind is TimeoutNow:
-            take_over(self, now, message)
+            handle_timeout_now(self, now, message)
         elif self.leader_state is not None:
-            self.leader_state.appended(now, message)
+            self.leader_state.handle_response(now, message)
 
     def propose(self, now, wall_ms, data, ticket):
-        """A command to be committed. Ends by `door.answer` or `door.refuse`, exactly one."""
+        """Proposes a command. The call ends by exactly one of `door.answer` and `door.refuse`."""
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
         self.leader_state.propose(now, wall_ms, data, ticket)
 
     def read(self, now, ticket):
-        """A read as of now (linearizable, 6.4). Ends by `door.readable` or `door.refuse`."""
+        """Starts a linearizable read (6.4). It ends by `door.readable` or `door.refuse`."""
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
         self.leader_state.read(ticket)
 
-    def change(self, now, members, ticket):
-        """Other members: one seat more, less or changed. A new one comes as a learner and is given its
-        vote by the leader itself once it has caught up. Ends as `propose` does."""
+    def change_members(self, now, members, ticket):
+        """Changes the membership: one member more, less or changed.
+
+        A new member is added as a learner; the leader gives it its vote once it has caught up. The call ends
+        as `propose` does.
+        """
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
-        self.leader_state.change(now, members, ticket)
+        self.leader_state.change_members(now, members, ticket)
 
     def hand_over(self, now, to=""):
-        """Leadership goes to the named voter, else the one that is furthest (3.10); nothing where this
-        does not lead."""
+        """Transfers leadership to the named voter, or to the one with the most entries (3.10). Does nothing
+        if this member does not lead."""
         self.tick(now)
         if self.leader_state is not None:
             self.leader_state.hand_over(now, to)
@@ -162,68 +174,69 @@
             return
         base = self.pending_writes.written(number)
         if base is not None:
-            self.install(base)
-        for key in [key for key, (after, _) in self.held.items() if after <= self.pending_writes.done]:
-            self.put(self.held.pop(key)[1])
+            self.install_snapshot(base)
+        for key in [
+            key for key, (after, _) in self.held_messages.items() if after <= self.pending_writes.done
+        ]:
+            self.enqueue(self.held_messages.pop(key)[1])
         if self.leader_state is not None:
-            return self.leader_state.settle(now)
+            return self.leader_state.advance_commit(now)
         if self.candidacy is not None:
-            return self.candidacy.elect(now)
+            return self.candidacy.count_votes(now)
         if self.leader:
             self.follower_state.written()
 
     def disk_failed(self, now, why):
-        """The disk failed: this member gives leadership up, votes for nobody and acknowledges nothing any
-        more."""
+        """The disk failed. From now on this member does not lead, vote or acknowledge anything."""
         self.tick(now)
         if self.failed:
             return
         self.failed = why or "the disk failed"
         self.step_down(now)
-        for _, ticket, _ in self.tickets:
+        for _, ticket, _ in self.committed_tickets:
             self.refuse(ticket, UNKNOWN)
-        self.tickets.clear()
-        self.out.clear()
-        self.held.clear()
-        self.follower_state.parts.clear()
+        self.committed_tickets.clear()
+        self.outbox.clear()
+        self.held_messages.clear()
+        self.follower_state.chunks.clear()
 
     def sends_snapshot(self):
-        """Whether a peer that answers is being sent the snapshot: a newer one had better wait, since it
-        would begin anew."""
+        """Whether a responding peer is being sent the snapshot. A newer snapshot should then wait, because
+        the transfer would start again."""
         return self.leader_state is not None and self.leader_state.sends_snapshot(self.now)
 
     def compacted(self, now, base):
-        """The host holds a snapshot of the state as of `base` on disk: entries up to it need not be kept."""
+        """The host has a snapshot at `base` on disk, so the entries up to it need not be kept."""
         self.tick(now)
         if not self.base.index < base.index <= self.applied:
             return
         self.base = base
         self.pending_writes.on_disk = max(self.pending_writes.on_disk, base.index)
-        self.trim()
+        self.trim_log()
 
     # ---- decisions
 
     def decide(self, now, door):
-        """Does one thing; whether it did."""
+        """Does one thing through the host. Returns whether there was anything to do."""
         self.tick(now)
-        if self.ends:
-            self.end(door)
+        if self.results:
+            self.deliver_result(door)
             return True
         if self.failed:
             return False
         if self.leader_state is not None:
             if self.leader_state.decide(now, door):
                 return True
-        elif now >= self.deadline:
-            stand(self, now)
+        elif now >= self.election_deadline:
+            start_pre_vote(self, now)
             return True
         elif self.candidacy is not None and self.candidacy.decide(now):
             return True
-        if self.out:
-            door.send(self.out.popleft())
+        if self.outbox:
+            door.send(self.outbox.popleft())
             return True
-        if self.follower_state.parts:
-            door.receive_chunk(self.follower_state.parts.popleft())
+        if self.follower_state.chunks:
+            door.receive_chunk(self.follower_state.chunks.popleft())
             return True
         write = self.pending_writes.take(now, self.term, self.voted, self.log)
         if write is not None:
@@ -232,21 +245,24 @@
         return self.commit(now, door)
 
     def wake_at(self):
-        """The moment at which to ask again though nothing happened. Never later than half an election time:
-        a longer silence of the host itself is how it shows that it was stalled."""
+        """Returns when to call `decide` again even if nothing happens.
+
+        It is never later than half an election timeout: a longer gap between calls shows that the host was
+        stalled.
+        """
         latest = self.now + self.config.election // 2
-        if self.ends:
+        if self.results:
             return self.now
         if self.failed:
             return latest
         if self.leader_state is not None:
             return min(latest, self.leader_state.wake_at())
         if self.candidacy is not None:
-            latest = min(latest, self.candidacy.again)
-        return min(latest, self.deadline)
+            latest = min(latest, self.candidacy.repeat_at)
+        return min(latest, self.election_deadline)
 
-    def end(self, door):
-        index, ticket, outcome, leader = self.ends.popleft()
+    def deliver_result(self, door):
+        index, ticket, outcome, leader = self.results.popleft()
         if outcome:
             door.refuse(ticket, outcome, leader)
         elif index:
@@ -255,16 +271,17 @@
             door.readable(ticket)
 
     def commit(self, now, door):
-        """Entries that are committed and given to the disk (so that no snapshot gets there before them)."""
-        upto = min(self.committed, self.pending_writes.submitted, self.applied + MOST_COMMIT)
+        """Applies entries that are committed and submitted to the disk, so that no snapshot of them gets to
+        the disk first."""
+        upto = min(self.committed, self.pending_writes.submitted, self.applied + MAX_COMMIT_ENTRIES)
         if upto <= self.applied or self.pending_writes.base is not None:
             return False
         entries = self.log.slice(self.applied + 1, upto - self.applied)
         self.applied = upto
         door.commit(entries)
-        while self.tickets and self.tickets[0][0] <= upto:
-            index, ticket, _ = self.tickets.popleft()
-            self.ends.append((index, ticket, "", ""))
+        while self.committed_tickets and self.committed_tickets[0][0] <= upto:
+            index, ticket, _ = self.committed_tickets.popleft()
+            self.results.append((index, ticket, "", ""))
         if self.leader_state is not None:
             self.leader_state.applied(upto)
         self.follower_state.applied()
@@ -273,83 +290,94 @@
     # ---- time
 
     def tick(self, now):
-        """With each call. A gap longer than the election time says that this process was stalled: a leader
-        may have been replaced meanwhile, and what a follower missed is no silence of the leader's."""
+        """Notes the time of a call.
+
+        A gap longer than the election timeout means that this process was stalled. A leader may have been
+        replaced meanwhile, so it steps down; a follower missed messages, so it does not count the gap as
+        silence of its leader.
+        """
         gap, self.now = now - self.now, max(now, self.now)
         if gap > self.config.election:
             self.count("stalled")
             self.step_down(now)
-            self.listen(now)
+            self.reset_election_timer(now)
 
-    def listen(self, now):
-        """A full election time, and up to as much again, before this member stands."""
-        self.deadline = now + self.config.election + self.chance.randrange(max(self.config.election, 1))
+    def reset_election_timer(self, now):
+        """Sets the election deadline to between one and two election timeouts from now."""
+        self.election_deadline = now + self.config.election + self.rng.randrange(max(self.config.election, 1))
 
-    # ---- who is who
+    # ---- membership
 
     def accepts(self, message):
-        """Against another cluster's messages, those for another folder under this name, and a machine that
-        lost its disk and speaks under its old name. An unknown sender is heard: it may lead a cluster whose
-        newest members are not yet known here."""
+        """Whether a message is for this member and may be trusted.
+
+        Rejected are messages of another cluster, those for another folder under this name, and those of a
+        machine that lost its disk and uses its old name. An unknown sender is accepted: it may lead a
+        cluster whose newest members are not yet known here.
+        """
         config = self.config
         if (message.cluster, message.to, message.to_seal) != (config.cluster, config.name, config.folder):
             return False
-        seat = self.members.get(message.sender)
+        member = self.members.get(message.sender)
         return (
             message.sender != config.name
-            and (seat is None or seat.folder == message.seal)
-            and 0 <= message.term < BIGGEST
+            and (member is None or member.folder == message.seal)
+            and 0 <= message.term < MAX_INTEGER
         )
 
     def refresh_members(self):
-        """After the newest MEMBERS entry in the log has changed: it counts from then on (4.1)."""
+        """Updates the membership after the newest MEMBERS entry of the log has changed. The entry counts from
+        then on, even before it is committed (4.1)."""
         self.members = self.log.memberships[-1][1]
-        self.voters = [name for name, seat in self.members.items() if seat.votes]
+        self.voters = [name for name, member in self.members.items() if member.votes]
         self.quorum = len(self.voters) // 2 + 1
         if self.role not in (LEADER, CANDIDATE):
-            self.role = self.rest()
+            self.role = self.resting_role()
 
     def own_membership(self, members):
-        seat = members.get(self.name)
-        return seat if seat is not None and seat.folder == self.config.folder else None
+        member = members.get(self.name)
+        return member if member is not None and member.folder == self.config.folder else None
 
-    def votes(self):
-        seat = self.own_membership(self.members)
-        return seat is not None and seat.votes
+    def is_voter(self):
+        member = self.own_membership(self.members)
+        return member is not None and member.votes
 
-    def changing(self):
+    def is_changing_members(self):
         """Whether the newest MEMBERS entry is not known to be committed."""
         return self.log.memberships[-1][0] > self.committed
 
     def may_stand(self):
-        """A voter; one whose removal is not known to be committed may still be needed (4.2.2)."""
+        """Whether it may become a candidate: a voter may, and also one whose removal is not known to be
+        committed, because it may still be needed (4.2.2)."""
         if self.failed or self.pending_writes.base is not None:
             return False
-        return self.votes() or self.voted_before()
+        return self.is_voter() or self.was_voter()
 
-    def voted_before(self):
-        """Whether it had a vote before the change of members that is under way."""
-        if not self.changing() or len(self.log.memberships) < 2:
+    def was_voter(self):
+        """Whether it had a vote before the membership change in progress."""
+        if not self.is_changing_members() or len(self.log.memberships) < 2:
             return False
-        seat = self.own_membership(self.log.memberships[-2][1])
-        return seat is not None and seat.votes
+        member = self.own_membership(self.log.memberships[-2][1])
+        return member is not None and member.votes
 
-    def rest(self):
-        """The role of one that neither leads nor stands. A removed one counts as a learner."""
-        if self.failed or self.votes() or self.voted_before():
+    def resting_role(self):
+        """Returns the role of a member that is neither leader nor candidate. A removed one is a learner."""
+        if self.failed or self.is_voter() or self.was_voter():
             return FOLLOWER
         return LEARNER if self.own_membership(self.members) is not None or self.log.last else OUTSIDE
 
-    def majority(self, of, own):
-        """The greatest figure that a majority of the voters have reached: `of(name)`, one's own `own`."""
-        figures = [own if name == self.name else of(name) for name in self.voters]
-        figures.sort(reverse=True)
-        return figures[self.quorum - 1] if figures else 0
+    def majority(self, value_of, own):
+        """Returns the greatest value that a majority of the voters have reached. `value_of(name)` is that of
+        another voter, `own` that of this member."""
+        values = [own if name == self.name else value_of(name) for name in self.voters]
+        values.sort(reverse=True)
+        return values[self.quorum - 1] if values else 0
 
-    # ---- messages out
+    # ---- outgoing messages
 
     def reply(self, message, kind, after=None, **fields):
-        """An answer, once the Write that it rests on is on disk; at least the one that moved the term."""
+        """Sends a response once the Write that it depends on is on disk. By default that is the Write with
+        the current term and vote."""
         config = self.config
         made = kind(
             config.cluster, config.name, config.folder, message.sender, message.seal, self.term, **fields
@@ -357,97 +385,100 @@
         self.post(made, after)
 
     def post(self, message, after=None):
-        after = self.term_after if after is None else after
+        """Sends a message, or holds it until the Write with the number `after` is on disk."""
+        after = self.term_write if after is None else after
         if after <= self.pending_writes.done:
-            return self.put(message)
+            return self.enqueue(message)
         key = type(message), message.to, getattr(message, "early", False)
-        if key in self.held or len(self.held) < MOST_OUT:
-            self.held[key] = after, message
+        if key in self.held_messages or len(self.held_messages) < MAX_QUEUED_MESSAGES:
+            self.held_messages[key] = after, message
         else:
             self.count("lost: messages held")
 
-    def put(self, message):
-        if len(self.out) >= MOST_OUT:
+    def enqueue(self, message):
+        if len(self.outbox) >= MAX_QUEUED_MESSAGES:
             self.count("lost: messages out")
-            self.out.popleft()
-        self.out.append(message)
+            self.outbox.popleft()
+        self.outbox.append(message)
 
     def refuse(self, ticket, outcome):
-        self.ends.append((0, ticket, outcome, self.leader if self.leader != self.name else ""))
+        self.results.append((0, ticket, outcome, self.leader if self.leader != self.name else ""))
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
 
     # ---- terms
 
-    def adopt(self, now, term):
-        """A newer term: whatever this member was in the old one, it no longer is."""
+    def adopt_term(self, now, term):
+        """Moves to a newer term, in which this member has no role yet."""
         self.step_down(now)
-        self.begin(term, "")
+        self.begin_term(term, "")
 
-    def begin(self, term, voted):
+    def begin_term(self, term, voted):
         self.term, self.voted, self.voted_seal = term, voted, self.config.folder if voted else ""
-        self.pending_writes.marked, self.term_after = True, self.pending_writes.next
-        self.held.clear()
+        self.pending_writes.vote_changed, self.term_write = True, self.pending_writes.next_number
+        self.held_messages.clear()
         self.leader = ""
-        self.follower_state.begin()
+        self.follower_state.begin_term()
 
-    def vote(self, now, message):
-        """One vote a term. The ballot goes out once it is on disk."""
+    def grant_vote(self, now, message):
+        """Gives the one vote of this term. The response goes out once the vote is on disk."""
         self.voted, self.voted_seal = message.sender, message.seal
-        self.pending_writes.marked, self.term_after = True, self.pending_writes.next
-        self.listen(now)
+        self.pending_writes.vote_changed, self.term_write = True, self.pending_writes.next_number
+        self.reset_election_timer(now)
 
     def step_down(self, now):
-        """To follower; whoever waits is refused."""
+        """Stops leading or standing and refuses the calls that wait."""
         leader_state, self.leader_state, self.candidacy = self.leader_state, None, None
         if leader_state is not None:
             self.leader = ""
-            self.tickets.extend(leader_state.close())
+            self.committed_tickets.extend(leader_state.close())
         if self.role in (LEADER, CANDIDATE):
-            self.listen(now)
-        self.role = self.rest()
+            self.reset_election_timer(now)
+        self.role = self.resting_role()
 
     def follow(self, now, message):
+        """Notes contact with the leader of this term."""
         if self.candidacy is not None:
             self.step_down(now)
-        self.leader, self.leader_seal, self.heard_leader = message.sender, message.seal, now
-        self.listen(now)
+        self.leader, self.leader_seal, self.last_leader_contact = message.sender, message.seal, now
+        self.reset_election_timer(now)
 
     # ---- snapshots
 
-    def install(self, base):
-        """The snapshot is on disk and in force."""
-        log, pending_writes = self.log, self.pending_writes
-        pending_writes.base = None
+    def install_snapshot(self, base):
+        """The received snapshot is on disk and in force."""
+        log, writes = self.log, self.pending_writes
+        writes.base = None
         if log.term(base.index) == base.term:
-            later = [kept for kept in log.memberships if kept[0] > base.index]
+            later = [known for known in log.memberships if known[0] > base.index]
             log.memberships = [(base.index, dict(base.members)), *later]
         else:
-            self.log, pending_writes.submitted, pending_writes.on_disk, pending_writes.cutting = (
+            self.log, writes.submitted, writes.on_disk, writes.truncate_from = (
                 Log(base),
                 base.index,
                 base.index,
                 None,
             )
-        pending_writes.submitted, pending_writes.on_disk = (
-            max(pending_writes.submitted, base.index),
-            max(pending_writes.on_disk, base.index),
-        )
+        writes.submitted, writes.on_disk = max(writes.submitted, base.index), max(writes.on_disk, base.index)
         self.base = base
         self.committed = max(self.committed, base.index)
         self.applied = max(self.applied, base.index)
         self.follower_state.verified = max(self.follower_state.verified, base.index)
-        while self.tickets and self.tickets[0][0] <= base.index:  # what they came to is not known here
-            self.refuse(self.tickets.popleft()[1], UNKNOWN)
+        # The answers of these entries are not known here.
+        while self.committed_tickets and self.committed_tickets[0][0] <= base.index:
+            self.refuse(self.committed_tickets.popleft()[1], UNKNOWN)
         self.refresh_members()
-        self.trim()
+        self.trim_log()
 
-    def trim(self):
-        """Drops what is too far behind the snapshot, but not what a peer that answers will want next: else
-        one that lags under load is sent snapshot after snapshot."""
+    def trim_log(self):
+        """Drops entries that are far behind the snapshot, except those that a responding peer needs next.
+        Otherwise a peer that lags under load would be sent one snapshot after another."""
         keep = self.config.keep
         upto = self.base.index - keep
         if self.leader_state is not None:
-            upto = max(min(upto, self.leader_state.needed(self.now)), self.base.index - STRETCH * keep)
-        self.log.drop(upto, self.base)
+            upto = max(
+                min(upto, self.leader_state.needed_index(self.now)),
+                self.base.index - MAX_KEEP_FACTOR * keep,
+            )
+        self.log.discard_through(upto, self.base)
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -100,10 +100,10 @@
 
 def elected(replica, host, now=None, sync=True):
     """Makes it the leader of the next term by its peers' ballots; the moment of it."""
-    now = now or replica.deadline
+    now = now or replica.election_deadline
     for at in range(replica.now, now, ELECTION // 2):
         replica.tick(at)
-    replica.deadline = now
+    replica.election_deadline = now
     host.pull(replica, now, sync=True)
     for early in (True, False):
         for name in replica.voters:
@@ -288,7 +288,7 @@
         """The name of the one that leads in the greatest term and has an entry of it committed."""
         up = [m.replica for m in self.members.values() if m.up and not m.frozen]
         best = max((one for one in up if one.role == r.LEADER), key=lambda one: one.term, default=None)
-        if best is not None and best.leader_state.first <= best.committed:
+        if best is not None and best.leader_state.first_index <= best.committed:
             return best.name
         return None
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -124,7 +124,7 @@
     """Lets the time run until it stands."""
     now = replica.now
     while replica.role == r.FOLLOWER:
-        now = min(now + ELECTION // 2, max(replica.deadline, now + 1))
+        now = min(now + ELECTION // 2, max(replica.election_deadline, now + 1))
         host.pull(replica, now, sync)
     return now
 
@@ -525,7 +525,7 @@
     elif call == "read":
         replica.read(now, ticket)
     else:
-        replica.change(now, seats("abcd", "d"), ticket)
+        replica.change_members(now, seats("abcd", "d"), ticket)
 
 
 @pytest.mark.parametrize("call, bound", [("propose", {"uncommitted": 5}), ("read", {"waiting": 5})])
@@ -671,7 +671,7 @@
     later = NOW + 5 * ELECTION
     assert host.pull(replica, later) == []
     assert replica.role == r.FOLLOWER
-    assert replica.deadline >= later + ELECTION
+    assert replica.election_deadline >= later + ELECTION
 
 
 def test_asked_again_by_wake_at_alone_nobody_takes_itself_for_stalled():
@@ -751,11 +751,11 @@
         ack(replica, now, "c")
     more = "d"
     if state == "another under way":
-        replica.change(now, seats("abcd", "d"), "first")
+        replica.change_members(now, seats("abcd", "d"), "first")
         more = "de"
     if state == "handing over":
         replica.hand_over(now)
-    replica.change(now, seats("abc" + more, more), "t")
+    replica.change_members(now, seats("abc" + more, more), "t")
     host.pull(replica, now)
     if state == "open":
         assert replica.members == seats("abcd", "d")  # effective when appended
@@ -777,7 +777,7 @@
     for at in range(50):
         net.propose(at)
     net.add("d")
-    net.lead().change(net.now, seats("abcd", "d"), "add")
+    net.lead().change_members(net.now, seats("abcd", "d"), "add")
     net.run(lambda: net["d"].role == r.FOLLOWER)
     assert net.ends["add"]
     net.run(lambda: net.lead().members == seats("abcd") and net.same())
@@ -785,17 +785,17 @@
 
 def test_a_learner_that_does_not_answer_gets_none_and_may_be_removed():
     net = Net()
-    net.lead().change(net.now, seats("abcd", "d"), "add")
+    net.lead().change_members(net.now, seats("abcd", "d"), "add")
     net.pause(3000)
     assert net.lead().members == seats("abcd", "d")
-    net.lead().change(net.now, seats(), "remove")
+    net.lead().change_members(net.now, seats(), "remove")
     net.run(lambda: "remove" in net.ends)
     assert isinstance(net.ends["remove"], int)
 
 
 def test_a_leader_that_is_removed_leads_until_that_is_committed():
     replica, host, now = leading()
-    replica.change(now, seats("bc"), "t")
+    replica.change_members(now, seats("bc"), "t")
     host.pull(replica, now)
     ack(replica, now, "b")
     host.pull(replica, now)
@@ -810,7 +810,7 @@
     net = Net("abcd")
     old = net.lead()
     rest = "".join(name for name in "abcd" if name != old.name)
-    old.change(net.now, seats(rest), "t")
+    old.change_members(net.now, seats(rest), "t")
     net.run(lambda: net.leader() not in (None, old.name), within=ELECTION // MS)
     term = net.lead().term
     net.pause(6000)
@@ -862,7 +862,7 @@
 def test_nothing_is_handed_to_who_has_no_vote_or_already_leads(to):
     replica, host, now = leading(names="abcd", learners="d")
     replica.hand_over(now, to)
-    assert replica.leader_state.handing is None
+    assert replica.leader_state.transfer is None
 
 
 def test_only_the_leader_that_is_known_may_hand_over():
@@ -1020,7 +1020,7 @@
     lagging(net)
     net.cuts = set()
     net.add("d")
-    net.lead().change(net.now, seats("abcd", "d"), "add")
+    net.lead().change_members(net.now, seats("abcd", "d"), "add")
     net.run(lambda: net["d"].role == r.FOLLOWER and net.same())
 
 
@@ -1045,7 +1045,7 @@
     """All stand at the same moment, again and again, until chance parts them."""
     net = Net(names, seed=3)
     for member in net.members.values():
-        member.replica.deadline = NOW + 5 * MS
+        member.replica.election_deadline = NOW + 5 * MS
     net.run(net.leader, within=10_000)
     assert sum(member.replica.counts.get("stood", 0) for member in net.members.values()) >= len(names)
 
@@ -1198,14 +1198,14 @@
 def test_the_log_knows_its_terms_through_cuts_and_drops(held, cut, drop):
     log, base = Log(r.SnapshotBase(1, 1, seats()), entries(held)), 1
     base = min(drop, log.last)
-    log.drop(base, r.SnapshotBase(base, 1, seats()))
+    log.discard_through(base, r.SnapshotBase(base, 1, seats()))
     if log.first <= cut <= log.last:
-        log.cut(cut)
+        log.truncate(cut)
     log.extend(entries([9, 9], log.last + 1))
     kept = [*held[: log.last - 3], 9, 9]
     for index in range(log.first, log.last + 1):
         assert log.term(index) == kept[index - 2]
-        start = log.run_start(index)
+        start = log.term_run_start(index)
         run = [log.term(other) for other in range(start, index + 1)]
         assert set(run) == {log.term(index)}
         assert start == log.first or log.term(start - 1) != log.term(index)
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -77,7 +77,7 @@
     """Votes go out before they are on disk."""
 
     def post(self, message, after=None):
-        self.put(message)
+        self.enqueue(message)
 
 
 class CountsOwnUnsynced(Replica):
@@ -100,12 +100,12 @@
 
 
 class CommitsOldTerms(LeaderState):
-    def settle(self, now):
+    def advance_commit(self, now):
         """As the office does, but for the term of the entry."""
         replica = self.replica
-        index = replica.majority(lambda name: self.peers[name].match, replica.pending_writes.on_disk)
+        index = replica.majority(lambda name: self.peers[name].match_index, replica.pending_writes.on_disk)
         if index > replica.committed:
-            replica.committed, self.moved = index, now
+            replica.committed, self.commit_advanced_at = index, now
 
 
 class CountsLearners(Replica):
@@ -113,7 +113,7 @@
 
     def decide(self, now, door):
         if self.leader_state is not None:
-            self.leader_state.promote = lambda now: False
+            self.leader_state.promote_learner = lambda now: False
         return super().decide(now, door)
 
     def majority(self, of, own):
@@ -140,24 +140,24 @@
         self.now = max(now, self.now)
 
     def decide(self, now, door):
-        self.check = now + self.config.election
+        self.quorum_check_due = now + self.config.election
         return super().decide(now, door)
 
-    def confirm(self):
-        super().confirm()
-        self.confirmed = self.round
+    def confirm_rounds(self):
+        super().confirm_rounds()
+        self.confirmed_round = self.round
 
 
 class CutsWhatItHas(FollowerState):
     """A late repeat cuts off what came after it."""
 
-    def take(self, prev, entries):
+    def store(self, prev, entries):
         replica = self.replica
         if prev + 1 >= replica.log.first and entries[0].index <= replica.log.last:
-            replica.log.cut(entries[0].index)
-            replica.pending_writes.cut(entries[0].index)
+            replica.log.truncate(entries[0].index)
+            replica.pending_writes.truncate(entries[0].index)
             replica.refresh_members()
-        return super().take(prev, entries)
+        return super().store(prev, entries)
 
 
 class SeatsWithoutFolder(Replica):
@@ -176,7 +176,7 @@
 
 
 class TakesNoSnapshot(FollowerState):
-    def part(self, message):
+    def handle_chunk(self, message):
         return None
 
 
