--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -1,9 +1,9 @@
-"""A member's dispatcher: the replica, the state that it applies to, whoever waits for an answer, and a
-leader's duties.
+"""A member's dispatcher: its replica, the state that entries are applied to, the calls that wait for answers,
+and the leader tasks.
 
-Pure: a process and the simulator host the very same. Inputs only update what is known; `decide(now, door)`
-is called until it returns False. The door is the host's: it sends, writes, answers, and nothing of it
-waits."""
+It is pure: a process and the simulator host the same code. Inputs only update state; the host then calls
+`decide(now, door)` until it returns False. `door` is a DispatcherHost, which sends, writes and answers.
+"""
 
 from collections import deque
 from dataclasses import dataclass
@@ -20,17 +20,17 @@
 from .replica import Replica
 from .state import Command, State
 
-SNAPSHOT_INTERVAL = 4096  # entries applied since the last snapshot, or as many as that one has records
-MAX_SNAPSHOT_INTERVAL = 32_768  # entries, which a start has to go through; however many records there are
-MAX_LOG_BYTES = 64 * 1024 * 1024  # bytes of entries, which are in memory; however few they are
-MAX_TRANSFER_FACTOR = 4  # times as many, while a peer is being sent the last one
-MAX_POLLS = 2000  # calls that wait for the next change; past it one is answered at once
-REFUSED_TASK_DELAY_NS = 1_000_000_000  # before a duty's command that the rules refused is proposed again
+SNAPSHOT_INTERVAL = 4096  # entries applied between snapshots; more if the last snapshot has more records
+MAX_SNAPSHOT_INTERVAL = 32_768  # entries that a start has to apply at most, however many records there are
+MAX_LOG_BYTES = 64 * 1024 * 1024  # of entries in memory; beyond it a snapshot is taken, however few there are
+MAX_TRANSFER_FACTOR = 4  # times these intervals while a peer is being sent the last snapshot
+MAX_POLLS = 2000  # calls that wait for the next change; beyond it a call is answered at once
+REFUSED_TASK_DELAY_NS = 1_000_000_000  # before a leader task may propose again after a refused command
 
 
 class DispatcherHost(Protocol):
-    """What a dispatcher asks of its host. `send`, `write`, `send_part`, `take_part` are as in
-    `records.Door`."""
+    """The callbacks of a dispatcher's host. None of them blocks. `send`, `write`, `send_chunk` and
+    `receive_chunk` are as in `records.ReplicaHost`."""
 
     def send(self, message) -> None: ...
     def write(self, write: Write) -> None: ...
@@ -38,29 +38,31 @@
     def receive_chunk(self, message) -> None: ...
 
     def answer(self, ticket, code: int, body: dict) -> None:
-        """The one answer to a `command`: 200, 400, 409, or 503 with `outcome` and `leader`."""
+        """Answers a `command`: 200, 400, 409, or 503 with `outcome` and `leader`."""
 
     def readable(self, ticket, state: State | None, leader: str) -> None:
-        """The one answer to a `read`: a state that is no older than the call, or None where it can't be
-        had."""
+        """Answers a `read` with a state that is no older than the call, or with None if there is none."""
 
     def polled(self, ticket, events, at: int, state: State | None, leader: str) -> None:
-        """The one answer to a `poll`. `events`: list of (index, {(part, key): record or None}) up to `at`, of
-        the parts asked for; where they are kept no more, None and the whole `state`; both None where another
-        member, `leader`, has to be asked."""
+        """Answers a `poll`.
+
+        `events` is a list of (index, {(part, key): record or None}) up to `at`, of the parts asked for. If
+        they are no longer kept, `events` is None and `state` is the whole state. Both are None if another
+        member, `leader`, has to be asked.
+        """
 
     def snapshot(self, state: State, base: SnapshotBase) -> None:
-        """To be brought to disk without stopping anything; then `Dispatcher.snapshot_kept(now, base)`."""
+        """Writes a snapshot to disk in the background, then calls `Dispatcher.snapshot_kept(now, base)`."""
 
     def call(self, call: "Call") -> None:
-        """A command for another cluster; then `Dispatcher.called(now, call, code, body)`, code 0 where none
-        came."""
+        """Sends a command to another cluster, then calls `Dispatcher.called(now, call, code, body)`. The code
+        is 0 if no answer came."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What a leader's duty asks of another cluster. The same `data` may be sent more than once: its id
-    makes it one."""
+    """A leader task's command for another cluster. The same `data` may be sent more than once; the id in it
+    makes the command take effect once."""
 
     cluster: str
     data: bytes
@@ -68,9 +70,12 @@
 
 
 class LeaderTask(Protocol):
-    """What a leader does unasked. `next` gives a Command to propose, a Call, or None; it is asked again
-    once its last command is answered and whenever the state has changed or `wake_at` has come. It keeps
-    nothing that a new leader would miss: all that counts is in the state."""
+    """Work that a leader does on its own.
+
+    `next` returns a Command to propose, a Call, or None. It is called again once its last command is
+    answered, and whenever the state has changed or `wake_at` has passed. A task keeps nothing that a new
+    leader would need: all of that is in the state.
+    """
 
     def became_leader(self, now) -> None: ...
     def next(self, now, wall_ms, state, followers): ...
@@ -79,40 +84,42 @@
 
 
 class Dispatcher:
-    def __init__(self, config, kept, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_INTERVAL):
+    """Connects a replica with the state, the waiting calls and the leader tasks."""
+
+    def __init__(self, config, stored, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_INTERVAL):
         self.config, self.ledger, self.state, self.leader_tasks = config, ledger, state, list(leader_tasks)
-        self.replica = Replica(config, kept, now)
+        self.replica = Replica(config, stored, now)
         self.wall_ms, self.now, self.snapshot_every = 0, now, snapshot_every
         self.polls = Polls(state.index)
-        self.done = deque()  # answers that are ready: functions of the door
-        self.codes = {}  # index to (code, body) of entries applied in this turn
-        self.proposing = {}  # duty to the moment from which it may propose again; NEVER while one is out
-        self.snapshotting, self.since = None, kept.base.index
-        self.records = state.records  # of the last snapshot
-        self.log_bytes = 0  # of the entries applied since it was begun
-        self.leader_term = 0  # the term in which the duties were told that this member leads
+        self.ready_answers = deque()  # functions that take the host
+        self.results = {}  # index to (code, body) of entries applied in this turn
+        self.may_propose_at = {}  # leader task to the earliest time; NEVER while a command is pending
+        self.snapshot_in_progress, self.snapshot_index = None, stored.base.index
+        self.snapshot_records = state.records  # number of records in the last snapshot
+        self.log_bytes = 0  # of the entries applied since the last snapshot was started
+        self.leader_term = 0  # the term in which the leader tasks were started
         self.followers = Followers()
         self.counts = {}
 
     # ---- inputs
 
     def set_clocks(self, now, wall_ms):
-        """With each turn of the host: the clocks. `wall_ms`: Unix time."""
+        """Sets the clocks at each turn of the host. `wall_ms` is Unix time in milliseconds."""
         self.now, self.wall_ms = now, wall_ms
 
     def receive(self, now, message):
         self.replica.receive(now, message)
 
     def command(self, now, data, ticket):
-        """A client's command; its one answer comes through the door."""
+        """Handles a client's command, which is answered once through the host."""
         try:
             command = self.ledger.read(data, outside=True)
         except Senseless as error:
             body = {"error": error.read()}
-            return self.done.append(lambda door: door.answer(ticket, 400, body))
+            return self.ready_answers.append(lambda door: door.answer(ticket, 400, body))
         before = self.state.answers.get(command.id)
         if before is not None and before.moment + self.state.settings.remember > self.state.moment:
-            return self.done.append(lambda door: door.answer(ticket, before.code, before.body))
+            return self.ready_answers.append(lambda door: door.answer(ticket, before.code, before.body))
         if self.state.full:
             self.count("turned away: ids")
             return self.refuse(ticket, NOT_DONE, self.replica.leader)
@@ -122,14 +129,17 @@
         self.replica.read(now, Read(ticket))
 
     def poll(self, now, after, gateway, ticket, since=0, parts=()):
-        """The changes after an index, of these parts or of all; the next of another part wakes nobody. A
-        `gateway` (its name, or empty) that polls has obeyed all up to it; it is the leader that hears it.
-        `since`: the index that its `follow` was answered at. Of another stay than the ledger's, a poll tells
-        nothing: it may be a late one of an earlier process of that name."""
+        """Waits for changes after an index, of these parts or of all; changes of other parts don't end it.
+
+        `gateway` is empty or the name of a gateway that has applied all changes up to `after`; only the
+        leader keeps track of that. `since` is the index of the gateway's `follow` command. If it differs from
+        the ledger's record, the poll may be a late one of an earlier process of that name, and does not count
+        as an acknowledgement.
+        """
         if gateway:
             if self.replica.role != LEADER:
                 leader = self.replica.leader
-                return self.done.append(lambda door: door.polled(ticket, None, 0, None, leader))
+                return self.ready_answers.append(lambda door: door.polled(ticket, None, 0, None, leader))
             row = self.state.part("followers").get(gateway)
             if row is not None and row.since == since:
                 self.followers.polled(now, gateway, after, since)
@@ -137,13 +147,15 @@
                 self.count("polls of another stay")
         if len(self.polls) >= MAX_POLLS:
             self.count("polls answered at once")
-            return self.done.append(lambda door: self.answer_poll(Poll(now, after, ticket, parts), door))
+            return self.ready_answers.append(
+                lambda door: self.answer_poll(Poll(now, after, ticket, parts), door)
+            )
         self.polls.wait(now, after, ticket, parts)
 
     def written(self, now, number, state=None):
-        """`state`: that of the snapshot which this write put in force, where it did."""
+        """The disk holds this Write. `state` is that of the snapshot that the Write put in force, if any."""
         if state is not None and state.index > self.state.index:
-            self.state, self.since, self.records = state, state.index, state.records
+            self.state, self.snapshot_index, self.snapshot_records = state, state.index, state.records
             self.polls.restart(state.index)
         self.replica.written(now, number)
 
@@ -151,12 +163,12 @@
         self.replica.disk_failed(now, why)
 
     def snapshot_kept(self, now, base):
-        self.snapshotting, self.since = None, max(self.since, base.index)
+        self.snapshot_in_progress, self.snapshot_index = None, max(self.snapshot_index, base.index)
         self.replica.compacted(now, base)
 
     def called(self, now, call, code, body):
         call.task.called(now, call, code, body)
-        self.proposing.pop(call.task, None)
+        self.may_propose_at.pop(call.task, None)
 
     def hand_over(self, now, to=""):
         self.replica.hand_over(now, to)
@@ -164,14 +176,15 @@
     # ---- decisions
 
     def decide(self, now, door):
-        if self.done:
-            self.done.popleft()(door)
+        """Does one thing through the host. Returns whether there was anything to do."""
+        if self.ready_answers:
+            self.ready_answers.popleft()(door)
             return True
-        if self.replica.decide(now, Through(self, door)):
+        if self.replica.decide(now, ReplicaHostAdapter(self, door)):
             return True
-        if self.codes:
-            self.codes.clear()
-        return self.answer_polls(now, door) or self.take_snapshot(door) or self.do_duties(now, door)
+        if self.results:
+            self.results.clear()
+        return self.answer_polls(now, door) or self.take_snapshot(door) or self.run_leader_tasks(now, door)
 
     def answer_polls(self, now, door):
         poll = self.polls.next(now)
@@ -180,40 +193,46 @@
         return poll is not None
 
     def answer_poll(self, poll, door):
-        events, at, leader = self.polls.news(poll), self.state.index, self.replica.leader
+        events, at, leader = self.polls.changes_for(poll), self.state.index, self.replica.leader
         door.polled(poll.ticket, events, at, self.state if events is None else None, leader)
 
     def take_snapshot(self, door):
-        applied = self.state.index - self.since
-        if self.snapshotting is not None or applied < self.snapshot_every and self.log_bytes < MAX_LOG_BYTES:
+        """Starts a snapshot if one is due. Returns whether it did."""
+        applied = self.state.index - self.snapshot_index
+        if self.snapshot_in_progress is not None or (
+            applied < self.snapshot_every and self.log_bytes < MAX_LOG_BYTES
+        ):
             return False
-        due = max(self.snapshot_every, min(self.records, MAX_SNAPSHOT_INTERVAL))
-        apart = MAX_TRANSFER_FACTOR if self.replica.sends_snapshot() else 1
-        if applied < due * apart and self.log_bytes < MAX_LOG_BYTES * apart:
+        interval = max(self.snapshot_every, min(self.snapshot_records, MAX_SNAPSHOT_INTERVAL))
+        factor = MAX_TRANSFER_FACTOR if self.replica.sends_snapshot() else 1
+        if applied < interval * factor and self.log_bytes < MAX_LOG_BYTES * factor:
             return False
-        self.log_bytes, self.records = 0, self.state.records
+        self.log_bytes, self.snapshot_records = 0, self.state.records
         members = self.replica.members_at(self.state.index)
-        self.snapshotting = SnapshotBase(self.state.index, self.state.term, members, self.state.moment)
-        door.snapshot(self.state, self.snapshotting)
+        self.snapshot_in_progress = SnapshotBase(
+            self.state.index, self.state.term, members, self.state.moment
+        )
+        door.snapshot(self.state, self.snapshot_in_progress)
         return True
 
-    def do_duties(self, now, door):
-        """Only a leader whose state holds all that was committed before its term has duties."""
+    def run_leader_tasks(self, now, door):
+        """Runs a leader task if this member leads and its state has all that was committed before its
+        term."""
         if self.replica.role != LEADER or self.state.term != self.replica.term:
             return False
         if self.leader_term != self.replica.term:
-            self.leader_term, self.proposing = self.replica.term, {}
+            self.leader_term, self.may_propose_at = self.replica.term, {}
             self.followers.became_leader(now)
             for task in self.leader_tasks:
                 task.became_leader(now)
         for task in self.leader_tasks:
-            if self.proposing.get(task, now) > now:
+            if self.may_propose_at.get(task, now) > now:
                 continue
             wanted = task.next(now, self.wall_ms, self.state, self.followers)
             if isinstance(wanted, Command):
-                self.proposing[task] = NEVER
+                self.may_propose_at[task] = NEVER
                 data = msgspec.json.encode(wanted)
-                self.replica.propose(now, self.wall_ms, data, Proposed(task, self.leader_term))
+                self.replica.propose(now, self.wall_ms, data, TaskCommand(task, self.leader_term))
                 return True
             if wanted is not None:
                 door.call(wanted)
@@ -221,47 +240,49 @@
         return False
 
     def wake_at(self):
-        moments = [self.replica.wake_at()]
+        """Returns when to call `decide` again even if nothing happens."""
+        times = [self.replica.wake_at()]
         if len(self.polls):
-            moments.append(self.polls.wake_at())
+            times.append(self.polls.wake_at())
         if self.replica.role == LEADER:
-            moments += [max(task.wake_at(), self.proposing.get(task, 0)) for task in self.leader_tasks]
-        return min(moments)
+            times += [max(task.wake_at(), self.may_propose_at.get(task, 0)) for task in self.leader_tasks]
+        return min(times)
 
-    # ---- what the replica decides, on its way to the host
+    # ---- decisions of the replica, on their way to the host
 
     def commit(self, entries):
         for entry in entries:
             self.state, applied = self.ledger.apply(self.state, entry)
-            self.codes[entry.index] = applied.code, applied.body
+            self.results[entry.index] = applied.code, applied.body
             self.log_bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
             if applied.changes and applied.code == 200:
                 self.polls.add(entry.index, applied.changes)
 
     def committed(self, ticket, index, door):
-        code, body = self.codes[index]
-        if isinstance(ticket, Proposed):
-            self.proposed(ticket, code)
+        code, body = self.results[index]
+        if isinstance(ticket, TaskCommand):
+            self.task_command_ended(ticket, code)
         elif not isinstance(ticket, Change):
             door.answer(ticket, code, body)
 
-    def proposed(self, ticket, code):
-        """A duty's own command came to its end; one that the rules refused is not proposed again at once."""
+    def task_command_ended(self, ticket, code):
+        """A leader task's command has ended. If the rules refused it, the task has to wait before it proposes
+        again."""
         if ticket.leader_term == self.leader_term:
             if code == 200:
-                self.proposing.pop(ticket.task, None)
+                self.may_propose_at.pop(ticket.task, None)
             else:
                 self.count("duties refused")
-                self.proposing[ticket.task] = self.now + REFUSED_TASK_DELAY_NS
+                self.may_propose_at[ticket.task] = self.now + REFUSED_TASK_DELAY_NS
 
     def refuse(self, ticket, outcome, leader):
         if isinstance(ticket, Read):
-            self.done.append(lambda door: door.readable(ticket.ticket, None, leader))
-        elif isinstance(ticket, Proposed):
-            self.proposed(ticket, 503)
+            self.ready_answers.append(lambda door: door.readable(ticket.ticket, None, leader))
+        elif isinstance(ticket, TaskCommand):
+            self.task_command_ended(ticket, 503)
         elif not isinstance(ticket, Change):
             body = {"outcome": outcome, "leader": leader, "retry_ms": 200}
-            self.done.append(lambda door: door.answer(ticket, 503, body))
+            self.ready_answers.append(lambda door: door.answer(ticket, 503, body))
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -272,19 +293,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
+    """The ticket of a read, which wraps the host's own ticket."""
+
     ticket: object
 
 
 @dataclass(frozen=True, slots=True)
-class Proposed:
-    """A duty's own command, of the term in which it was proposed."""
+class TaskCommand:
+    """The ticket of a leader task's command, with the term in which it was proposed."""
 
     task: object
     leader_term: int
 
 
-class Through:
-    """The replica's door: what concerns the state stops here, all else goes on to the host's."""
+class ReplicaHostAdapter:
+    """The replica's host: handles what concerns the state and passes the rest on to the dispatcher's host."""
 
     def __init__(self, dispatcher, door):
         self.dispatcher, self.door = dispatcher, door
--- a/lemonlead/ledger/entries.py
+++ b/lemonlead/ledger/entries.py
@@ -1,7 +1,10 @@
-"""What gateways are told by scope: entries of a scope and a key, whose values the ledger does not read.
+"""Entries that gateways receive by scope. An entry has a scope, a key and a value that the ledger does not
+read.
 
-A scope is a service's name; the scope "" holds what all need. The part's keys are "scope key". Each record
-has the index of the entry that last changed it, so that a state tells what a stretch of changes would."""
+A scope is the name of a service; the scope "" has what all gateways need. The keys of the part "entries" are
+"scope key". Each record has the index of the log entry that changed it last, so a state shows what a range of
+changes would.
+"""
 
 from typing import Annotated
 
@@ -12,48 +15,53 @@
 from .faults import Senseless
 from .state import Command
 
-MAX_ENTRIES = 500_000  # entries of all scopes
-MAX_VALUE_BYTES = 4096  # bytes of a value as JSON
+MAX_ENTRIES = 500_000  # of all scopes
+MAX_VALUE_BYTES = 4096  # of a value as JSON
 
 Scope = Annotated[str, Meta(max_length=100, pattern=r"^([A-Za-z0-9][A-Za-z0-9_.:/-]*)?$")]
 ENCODE = msgspec.json.Encoder().encode
 
 
 class EntryRow(Struct, frozen=True):
+    """The value of an entry."""
+
     value: dict
-    since: int  # index of the entry that made it so
+    since: int  # index of the log entry that set it
 
 
 class EntryCommand(Command, frozen=True, tag="entry"):
-    """Puts a value; null drops it."""
+    """Sets a value, or drops it if `value` is null."""
 
     scope: Scope
     key: Name
     value: dict | None
 
 
-def named(scope, key):
+def record_key(scope, key):
     return f"{scope} {key}"
 
 
-def entry(draft, command):
-    """A value that is there already, byte by byte, changes nothing, and so does dropping what is not there:
-    whoever asks again after a doubt is told that it is so."""
-    name = named(command.scope, command.key)
+def entry(transaction, command):
+    """Setting the value that is there already, byte for byte, changes nothing. Neither does dropping a value
+    that does not exist. A client that is unsure may therefore repeat its command."""
+    name = record_key(command.scope, command.key)
     if command.value is None:
-        return draft.drop("entries", name)
+        return transaction.drop("entries", name)
     data = encoded(command.value)
     if len(data) > MAX_VALUE_BYTES:
         raise Senseless(f"a value of {len(data)} bytes; {MAX_VALUE_BYTES} are the most")
-    check_part_size(draft, "entries", name, MAX_ENTRIES)
-    before = draft.get("entries", name)
+    check_part_size(transaction, "entries", name, MAX_ENTRIES)
+    before = transaction.get("entries", name)
     if before is None or encoded(before.value) != data:
-        draft.put("entries", name, EntryRow(command.value, draft.index))
+        transaction.put("entries", name, EntryRow(command.value, transaction.index))
 
 
 def encoded(value):
-    """As it stands in snapshots and answers. Against a value that can be read and not written: no member
-    could give its state away any more."""
+    """Returns the value as JSON, as in snapshots and answers.
+
+    Raises Senseless for a value that can be decoded but not encoded: with it in the state, no member could
+    write a snapshot.
+    """
     try:
         return ENCODE(value)
     except (OverflowError, ValueError, RecursionError, msgspec.MsgspecError) as error:
--- a/lemonlead/ledger/followers.py
+++ b/lemonlead/ledger/followers.py
@@ -1,9 +1,10 @@
-"""Who follows the ledger (gateways), and what of it each has acknowledged.
+"""The followers of the ledger (gateways), and what each of them has acknowledged.
 
-That a gateway follows is in the log ("followers"); how far it has got and when it was last heard is the
-leader's own knowledge, gathered from the calls for events: whoever asks for what comes after an index has
-obeyed all up to it. A new leader counts each as heard at the moment it took office, and as having
-acknowledged nothing."""
+That a gateway follows is in the log (part "followers"). How far it has got and when it was last heard from is
+known to the leader only, from polls: a gateway that asks for what comes after an index has applied all
+changes up to it. A new leader treats each follower as heard from when it became leader, and as having
+acknowledged nothing.
+"""
 
 from typing import Annotated
 
@@ -14,54 +15,57 @@
 from .state import Command
 
 MAX_FOLLOWERS = 1000
-MOST_SERVICES = 16  # of one gateway
-LOOK = 200_000_000  # between two looks at whose lease ran out
+MAX_SERVICES = 16  # of one gateway
+LEASE_CHECK_INTERVAL_NS = 200_000_000
 NEVER = 1 << 62
 
 
 class Follower(Struct, frozen=True):
-    since: int = 0  # index of the entry that took it in
-    services: tuple[str, ...] = ()  # whose requests it sends, and on whose moves it votes
+    """A gateway that follows."""
+
+    since: int = 0  # index of its follow command
+    services: tuple[str, ...] = ()  # services whose requests it sends, and on whose moves it votes
 
 
 class Follow(Command, frozen=True, tag="follow"):
-    """A gateway asks to be waited for, before it obeys anything of the ledger's. `services`: it votes on
-    their moves."""
+    """A gateway asks to be waited for, before it applies any change of the ledger. It votes on the moves of
+    `services`."""
 
     gateway: Name
-    services: Annotated[tuple[Name, ...], Meta(max_length=MOST_SERVICES)] = ()
+    services: Annotated[tuple[Name, ...], Meta(max_length=MAX_SERVICES)] = ()
 
 
 class Unfollow(Command, frozen=True, tag="unfollow"):
-    """A gateway that has ended its sends asks not to be waited for any more."""
+    """A gateway that has finished sending requests asks not to be waited for any more."""
 
     gateway: Name
 
 
 class Forgotten(Command, frozen=True, tag="forgotten"):
-    """A leader's own: its lease and grace ran out. It may follow anew."""
+    """Proposed by the leader when a gateway's lease and grace period have expired. The gateway may follow
+    again."""
 
     gateway: Name
     since: Annotated[int, Meta(ge=0)]
 
 
-def follow(draft, command):
-    if draft.get("followers", command.gateway) is None:
-        if len(draft.part("followers")) >= MAX_FOLLOWERS:
+def follow(transaction, command):
+    if transaction.get("followers", command.gateway) is None:
+        if len(transaction.part("followers")) >= MAX_FOLLOWERS:
             raise Refused(f"{MAX_FOLLOWERS} gateways follow already", "end some that are no longer needed")
-        check_part_size(draft, "followers", command.gateway)
-    draft.put("followers", command.gateway, Follower(draft.index, command.services))
+        check_part_size(transaction, "followers", command.gateway)
+    transaction.put("followers", command.gateway, Follower(transaction.index, command.services))
 
 
-def unfollow(draft, command):
-    draft.drop("followers", command.gateway)
+def unfollow(transaction, command):
+    transaction.drop("followers", command.gateway)
 
 
-def forgotten(draft, command):
-    """Only the very stay that ran out: one that came back meanwhile is another."""
-    follower = draft.get("followers", command.gateway)
+def forgotten(transaction, command):
+    """Drops a follower, unless it has followed again meanwhile."""
+    follower = transaction.get("followers", command.gateway)
     if follower is not None and follower.since == command.since:
-        draft.drop("followers", command.gateway)
+        transaction.drop("followers", command.gateway)
 
 
 KINDS = {"followers": Follower}
@@ -70,73 +74,80 @@
 
 
 class Followers:
-    """What a leader knows of each; soft, bounded by the followers in the log."""
+    """What a leader knows of each follower. It is not replicated; its size is bounded by the state."""
 
     def __init__(self):
-        # name: (moment last heard, index that it has obeyed up to, `since` of the stay that it is true of)
-        self.heard = {}
+        # Name to (time last heard from, index applied up to, `since` of the follow command that this is of).
+        self.progress = {}
 
     def became_leader(self, now):
-        self.heard = {}
+        self.progress = {}
 
     def polled(self, now, name, after, since=None):
-        """It asked for what comes after this index. `since`: of its stay; None for the one last seen."""
-        _, before, stay = self.heard.get(name, (now, 0, since))
-        if since is not None and since != stay:
-            before, stay = 0, since
-        self.heard[name] = now, max(before, after), stay
-
-    def look(self, now, rows):
-        """Whoever is first seen counts as heard now, and so does one that follows anew: under its name
-        another process may have started, which has obeyed nothing of what the one before had."""
+        """A follower asked for what comes after this index. `since` is that of its follow command, or None
+        for the one last seen."""
+        _, before, known_since = self.progress.get(name, (now, 0, since))
+        if since is not None and since != known_since:
+            before, known_since = 0, since
+        self.progress[name] = now, max(before, after), known_since
+
+    def update(self, now, rows):
+        """Brings `progress` in line with the followers of the state.
+
+        A new follower counts as heard from now. So does one that follows again: another process may have
+        started under its name, which has not applied what the earlier one had.
+        """
         for name, row in rows.items():
-            moment, after, stay = self.heard.get(name, (now, 0, row.since))
-            if stay is not None and stay != row.since:
-                moment, after = now, 0
-            self.heard[name] = moment, after, row.since
-        if len(self.heard) > len(rows):
-            self.heard = {name: heard for name, heard in self.heard.items() if name in rows}
+            heard, after, known_since = self.progress.get(name, (now, 0, row.since))
+            if known_since is not None and known_since != row.since:
+                heard, after = now, 0
+            self.progress[name] = heard, after, row.since
+        if len(self.progress) > len(rows):
+            self.progress = {name: known for name, known in self.progress.items() if name in rows}
 
     def waited_for(self, now, state, index):
-        """The followers that could still act on the state before this entry: sorted names. One counts
-        until it has obeyed the entry, or its lease and grace have run out since it was last heard."""
+        """Returns the sorted names of the followers that may still act on the state before this entry.
+
+        A follower counts until it has applied the entry, or until its lease and grace period have expired
+        since it was last heard from.
+        """
         patience = state.settings.lease + state.settings.grace
-        self.look(now, state.part("followers"))
-        heard = sorted(self.heard.items())
-        return [name for name, (moment, after, _) in heard if after < index and now - moment < patience]
+        self.update(now, state.part("followers"))
+        progress = sorted(self.progress.items())
+        return [name for name, (heard, after, _) in progress if after < index and now - heard < patience]
 
     def next(self, now, state):
-        """The command that drops one whose lease and grace ran out, or None."""
+        """Returns the command that drops a follower whose lease and grace period have expired, or None."""
         patience = state.settings.lease + state.settings.grace
-        self.look(now, state.part("followers"))
-        for name, (moment, _, since) in sorted(self.heard.items()):
-            if now - moment >= patience:
+        self.update(now, state.part("followers"))
+        for name, (heard, _, since) in sorted(self.progress.items()):
+            if now - heard >= patience:
                 return Forgotten(gateway=name, since=since)
         return None
 
 
-class Forgetting:
-    """A leader's duty: whoever's lease and grace ran out is followed no more."""
+class FollowerExpiry:
+    """The leader task that drops followers whose lease and grace period have expired."""
 
     def __init__(self, dispatcher):
-        self.dispatcher, self.again = dispatcher, 0
+        self.dispatcher, self.next_check = dispatcher, 0
 
     def became_leader(self, now):
-        self.again = 0
+        self.next_check = 0
 
     def next(self, now, wall_ms, state, followers):
-        if now < self.again:
+        if now < self.next_check:
             return None
-        forgotten = followers.next(now, state)
-        if forgotten is None:
-            self.again = now + LOOK
-        return forgotten
+        expired = followers.next(now, state)
+        if expired is None:
+            self.next_check = now + LEASE_CHECK_INTERVAL_NS
+        return expired
 
     def called(self, now, call, code, body):
         raise AssertionError("it calls nobody")
 
     def wake_at(self):
-        return self.again if self.dispatcher.state.part("followers") else NEVER
+        return self.next_check if self.dispatcher.state.part("followers") else NEVER
 
 
 __all__ = ["INNER", "KINDS", "MAX_RECORDS_PER_PART", "RULES", "Followers"]
--- a/lemonlead/ledger/membership.py
+++ b/lemonlead/ledger/membership.py
@@ -1,8 +1,9 @@
-"""The cluster's own members: who comes in, who goes, one at a time; and how a cluster forms.
+"""The cluster's own members: adding and removing them, one at a time, and forming a cluster.
 
-A seat names a folder by the id that the folder drew as it was made. A machine that lost its disk has
-another folder, so nobody takes it for the member that it was: it speaks for no seat, and its old name is
-never seated again."""
+The membership names each member's folder by the random id that was drawn when the folder was created. A
+machine that lost its disk has another folder, so it can't be mistaken for the member that it was: it can't
+vote, and its old name is never a member again.
+"""
 
 from typing import Annotated
 
@@ -15,23 +16,24 @@
 from .records import ConfiguredMember, SnapshotBase
 from .state import Command, LedgerSettings, MemberRow, State
 
-MOST_NAMES = 4096  # that were ever seated
+MAX_NAMES = 4096  # names that were ever members
 MAX_MEMBERS = 9
-AWAIT = 500_000_000  # before the leader looks again whether a change of members is through
+RETRY_DELAY_NS = 500_000_000  # before the leader checks again whether a membership change is done
 
 Address = Annotated[str, Meta(max_length=200, pattern=r"^[0-9A-Za-z.-]+:[0-9]{1,5}$")]
 
 
 class Wanted(Struct, frozen=True):
-    """A change of members that the leader is to make: a seat to come, or (with no folder) to go."""
+    """A membership change that the leader has to make: a member to add or, if there is no folder, to
+    remove."""
 
     address: str = ""
     folder: str = ""
 
 
 class Add(Command, frozen=True, tag="add"):
-    """`folder`: the id of the folder that answers at that address, filled in by the member that takes the
-    command."""
+    """Adds a member. `folder` is the id of the folder that answers at `address`; the member that receives the
+    command fills it in."""
 
     member: Name
     address: Address
@@ -39,41 +41,47 @@
 
 
 class Remove(Command, frozen=True, tag="remove"):
+    """Removes a member."""
+
     member: Name
     address: str = ""
 
 
-def add(draft, command):
-    row = draft.get("members", command.member)
+def add(transaction, command):
+    row = transaction.get("members", command.member)
     if row is not None:
-        said = "was a member once" if row.gone else "is a member"
-        raise Refused(f"{command.member} {said}", "give the machine a new name, with an empty folder")
+        reason = "was a member once" if row.gone else "is a member"
+        raise Refused(f"{command.member} {reason}", "give the machine a new name, with an empty folder")
     if not command.folder:
         raise Refused(
             f"nobody waits outside at {command.address}", "start the member there with --join first"
         )
-    if any(row.folder == command.folder for row in draft.part("members").values()):
+    if any(row.folder == command.folder for row in transaction.part("members").values()):
         raise Refused(f"the folder at {command.address} is another member's", "give it an empty folder")
-    alone(draft)
-    if len(draft.part("members")) >= MOST_NAMES:
-        raise Refused(f"{MOST_NAMES} names were used up", "form another cluster and move the services")
-    if sum(not row.gone for row in draft.part("members").values()) >= MAX_MEMBERS:
+    check_no_change(transaction)
+    if len(transaction.part("members")) >= MAX_NAMES:
+        raise Refused(f"{MAX_NAMES} names were used up", "form another cluster and move the services")
+    if sum(not row.gone for row in transaction.part("members").values()) >= MAX_MEMBERS:
         raise Refused(f"{MAX_MEMBERS} members are the most", "remove one first")
-    draft.put("seating", command.member, Wanted(command.address, command.folder))
+    transaction.put("seating", command.member, Wanted(command.address, command.folder))
 
 
-def remove(draft, command):
-    row = draft.get("members", command.member)
+def remove(transaction, command):
+    row = transaction.get("members", command.member)
     if row is None or row.gone:
         raise Refused(f"{command.member} is no member", "nothing is left to do")
-    alone(draft)
-    if row.votes and sum(other.votes and not other.gone for other in draft.part("members").values()) == 1:
+    check_no_change(transaction)
+    if (
+        row.votes
+        and sum(other.votes and not other.gone for other in transaction.part("members").values()) == 1
+    ):
         raise Refused(f"{command.member} is the last that votes", "add another first")
-    draft.put("seating", command.member, Wanted())
+    transaction.put("seating", command.member, Wanted())
 
 
-def alone(draft):
-    for name in draft.part("seating"):
+def check_no_change(transaction):
+    """Refuses the command while another member is being added or removed."""
+    for name in transaction.part("seating"):
         raise Refused(f"{name} is still being seated or removed", "try again once status shows it")
 
 
@@ -82,71 +90,76 @@
 
 
 class Membership:
-    """A leader's duty: brings the seats in line with what was commanded."""
+    """The leader task that makes the membership changes which commands have asked for."""
 
     def __init__(self, dispatcher):
-        self.dispatcher, self.again = dispatcher, 0
+        self.dispatcher, self.retry_at = dispatcher, 0
 
     def became_leader(self, now):
-        self.again = 0
+        self.retry_at = 0
 
     def next(self, now, wall_ms, state, followers):
-        if now < self.again:
+        if now < self.retry_at:
             return None
         for name, wanted in state.part("seating").items():
-            seats = dict(self.dispatcher.replica.members)
+            members = dict(self.dispatcher.replica.members)
             if wanted.folder:
-                seats[name] = ConfiguredMember(wanted.address, wanted.folder, False)
+                members[name] = ConfiguredMember(wanted.address, wanted.folder, False)
             else:
-                seats.pop(name, None)
-            self.again = now + AWAIT
-            if seats != self.dispatcher.replica.members:
-                self.dispatcher.replica.change_members(now, seats, Change())
+                members.pop(name, None)
+            self.retry_at = now + RETRY_DELAY_NS
+            if members != self.dispatcher.replica.members:
+                self.dispatcher.replica.change_members(now, members, Change())
         return None
 
     def called(self, now, call, code, body):
         raise AssertionError("seating calls nobody")
 
     def wake_at(self):
-        return max(self.again, 0) if self.dispatcher.state.part("seating") else 1 << 62
+        return max(self.retry_at, 0) if self.dispatcher.state.part("seating") else 1 << 62
 
 
 class Change:
-    """The ticket of a change of members: nobody waits for its answer, the state tells."""
+    """The ticket of a membership change. No caller waits for its answer; the state shows the result."""
 
 
 def formed(members, settings):
-    """The state and the base of a new cluster. `members`: dict of name to Seat."""
+    """Returns the state and the snapshot base of a new cluster. `members` maps a name to its
+    ConfiguredMember."""
     rows = {
-        name: MemberRow(seat.address, seat.folder, seat.votes, False, 1) for name, seat in members.items()
+        name: MemberRow(member.address, member.folder, member.votes, False, 1)
+        for name, member in members.items()
     }
     parts = Map({"members": Map(rows), "terms": Map({"cluster": settings})})
     return State(index=1, term=1, parts=parts, oldest=1), SnapshotBase(1, 1, dict(members))
 
 
-# ---- forming: what a member with an empty folder does, by what the others listed answer
+# ---- forming: what a member with an empty folder does, depending on what the other listed members answer
 
 
 class Greeting(Struct, frozen=True):
-    """What a member answers to whoever asks who it is. `cluster`: the id of the one it is in, empty while
-    its folder is."""
+    """A member's answer to the question who it is. `cluster` is the id of its cluster, or empty if its folder
+    is empty."""
 
     name: str
     folder: str
     cluster: str = ""
-    joins: bool = False  # it was started to be added, and forms nothing
+    joins: bool = False  # it was started in order to be added, so it does not form a cluster
 
 
 WAIT, FORM, STAY_OUT = "wait", "form", "stay out"
 
 
 def to_form(me, members, greetings):
-    """What a member with an empty folder is to do: (what, why). `members`: name to address as its settings
-    list them; `greetings`: name to Greeting of those that answered, itself among them.
+    """Decides what a member with an empty folder does. Returns (action, reason).
+
+    `members` maps a name to its address, as in the member's settings. `greetings` maps a name to the Greeting
+    of each member that answered, including this one.
 
-    Only the first of the names forms, and only once every other listed member has answered with an empty
-    folder: the seats then name exactly these folders. Where one of them is in a cluster already, this
-    member is not of it."""
+    Only the member with the first name forms the cluster, and only once every other listed member has
+    answered with an empty folder; the membership then names exactly these folders. If one of them is already
+    in a cluster, this member does not belong to that cluster.
+    """
     for name in sorted(greetings):
         greeting = greetings[name]
         if greeting.cluster and name != me:
@@ -166,35 +179,41 @@
 
 
 def may_join(folder, joins, members, name, base):
-    """Why a member with an empty folder does not take up this base of a cluster, or an empty string: it
-    has to be seated in it with this very folder, and either be listed in the settings or be started to be
-    added."""
-    seat = base.members.get(name)
-    if seat is None:
+    """Returns why a member with an empty folder may not start from this base of a cluster, or an empty
+    string if it may.
+
+    The base's membership must have the member with this very folder, and the member must be listed in its
+    settings or have been started in order to be added.
+    """
+    member = base.members.get(name)
+    if member is None:
         return f"{name} has no seat in it"
-    if seat.folder != folder:
+    if member.folder != folder:
         return f"the seat of {name} is another folder's: this machine joins under a new name"
     if not joins and name not in members:
         return f"{name} is not listed in its own settings"
     return ""
 
 
-def first_base(seats, name, base):
-    """The base that a seated member whose folder is still empty begins with, as one that is in the cluster
-    gives it: a learner with nothing, since the leader sends it the rest in pieces; one that votes with
-    `base`, the snapshot on the giver's disk. Were voters to begin with nothing, a majority of them could
-    elect each other and form the cluster a second time."""
-    seat = seats.get(name)
-    return base if seat is None or seat.votes else SnapshotBase(0, 0, dict(seats))
+def first_base(members, name, base):
+    """Returns the base that a configured member with an empty folder starts from, as given by a member of the
+    cluster.
+
+    A learner starts with nothing, because the leader sends it the rest in chunks. A voter starts with `base`,
+    the snapshot on the giver's disk. If voters started with nothing, a majority of them could elect each
+    other and form the cluster a second time.
+    """
+    member = members.get(name)
+    return base if member is None or member.votes else SnapshotBase(0, 0, dict(members))
 
 
 __all__ = [
     "KINDS",
     "RULES",
     "Add",
-    "Remove",
-    "Membership",
     "LedgerSettings",
+    "Membership",
+    "Remove",
     "first_base",
     "formed",
     "may_join",
--- a/lemonlead/ledger/services.py
+++ b/lemonlead/ledger/services.py
@@ -1,21 +1,22 @@
-"""What is here of each service: an index by service of its reservations, gangs and groups, so that a move
-looks at that service's records alone; and the marks that moves set on it, which `capacity` heeds.
+"""An index by service: the reservations, gangs and groups of each service, so that a move only looks at the
+records of its own service; and the marks that moves set on a service, which `capacity` checks.
 
-A reservation names its service. A group or gang is the service's if it bears its name, alone or before a
-slash. Names are kept in pages, by a sum over the name: a page stays short and none is copied whole. The
-index follows from the records, so its changes are told to nobody."""
+A reservation names its service. A gang or group belongs to a service if its name is the service's name, alone
+or followed by a slash. Names are kept in pages, chosen by a checksum of the name, so that a page stays short
+and a change copies only one page. The index is derived from the records, so polls don't report its changes.
+"""
 
 from zlib import crc32
 
 from msgspec import Struct
 from msgspec.structs import replace
 
-PAGES = 1024  # of one service: with 200,000 records of a part, the most, some 200 names in one
+PAGES = 1024  # of one service; a full part of 200,000 records has about 200 names in each
 
 
 class Service(Struct, frozen=True, omit_defaults=True):
-    """How many records are its own. `moves`: moves and holds under way that it is of; `closed`: the move that
-    waits for its gangs, so that none may start."""
+    """The numbers of records of a service. `moves` are the moves and holds in progress for it. `closed` is
+    the move that waits for its gangs to end; while it is set no gang may start."""
 
     reservations: int = 0
     gangs: int = 0
@@ -25,80 +26,94 @@
 
 
 class Page(Struct, frozen=True, omit_defaults=True):
+    """Some of the record names of a service."""
+
     reservations: tuple[str, ...] = ()
     gangs: tuple[str, ...] = ()
     groups: tuple[str, ...] = ()
 
 
 KINDS = {"services": Service, "service_pages": Page}
-NONE, EMPTY = Service(), Page()
+NO_SERVICE, NO_PAGE = Service(), Page()
 
 
 def services_of_name(name):
-    """The services that a group or gang of this name is of."""
+    """Returns the services that a gang or group of this name belongs to."""
     return [name[:at] for at, letter in enumerate(name) if letter == "/"] + [name]
 
 
-def add(draft, part, name, services):
+def add(transaction, part, name, services):
+    """Adds a record to the index of these services."""
     for service in services:
-        change(draft, part, name, service, 1)
+        change(transaction, part, name, service, 1)
 
 
-def remove(draft, part, name, services):
+def remove(transaction, part, name, services):
+    """Removes a record from the index of these services."""
     for service in services:
-        change(draft, part, name, service, -1)
+        change(transaction, part, name, service, -1)
 
 
-def change(draft, part, name, service, sign):
+def change(transaction, part, name, service, sign):
     key = f"{service} {crc32(name.encode()) % PAGES}"
-    page, row = draft.get("service_pages", key) or EMPTY, service_row(draft, service)
+    page, row = transaction.get("service_pages", key) or NO_PAGE, service_row(transaction, service)
     names = getattr(page, part)
     at = len(names) if sign > 0 else names.index(name)
     names = (*names, name) if sign > 0 else names[:at] + names[at + 1 :]
-    put(draft, "service_pages", key, replace(page, **{part: names}), EMPTY)
-    put(draft, "services", service, replace(row, **{part: getattr(row, part) + sign}), NONE)
+    put(transaction, "service_pages", key, replace(page, **{part: names}), NO_PAGE)
+    put(transaction, "services", service, replace(row, **{part: getattr(row, part) + sign}), NO_SERVICE)
 
 
-def put(draft, part, key, record, empty):
+def put(transaction, part, key, record, empty):
+    """Stores a record of the index, or drops it if it equals `empty`."""
     if record == empty:
-        draft.drop(part, key, notify=False)
+        transaction.drop(part, key, notify=False)
     else:
-        draft.put(part, key, record, notify=False)
+        transaction.put(part, key, record, notify=False)
 
 
-def service_row(held, service):
-    """Its row; of a State or a Draft."""
-    return held.part("services").get(service, NONE)
+def service_row(state, service):
+    """Returns the Service record. `state` is a State or a Transaction."""
+    return state.part("services").get(service, NO_SERVICE)
 
 
-def record_names(held, service, part):
-    """Its records' names in this part, sorted. As many pages are looked at at any size."""
-    if not getattr(service_row(held, service), part):
+def record_names(state, service, part):
+    """Returns the sorted names of the service's records in this part. It looks at PAGES pages, however many
+    records there are."""
+    if not getattr(service_row(state, service), part):
         return []
-    pages = held.part("service_pages")
-    found = (pages.get(f"{service} {number}", EMPTY) for number in range(PAGES))
+    pages = state.part("service_pages")
+    found = (pages.get(f"{service} {number}", NO_PAGE) for number in range(PAGES))
     return sorted(name for page in found for name in getattr(page, part))
 
 
 # ---- marks
 
 
-def mark(draft, service, move, closed=False):
-    """This move of it is under way; `closed`: it waits for the service's gangs."""
-    row = service_row(draft, service)
+def mark(transaction, service, move, closed=False):
+    """Notes that a move of the service is in progress. `closed` means that it waits for the service's gangs
+    to end."""
+    row = service_row(transaction, service)
     moves = row.moves if move in row.moves else (*row.moves, move)
-    put(draft, "services", service, replace(row, moves=moves, closed=move if closed else row.closed), NONE)
-
-
-def unmark(draft, service, move):
-    row = service_row(draft, service)
+    put(
+        transaction,
+        "services",
+        service,
+        replace(row, moves=moves, closed=move if closed else row.closed),
+        NO_SERVICE,
+    )
+
+
+def unmark(transaction, service, move):
+    """Notes that a move of the service has ended."""
+    row = service_row(transaction, service)
     moves = tuple(one for one in row.moves if one != move)
     closed = "" if row.closed == move else row.closed
-    put(draft, "services", service, replace(row, moves=moves, closed=closed), NONE)
+    put(transaction, "services", service, replace(row, moves=moves, closed=closed), NO_SERVICE)
 
 
-def reopen(draft, service, move):
-    """The move waits for gangs no more."""
-    row = service_row(draft, service)
+def reopen(transaction, service, move):
+    """Notes that a move no longer waits for the service's gangs."""
+    row = service_row(transaction, service)
     if row.closed == move:
-        put(draft, "services", service, replace(row, closed=""), NONE)
+        put(transaction, "services", service, replace(row, closed=""), NO_SERVICE)
--- a/lemonlead/ledger/state.py
+++ b/lemonlead/ledger/state.py
@@ -1,13 +1,15 @@
-"""The one function from state and command to state and answer: the same on every member, for ever.
+"""The deterministic state machine: a state and a command give a new state and an answer, the same on every
+member.
 
-The state is a persistent map of parts ("nodes", "reservations", ...), each a persistent map from key to
-record, so that whoever holds one holds it unchanged: a snapshot is a reference. What a kind of command does
-is a rule: a function of a Draft and a command, given by the packages (`capacity.RULES`,
-`lemonlead.drains.rules.RULES`, ...). A rule that raises Refused or Senseless has changed nothing.
+A state is a persistent map of parts ("nodes", "reservations", ...). Each part is a persistent map from key to
+record, so a reference to a state never changes and serves as a snapshot. What a kind of command does is a
+rule: a function of a Transaction and a command that a package provides (`capacity.RULES`,
+`lemonlead.drains.rules.RULES`, ...). A rule that raises Refused or Senseless changes nothing.
 
-Remembered ids: for `Terms.remember` of the ledger's time an id gets the answer that it got. They are
-dropped oldest first once older than that, never for want of room: `full` tells the leader to turn commands
-away before that."""
+Remembered ids: for `LedgerSettings.remember` of ledger time, a repeated id gets its first answer again. Ids
+are dropped only when they are older than that, oldest first, and never for lack of room. Before there are too
+many, `State.full` makes the leader turn commands away.
+"""
 
 import re
 from dataclasses import dataclass, field, replace
@@ -20,32 +22,33 @@
 from .faults import Fault, Refused, Senseless
 from .records import COMMAND, MEMBERS, ConfiguredMember, Entry
 
-MAX_COMMAND_BYTES = 256 * 1024  # bytes of a command
-DEEPEST = 100  # objects and lists in each other
-MOST_ANSWERS = 200_000  # ids remembered; past it the leader takes no command until old ones run out
-PIECE = 500  # records in one piece of a snapshot
+MAX_COMMAND_BYTES = 256 * 1024
+MAX_NESTING = 100  # objects and lists inside each other in a command
+MAX_ANSWERS = 200_000  # remembered ids; beyond it the leader takes no command until old ones expire
+RECORDS_PER_PIECE = 500  # in one line of a snapshot
 
 
 class Command(Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind", kw_only=True):
-    """What a client asks. `id`: its own, empty only for what a leader proposes for itself."""
+    """Base of all commands. `id` is the client's own; it is empty only for commands that a leader proposes
+    itself."""
 
     id: str = ""
 
 
 class LedgerSettings(Struct, frozen=True):
-    """Figures that all members must share, set as the cluster is formed. Times in nanoseconds of the
-    ledger's time."""
+    """Settings that all members share, stored when the cluster is formed. Times are nanoseconds of ledger
+    time."""
 
-    remember: int = 900_000_000_000  # for how long an id gets its answer again
-    lease: int = 10_000_000_000  # a follower not heard of for so long is no longer waited for
-    grace: int = 1_000_000_000  # and this much more, for what it sent last
+    remember: int = 900_000_000_000  # for how long a repeated id gets its first answer
+    lease: int = 10_000_000_000  # a follower that was silent for this long is no longer waited for ...
+    grace: int = 1_000_000_000  # ... after this much more time, for messages still in flight
     cold: int = 5_000_000_000  # for how long a node that came back is cold
-    cold_share: float = 0.5  # of its units that a cold node bears
-    site_share: float = 0.25  # of a site's nodes that may be away at once for drains; one always may
+    cold_share: float = 0.5  # the share of its units that a cold node can use
+    site_share: float = 0.25  # of a site's nodes that may be out at once for drains; one always may
 
 
 class Answered(Struct, frozen=True, array_like=True):
-    """What a remembered id was answered."""
+    """The answer that a remembered id got."""
 
     index: int
     moment: int
@@ -54,19 +57,23 @@
 
 
 class MemberRow(Struct, frozen=True):
-    """A member as the log has it. One that was removed stays, as `gone`: its name never votes again."""
+    """A member, as the newest MEMBERS entry has it. A removed member stays with `gone` set, because its name
+    may never be used again."""
 
     address: str
     folder: str
     votes: bool = True
     gone: bool = False
-    since: int = 0  # index of the entry that made it so
+    since: int = 0  # index of the entry that changed the row last
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """As of entry `index`. `parts`: name to Map of key to record. `answers`: id to Answered; `order`:
-    index to id."""
+    """The state as of entry `index`.
+
+    `parts` maps a name to a Map of key to record, `answers` an id to its Answered, `order` an index to the id
+    of its command. `moment` is ledger time, `wall_ms` Unix time in milliseconds.
+    """
 
     index: int = 0
     term: int = 0
@@ -75,7 +82,7 @@
     parts: Map = field(default_factory=Map)
     answers: Map = field(default_factory=Map)
     order: Map = field(default_factory=Map)
-    oldest: int = 0  # no remembered id is of an earlier entry
+    oldest: int = 0  # no remembered id belongs to an earlier entry
 
     def part(self, name):
         return self.parts.get(name, EMPTY)
@@ -86,42 +93,45 @@
 
     @property
     def records(self):
-        """How many there are in all, remembered ids among them: what a snapshot costs goes by it."""
+        """The number of records, including remembered ids. The cost of a snapshot grows with it."""
         return sum(map(len, self.parts.values())) + len(self.answers)
 
     @property
     def full(self):
-        return len(self.answers) >= MOST_ANSWERS
+        return len(self.answers) >= MAX_ANSWERS
 
 
 EMPTY, DEFAULT_SETTINGS = Map(), LedgerSettings()
 
 
 class Transaction:
-    """A state being changed by one command. Reads see the changes made so far."""
+    """The changes of one command to a state. Reads see the changes made so far."""
 
     def __init__(self, state, entry):
         self.state, self.term, self.index = state, entry.term, entry.index
         self.moment = max(entry.moment, state.moment)
-        # As its leader read it: one that was ahead must not hold all later ones to its error.
+        # The clock of this entry's leader, even if it is earlier than in the state: the clock of an earlier
+        # leader may have been ahead, and later entries must not keep its error.
         self.wall_ms = entry.wall_ms or state.wall_ms
         self.parts, self.changes, self.settings = state.parts, {}, state.settings
 
     def part(self, name):
-        """The whole Map, for lookups and for going over."""
+        """Returns the whole Map of a part."""
         return self.parts.get(name, EMPTY)
 
     def get(self, part, key):
         return self.part(part).get(key)
 
     def put(self, part, key, record, notify=True):
-        """`told`: whoever polls for changes hears of it; what follows from other records need not be."""
+        """Stores a record. `notify` makes it a change that polls report; it is not needed for records that
+        are derived from others."""
         if self.get(part, key) != record:
             self.parts = self.parts.set(part, self.part(part).set(key, record))
             if notify:
                 self.changes[part, key] = record
 
     def drop(self, part, key, notify=True):
+        """Removes a record if it exists."""
         if key in self.part(part):
             rest = self.part(part).delete(key)
             self.parts = self.parts.set(part, rest) if rest else self.parts.delete(part)
@@ -131,8 +141,8 @@
 
 @dataclass(slots=True)
 class Applied:
-    """What an entry came to. `changes`: (part, key) to its record, None where it was dropped, in the order
-    made."""
+    """The result of an entry. `changes` maps (part, key) to the record, or to None if it was dropped, in the
+    order of the changes."""
 
     code: int
     body: dict
@@ -141,28 +151,31 @@
 
 
 class Ledger:
-    """The rules of a cluster. `rules`: command class to function(draft, command), which returns more
-    fields of the answer or None. `kinds`: part to the class of its records. `inner`: classes that only a
-    leader proposes for itself."""
+    """The rules of a cluster.
+
+    `rules` maps a command class to function(transaction, command), which returns further fields of the answer
+    or None. `kinds` maps a part to the class of its records. `inner` has the command classes that only a
+    leader may propose.
+    """
 
     def __init__(self, rules, kinds, inner=()):
         self.rules = rules
         self.kinds = {"terms": LedgerSettings, "members": MemberRow, **kinds}
         self.inner = tuple(inner)
-        self.known = {command.__struct_config__.tag: command for command in rules}
-        self.readers = {kind: msgspec.json.Decoder(command) for kind, command in self.known.items()}
+        self.commands = {command.__struct_config__.tag: command for command in rules}
+        self.decoders = {kind: msgspec.json.Decoder(command) for kind, command in self.commands.items()}
 
     def read(self, data, outside=False):
-        """A command from its bytes; Senseless where it makes no sense. `outside`: it comes from a client."""
+        """Decodes a command, or raises Senseless if it is invalid. `outside` means that a client sent it."""
         if len(data) > MAX_COMMAND_BYTES:
             raise Senseless(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
-        if data.count(b"{") + data.count(b"[") > DEEPEST and deepest(data) > DEEPEST:
-            raise Senseless(f"a command nested deeper than {DEEPEST}")
+        if data.count(b"{") + data.count(b"[") > MAX_NESTING and nesting_depth(data) > MAX_NESTING:
+            raise Senseless(f"a command nested deeper than {MAX_NESTING}")
         try:
-            kind = KIND.decode(data).kind
-            if kind not in self.known:
+            kind = KIND_DECODER.decode(data).kind
+            if kind not in self.commands:
                 raise Senseless(f"no kind {kind!r}")
-            command = self.readers[kind].decode(data)
+            command = self.decoders[kind].decode(data)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             raise Senseless(str(error)[:300]) from None
         if outside and (isinstance(command, self.inner) or not 0 < len(command.id) <= 200):
@@ -174,74 +187,86 @@
         return command
 
     def apply(self, state, entry):
-        """The state after this entry and what it came to. Nothing but the two decides it."""
+        """Returns the state after this entry and its Applied. The result depends on the two arguments
+        only."""
         if entry.index != state.index + 1:
             raise ValueError(f"entry {entry.index} after {state.index}")
-        draft = Transaction(state, entry)
-        applied = Applied(200, {"at": entry.index}, draft.changes)
+        transaction = Transaction(state, entry)
+        applied = Applied(200, {"at": entry.index}, transaction.changes)
         id = ""
         if entry.what == MEMBERS:
-            self.seat(draft, msgspec.json.decode(entry.data, type=dict[str, ConfiguredMember]))
+            self.update_members(
+                transaction, msgspec.json.decode(entry.data, type=dict[str, ConfiguredMember])
+            )
         elif entry.what == COMMAND:
-            id, applied = self.command(state, draft, entry)
+            id, applied = self.command(state, transaction, entry)
         if applied.code != 200 or applied.repeat:
-            draft.parts = state.parts
+            transaction.parts = state.parts
         after = replace(
             state,
             index=entry.index,
             term=entry.term,
-            moment=draft.moment,
-            wall_ms=draft.wall_ms,
-            parts=draft.parts,
+            moment=transaction.moment,
+            wall_ms=transaction.wall_ms,
+            parts=transaction.parts,
         )
         if id and not applied.repeat:
-            answered = Answered(entry.index, draft.moment, applied.code, applied.body)
+            answered = Answered(entry.index, transaction.moment, applied.code, applied.body)
             after = replace(
                 after, answers=after.answers.set(id, answered), order=after.order.set(entry.index, id)
             )
-        return forget(after), applied
+        return expire_answers(after), applied
 
-    def command(self, state, draft, entry):
+    def command(self, state, transaction, entry):
+        """Applies a command. Returns its id (empty if it is invalid) and its Applied."""
         try:
             command = self.read(entry.data)
         except Senseless as error:
             return "", Applied(400, {"error": error.read()}, {})
         before = state.answers.get(command.id) if command.id else None
-        if before is not None and before.moment + state.settings.remember > draft.moment:
+        if before is not None and before.moment + state.settings.remember > transaction.moment:
             return command.id, Applied(before.code, before.body, {}, repeat=True)
         try:
-            more = self.rules[type(command)](draft, command) or {}
-            return command.id, Applied(200, {"at": entry.index, **more}, draft.changes)
+            more = self.rules[type(command)](transaction, command) or {}
+            return command.id, Applied(200, {"at": entry.index, **more}, transaction.changes)
         except Senseless as error:
             return command.id, Applied(400, {"error": error.read()}, {})
         except Refused as error:
             return command.id, Applied(409, {"error": error.read(), "outcome": "refused"}, {})
 
-    def seat(self, draft, seats):
-        """The members as this entry has them; whoever is no longer among them is gone for good."""
-        for name, row in draft.part("members").items():
-            if name not in seats and not row.gone:
-                draft.put("members", name, MemberRow(row.address, row.folder, False, True, draft.index))
-        for name, wanted in draft.part("seating").items():
-            if bool(wanted.folder) == (name in seats):
-                draft.drop("seating", name)
-        for name, seat in sorted(seats.items()):
-            row = draft.get("members", name)
+    def update_members(self, transaction, members):
+        """Stores the members of a MEMBERS entry. One that is no longer among them is marked as gone for
+        good."""
+        for name, row in transaction.part("members").items():
+            if name not in members and not row.gone:
+                transaction.put(
+                    "members", name, MemberRow(row.address, row.folder, False, True, transaction.index)
+                )
+        for name, wanted in transaction.part("seating").items():
+            if bool(wanted.folder) == (name in members):
+                transaction.drop("seating", name)
+        for name, member in sorted(members.items()):
+            row = transaction.get("members", name)
             if row is None or (row.address, row.folder, row.votes, row.gone) != (
-                seat.address,
-                seat.folder,
-                seat.votes,
+                member.address,
+                member.folder,
+                member.votes,
                 False,
             ):
-                draft.put(
-                    "members", name, MemberRow(seat.address, seat.folder, seat.votes, False, draft.index)
+                transaction.put(
+                    "members",
+                    name,
+                    MemberRow(member.address, member.folder, member.votes, False, transaction.index),
                 )
 
-    # ---- snapshots: a state as pieces of bytes, each a JSON line, and back
+    # ---- snapshots: a state as pieces of bytes, each of them a JSON line, and back
 
     def pieces(self, state):
-        """The state as lines, a head first, some hundred records in each of the others; made one by one, in
-        the order in which the maps have them: sorting all would hold up every other thread."""
+        """Yields the state as lines: a head, then lines of up to RECORDS_PER_PIECE records.
+
+        The lines are made one by one, and the records come in the order of the maps, because sorting them all
+        would hold up every other thread.
+        """
         head = {
             "index": state.index,
             "term": state.term,
@@ -258,7 +283,7 @@
             yield ENCODE({"answers": dict(some)}) + b"\n"
 
     def whole(self, data):
-        """The state of these bytes; ValueError where they are no whole snapshot."""
+        """Returns the state of these bytes. Raises ValueError if they are not a complete snapshot."""
         lines = data.splitlines()
         try:
             head = msgspec.json.decode(lines[0])["head"]
@@ -287,20 +312,23 @@
             raise ValueError(f"no snapshot: {type(error).__name__}: {error}") from None
 
 
-def deepest(data):
-    """How deep its objects and lists are in each other. Against a command that one member can read and
-    another cannot, as its stack happens to be deeper: their states would differ for ever."""
-    depth = most = 0
+def nesting_depth(data):
+    """Returns how deep the objects and lists of a command are nested.
+
+    Without a bound, one member might decode a command that is too deep for another one's stack, and their
+    states would differ from then on.
+    """
+    depth = deepest = 0
     for found in BRACKET.finditer(data):
         depth += {b"{": 1, b"[": 1, b"}": -1, b"]": -1}.get(found[0], 0)
-        most = max(most, depth)
-    return most
+        deepest = max(deepest, depth)
+    return deepest
 
 
-def forget(state):
-    """Without the ids whose time is over; a few entries on at each call, so that no call is long."""
-    answers, order, oldest, most = state.answers, state.order, state.oldest, 8
-    while most and oldest < state.index:
+def expire_answers(state):
+    """Returns the state without expired ids. Each call checks only a few entries, so that none takes long."""
+    answers, order, oldest, budget = state.answers, state.order, state.oldest, 8
+    while budget and oldest < state.index:
         id = order.get(oldest)
         if id is not None:
             if answers[id].moment + state.settings.remember > state.moment:
@@ -308,24 +336,27 @@
             if answers[id].index == oldest:
                 answers = answers.delete(id)
             order = order.delete(oldest)
-        oldest, most = oldest + 1, most - 1
+        oldest, budget = oldest + 1, budget - 1
     if oldest == state.oldest:
         return state
     return replace(state, answers=answers, order=order, oldest=oldest)
 
 
 def chunks(items):
+    """Yields lists of up to RECORDS_PER_PIECE items."""
     rest = iter(items)
-    while some := list(islice(rest, PIECE)):
+    while some := list(islice(rest, RECORDS_PER_PIECE)):
         yield some
 
 
 class CommandKind(Struct):
+    """The field of a command that names its kind."""
+
     kind: str
 
 
-BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{}]', re.DOTALL)  # or a whole string
-KIND, ENCODE = msgspec.json.Decoder(CommandKind), msgspec.json.Encoder().encode
+BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{}]', re.DOTALL)  # a bracket, or a whole string to skip
+KIND_DECODER, ENCODE = msgspec.json.Decoder(CommandKind), msgspec.json.Encoder().encode
 __all__ = [
     "Applied",
     "Command",
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/whole.py
@@ -24,7 +24,7 @@
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
     return [
         membership.Membership(dispatcher),
-        followers.Forgetting(dispatcher),
+        followers.FollowerExpiry(dispatcher),
         DrainTask(),
         MoveTask(cluster, clusters, seed),
     ]
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -7,7 +7,7 @@
 from lemonlead.ledger import polls
 from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.membership import LedgerSettings, formed
-from lemonlead.ledger.polls import POLL
+from lemonlead.ledger.polls import MAX_POLL_NS
 from lemonlead.ledger.records import LEADER, ConfiguredMember, ReplicaConfig, StoredState
 from lemonlead.member import whole
 
@@ -113,7 +113,7 @@
     assert upto == node
     gone = world.command("free", reservation="r")
     assert world.poll("again", node, parts=("nodes",)) is None
-    world.passes(POLL)
+    world.passes(MAX_POLL_NS)
     assert world.door.told["again"][:2] == ([], gone)
 
 
@@ -146,7 +146,7 @@
         if ("snapshot", world.dispatcher.state.index) in world.door.asked:
             assert world.dispatcher.state.index - taken == max(4, records)
             taken, records = world.dispatcher.state.index, world.dispatcher.state.records
-            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshotting)
+            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshot_in_progress)
     assert 2 <= sum(what == "snapshot" for what, _ in world.door.asked) <= 5
 
 
@@ -157,7 +157,7 @@
     for number in range(200):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
         longest = max(longest, world.dispatcher.state.index - since)
-        if world.dispatcher.snapshotting is not None:
-            since = world.dispatcher.snapshotting.index
-            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshotting)
+        if world.dispatcher.snapshot_in_progress is not None:
+            since = world.dispatcher.snapshot_in_progress.index
+            world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshot_in_progress)
     assert longest <= 8
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -243,7 +243,7 @@
         for site in now.part("sites"):
             rows = [row for row in now.part("nodes").values() if row.site == site and capacity.up(row)]
             cold = sum(row.units - capacity.usable_units(row, now.moment, now.settings) for row in rows)
-            assert capacity.not_borne(draft, site) >= cold
+            assert capacity.unavailable_cold_units(draft, site) >= cold
         if command["kind"] == "report":
             short = bool(promises.over(parts))
         elif command["kind"] == "reserve" and applied.code == 200 and not applied.repeat:
@@ -378,7 +378,7 @@
     assert applied.code == 400 and says in str(applied.body) and after.parts == first.parts
 
 
-@pytest.mark.parametrize("depth, code", [(state.DEEPEST, 200), (state.DEEPEST + 1, 400), (5000, 400)])
+@pytest.mark.parametrize("depth, code", [(state.MAX_NESTING, 200), (state.MAX_NESTING + 1, 400), (5000, 400)])
 def test_whether_a_command_is_nested_too_deep_does_not_go_by_the_stack_of_whoever_reads_it(depth, code):
     value = b'{"a":' * (depth - 1) + b"1" + b"}" * (depth - 1)
     data = b'{"id":"d","kind":"entry","scope":"s","key":"k","value":' + value + b"}"
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -196,7 +196,7 @@
 
 
 def reads_at_once(dispatcher, host):
-    dispatcher.read = lambda now, ticket: dispatcher.done.append(
+    dispatcher.read = lambda now, ticket: dispatcher.ready_answers.append(
         lambda door: door.readable(ticket, dispatcher.state, "")
     )
 
@@ -230,7 +230,7 @@
             return propose(now, wall_ms, data, ticket)
         propose(now, wall_ms, data, Change())
         at = dispatcher.replica.last
-        dispatcher.done.append(lambda door: door.answer(ticket, 200, {"at": at}))
+        dispatcher.ready_answers.append(lambda door: door.answer(ticket, 200, {"at": at}))
 
     dispatcher.replica.propose = command
 
