--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -8,7 +8,7 @@
 import traceback
 
 from .. import interface as at
-from ..told import NS
+from ..start_settings import NS
 from . import resp
 from .config import now
 from .sockets import unread_for
@@ -19,7 +19,7 @@
 # that finds no other so much time; a new connection would cost the instance more.
 SETTLE = 10 * NS
 # The endings of attempts that brought a whole answer.
-ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.UNFIT)
+ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
 
 
 class Connection:
@@ -103,7 +103,7 @@
         """It is out of the pool then; None where there is none."""
         return self.unused.pop(0) if self.unused else None
 
-    def rested_at(self):
+    def connection_free_at(self):
         """The moment from which the one longest unused may be used again; 0 where there is none."""
         return self.unused[0].used + SETTLE if self.unused else 0
 
@@ -151,7 +151,7 @@
             self.attempts_in_flight[attempt] = in_flight
             if in_flight.pool is not None:
                 in_flight.connection = in_flight.pool.longest_unused()
-                attempt.rested_at = in_flight.pool.rested_at()
+                attempt.connection_free_at = in_flight.pool.connection_free_at()
         return in_flight
 
     def drop(self, attempts):
@@ -218,9 +218,11 @@
             if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
                 # Guards against a machine that vanished: its open connections stay silent also once it is
                 # back. It could close good ones of a machine that is slow; those cost a new one each.
-                ended += [(old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.at]
-                pool.unused = [old for old in pool.unused if old.used >= in_flight.attempt.at]
-            in_flight.attempt.rested_at = 0 if pool is None else pool.rested_at()
+                ended += [
+                    (old, "instance silent") for old in pool.unused if old.used < in_flight.attempt.sent_at
+                ]
+                pool.unused = [old for old in pool.unused if old.used >= in_flight.attempt.sent_at]
+            in_flight.attempt.connection_free_at = 0 if pool is None else pool.connection_free_at()
         for connection, reason in ended:
             self.end(connection, reason)
         self.dispatcher.handle(self.dispatcher.attempt_ended, in_flight.attempt, end, value)
@@ -246,7 +248,7 @@
                 if in_flight.cancelled or in_flight.pool.closed:
                     return at.NOT_SENT, None
                 in_flight.begun = True
-            in_flight.attempt.since = in_flight.connection.made
+            in_flight.attempt.connected_since = in_flight.connection.made
             wait = max((in_flight.until - now()) // NS, 1)
             in_flight.connection.write(
                 resp.command(passed_on(in_flight.words, wait)), min(in_flight.until, by)
@@ -262,7 +264,7 @@
         except TimeoutError:
             return at.TIMED_OUT, None
         except resp.Malformed:
-            return at.SPOILT, None
+            return at.UNREADABLE, None
         except OSError:
             return at.CANCELLED if in_flight.cancelled else at.RESET, None
         return ending(value)
@@ -330,8 +332,8 @@
         if value.split(b" ")[0] == b"BUSY":
             return at.REJECTED, None
         if value.startswith(b"ERR ") or value == b"SYNTAX":
-            return at.UNFIT, None  # another error that can be read speaks of the command
-    return at.SPOILT, None
+            return at.BAD_REQUEST, None  # another error that can be read speaks of the command
+    return at.UNREADABLE, None
 
 
 def passed_on(words, wait):
