--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -12,7 +12,7 @@
 ELECTION, BEAT = 1000 * MS, 150 * MS
 
 
-def seats(names="abc", learners=""):
+def members_of(names="abc", learners=""):
     return {
         name: r.ConfiguredMember(f"127.0.0.1:{ord(name)}", f"folder-{name}", name not in learners)
         for name in names
@@ -32,16 +32,16 @@
     return [entry(start + at, term) for at, term in enumerate(terms)]
 
 
-def told(name="a", **more):
+def replica_config(name="a", **more):
     return r.ReplicaConfig("c1", name, f"folder-{name}", 7, **more)
 
 
-def made(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
+def new_replica(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
     """A replica that has just started, with entries of these terms in its log."""
     log = entries(terms) if log is None else log
     term = term or max([1, *(one.term for one in log)])
-    kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, seats(names, learners)), log)
-    return Replica(told(name, **more), kept, NOW)
+    kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, members_of(names, learners)), log)
+    return Replica(replica_config(name, **more), kept, NOW)
 
 
 def message(kind, sender, to="a", term=1, **fields):
@@ -52,7 +52,7 @@
     """A door that writes down what it is asked. `sync`: each Write is on disk at once."""
 
     def __init__(self):
-        self.sent, self.writes, self.applied, self.ends, self.parts = [], [], [], {}, []
+        self.sent, self.writes, self.applied, self.results, self.parts = [], [], [], {}, []
 
     def send(self, sent):
         self.sent.append(sent)
@@ -64,8 +64,8 @@
         self.applied += some
 
     def end(self, ticket, how):
-        assert ticket not in self.ends, "ended twice"
-        self.ends[ticket] = how
+        assert ticket not in self.results, "ended twice"
+        self.results[ticket] = how
 
     def answer(self, ticket, index):
         self.end(ticket, index)
@@ -85,7 +85,7 @@
     def kinds(self):
         return [type(sent) for sent in self.sent]
 
-    def pull(self, replica, now, sync=True):
+    def decide_all(self, replica, now, sync=True):
         """All that is decided; what was sent by it."""
         self.sent, turns = [], 0
         while True:
@@ -98,13 +98,13 @@
             replica.written(now, number)
 
 
-def elected(replica, host, now=None, sync=True):
+def elect(replica, host, now=None, sync=True):
     """Makes it the leader of the next term by its peers' ballots; the moment of it."""
     now = now or replica.election_deadline
     for at in range(replica.now, now, ELECTION // 2):
         replica.tick(at)
     replica.election_deadline = now
-    host.pull(replica, now, sync=True)
+    host.decide_all(replica, now, sync=True)
     for early in (True, False):
         for name in replica.voters:
             if name != replica.name and replica.candidacy is not None:
@@ -114,7 +114,7 @@
                 )
                 if replica.candidacy is not None and replica.candidacy.early is not early:
                     break
-        host.pull(replica, now, sync=sync or early)
+        host.decide_all(replica, now, sync=sync or early)
     assert replica.role == r.LEADER
     return now
 
@@ -137,7 +137,7 @@
         self.start()
 
     def start(self):
-        self.replica = Replica(told(self.name, **self.more), self.disk_copy(), self.net.now)
+        self.replica = Replica(replica_config(self.name, **self.more), self.disk_copy(), self.net.now)
         self.writes, self.state, self.taken = [], self.snapshots[self.disk.base.index], b""
         self.frozen, self.up = False, True
 
@@ -235,12 +235,12 @@
     def __init__(self, names="abc", seed=1, learners="", delay=2 * MS, **more):
         self.now, self.chance, self.delay, self.disk = NOW, random.Random(seed), delay, 1 * MS
         self.lost = self.twice = 0.0  # shares of messages
-        self.wire, self.cuts, self.ends, self.history, self.log = [], set(), {}, {}, []
+        self.wire, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
         more.setdefault("most_bytes", 512)
         self.more = more
         self.members = {}
         for name in names:
-            self.add(name, r.StoredState(1, "", r.SnapshotBase(1, 1, seats(names, learners))))
+            self.add(name, r.StoredState(1, "", r.SnapshotBase(1, 1, members_of(names, learners))))
 
     def add(self, name, kept=None):
         self.members[name] = Member(self, name, kept or r.StoredState(), **self.more)
@@ -256,8 +256,8 @@
                 self.wire.append((at, sent))
 
     def end(self, ticket, how):
-        assert ticket not in self.ends, "ended twice"
-        self.ends[ticket] = how
+        assert ticket not in self.results, "ended twice"
+        self.results[ticket] = how
 
     def step(self, dt=1 * MS):
         self.now += dt
@@ -269,8 +269,8 @@
                 member.replica.receive(self.now, sent)
         for member in self.members.values():
             member.turn()
-        leading = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
-        assert len(set(leading)) == len(leading), "two leaders of one term"
+        leader_terms = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
+        assert len(set(leader_terms)) == len(leader_terms), "two leaders of one term"
 
     def run(self, until, within=20_000):
         """Steps of a millisecond until the condition holds."""
@@ -309,8 +309,8 @@
         """Proposes until it is committed, as a client that asks again would."""
         for again in range(20):
             self.propose((ticket, again))
-            self.run(lambda again=again: (ticket, again) in self.ends)
-            if isinstance(self.ends[ticket, again], int):
+            self.run(lambda again=again: (ticket, again) in self.results)
+            if isinstance(self.results[ticket, again], int):
                 return
         raise AssertionError("never done")
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -86,7 +86,7 @@
         return self.dispatcher.followers.waited_for(self.now, self.dispatcher.state, index)
 
 
-def test_a_late_poll_of_an_earlier_process_of_that_name_counts_for_nothing():
+def test_a_late_poll_of_an_earlier_process_is_no_acknowledgement():
     world = World()
     earlier = world.command("follow", gateway="gw")
     later = world.command("follow", gateway="gw")
@@ -99,7 +99,7 @@
     assert world.dispatcher.counts["polls of another stay"] == 3
 
 
-def test_a_call_for_parts_is_woken_by_them_alone_and_the_index_moves_on_all_the_same():
+def test_a_poll_for_parts_ends_only_by_changes_of_them():
     world = World()
     at = world.dispatcher.state.index
     world.poll("all", at)
@@ -117,7 +117,7 @@
     assert world.door.told["again"][:2] == ([], gone)
 
 
-def test_a_call_for_parts_after_what_is_kept_no_more_gets_the_whole_at_once(monkeypatch):
+def test_a_poll_before_the_kept_changes_gets_the_whole_state(monkeypatch):
     monkeypatch.setattr(polls, "MAX_EVENTS", 1)
     world = World()
     at = world.dispatcher.state.index
@@ -127,7 +127,7 @@
     assert events is None and state.index == upto == at + 3
 
 
-def test_a_poll_past_the_bound_is_answered_at_once(monkeypatch):
+def test_a_poll_beyond_the_bound_is_answered_at_once(monkeypatch):
     monkeypatch.setattr("lemonlead.ledger.dispatcher.MAX_POLLS", 2)
     world = World()
     at = world.dispatcher.state.index
@@ -138,7 +138,7 @@
     assert world.door.told.keys() == {"a", "b", "c"}
 
 
-def test_snapshots_are_as_far_apart_as_the_state_is_large():
+def test_the_snapshot_interval_grows_with_the_state():
     world = World(snapshot_every=4)
     taken, records = 1, 0
     for number in range(90):
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("bound, value", [("MAX_SNAPSHOT_INTERVAL", 8), ("MAX_LOG_BYTES", 900)])
-def test_the_log_stays_short_however_large_the_state(monkeypatch, bound, value):
+def test_the_log_stays_short_with_a_large_state(monkeypatch, bound, value):
     monkeypatch.setattr(f"lemonlead.ledger.dispatcher.{bound}", value)
     world, longest, since = World(snapshot_every=5), 0, 0
     for number in range(200):
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -90,7 +90,7 @@
         ([], {"kind": "add", "member": "m1", "address": "127.0.0.1:1"}, 409, "nobody waits"),
     ],
 )
-def test_a_command_is_done_or_refused_and_then_nothing_is_changed(before, command, code, says):
+def test_a_command_is_done_or_refused_without_changes(before, command, code, says):
     first = having(*FLEET, *before)
     after, applied = told(first, **command)
     assert applied.code == code and says in str(applied.body.get("error", ""))
@@ -98,7 +98,7 @@
     assert not promises.faults(promises.plain(after)) and not promises.over(promises.plain(after))
 
 
-def test_a_node_that_failed_and_serves_again_is_cold_for_the_time_told():
+def test_a_node_that_returns_is_cold_for_the_configured_time():
     now = having(*FLEET, report("a", "failed"), report("a", "serving"))
     row = now.part("nodes")["a"]
     assert row.warm == now.moment + now.settings.cold
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("out, later, free", [("", 0, 20), ("d", 0, 5), ("d", 6_250_000_000, 10)])
-def test_a_cold_node_counts_for_a_promise_by_its_share_while_a_drain_has_one_out(out, later, free):
+def test_cold_nodes_count_with_their_share_during_a_drain(out, later, free):
     now = having(*FLEET, report("a", "failed"), report("a", "serving"))
     draft = state.Transaction(now, entry(now, b"", now.moment + later))
     capacity.change_node(draft, "b", out=out)
@@ -129,7 +129,7 @@
             capacity.gang(draft, capacity.GangCommand(gang="late", nodes=("a",), units=1, ends_ms=ends_ms))
 
 
-def test_an_id_gets_its_answer_again_while_it_is_remembered_and_is_done_anew_after():
+def test_a_repeated_id_gets_its_answer_until_it_expires():
     first = having(*FLEET)
     second, done = told(first, id="x", **reserve("r", 20, site="s"))
     third, again = told(second, id="x", **reserve("other", 1, site="t"))
@@ -141,14 +141,14 @@
 
 
 @pytest.mark.parametrize("part", ["services", "service_pages"])
-def test_the_index_by_service_is_checked_against_the_records_and_told_to_nobody(part):
+def test_the_service_index_matches_the_records_and_is_not_polled(part):
     now, applied = told(having(*FLEET), **reserve("r", 1, site="s"))
     assert part in now.parts and part not in {one for one, _ in applied.changes}
     assert not promises.faults(promises.plain(now))
     assert promises.faults({**promises.plain(now), part: {}})
 
 
-def test_a_refusal_is_remembered_too():
+def test_a_refusal_is_remembered():
     first, refused = told(having(*FLEET), id="x", **reserve("r", 21, site="s"))
     grown, _ = told(first, **node("d"))
     _, again = told(grown, id="x", **reserve("r", 21, site="s"))
@@ -162,13 +162,13 @@
     assert len(now.answers) <= 12 and len(now.order) == len(now.answers)
 
 
-def test_time_never_runs_back_in_the_state():
+def test_ledger_time_never_runs_backwards():
     now = having(*FLEET)
     after, _ = told(now, at=5, **node("d"))
     assert after.moment == now.moment
 
 
-def test_a_wall_clock_that_was_ahead_is_right_again_with_the_next_leaders_word():
+def test_a_fast_wall_clock_is_corrected_by_the_next_leader():
     now = having(*FLEET)
     ahead, _ = LEDGER.apply(now, Entry(now.index + 1, 1, COMMAND, now.moment, 1 << 50, b"{}"))
     quiet, _ = LEDGER.apply(ahead, Entry(ahead.index + 1, 2, 0, now.moment, 0, b""))
@@ -176,7 +176,7 @@
     assert (quiet.wall_ms, after.wall_ms, after.moment) == (1 << 50, 7000, now.moment)
 
 
-def test_a_name_that_was_seated_once_is_never_seated_again():
+def test_a_removed_member_name_is_never_used_again():
     now = having(*FLEET)
     for seats in (
         {"m1": ConfiguredMember("h:1", "f1"), "m2": ConfiguredMember("h:2", "f2")},
@@ -206,7 +206,7 @@
      b'{"id":"a","kind":"node","node":"' + b"a" * 300_000 + b'","site":"s","units":1}',
      b'{"id":"","kind":"gang_end","gang":"g"}', b'{"id":"a","kind":"forgotten","gateway":"g","since":1}'],
 )  # fmt: skip
-def test_what_makes_no_sense_is_turned_away_before_the_log(data):
+def test_invalid_commands_are_rejected_before_the_log(data):
     with pytest.raises(Senseless):
         LEDGER.read(data, outside=True)
 
@@ -231,7 +231,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(COMMANDS, max_size=40), st.integers(0, 40))
-def test_any_commands_leave_sums_that_add_up_and_a_snapshot_that_goes_on_alike(commands, cut):
+def test_sums_and_snapshots_are_right_after_any_commands(commands, cut):
     """A node that fails may leave more promised than there is; a reservation never does."""
     now, short = state.State(), False
     for n, command in enumerate(commands):
@@ -257,7 +257,7 @@
 
 @given(st.binary(max_size=200), st.data())
 @settings(max_examples=200, deadline=None)
-def test_a_snapshot_that_was_cut_or_changed_is_refused_or_reads_as_a_state(noise, data):
+def test_a_damaged_snapshot_is_refused_or_reads_as_a_state(noise, data):
     whole = b"".join(LEDGER.pieces(having(*FLEET, reserve("r", 3, site="s"))))
     at = data.draw(st.integers(0, len(whole)))
     for spoilt in (whole[:at], whole[:at] + noise, noise + whole[at:]):
@@ -268,7 +268,7 @@
         assert isinstance(read, state.State)
 
 
-def test_a_leader_waits_for_each_gateway_until_it_obeyed_or_its_lease_and_grace_ran_out():
+def test_a_leader_waits_for_followers_until_their_lease_expires():
     now = having(*FLEET, {"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g2"})
     known, patience = followers.Followers(), now.settings.lease + now.settings.grace
     known.became_leader(100)
@@ -282,7 +282,7 @@
     assert known.waited_for(160 + patience, now, 5) == ["g1", "g2"]
 
 
-def test_a_gateway_that_begins_to_follow_under_an_old_leader_has_its_whole_lease():
+def test_a_new_follower_of_an_old_leader_gets_its_full_lease():
     known, patience = followers.Followers(), state.DEFAULT_SETTINGS.lease + state.DEFAULT_SETTINGS.grace
     known.became_leader(100)
     first = having({"kind": "follow", "gateway": "g1"})
@@ -291,7 +291,7 @@
     assert known.next(late + patience, first).gateway == "g1"
 
 
-def test_one_that_follows_anew_has_acknowledged_nothing_of_its_earlier_stay():
+def test_following_again_resets_what_was_acknowledged():
     first = having({"kind": "follow", "gateway": "g1"})
     again = having({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
     known = followers.Followers()
@@ -302,7 +302,7 @@
     assert known.waited_for(500, again, 5) == []
 
 
-def test_a_gateway_that_came_back_is_not_dropped_for_its_earlier_stay():
+def test_a_gateway_that_followed_again_is_not_dropped():
     now = having({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
     after, _ = told(now, id="z", kind="forgotten", gateway="g1", since=1)
     assert after.part("followers")["g1"].since == 2
@@ -322,7 +322,7 @@
         ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", joins=True)}, membership.STAY_OUT),
     ],
 )
-def test_a_cluster_forms_only_of_folders_that_are_all_empty(me, greetings, what):
+def test_a_cluster_forms_only_from_empty_folders(me, greetings, what):
     assert membership.to_form(me, {"g1": "h:1", "g2": "h:2"}, greetings)[0] == what
 
 
@@ -331,7 +331,7 @@
     [("f1", False, "g1", True), ("f9", False, "g1", False), ("f1", False, "g9", False), 
      ("f3", True, "g3", True), ("f3", False, "g3", False), ("f9", True, "g3", False)],
 )  # fmt: skip
-def test_a_folder_takes_up_a_cluster_only_where_its_seat_names_it(folder, joins, name, fits):
+def test_a_folder_joins_only_a_membership_that_names_it(folder, joins, name, fits):
     _, base = membership.formed(
         {"g1": ConfiguredMember("h:1", "f1"), "g3": ConfiguredMember("h:3", "f3")}, state.LedgerSettings()
     )
@@ -345,7 +345,7 @@
     return {"kind": "entry", "scope": scope, "key": key, "value": value, **more}
 
 
-def test_an_entry_is_put_changed_and_dropped_and_each_change_has_its_index():
+def test_setting_and_dropping_an_entry_has_the_index_of_the_change():
     now, applied = told(having(put({"state": "up"})), **put({"state": "draining"}))
     row = entries.EntryRow({"state": "draining"}, 2)
     assert dict(now.part("entries")) == {"svc-1 i0": row} and applied.body == {"at": 2}
@@ -358,7 +358,7 @@
     ({"a": 1}, {"a": 1}, False), ({"a": 1}, {"a": True}, True), ({"a": 1}, {"a": 1.0}, True),
     ({"a": [1]}, {"a": [1, 2]}, True), (None, None, False), ({}, None, True), (None, {}, True),
 ])  # fmt: skip
-def test_an_entry_changes_where_its_bytes_do_and_asking_again_is_no_fault(before, value, changes):
+def test_an_entry_changes_only_if_its_bytes_do(before, value, changes):
     first = having(*([put(before)] if before is not None else []))
     after, applied = told(first, **put(value))
     assert applied.code == 200 and bool(applied.changes) == changes
@@ -372,14 +372,14 @@
     (put({"a": "x" * entries.MAX_VALUE_BYTES}), f"{entries.MAX_VALUE_BYTES} are the most"),
     (put({"a": [[]] * 3, "b": {}}, more=1), "more"),
 ])  # fmt: skip
-def test_an_entry_that_makes_no_sense_changes_nothing(command, says):
+def test_an_invalid_entry_changes_nothing(command, says):
     first = having(put({"state": "up"}))
     after, applied = told(first, **command)
     assert applied.code == 400 and says in str(applied.body) and after.parts == first.parts
 
 
 @pytest.mark.parametrize("depth, code", [(state.MAX_NESTING, 200), (state.MAX_NESTING + 1, 400), (5000, 400)])
-def test_whether_a_command_is_nested_too_deep_does_not_go_by_the_stack_of_whoever_reads_it(depth, code):
+def test_the_nesting_limit_does_not_depend_on_the_stack(depth, code):
     value = b'{"a":' * (depth - 1) + b"1" + b"}" * (depth - 1)
     data = b'{"id":"d","kind":"entry","scope":"s","key":"k","value":' + value + b"}"
     now = state.State()
@@ -387,13 +387,13 @@
     assert applied.code == code and ("nested" in str(applied.body)) == (code == 400)
 
 
-def test_brackets_in_a_text_and_many_beside_each_other_are_not_deep():
+def test_brackets_in_strings_and_siblings_are_not_nesting():
     text = put({"a": "[{" * 500 + '"' + "\\", "b": [[]] * 500})
     _, applied = told(state.State(), **text)
     assert applied.code == 200
 
 
-def test_no_more_entries_than_the_most_are_taken_and_one_that_is_there_may_change(monkeypatch):
+def test_the_number_of_entries_is_bounded(monkeypatch):
     monkeypatch.setattr(entries, "MAX_ENTRIES", 2)
     full = having(put({}), put({}, key="i1"))
     after, applied = told(full, **put({}, scope=""))
@@ -401,7 +401,7 @@
     assert told(full, **put({"a": 1}))[1].code == 200 == told(full, **put(None))[1].code
 
 
-def test_entries_are_in_a_snapshot_as_they_were():
+def test_entries_survive_a_snapshot():
     now = having(put({"weight": 1.0, "big": 10**30, "names": ["ä", None]}), put({}, scope="", key="rules"))
     again = LEDGER.whole(b"".join(LEDGER.pieces(now)))
     assert again.part("entries") == now.part("entries") and set(now.part("entries")) == {"svc-1 i0", " rules"}
