--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -1,4 +1,4 @@
-"""Builds replicas in the state that a test needs, and a small network of them in simulated time."""
+"""Helpers for tests of the replica: replicas in a given state, and a small network in simulated time."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def entries(terms, start=2):
-    """Entries of these terms from index 2 on: the base is index 1, term 1."""
+    """Returns entries of these terms from index 2 on, since the base has index 1 and term 1."""
     return [entry(start + at, term) for at, term in enumerate(terms)]
 
 
@@ -37,7 +37,7 @@
 
 
 def new_replica(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
-    """A replica that has just started, with entries of these terms in its log."""
+    """Returns a replica that has just started with entries of these terms in its log."""
     log = entries(terms) if log is None else log
     term = term or max([1, *(one.term for one in log)])
     kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, members_of(names, learners)), log)
@@ -49,7 +49,7 @@
 
 
 class Host:
-    """A door that writes down what it is asked. `sync`: each Write is on disk at once."""
+    """A ReplicaHost that records its calls."""
 
     def __init__(self):
         self.sent, self.writes, self.applied, self.results, self.parts = [], [], [], {}, []
@@ -86,12 +86,15 @@
         return [type(sent) for sent in self.sent]
 
     def decide_all(self, replica, now, sync=True):
-        """All that is decided; what was sent by it."""
+        """Calls `decide` until nothing is left to do. Returns the messages sent.
+
+        With `sync`, each Write is on disk at once.
+        """
         self.sent, turns = [], 0
         while True:
             while replica.decide(now, self):
                 turns += 1
-                assert turns < 20_000, "decides without end"
+                assert turns < 20_000, "decide never returns False"
             if not sync or not self.writes:
                 return self.sent
             number, self.writes = self.writes[-1].number, []
@@ -99,7 +102,7 @@
 
 
 def elect(replica, host, now=None, sync=True):
-    """Makes it the leader of the next term by its peers' ballots; the moment of it."""
+    """Makes the replica the leader of the next term by its peers' votes. Returns the time of it."""
     now = now or replica.election_deadline
     for at in range(replica.now, now, ELECTION // 2):
         replica.tick(at)
@@ -120,7 +123,7 @@
 
 
 def ack(replica, now, name, match=None, round=None, **more):
-    """A peer's answer to all that it was sent."""
+    """Delivers a peer's acknowledgement of all that it was sent."""
     match = replica.last if match is None else match
     round = replica.leader_state.round if round is None else round
     fields = {"fits": True, "match": match, "round": round, **more}
@@ -128,7 +131,8 @@
 
 
 class Member:
-    """One of a network: its replica, its disk, and a snapshot that is the list of what was applied."""
+    """A member of a network: its replica, its disk, and its snapshots. The state is the list of applied
+    entries."""
 
     def __init__(self, net, name, kept, **more):
         self.net, self.name, self.more = net, name, more
@@ -144,7 +148,7 @@
     def disk_copy(self):
         return r.StoredState(self.disk.term, self.disk.voted, self.disk.base, list(self.disk.entries))
 
-    # the door
+    # callbacks of ReplicaHost
 
     def send(self, sent):
         self.net.send(sent)
@@ -183,7 +187,7 @@
     def receive_chunk(self, part):
         self.taken = (b"" if part.offset == 0 else self.taken) + part.data
 
-    # the machine
+    # the simulated machine
 
     def turn(self):
         now = self.net.now
@@ -210,7 +214,7 @@
         self.replica.written(self.net.now, write.number)
 
     def compact(self):
-        """A snapshot of what is applied."""
+        """Takes a snapshot of the applied state."""
         if self.at <= self.disk.base.index or self.replica.pending_writes.base:
             return
         while self.writes:
@@ -221,20 +225,20 @@
         )
         self.disk.base = base
         self.disk.entries = [one for one in self.disk.entries if one.index > base.index]
-        self.snapshots = {base.index: self.state}  # one alone, as a host keeps it
+        self.snapshots = {base.index: self.state}  # a host keeps only one
         self.replica.compacted(self.net.now, base)
 
     def kill(self):
-        """At once; Writes that are out are lost."""
+        """Stops the member; Writes in flight are lost."""
         self.up, self.writes = False, []
 
 
 class Net:
-    """`cuts`: set of (sender, to) whose messages are lost."""
+    """A simulated network. `cuts` is a set of (sender, to) whose messages are lost."""
 
     def __init__(self, names="abc", seed=1, learners="", delay=2 * MS, **more):
         self.now, self.chance, self.delay, self.disk = NOW, random.Random(seed), delay, 1 * MS
-        self.lost = self.twice = 0.0  # shares of messages
+        self.lost = self.twice = 0.0  # probabilities for each message
         self.wire, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
         more.setdefault("most_bytes", 512)
         self.more = more
@@ -273,19 +277,19 @@
         assert len(set(leader_terms)) == len(leader_terms), "two leaders of one term"
 
     def run(self, until, within=20_000):
-        """Steps of a millisecond until the condition holds."""
+        """Advances time by milliseconds until the condition holds."""
         for _ in range(within):
             if until():
                 return
             self.step()
-        raise AssertionError("it did not come to that")
+        raise AssertionError("the condition was not reached")
 
     def pause(self, ms):
         for _ in range(ms):
             self.step()
 
     def leader(self):
-        """The name of the one that leads in the greatest term and has an entry of it committed."""
+        """Returns the name of the leader of the greatest term, if it has committed an entry of that term."""
         up = [m.replica for m in self.members.values() if m.up and not m.frozen]
         best = max((one for one in up if one.role == r.LEADER), key=lambda one: one.term, default=None)
         if best is not None and best.leader_state.first_index <= best.committed:
@@ -293,7 +297,7 @@
         return None
 
     def lead(self):
-        """Runs until there is a leader; its replica."""
+        """Runs until there is a leader. Returns its replica."""
         self.run(self.leader)
         return self[self.leader()]
 
@@ -306,16 +310,16 @@
         (leader or self.lead()).propose(self.now, 0, repr(ticket).encode(), ticket)
 
     def done(self, ticket):
-        """Proposes until it is committed, as a client that asks again would."""
+        """Proposes until the command is committed, as a client that retries does."""
         for again in range(20):
             self.propose((ticket, again))
             self.run(lambda again=again: (ticket, again) in self.results)
             if isinstance(self.results[ticket, again], int):
                 return
-        raise AssertionError("never done")
+        raise AssertionError("never committed")
 
     def same(self):
-        """Whether all that are up have applied the same, all of it."""
+        """Whether all running members have applied all committed entries."""
         states = {m.state for m in self.members.values() if m.up}
         return len(states) == 1 and max(m.replica.committed for m in self.members.values() if m.up) in {
             m.at for m in self.members.values() if m.up
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,5 +1,4 @@
-"""A member's dispatcher by itself, as the only member of a cluster: its disk is at once, or when a test
-says."""
+"""Tests of the dispatcher of a cluster with a single member. Writes are on disk at once."""
 
 import msgspec
 import pytest
@@ -14,24 +13,24 @@
 MS = 1_000_000
 
 
-class Door:
-    """Writes down what it is asked, in order."""
+class RecordingHost:
+    """A DispatcherHost that records its calls."""
 
     def __init__(self):
-        self.asked, self.writes, self.answers, self.told = [], [], {}, {}
+        self.calls, self.writes, self.answers, self.polls_answered = [], [], {}, {}
 
     def write(self, write):
         self.writes.append(write)
-        self.asked.append(("write", write.entries[-1].index if write.entries else 0))
+        self.calls.append(("write", write.entries[-1].index if write.entries else 0))
 
     def snapshot(self, state, base):
-        self.asked.append(("snapshot", base.index))
+        self.calls.append(("snapshot", base.index))
 
     def answer(self, ticket, code, body):
         self.answers[ticket] = code, body
 
     def polled(self, ticket, events, at, state, leader):
-        self.told[ticket] = events, at, state
+        self.polls_answered[ticket] = events, at, state
 
     def nothing(self, *_):
         pass
@@ -39,30 +38,32 @@
     send = send_chunk = receive_chunk = readable = call = nothing
 
 
-class World:
+class SingleMember:
+    """A cluster of one member, which leads."""
+
     def __init__(self, **more):
         state, base = formed({"g1": ConfiguredMember("h:1", "f1")}, LedgerSettings())
-        told = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
-        self.now, self.door, self.number = 1, Door(), 0
+        config = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
+        self.now, self.door, self.number = 1, RecordingHost(), 0
         self.dispatcher = Dispatcher(
-            told, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
+            config, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
         )
         while self.dispatcher.replica.role != LEADER:
-            self.passes(max(self.dispatcher.wake_at() - self.now, MS))
+            self.advance(max(self.dispatcher.wake_at() - self.now, MS))
         self.command("node", node="n1", site="s", units=5)
 
-    def decided(self):
+    def decide_all(self):
         while self.dispatcher.decide(self.now, self.door):
             pass
 
-    def passes(self, time=0):
-        """So much time, and all that there is to do until no write is out."""
+    def advance(self, time=0):
+        """Advances time, then runs the dispatcher until no write is in flight."""
         self.now += time
         self.dispatcher.set_clocks(self.now, self.now // MS)
-        self.decided()
+        self.decide_all()
         while self.door.writes:
             self.dispatcher.written(self.now, self.door.writes.pop(0).number)
-            self.decided()
+            self.decide_all()
 
     def propose(self, kind, **fields):
         self.number += 1
@@ -70,24 +71,24 @@
         self.dispatcher.command(self.now, data, self.number)
 
     def command(self, kind, **fields):
-        """The index that it was done at."""
+        """Proposes a command, which must succeed. Returns its index."""
         self.propose(kind, **fields)
-        self.passes()
+        self.advance()
         code, body = self.door.answers[self.number]
         assert code == 200
         return body["at"]
 
     def poll(self, ticket, after, gateway="", **more):
         self.dispatcher.poll(self.now, after, gateway, ticket, **more)
-        self.passes()
-        return self.door.told.get(ticket)
+        self.advance()
+        return self.door.polls_answered.get(ticket)
 
     def waits_for(self, index):
         return self.dispatcher.followers.waited_for(self.now, self.dispatcher.state, index)
 
 
 def test_a_late_poll_of_an_earlier_process_is_no_acknowledgement():
-    world = World()
+    world = SingleMember()
     earlier = world.command("follow", gateway="gw")
     later = world.command("follow", gateway="gw")
     index = world.command("node", node="n2", site="s", units=5)
@@ -100,26 +101,26 @@
 
 
 def test_a_poll_for_parts_ends_only_by_changes_of_them():
-    world = World()
+    world = SingleMember()
     at = world.dispatcher.state.index
     world.poll("all", at)
     assert world.poll("nodes", at, parts=("nodes", "permits")) is None
     held = world.command("reserve", reservation="r", service="s", units=1, nodes=["n1"])
-    assert [index for index, _ in world.door.told["all"][0]] == [held]
-    assert "nodes" not in world.door.told
+    assert [index for index, _ in world.door.polls_answered["all"][0]] == [held]
+    assert "nodes" not in world.door.polls_answered
     node = world.command("node", node="n2", site="s", units=5)
-    events, upto, _ = world.door.told["nodes"]
-    assert [(index, {part for part, _ in told}) for index, told in events] == [(node, {"nodes"})]
+    events, upto, _ = world.door.polls_answered["nodes"]
+    assert [(index, {part for part, _ in changes}) for index, changes in events] == [(node, {"nodes"})]
     assert upto == node
     gone = world.command("free", reservation="r")
     assert world.poll("again", node, parts=("nodes",)) is None
-    world.passes(MAX_POLL_NS)
-    assert world.door.told["again"][:2] == ([], gone)
+    world.advance(MAX_POLL_NS)
+    assert world.door.polls_answered["again"][:2] == ([], gone)
 
 
 def test_a_poll_before_the_kept_changes_gets_the_whole_state(monkeypatch):
     monkeypatch.setattr(polls, "MAX_EVENTS", 1)
-    world = World()
+    world = SingleMember()
     at = world.dispatcher.state.index
     for name in ("a", "b", "c"):
         world.command("reserve", reservation=name, service="s", units=1, nodes=["n1"])
@@ -129,31 +130,31 @@
 
 def test_a_poll_beyond_the_bound_is_answered_at_once(monkeypatch):
     monkeypatch.setattr("lemonlead.ledger.dispatcher.MAX_POLLS", 2)
-    world = World()
+    world = SingleMember()
     at = world.dispatcher.state.index
     assert [world.poll(ticket, at) for ticket in "ab"] == [None, None]
     assert world.poll("c", at) == ([], at, None)
     assert world.dispatcher.counts["polls answered at once"] == 1
     world.command("node", node="n2", site="s", units=5)
-    assert world.door.told.keys() == {"a", "b", "c"}
+    assert world.door.polls_answered.keys() == {"a", "b", "c"}
 
 
 def test_the_snapshot_interval_grows_with_the_state():
-    world = World(snapshot_every=4)
+    world = SingleMember(snapshot_every=4)
     taken, records = 1, 0
     for number in range(90):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
-        if ("snapshot", world.dispatcher.state.index) in world.door.asked:
+        if ("snapshot", world.dispatcher.state.index) in world.door.calls:
             assert world.dispatcher.state.index - taken == max(4, records)
             taken, records = world.dispatcher.state.index, world.dispatcher.state.records
             world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshot_in_progress)
-    assert 2 <= sum(what == "snapshot" for what, _ in world.door.asked) <= 5
+    assert 2 <= sum(what == "snapshot" for what, _ in world.door.calls) <= 5
 
 
 @pytest.mark.parametrize("bound, value", [("MAX_SNAPSHOT_INTERVAL", 8), ("MAX_LOG_BYTES", 900)])
 def test_the_log_stays_short_with_a_large_state(monkeypatch, bound, value):
     monkeypatch.setattr(f"lemonlead.ledger.dispatcher.{bound}", value)
-    world, longest, since = World(snapshot_every=5), 0, 0
+    world, longest, since = SingleMember(snapshot_every=5), 0, 0
     for number in range(200):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
         longest = max(longest, world.dispatcher.state.index - since)
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -1,4 +1,5 @@
-"""The state function: what commands do, remembered ids, snapshots, seats. Counted anew by a stand-in."""
+"""Tests of the state machine: commands, remembered ids, snapshots and membership. The sums are checked
+against the independent implementation in `standins.promises`."""
 
 import msgspec
 import pytest
@@ -23,19 +24,19 @@
     return Entry(before.index + 1, 1, what, moment, 1000 * (before.index + 1), data)
 
 
-def told(before, *, at=None, id=None, **command):
-    """The state after this command, and what it came to."""
+def apply(before, *, at=None, id=None, **command):
+    """Applies a command. Returns the new state and its Applied."""
     id = id or f"c/{before.index}"
     return LEDGER.apply(before, entry(before, msgspec.json.encode({"id": id, **command}), at))
 
 
-def having(*commands):
-    """A state in which these commands were done."""
-    now = state.State()
+def state_after(*commands):
+    """Returns a state after these commands, which must succeed."""
+    current = state.State()
     for command in commands:
-        now, applied = told(now, **command)
+        current, applied = apply(current, **command)
         assert applied.code == 200, applied
-    return now
+    return current
 
 
 def node(name, units=10, site="s"):
@@ -91,111 +92,115 @@
     ],
 )
 def test_a_command_is_done_or_refused_without_changes(before, command, code, says):
-    first = having(*FLEET, *before)
-    after, applied = told(first, **command)
+    first = state_after(*FLEET, *before)
+    after, applied = apply(first, **command)
     assert applied.code == code and says in str(applied.body.get("error", ""))
     assert (after.parts == first.parts) == (code != 200 or command["kind"] == "forgotten")
     assert not promises.faults(promises.plain(after)) and not promises.over(promises.plain(after))
 
 
 def test_a_node_that_returns_is_cold_for_the_configured_time():
-    now = having(*FLEET, report("a", "failed"), report("a", "serving"))
-    row = now.part("nodes")["a"]
-    assert row.warm == now.moment + now.settings.cold
-    assert capacity.usable_units(row, now.moment, now.settings) == 5
-    assert capacity.usable_units(row, row.warm, now.settings) == 10
+    current = state_after(*FLEET, report("a", "failed"), report("a", "serving"))
+    row = current.part("nodes")["a"]
+    assert row.warm == current.moment + current.settings.cold
+    assert capacity.usable_units(row, current.moment, current.settings) == 5
+    assert capacity.usable_units(row, row.warm, current.settings) == 10
 
 
 @pytest.mark.parametrize("out, later, free", [("", 0, 20), ("d", 0, 5), ("d", 6_250_000_000, 10)])
 def test_cold_nodes_count_with_their_share_during_a_drain(out, later, free):
-    now = having(*FLEET, report("a", "failed"), report("a", "serving"))
-    draft = state.Transaction(now, entry(now, b"", now.moment + later))
-    capacity.change_node(draft, "b", out=out)
-    assert capacity.site_free(draft, "s") == free
+    current = state_after(*FLEET, report("a", "failed"), report("a", "serving"))
+    transaction = state.Transaction(current, entry(current, b"", current.moment + later))
+    capacity.change_node(transaction, "b", out=out)
+    assert capacity.site_free(transaction, "s") == free
     with pytest.raises(capacity.Refused, match=f"{free} units free"):
-        capacity.take_site(draft, "s", free + 1)
+        capacity.take_site(transaction, "s", free + 1)
     with pytest.raises(capacity.Refused, match="units free"):
-        capacity.take_nodes(draft, ("a",), min(free, 10) + 1)
-    capacity.take_site(draft, "s", free)
+        capacity.take_nodes(transaction, ("a",), min(free, 10) + 1)
+    capacity.take_site(transaction, "s", free)
 
 
 def test_a_cordoned_node_takes_only_gangs_that_end_in_time():
-    now = having(*FLEET)
-    draft = state.Transaction(now, entry(now, b""))
-    capacity.change_node(draft, "a", cordon_ms=50_000)
-    capacity.gang(draft, capacity.GangCommand(gang="early", nodes=("a",), units=1, ends_ms=50_000))
+    current = state_after(*FLEET)
+    transaction = state.Transaction(current, entry(current, b""))
+    capacity.change_node(transaction, "a", cordon_ms=50_000)
+    capacity.gang(transaction, capacity.GangCommand(gang="early", nodes=("a",), units=1, ends_ms=50_000))
     for ends_ms in (0, 50_001):
         with pytest.raises(capacity.Refused, match="to go for a drain"):
-            capacity.gang(draft, capacity.GangCommand(gang="late", nodes=("a",), units=1, ends_ms=ends_ms))
+            capacity.gang(
+                transaction, capacity.GangCommand(gang="late", nodes=("a",), units=1, ends_ms=ends_ms)
+            )
 
 
 def test_a_repeated_id_gets_its_answer_until_it_expires():
-    first = having(*FLEET)
-    second, done = told(first, id="x", **reserve("r", 20, site="s"))
-    third, again = told(second, id="x", **reserve("other", 1, site="t"))
+    first = state_after(*FLEET)
+    second, done = apply(first, id="x", **reserve("r", 20, site="s"))
+    third, again = apply(second, id="x", **reserve("other", 1, site="t"))
     assert again.repeat and again.body == done.body and third.parts == second.parts
-    late, _ = told(third, at=third.moment + third.settings.remember, **node("d"))
-    fourth, anew = told(late, id="x", **reserve("r", 20, site="s"))
+    late, _ = apply(third, at=third.moment + third.settings.remember, **node("d"))
+    fourth, anew = apply(late, id="x", **reserve("r", 20, site="s"))
     assert not anew.repeat and anew.code == 409
     assert fourth.answers["x"].code == 409
 
 
 @pytest.mark.parametrize("part", ["services", "service_pages"])
 def test_the_service_index_matches_the_records_and_is_not_polled(part):
-    now, applied = told(having(*FLEET), **reserve("r", 1, site="s"))
-    assert part in now.parts and part not in {one for one, _ in applied.changes}
-    assert not promises.faults(promises.plain(now))
-    assert promises.faults({**promises.plain(now), part: {}})
+    current, applied = apply(state_after(*FLEET), **reserve("r", 1, site="s"))
+    assert part in current.parts and part not in {one for one, _ in applied.changes}
+    assert not promises.faults(promises.plain(current))
+    assert promises.faults({**promises.plain(current), part: {}})
 
 
 def test_a_refusal_is_remembered():
-    first, refused = told(having(*FLEET), id="x", **reserve("r", 21, site="s"))
-    grown, _ = told(first, **node("d"))
-    _, again = told(grown, id="x", **reserve("r", 21, site="s"))
+    first, refused = apply(state_after(*FLEET), id="x", **reserve("r", 21, site="s"))
+    grown, _ = apply(first, **node("d"))
+    _, again = apply(grown, id="x", **reserve("r", 21, site="s"))
     assert again.code == 409 and again.body == refused.body
 
 
 def test_remembered_ids_do_not_grow_with_time():
-    now = having(*FLEET)
+    current = state_after(*FLEET)
     for n in range(300):
-        now, _ = told(now, at=now.moment + now.settings.remember // 10, id=f"n{n}", **report("a", "serving"))
-    assert len(now.answers) <= 12 and len(now.order) == len(now.answers)
+        current, _ = apply(
+            current, at=current.moment + current.settings.remember // 10, id=f"n{n}", **report("a", "serving")
+        )
+    assert len(current.answers) <= 12 and len(current.order) == len(current.answers)
 
 
 def test_ledger_time_never_runs_backwards():
-    now = having(*FLEET)
-    after, _ = told(now, at=5, **node("d"))
-    assert after.moment == now.moment
+    current = state_after(*FLEET)
+    after, _ = apply(current, at=5, **node("d"))
+    assert after.moment == current.moment
 
 
 def test_a_fast_wall_clock_is_corrected_by_the_next_leader():
-    now = having(*FLEET)
-    ahead, _ = LEDGER.apply(now, Entry(now.index + 1, 1, COMMAND, now.moment, 1 << 50, b"{}"))
-    quiet, _ = LEDGER.apply(ahead, Entry(ahead.index + 1, 2, 0, now.moment, 0, b""))
-    after, _ = LEDGER.apply(quiet, Entry(quiet.index + 1, 2, COMMAND, now.moment, 7000, b"{}"))
-    assert (quiet.wall_ms, after.wall_ms, after.moment) == (1 << 50, 7000, now.moment)
+    current = state_after(*FLEET)
+    ahead, _ = LEDGER.apply(current, Entry(current.index + 1, 1, COMMAND, current.moment, 1 << 50, b"{}"))
+    quiet, _ = LEDGER.apply(ahead, Entry(ahead.index + 1, 2, 0, current.moment, 0, b""))
+    after, _ = LEDGER.apply(quiet, Entry(quiet.index + 1, 2, COMMAND, current.moment, 7000, b"{}"))
+    assert (quiet.wall_ms, after.wall_ms, after.moment) == (1 << 50, 7000, current.moment)
 
 
 def test_a_removed_member_name_is_never_used_again():
-    now = having(*FLEET)
+    current = state_after(*FLEET)
     for seats in (
         {"m1": ConfiguredMember("h:1", "f1"), "m2": ConfiguredMember("h:2", "f2")},
         {"m1": ConfiguredMember("h:1", "f1")},
     ):
-        now, _ = LEDGER.apply(now, entry(now, msgspec.json.encode(seats), what=MEMBERS))
-    assert now.part("members")["m2"].gone
+        current, _ = LEDGER.apply(current, entry(current, msgspec.json.encode(seats), what=MEMBERS))
+    assert current.part("members")["m2"].gone
     for member, folder, says in (
         ("m2", "f9", "was a member once"), ("m1", "f9", "is a member"), ("m3", "f2", "another member's"),
     ):  # fmt: skip
-        _, applied = told(now, kind="add", member=member, address="127.0.0.1:9", folder=folder)
+        _, applied = apply(current, kind="add", member=member, address="127.0.0.1:9", folder=folder)
         assert applied.code == 409 and says in applied.body["error"]["says"]
-    now, applied = told(now, kind="add", member="m3", address="127.0.0.1:9", folder="f3")
+    current, applied = apply(current, kind="add", member="m3", address="127.0.0.1:9", folder="f3")
     assert applied.code == 200
-    _, second = told(now, kind="add", member="m4", address="127.0.0.1:9", folder="f4")
+    _, second = apply(current, kind="add", member="m4", address="127.0.0.1:9", folder="f4")
     assert second.code == 409 and "still being seated" in second.body["error"]["says"]
     seats = {"m1": ConfiguredMember("h:1", "f1"), "m3": ConfiguredMember("h:9", "f3", False)}
-    now, _ = LEDGER.apply(now, entry(now, msgspec.json.encode(seats), what=MEMBERS))
-    assert not now.part("seating")
+    current, _ = LEDGER.apply(current, entry(current, msgspec.json.encode(seats), what=MEMBERS))
+    assert not current.part("seating")
 
 
 @pytest.mark.parametrize(
@@ -232,33 +237,35 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(COMMANDS, max_size=40), st.integers(0, 40))
 def test_sums_and_snapshots_are_right_after_any_commands(commands, cut):
-    """A node that fails may leave more promised than there is; a reservation never does."""
-    now, short = state.State(), False
+    """A failed node may leave more promised than there is; a reservation may not."""
+    current, short = state.State(), False
     for n, command in enumerate(commands):
-        before = now
-        now, applied = told(now, **command)
-        parts = promises.plain(now)
+        before = current
+        current, applied = apply(current, **command)
+        parts = promises.plain(current)
         assert not promises.faults(parts)
-        draft = state.Transaction(now, entry(now, b""))
-        for site in now.part("sites"):
-            rows = [row for row in now.part("nodes").values() if row.site == site and capacity.up(row)]
-            cold = sum(row.units - capacity.usable_units(row, now.moment, now.settings) for row in rows)
-            assert capacity.unavailable_cold_units(draft, site) >= cold
+        transaction = state.Transaction(current, entry(current, b""))
+        for site in current.part("sites"):
+            rows = [row for row in current.part("nodes").values() if row.site == site and capacity.up(row)]
+            cold = sum(
+                row.units - capacity.usable_units(row, current.moment, current.settings) for row in rows
+            )
+            assert capacity.unavailable_cold_units(transaction, site) >= cold
         if command["kind"] == "report":
             short = bool(promises.over(parts))
         elif command["kind"] == "reserve" and applied.code == 200 and not applied.repeat:
             assert not promises.over(parts) or short
         if n == cut:
-            read = LEDGER.whole(b"".join(LEDGER.pieces(now)))
-            assert read == now
-            now = read
-        assert now.index == before.index + 1
+            read = LEDGER.whole(b"".join(LEDGER.pieces(current)))
+            assert read == current
+            current = read
+        assert current.index == before.index + 1
 
 
 @given(st.binary(max_size=200), st.data())
 @settings(max_examples=200, deadline=None)
 def test_a_damaged_snapshot_is_refused_or_reads_as_a_state(noise, data):
-    whole = b"".join(LEDGER.pieces(having(*FLEET, reserve("r", 3, site="s"))))
+    whole = b"".join(LEDGER.pieces(state_after(*FLEET, reserve("r", 3, site="s"))))
     at = data.draw(st.integers(0, len(whole)))
     for spoilt in (whole[:at], whole[:at] + noise, noise + whole[at:]):
         try:
@@ -269,31 +276,31 @@
 
 
 def test_a_leader_waits_for_followers_until_their_lease_expires():
-    now = having(*FLEET, {"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g2"})
-    known, patience = followers.Followers(), now.settings.lease + now.settings.grace
+    current = state_after(*FLEET, {"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g2"})
+    known, patience = followers.Followers(), current.settings.lease + current.settings.grace
     known.became_leader(100)
-    assert known.waited_for(100, now, 5) == ["g1", "g2"]
+    assert known.waited_for(100, current, 5) == ["g1", "g2"]
     known.polled(200, "g1", 5)
-    assert known.waited_for(300, now, 5) == ["g2"]
-    assert known.next(99 + patience, now) is None
-    assert known.waited_for(100 + patience, now, 5) == []
-    assert known.next(100 + patience, now).gateway == "g2"
+    assert known.waited_for(300, current, 5) == ["g2"]
+    assert known.next(99 + patience, current) is None
+    assert known.waited_for(100 + patience, current, 5) == []
+    assert known.next(100 + patience, current).gateway == "g2"
     known.became_leader(150 + patience)
-    assert known.waited_for(160 + patience, now, 5) == ["g1", "g2"]
+    assert known.waited_for(160 + patience, current, 5) == ["g1", "g2"]
 
 
 def test_a_new_follower_of_an_old_leader_gets_its_full_lease():
     known, patience = followers.Followers(), state.DEFAULT_SETTINGS.lease + state.DEFAULT_SETTINGS.grace
     known.became_leader(100)
-    first = having({"kind": "follow", "gateway": "g1"})
+    first = state_after({"kind": "follow", "gateway": "g1"})
     late = 100 + 10 * patience
     assert known.next(late, first) is None and known.waited_for(late, first, 5) == ["g1"]
     assert known.next(late + patience, first).gateway == "g1"
 
 
 def test_following_again_resets_what_was_acknowledged():
-    first = having({"kind": "follow", "gateway": "g1"})
-    again = having({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
+    first = state_after({"kind": "follow", "gateway": "g1"})
+    again = state_after({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
     known = followers.Followers()
     known.polled(100, "g1", 9, first.part("followers")["g1"].since)
     assert known.waited_for(200, first, 5) == []
@@ -303,23 +310,23 @@
 
 
 def test_a_gateway_that_followed_again_is_not_dropped():
-    now = having({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
-    after, _ = told(now, id="z", kind="forgotten", gateway="g1", since=1)
+    current = state_after({"kind": "follow", "gateway": "g1"}, {"kind": "follow", "gateway": "g1"})
+    after, _ = apply(current, id="z", kind="forgotten", gateway="g1", since=1)
     assert after.part("followers")["g1"].since == 2
 
 
-GREETED = membership.Greeting
+Greeting = membership.Greeting
 
 
 @pytest.mark.parametrize(
     "me, greetings, what",
     [
-        ("g1", {"g1": GREETED("g1", "f1")}, membership.WAIT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, membership.FORM),
-        ("g2", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2")}, membership.WAIT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", "louis")}, membership.STAY_OUT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("other", "f2")}, membership.STAY_OUT),
-        ("g1", {"g1": GREETED("g1", "f1"), "g2": GREETED("g2", "f2", joins=True)}, membership.STAY_OUT),
+        ("g1", {"g1": Greeting("g1", "f1")}, membership.WAIT),
+        ("g1", {"g1": Greeting("g1", "f1"), "g2": Greeting("g2", "f2")}, membership.FORM),
+        ("g2", {"g1": Greeting("g1", "f1"), "g2": Greeting("g2", "f2")}, membership.WAIT),
+        ("g1", {"g1": Greeting("g1", "f1"), "g2": Greeting("g2", "f2", "louis")}, membership.STAY_OUT),
+        ("g1", {"g1": Greeting("g1", "f1"), "g2": Greeting("other", "f2")}, membership.STAY_OUT),
+        ("g1", {"g1": Greeting("g1", "f1"), "g2": Greeting("g2", "f2", joins=True)}, membership.STAY_OUT),
     ],
 )
 def test_a_cluster_forms_only_from_empty_folders(me, greetings, what):
@@ -338,7 +345,7 @@
     assert (membership.may_join(folder, joins, {"g1": "h:1"}, name, base) == "") == fits
 
 
-# ---- entries, told to gateways by scope
+# ---- entries, which gateways receive by scope
 
 
 def put(value, scope="svc-1", key="i0", **more):
@@ -346,12 +353,12 @@
 
 
 def test_setting_and_dropping_an_entry_has_the_index_of_the_change():
-    now, applied = told(having(put({"state": "up"})), **put({"state": "draining"}))
+    current, applied = apply(state_after(put({"state": "up"})), **put({"state": "draining"}))
     row = entries.EntryRow({"state": "draining"}, 2)
-    assert dict(now.part("entries")) == {"svc-1 i0": row} and applied.body == {"at": 2}
+    assert dict(current.part("entries")) == {"svc-1 i0": row} and applied.body == {"at": 2}
     assert applied.changes == {("entries", "svc-1 i0"): row}
-    now, applied = told(now, **put(None))
-    assert not now.part("entries") and applied.changes == {("entries", "svc-1 i0"): None}
+    current, applied = apply(current, **put(None))
+    assert not current.part("entries") and applied.changes == {("entries", "svc-1 i0"): None}
 
 
 @pytest.mark.parametrize("before, value, changes", [
@@ -359,8 +366,8 @@
     ({"a": [1]}, {"a": [1, 2]}, True), (None, None, False), ({}, None, True), (None, {}, True),
 ])  # fmt: skip
 def test_an_entry_changes_only_if_its_bytes_do(before, value, changes):
-    first = having(*([put(before)] if before is not None else []))
-    after, applied = told(first, **put(value))
+    first = state_after(*([put(before)] if before is not None else []))
+    after, applied = apply(first, **put(value))
     assert applied.code == 200 and bool(applied.changes) == changes
     assert (after.parts != first.parts) == changes
 
@@ -373,8 +380,8 @@
     (put({"a": [[]] * 3, "b": {}}, more=1), "more"),
 ])  # fmt: skip
 def test_an_invalid_entry_changes_nothing(command, says):
-    first = having(put({"state": "up"}))
-    after, applied = told(first, **command)
+    first = state_after(put({"state": "up"}))
+    after, applied = apply(first, **command)
     assert applied.code == 400 and says in str(applied.body) and after.parts == first.parts
 
 
@@ -382,26 +389,31 @@
 def test_the_nesting_limit_does_not_depend_on_the_stack(depth, code):
     value = b'{"a":' * (depth - 1) + b"1" + b"}" * (depth - 1)
     data = b'{"id":"d","kind":"entry","scope":"s","key":"k","value":' + value + b"}"
-    now = state.State()
-    _, applied = LEDGER.apply(now, entry(now, data))
+    current = state.State()
+    _, applied = LEDGER.apply(current, entry(current, data))
     assert applied.code == code and ("nested" in str(applied.body)) == (code == 400)
 
 
 def test_brackets_in_strings_and_siblings_are_not_nesting():
     text = put({"a": "[{" * 500 + '"' + "\\", "b": [[]] * 500})
-    _, applied = told(state.State(), **text)
+    _, applied = apply(state.State(), **text)
     assert applied.code == 200
 
 
 def test_the_number_of_entries_is_bounded(monkeypatch):
     monkeypatch.setattr(entries, "MAX_ENTRIES", 2)
-    full = having(put({}), put({}, key="i1"))
-    after, applied = told(full, **put({}, scope=""))
+    full = state_after(put({}), put({}, key="i1"))
+    after, applied = apply(full, **put({}, scope=""))
     assert applied.code == 409 and "entries holds 2" in str(applied.body) and after.parts == full.parts
-    assert told(full, **put({"a": 1}))[1].code == 200 == told(full, **put(None))[1].code
+    assert apply(full, **put({"a": 1}))[1].code == 200 == apply(full, **put(None))[1].code
 
 
 def test_entries_survive_a_snapshot():
-    now = having(put({"weight": 1.0, "big": 10**30, "names": ["ä", None]}), put({}, scope="", key="rules"))
-    again = LEDGER.whole(b"".join(LEDGER.pieces(now)))
-    assert again.part("entries") == now.part("entries") and set(now.part("entries")) == {"svc-1 i0", " rules"}
+    current = state_after(
+        put({"weight": 1.0, "big": 10**30, "names": ["ä", None]}), put({}, scope="", key="rules")
+    )
+    again = LEDGER.whole(b"".join(LEDGER.pieces(current)))
+    assert again.part("entries") == current.part("entries") and set(current.part("entries")) == {
+        "svc-1 i0",
+        " rules",
+    }
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The replication core: what a replica decides in each state, and a few of them on a small network."""
+"""Tests of the replication core: single replicas in each state, and clusters on a simulated network."""
 
 import os
 
@@ -29,7 +29,7 @@
 from lemonlead.ledger.log import MAX_WRITES_IN_FLIGHT, Log
 from lemonlead.ledger.replica import Replica
 
-LONG = int(os.environ.get("LEMONLEAD_LONG", "1"))  # times as many examples and schedules, by chance
+LONG = int(os.environ.get("LEMONLEAD_LONG", "1"))  # factor for the number of random examples and schedules
 HEAVY = settings(
     max_examples=150 * LONG, deadline=None, suppress_health_check=list(HealthCheck), derandomize=LONG == 1
 )
@@ -48,7 +48,7 @@
 
 
 def receive(replica, sent, now=NOW, host=None, sync=True):
-    """What it sends after one message."""
+    """Delivers a message and returns what the replica sends."""
     host = host or Host()
     replica.receive(now, sent)
     return host.decide_all(replica, now, sync)
@@ -122,7 +122,7 @@
 
 
 def run_until_candidate(replica, host, sync=True):
-    """Lets the time run until it stands."""
+    """Advances time until the replica becomes a candidate; returns that time."""
     now = replica.now
     while replica.role == r.FOLLOWER:
         now = min(now + ELECTION // 2, max(replica.election_deadline, now + 1))
@@ -217,7 +217,7 @@
     assert host.results == {"t": r.UNKNOWN, "read": r.NOT_DONE}
 
 
-# ---- messages that are not meant
+# ---- messages for others
 
 
 @pytest.mark.parametrize(
@@ -253,7 +253,7 @@
 def test_a_follower_acknowledges_only_entries_on_its_disk():
     replica, host = new_replica(), Host()
     first = receive(replica, append_entries(terms=[1, 1], round=1), host=host, sync=False)
-    assert [one.match for one in first] == [1]  # the round is answered at once
+    assert [one.match for one in first] == [1]  # the round is answered immediately
     assert receive(replica, append_entries((3, 1), terms=[1], round=1), host=host, sync=False) == []
     replica.written(NOW, 1)
     assert [(one.fits, one.match) for one in host.decide_all(replica, NOW, sync=False)] == [(True, 3)]
@@ -264,8 +264,8 @@
 @pytest.mark.parametrize(
     "held, sent, log, cut",
     [
-        ([1, 1], append_entries(terms=[1, 1]), [1, 1], None),  # a repeat
-        ([1, 1], append_entries(terms=[1]), [1, 1], None),  # a late one cuts nothing
+        ([1, 1], append_entries(terms=[1, 1]), [1, 1], None),  # a repeated message
+        ([1, 1], append_entries(terms=[1]), [1, 1], None),  # a late message truncates nothing
         ([1, 1, 1], append_entries((2, 1), terms=[2], term=2), [1, 2], 3),
         ([1, 1, 1], append_entries(terms=[2, 2, 2, 2], term=2), [2, 2, 2, 2], 2),
         ([1], append_entries((2, 1), terms=[1, 2], term=2), [1, 1, 2], None),
@@ -282,7 +282,7 @@
     "held, sent, hint",
     [
         ([1], append_entries((5, 1)), 2),
-        ([1, 1, 2, 2, 2], append_entries((5, 3), term=3), 3),  # over the whole run of a term
+        ([1, 1, 2, 2, 2], append_entries((5, 3), term=3), 3),  # skips the whole run of a term
         ([2, 2], append_entries((3, 1), term=3), 1),
     ],
 )
@@ -294,7 +294,7 @@
 @pytest.mark.parametrize(
     "sent",
     [
-        append_entries(terms=[2], term=2),  # undoes what is committed
+        append_entries(terms=[2], term=2),  # would undo a committed entry
         append_entries((3, 2), term=2),
         append_entries((-1, 0)),
         append_entries((3, 1), log=[entry(5, 1)]),
@@ -340,7 +340,7 @@
 
 
 def test_a_follower_applies_only_entries_submitted_to_the_disk():
-    """Else a snapshot of that state would get to the disk before the entries that it stands for."""
+    """Otherwise a snapshot of that state could get to disk before the entries that it replaces."""
     replica, host = new_replica(), Host()
     for index in range(1, MAX_WRITES_IN_FLIGHT + 1):
         receive(replica, append_entries((index, 1), terms=[1]), host=host, sync=False)
@@ -362,7 +362,7 @@
 def test_a_leader_counts_its_own_entries_once_on_disk():
     replica, host = new_replica(), Host()
     now = elect(replica, host, sync=False)
-    assert r.AppendEntries in host.kinds()  # sent before its own disk holds it
+    assert r.AppendEntries in host.kinds()  # sent before it is on its own disk
     replica.propose(now, 0, b"{}", "t")
     host.decide_all(replica, now, sync=False)
     ack(replica, now, "b")
@@ -381,7 +381,7 @@
 
 
 def test_older_terms_are_committed_only_through_the_own_term():
-    """Figure 8 of the paper (3.6.2)."""
+    """Figure 8 of the Raft paper (3.6.2)."""
     replica, host = new_replica(names="abcde", terms=[2], term=3), Host()
     now = elect(replica, host)
     for name in "bc":
@@ -412,7 +412,7 @@
 
 
 def new_leader(**more):
-    """A leader of three whose peers have all that it has."""
+    """Returns a leader whose peers have acknowledged its whole log, its host and the time."""
     replica, host = new_replica(**more), Host()
     now = elect(replica, host)
     for name in replica.members:
@@ -496,7 +496,7 @@
 
 
 def test_a_leader_applies_only_entries_submitted_to_the_disk():
-    """Else a snapshot could reach the disk before entries that it stands for."""
+    """Otherwise a snapshot could get to disk before the entries that it replaces."""
     replica, host, now = new_leader()
     for ticket in range(9):
         replica.propose(now, 0, b"{}", ticket)
@@ -733,7 +733,7 @@
         (members_of("abcd", "d"), True),
         (members_of("ab"), True),
         ({**members_of(), "c": r.ConfiguredMember("127.0.0.1:9", "folder-c")}, True),
-        (members_of("abcd"), False),  # a vote at once
+        (members_of("abcd"), False),  # a new member with a vote
         (members_of("abcde", "de"), False),
         (members_of("abd", "d"), False),
         (members_of("abc", "c"), False),
@@ -751,18 +751,20 @@
     assert not one_apart(members_of("ab", "b"), members_of("b", "b"))
 
 
-@pytest.mark.parametrize("state", ["before one of its term", "another under way", "handing over", "open"])
+@pytest.mark.parametrize(
+    "state", ["no entry of its term", "change in progress", "transfer in progress", "open"]
+)
 def test_when_members_may_be_changed(state):
     replica, host = new_replica(), Host()
     now = elect(replica, host)
-    if state != "before one of its term":
+    if state != "no entry of its term":
         ack(replica, now, "b")
         ack(replica, now, "c")
     more = "d"
-    if state == "another under way":
+    if state == "change in progress":
         replica.change_members(now, members_of("abcd", "d"), "first")
         more = "de"
-    if state == "handing over":
+    if state == "transfer in progress":
         replica.hand_over(now)
     replica.change_members(now, members_of("abc" + more, more), "t")
     host.decide_all(replica, now)
@@ -835,7 +837,7 @@
     assert (replica.role, replica.may_stand()) == (r.LEARNER, False)
 
 
-# ---- hand-over
+# ---- leadership transfer
 
 
 @pytest.mark.parametrize("to", ["", "named"])
@@ -933,10 +935,14 @@
 @pytest.mark.parametrize(
     "second, offsets, wanted",
     [
-        (chunk(0, base=r.SnapshotBase(60, 3, members_of())), [0, 0], 5),  # a newer one drops what was begun
+        (
+            chunk(0, base=r.SnapshotBase(60, 3, members_of())),
+            [0, 0],
+            5,
+        ),  # a newer snapshot replaces the one in progress
         (chunk(5, base=r.SnapshotBase(60, 3, members_of())), [0], 0),
-        (chunk(0, base=r.SnapshotBase(40, 3, members_of())), [0], None),  # a late piece of an older one
-        (chunk(5, term=4, sender="c"), [0], 0),  # another leader's bytes
+        (chunk(0, base=r.SnapshotBase(40, 3, members_of())), [0], None),  # a late chunk of an older snapshot
+        (chunk(5, term=4, sender="c"), [0], 0),  # chunks of another leader
     ],
 )
 def test_a_second_snapshot_during_a_transfer(second, offsets, wanted):
@@ -964,7 +970,7 @@
 
 
 def make_lagging(net, at=300):
-    """Cuts a follower off while so many entries are committed and compacted away; its name."""
+    """Cuts a follower off while `at` entries are committed and compacted. Returns its name."""
     late = next(name for name in net.members if name != net.lead().name)
     net.cut_off(late)
     for ticket in range(at):
@@ -991,7 +997,7 @@
 
 @pytest.mark.parametrize("waits", [True, False])
 def test_a_transfer_ends_under_load_if_newer_snapshots_wait(waits):
-    """Others begin it anew; the end comes with the load's then."""
+    """If newer snapshots do not wait, each restarts the transfer, which then ends only after the load."""
     net = Net(keep=5, delay=10 * MS)
     late = make_lagging(net)
     net.cuts = set()
@@ -1023,7 +1029,7 @@
     ack(replica, now, "b")
     host.decide_all(replica, now)
     replica.compacted(now, r.SnapshotBase(100, 2, members_of()))
-    assert replica.log.first == 100 - 8 * 5 + 1  # but not without end
+    assert replica.log.first == 100 - 8 * 5 + 1  # the number of entries kept is bounded
 
 
 def test_a_new_member_gets_the_snapshot_and_then_its_vote():
@@ -1035,7 +1041,7 @@
     net.run(lambda: net["d"].role == r.FOLLOWER and net.same())
 
 
-# ---- a few of them, with faults
+# ---- clusters with faults
 
 
 def test_a_reconnected_member_does_not_disturb_the_leader():
@@ -1053,7 +1059,7 @@
 
 @pytest.mark.parametrize("names", ["abc", "abcde"])
 def test_split_votes_are_resolved(names):
-    """All stand at the same moment, again and again, until chance parts them."""
+    """All members stand at the same time, until their random timeouts differ."""
     net = Net(names, seed=3)
     for member in net.members.values():
         member.replica.election_deadline = NOW + 5 * MS
@@ -1101,7 +1107,7 @@
 
 @pytest.mark.parametrize("seed", range(12 * LONG))
 def test_no_acknowledged_entry_is_lost_under_random_faults(seed):
-    """The network holds that no two leaders share a term and no index is committed twice."""
+    """Net checks that no two leaders share a term and that no index is committed twice."""
     names = "abcde" if seed % 3 == 0 else "abc"
     net = Net(names, seed=seed, keep=20)
     net.lost, net.twice, net.delay, net.disk = 0.05, 0.05, 20 * MS, 30 * MS
