--- a/lemonlead/ledger/capacity.py
+++ b/lemonlead/ledger/capacity.py
@@ -349,7 +349,8 @@
     """Promises units at a site, or refuses the command."""
     if (free := site_free(transaction, site)) < units:
         raise Refused(
-            f"site {site} has {max(free, 0)} units free, {units} are asked", "ask fewer, or add nodes there"
+            f"site {site} has {max(free, 0)} units free, {units} are asked",
+            "ask fewer, or add nodes there",
         )
     change_site_promise(transaction, site, units)
 
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -2,7 +2,7 @@
 and the leader tasks.
 
 It is pure: a process and the simulator host the same code. Inputs only update state; the host then calls
-`decide(now, door)` until it returns False. `door` is a DispatcherHost, which sends, writes and answers.
+`decide(now, host)` until it returns False. `host` is a DispatcherHost, which sends, writes and answers.
 """
 
 from collections import deque
@@ -116,10 +116,10 @@
             command = self.ledger.read(data, outside=True)
         except Senseless as error:
             body = {"error": error.read()}
-            return self.ready_answers.append(lambda door: door.answer(ticket, 400, body))
+            return self.ready_answers.append(lambda host: host.answer(ticket, 400, body))
         before = self.state.answers.get(command.id)
         if before is not None and before.moment + self.state.settings.remember > self.state.moment:
-            return self.ready_answers.append(lambda door: door.answer(ticket, before.code, before.body))
+            return self.ready_answers.append(lambda host: host.answer(ticket, before.code, before.body))
         if self.state.full:
             self.count("turned away: ids")
             return self.refuse(ticket, NOT_DONE, self.replica.leader)
@@ -139,7 +139,7 @@
         if gateway:
             if self.replica.role != LEADER:
                 leader = self.replica.leader
-                return self.ready_answers.append(lambda door: door.polled(ticket, None, 0, None, leader))
+                return self.ready_answers.append(lambda host: host.polled(ticket, None, 0, None, leader))
             row = self.state.part("followers").get(gateway)
             if row is not None and row.since == since:
                 self.followers.polled(now, gateway, after, since)
@@ -148,7 +148,7 @@
         if len(self.polls) >= MAX_POLLS:
             self.count("polls answered at once")
             return self.ready_answers.append(
-                lambda door: self.answer_poll(Poll(now, after, ticket, parts), door)
+                lambda host: self.answer_poll(Poll(now, after, ticket, parts), host)
             )
         self.polls.wait(now, after, ticket, parts)
 
@@ -175,28 +175,28 @@
 
     # ---- decisions
 
-    def decide(self, now, door):
+    def decide(self, now, host):
         """Does one thing through the host. Returns whether there was anything to do."""
         if self.ready_answers:
-            self.ready_answers.popleft()(door)
+            self.ready_answers.popleft()(host)
             return True
-        if self.replica.decide(now, ReplicaHostAdapter(self, door)):
+        if self.replica.decide(now, ReplicaHostAdapter(self, host)):
             return True
         if self.results:
             self.results.clear()
-        return self.answer_polls(now, door) or self.take_snapshot(door) or self.run_leader_tasks(now, door)
+        return self.answer_polls(now, host) or self.take_snapshot(host) or self.run_leader_tasks(now, host)
 
-    def answer_polls(self, now, door):
+    def answer_polls(self, now, host):
         poll = self.polls.next(now)
         if poll is not None:
-            self.answer_poll(poll, door)
+            self.answer_poll(poll, host)
         return poll is not None
 
-    def answer_poll(self, poll, door):
+    def answer_poll(self, poll, host):
         events, at, leader = self.polls.changes_for(poll), self.state.index, self.replica.leader
-        door.polled(poll.ticket, events, at, self.state if events is None else None, leader)
+        host.polled(poll.ticket, events, at, self.state if events is None else None, leader)
 
-    def take_snapshot(self, door):
+    def take_snapshot(self, host):
         """Starts a snapshot if one is due. Returns whether it did."""
         applied = self.state.index - self.snapshot_index
         if self.snapshot_in_progress is not None or (
@@ -212,10 +212,10 @@
         self.snapshot_in_progress = SnapshotBase(
             self.state.index, self.state.term, members, self.state.moment
         )
-        door.snapshot(self.state, self.snapshot_in_progress)
+        host.snapshot(self.state, self.snapshot_in_progress)
         return True
 
-    def run_leader_tasks(self, now, door):
+    def run_leader_tasks(self, now, host):
         """Runs a leader task if this member leads and its state has all that was committed before its
         term."""
         if self.replica.role != LEADER or self.state.term != self.replica.term:
@@ -235,7 +235,7 @@
                 self.replica.propose(now, self.wall_ms, data, TaskCommand(task, self.leader_term))
                 return True
             if wanted is not None:
-                door.call(wanted)
+                host.call(wanted)
                 return True
         return False
 
@@ -258,12 +258,12 @@
             if applied.changes and applied.code == 200:
                 self.polls.add(entry.index, applied.changes)
 
-    def committed(self, ticket, index, door):
+    def committed(self, ticket, index, host):
         code, body = self.results[index]
         if isinstance(ticket, TaskCommand):
             self.task_command_ended(ticket, code)
         elif not isinstance(ticket, Change):
-            door.answer(ticket, code, body)
+            host.answer(ticket, code, body)
 
     def task_command_ended(self, ticket, code):
         """A leader task's command has ended. If the rules refused it, the task has to wait before it proposes
@@ -277,12 +277,12 @@
 
     def refuse(self, ticket, outcome, leader):
         if isinstance(ticket, Read):
-            self.ready_answers.append(lambda door: door.readable(ticket.ticket, None, leader))
+            self.ready_answers.append(lambda host: host.readable(ticket.ticket, None, leader))
         elif isinstance(ticket, TaskCommand):
             self.task_command_ended(ticket, 503)
         elif not isinstance(ticket, Change):
             body = {"outcome": outcome, "leader": leader, "retry_ms": 200}
-            self.ready_answers.append(lambda door: door.answer(ticket, 503, body))
+            self.ready_answers.append(lambda host: host.answer(ticket, 503, body))
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -309,19 +309,19 @@
 class ReplicaHostAdapter:
     """The replica's host: handles what concerns the state and passes the rest on to the dispatcher's host."""
 
-    def __init__(self, dispatcher, door):
-        self.dispatcher, self.door = dispatcher, door
-        self.send, self.write = door.send, door.write
-        self.send_chunk, self.receive_chunk = door.send_chunk, door.receive_chunk
+    def __init__(self, dispatcher, host):
+        self.dispatcher, self.host = dispatcher, host
+        self.send, self.write = host.send, host.write
+        self.send_chunk, self.receive_chunk = host.send_chunk, host.receive_chunk
 
     def commit(self, entries):
         self.dispatcher.commit(entries)
 
     def answer(self, ticket, index):
-        self.dispatcher.committed(ticket, index, self.door)
+        self.dispatcher.committed(ticket, index, self.host)
 
     def readable(self, ticket):
-        self.door.readable(ticket.ticket, self.dispatcher.state, self.dispatcher.replica.name)
+        self.host.readable(ticket.ticket, self.dispatcher.state, self.dispatcher.replica.name)
 
     def refuse(self, ticket, outcome, leader):
         self.dispatcher.refuse(ticket, outcome, leader)
--- a/lemonlead/ledger/leader.py
+++ b/lemonlead/ledger/leader.py
@@ -282,7 +282,7 @@
 
     # ---- decisions
 
-    def decide(self, now, door):
+    def decide(self, now, host):
         replica, config = self.replica, self.config
         if now >= self.quorum_check_due:
             majority_heard = replica.majority(lambda name: self.peers[name].last_heard, now)
@@ -305,9 +305,9 @@
             self.confirm_rounds()
         if self.serve_reads(now) or self.promote_learner(now):
             return True
-        return any(self.send_next(now, peer, door) for peer in self.peers.values())
+        return any(self.send_next(now, peer, host) for peer in self.peers.values())
 
-    def send_next(self, now, peer, door):
+    def send_next(self, now, peer, host):
         """Sends a peer its next message if one is due. Returns whether it did."""
         config, log, rng = self.config, self.log, self.replica.rng
         if peer.mode != SNAPSHOT and peer.next_index < log.first:
@@ -320,23 +320,23 @@
                 peer.chunk_due = min(peer.chunk_due, now)
             else:
                 peer.probe(peer.next_index)
-            return self.send_entries(peer, door, 0)
+            return self.send_entries(peer, host, 0)
         if peer.mode == SNAPSHOT and now >= peer.chunk_due:
-            return self.send_chunk(now, peer, door)
+            return self.send_chunk(now, peer, host)
         if peer.mode == STREAM and peer.next_index <= log.last and len(peer.in_flight) < config.in_flight:
-            return self.send_entries(peer, door, config.most_entries)
+            return self.send_entries(peer, host, config.most_entries)
         if peer.mode == PROBE and (not peer.probe_sent or now >= peer.send_due):
             peer.probe_sent, peer.send_due = True, now + config.heartbeat
-            return self.send_entries(peer, door, config.most_entries)
+            return self.send_entries(peer, host, config.most_entries)
         notice_due = (
             peer.announced_commit < self.replica.committed
             and now >= self.commit_advanced_at + config.heartbeat // COMMIT_NOTICE_DIVISOR
         )
         if peer.sent_round < self.round or (notice_due and not peer.in_flight):
-            return self.send_entries(peer, door, 0)
+            return self.send_entries(peer, host, 0)
         return False
 
-    def send_entries(self, peer, door, count):
+    def send_entries(self, peer, host, count):
         """Sends up to `count` entries from `next_index` on, or a heartbeat."""
         log = self.log
         prev = 0 if peer.mode == SNAPSHOT else peer.next_index - 1
@@ -355,10 +355,10 @@
             committed=self.replica.committed,
             round=self.round,
         )
-        door.send(message)
+        host.send(message)
         return True
 
-    def send_chunk(self, now, peer, door):
+    def send_chunk(self, now, peer, host):
         base = self.replica.base
         if peer.snapshot_base.index != base.index:  # a host keeps only one snapshot
             peer.start_snapshot(now, base, self.config.heartbeat)
@@ -367,7 +367,7 @@
         chunk = self.message(
             SnapshotChunk, peer, base=peer.snapshot_base, offset=peer.snapshot_offset, round=self.round
         )
-        door.send_chunk(peer.name, chunk, self.config.most_bytes)
+        host.send_chunk(peer.name, chunk, self.config.most_bytes)
         return True
 
     def message(self, kind, peer, **fields):
--- a/lemonlead/ledger/membership.py
+++ b/lemonlead/ledger/membership.py
@@ -187,9 +187,9 @@
     """
     member = base.members.get(name)
     if member is None:
-        return f"{name} has no seat in it"
+        return f"{name} is not in its membership"
     if member.folder != folder:
-        return f"the seat of {name} is another folder's: this machine joins under a new name"
+        return f"the membership has {name} with another folder: this machine has to join under a new name"
     if not joins and name not in members:
         return f"{name} is not listed in its own settings"
     return ""
--- a/lemonlead/ledger/replica.py
+++ b/lemonlead/ledger/replica.py
@@ -41,7 +41,7 @@
     """One member's replica of the log.
 
     Inputs take `now`, nanoseconds of the host's monotonic clock, and only update state. After them the host
-    calls `decide(now, door)` until it returns False; each call does one thing through `door`, a ReplicaHost.
+    calls `decide(now, host)` until it returns False; each call does one thing through `host`, a ReplicaHost.
     """
 
     def __init__(self, config, stored, now):
@@ -136,14 +136,14 @@
             self.leader_state.handle_response(now, message)
 
     def propose(self, now, wall_ms, data, ticket):
-        """Proposes a command. The call ends by exactly one of `door.answer` and `door.refuse`."""
+        """Proposes a command. The call ends by exactly one of `host.answer` and `host.refuse`."""
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
         self.leader_state.propose(now, wall_ms, data, ticket)
 
     def read(self, now, ticket):
-        """Starts a linearizable read (6.4). It ends by `door.readable` or `door.refuse`."""
+        """Starts a linearizable read (6.4). It ends by `host.readable` or `host.refuse`."""
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
@@ -216,16 +216,16 @@
 
     # ---- decisions
 
-    def decide(self, now, door):
+    def decide(self, now, host):
         """Does one thing through the host. Returns whether there was anything to do."""
         self.tick(now)
         if self.results:
-            self.deliver_result(door)
+            self.deliver_result(host)
             return True
         if self.failed:
             return False
         if self.leader_state is not None:
-            if self.leader_state.decide(now, door):
+            if self.leader_state.decide(now, host):
                 return True
         elif now >= self.election_deadline:
             start_pre_vote(self, now)
@@ -233,16 +233,16 @@
         elif self.candidacy is not None and self.candidacy.decide(now):
             return True
         if self.outbox:
-            door.send(self.outbox.popleft())
+            host.send(self.outbox.popleft())
             return True
         if self.follower_state.chunks:
-            door.receive_chunk(self.follower_state.chunks.popleft())
+            host.receive_chunk(self.follower_state.chunks.popleft())
             return True
         write = self.pending_writes.take(now, self.term, self.voted, self.log)
         if write is not None:
-            door.write(write)
+            host.write(write)
             return True
-        return self.commit(now, door)
+        return self.commit(now, host)
 
     def wake_at(self):
         """Returns when to call `decide` again even if nothing happens.
@@ -261,16 +261,16 @@
             latest = min(latest, self.candidacy.repeat_at)
         return min(latest, self.election_deadline)
 
-    def deliver_result(self, door):
+    def deliver_result(self, host):
         index, ticket, outcome, leader = self.results.popleft()
         if outcome:
-            door.refuse(ticket, outcome, leader)
+            host.refuse(ticket, outcome, leader)
         elif index:
-            door.answer(ticket, index)
+            host.answer(ticket, index)
         else:
-            door.readable(ticket)
+            host.readable(ticket)
 
-    def commit(self, now, door):
+    def commit(self, now, host):
         """Applies entries that are committed and submitted to the disk, so that no snapshot of them gets to
         the disk first."""
         upto = min(self.committed, self.pending_writes.submitted, self.applied + MAX_COMMIT_ENTRIES)
@@ -278,7 +278,7 @@
             return False
         entries = self.log.slice(self.applied + 1, upto - self.applied)
         self.applied = upto
-        door.commit(entries)
+        host.commit(entries)
         while self.committed_tickets and self.committed_tickets[0][0] <= upto:
             index, ticket, _ = self.committed_tickets.popleft()
             self.results.append((index, ticket, "", ""))
--- a/lemonlead/ledger/state.py
+++ b/lemonlead/ledger/state.py
@@ -168,19 +168,19 @@
     def read(self, data, outside=False):
         """Decodes a command, or raises Senseless if it is invalid. `outside` means that a client sent it."""
         if len(data) > MAX_COMMAND_BYTES:
-            raise Senseless(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are the most")
+            raise Senseless(f"a command of {len(data)} bytes; at most {MAX_COMMAND_BYTES} are allowed")
         if data.count(b"{") + data.count(b"[") > MAX_NESTING and nesting_depth(data) > MAX_NESTING:
             raise Senseless(f"a command nested deeper than {MAX_NESTING}")
         try:
             kind = KIND_DECODER.decode(data).kind
             if kind not in self.commands:
-                raise Senseless(f"no kind {kind!r}")
+                raise Senseless(f"unknown kind {kind!r}")
             command = self.decoders[kind].decode(data)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             raise Senseless(str(error)[:300]) from None
         if outside and (isinstance(command, self.inner) or not 0 < len(command.id) <= 200):
             raise Senseless(
-                "an id of 1 to 200 letters is wanted"
+                "an id of 1 to 200 characters is required"
                 if not isinstance(command, self.inner)
                 else f"kind {kind!r} is not for clients"
             )
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -44,7 +44,7 @@
     def __init__(self, **more):
         state, base = formed({"g1": ConfiguredMember("h:1", "f1")}, LedgerSettings())
         config = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
-        self.now, self.door, self.number = 1, RecordingHost(), 0
+        self.now, self.host, self.number = 1, RecordingHost(), 0
         self.dispatcher = Dispatcher(
             config, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
         )
@@ -53,7 +53,7 @@
         self.command("node", node="n1", site="s", units=5)
 
     def decide_all(self):
-        while self.dispatcher.decide(self.now, self.door):
+        while self.dispatcher.decide(self.now, self.host):
             pass
 
     def advance(self, time=0):
@@ -61,8 +61,8 @@
         self.now += time
         self.dispatcher.set_clocks(self.now, self.now // MS)
         self.decide_all()
-        while self.door.writes:
-            self.dispatcher.written(self.now, self.door.writes.pop(0).number)
+        while self.host.writes:
+            self.dispatcher.written(self.now, self.host.writes.pop(0).number)
             self.decide_all()
 
     def propose(self, kind, **fields):
@@ -74,14 +74,14 @@
         """Proposes a command, which must succeed. Returns its index."""
         self.propose(kind, **fields)
         self.advance()
-        code, body = self.door.answers[self.number]
+        code, body = self.host.answers[self.number]
         assert code == 200
         return body["at"]
 
     def poll(self, ticket, after, gateway="", **more):
         self.dispatcher.poll(self.now, after, gateway, ticket, **more)
         self.advance()
-        return self.door.polls_answered.get(ticket)
+        return self.host.polls_answered.get(ticket)
 
     def waits_for(self, index):
         return self.dispatcher.followers.waited_for(self.now, self.dispatcher.state, index)
@@ -106,16 +106,16 @@
     world.poll("all", at)
     assert world.poll("nodes", at, parts=("nodes", "permits")) is None
     held = world.command("reserve", reservation="r", service="s", units=1, nodes=["n1"])
-    assert [index for index, _ in world.door.polls_answered["all"][0]] == [held]
-    assert "nodes" not in world.door.polls_answered
+    assert [index for index, _ in world.host.polls_answered["all"][0]] == [held]
+    assert "nodes" not in world.host.polls_answered
     node = world.command("node", node="n2", site="s", units=5)
-    events, upto, _ = world.door.polls_answered["nodes"]
+    events, upto, _ = world.host.polls_answered["nodes"]
     assert [(index, {part for part, _ in changes}) for index, changes in events] == [(node, {"nodes"})]
     assert upto == node
     gone = world.command("free", reservation="r")
     assert world.poll("again", node, parts=("nodes",)) is None
     world.advance(MAX_POLL_NS)
-    assert world.door.polls_answered["again"][:2] == ([], gone)
+    assert world.host.polls_answered["again"][:2] == ([], gone)
 
 
 def test_a_poll_before_the_kept_changes_gets_the_whole_state(monkeypatch):
@@ -136,7 +136,7 @@
     assert world.poll("c", at) == ([], at, None)
     assert world.dispatcher.counts["polls answered at once"] == 1
     world.command("node", node="n2", site="s", units=5)
-    assert world.door.polls_answered.keys() == {"a", "b", "c"}
+    assert world.host.polls_answered.keys() == {"a", "b", "c"}
 
 
 def test_the_snapshot_interval_grows_with_the_state():
@@ -144,11 +144,11 @@
     taken, records = 1, 0
     for number in range(90):
         world.command("node", node=f"n{number + 2}", site="s", units=5)
-        if ("snapshot", world.dispatcher.state.index) in world.door.calls:
+        if ("snapshot", world.dispatcher.state.index) in world.host.calls:
             assert world.dispatcher.state.index - taken == max(4, records)
             taken, records = world.dispatcher.state.index, world.dispatcher.state.records
             world.dispatcher.snapshot_kept(world.now, world.dispatcher.snapshot_in_progress)
-    assert 2 <= sum(what == "snapshot" for what, _ in world.door.calls) <= 5
+    assert 2 <= sum(what == "snapshot" for what, _ in world.host.calls) <= 5
 
 
 @pytest.mark.parametrize("bound, value", [("MAX_SNAPSHOT_INTERVAL", 8), ("MAX_LOG_BYTES", 900)])
