--- a/lemonlead/ledger/faults.py
+++ b/lemonlead/ledger/faults.py
@@ -1,7 +1,7 @@
 """Errors of the ledger. Each says what was found and what an operator can do.
 
-The texts of errors that rules raise are part of the replicated state, since answers are remembered. Members of
-one cluster have to produce the same texts, so a changed text makes members of two versions differ.
+The texts of errors that rules raise are part of the replicated state, since answers are remembered. Members
+of one cluster have to produce the same texts, so a changed text makes members of two versions differ.
 """
 
 
