--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -52,7 +52,7 @@
     """A ReplicaHost that records its calls."""
 
     def __init__(self):
-        self.sent, self.writes, self.applied, self.results, self.parts = [], [], [], {}, []
+        self.sent, self.writes, self.applied, self.results, self.chunks = [], [], [], {}, []
 
     def send(self, sent):
         self.sent.append(sent)
@@ -76,11 +76,11 @@
     def refuse(self, ticket, outcome, leader):
         self.end(ticket, outcome)
 
-    def send_chunk(self, peer, part, most):
-        self.sent.append(part)
+    def send_chunk(self, peer, chunk, most):
+        self.sent.append(chunk)
 
-    def receive_chunk(self, part):
-        self.parts.append(part)
+    def receive_chunk(self, chunk):
+        self.chunks.append(chunk)
 
     def kinds(self):
         return [type(sent) for sent in self.sent]
@@ -154,7 +154,7 @@
         self.net.send(sent)
 
     def write(self, write):
-        delay = self.net.chance.randrange(self.net.disk + 1)
+        delay = self.net.chance.randrange(self.net.disk_delay + 1)
         last = self.writes[-1][0] if self.writes else 0
         self.writes.append((max(self.net.now + delay, last), write))
 
@@ -177,15 +177,15 @@
     def refuse(self, ticket, outcome, leader):
         self.net.end(ticket, outcome)
 
-    def send_chunk(self, peer, part, most):
-        data = self.snapshots.get(part.base.index)
+    def send_chunk(self, peer, chunk, most):
+        data = self.snapshots.get(chunk.base.index)
         if data is not None:
-            piece = data[part.offset : part.offset + most]
-            last = part.offset + most >= len(data)
-            self.net.send(msgspec.structs.replace(part, data=piece, last=last))
+            piece = data[chunk.offset : chunk.offset + most]
+            last = chunk.offset + most >= len(data)
+            self.net.send(msgspec.structs.replace(chunk, data=piece, last=last))
 
-    def receive_chunk(self, part):
-        self.taken = (b"" if part.offset == 0 else self.taken) + part.data
+    def receive_chunk(self, chunk):
+        self.taken = (b"" if chunk.offset == 0 else self.taken) + chunk.data
 
     # the simulated machine
 
@@ -237,9 +237,9 @@
     """A simulated network. `cuts` is a set of (sender, to) whose messages are lost."""
 
     def __init__(self, names="abc", seed=1, learners="", delay=2 * MS, **more):
-        self.now, self.chance, self.delay, self.disk = NOW, random.Random(seed), delay, 1 * MS
-        self.lost = self.twice = 0.0  # probabilities for each message
-        self.wire, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
+        self.now, self.chance, self.delay, self.disk_delay = NOW, random.Random(seed), delay, 1 * MS
+        self.loss_rate = self.duplicate_rate = 0.0  # probabilities for each message
+        self.in_transit, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
         more.setdefault("most_bytes", 512)
         self.more = more
         self.members = {}
@@ -254,10 +254,10 @@
 
     def send(self, sent):
         self.log.append(sent)
-        for _ in range(1 + (self.chance.random() < self.twice)):
-            if (sent.sender, sent.to) not in self.cuts and self.chance.random() >= self.lost:
+        for _ in range(1 + (self.chance.random() < self.duplicate_rate)):
+            if (sent.sender, sent.to) not in self.cuts and self.chance.random() >= self.loss_rate:
                 at = self.now + self.chance.randrange(self.delay // 2, self.delay + 1)
-                self.wire.append((at, sent))
+                self.in_transit.append((at, sent))
 
     def end(self, ticket, how):
         assert ticket not in self.results, "ended twice"
@@ -265,8 +265,8 @@
 
     def step(self, dt=1 * MS):
         self.now += dt
-        due = [sent for at, sent in self.wire if at <= self.now]
-        self.wire = [(at, sent) for at, sent in self.wire if at > self.now]
+        due = [sent for at, sent in self.in_transit if at <= self.now]
+        self.in_transit = [(at, sent) for at, sent in self.in_transit if at > self.now]
         for sent in due:
             member = self.members.get(sent.to)
             if member is not None and member.up and not member.frozen:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -903,7 +903,7 @@
     for offset, last in [(0, False), (5, False), (5, False), (0, False), (20, False), (10, True)]:
         asked += [one.offset for one in receive(replica, chunk(offset, last=last), host=host, sync=False)]
         replica.written(NOW, 1)
-    assert [one.offset for one in host.parts] == [0, 5, 10]
+    assert [one.offset for one in host.chunks] == [0, 5, 10]
     assert asked == [5, 10, 10, 10, 10]
     (write,) = [write for write in host.writes if write.base]
     assert (write.base, write.cut, replica.committed) == (BASE, 51, 1)
@@ -949,7 +949,7 @@
     replica, host = new_replica(), Host()
     receive(replica, chunk(), host=host)
     sent = receive(replica, second, host=host)
-    assert [one.offset for one in host.parts] == offsets
+    assert [one.offset for one in host.chunks] == offsets
     assert [one.offset for one in sent] == ([] if wanted is None else [wanted])
 
 
@@ -966,7 +966,7 @@
 def test_garbled_snapshots_are_dropped(base):
     replica, host = new_replica(), Host()
     assert receive(replica, chunk(last=True, base=base), host=host) == []
-    assert (host.parts, replica.counts) == ([], {"garbled": 1})
+    assert (host.chunks, replica.counts) == ([], {"garbled": 1})
 
 
 def make_lagging(net, at=300):
@@ -988,10 +988,10 @@
 def test_a_member_behind_the_log_gets_a_snapshot_in_chunks(seed, lost, twice):
     net = Net(seed=seed, keep=5)
     late = make_lagging(net)
-    net.cuts, net.lost, net.twice, net.delay = set(), lost, twice, 30 * MS
+    net.cuts, net.loss_rate, net.duplicate_rate, net.delay = set(), lost, twice, 30 * MS
     net.run(lambda: net[late].base.index >= 300)
     assert sum(type(one) is r.SnapshotChunk and one.to == late for one in net.log) >= 4
-    net.lost = 0
+    net.loss_rate = 0
     net.run(net.same)
 
 
@@ -1110,7 +1110,7 @@
     """Net checks that no two leaders share a term and that no index is committed twice."""
     names = "abcde" if seed % 3 == 0 else "abc"
     net = Net(names, seed=seed, keep=20)
-    net.lost, net.twice, net.delay, net.disk = 0.05, 0.05, 20 * MS, 30 * MS
+    net.loss_rate, net.duplicate_rate, net.delay, net.disk_delay = 0.05, 0.05, 20 * MS, 30 * MS
     chance = net.chance
     for at in range(60):
         for _ in range(chance.randrange(5)):
@@ -1136,7 +1136,7 @@
                 other.frozen = False
                 if not other.up:
                     other.start()
-    net.cuts, net.lost = set(), 0
+    net.cuts, net.loss_rate = set(), 0
     for other in net.members.values():
         other.frozen = False
         if not other.up:
