--- a/lemonlead/ledger/capacity.py
+++ b/lemonlead/ledger/capacity.py
@@ -23,7 +23,11 @@
 
 COLD_STEPS = 4  # per cold period: the unavailable units of a site's cold nodes are summed in steps of time
 
-SERVING, CATCHING_UP, DRAINED, FAILED = "serving", "catching_up", "drained", "failed"
+# States of a node.
+SERVING = "serving"
+CATCHING_UP = "catching_up"
+DRAINED = "drained"
+FAILED = "failed"
 
 
 # ---- records
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -89,7 +89,9 @@
     def __init__(self, config, stored, ledger, state, now, leader_tasks=(), snapshot_every=SNAPSHOT_INTERVAL):
         self.config, self.ledger, self.state, self.leader_tasks = config, ledger, state, list(leader_tasks)
         self.replica = Replica(config, stored, now)
-        self.wall_ms, self.now, self.snapshot_every = 0, now, snapshot_every
+        self.wall_ms = 0
+        self.now = now
+        self.snapshot_every = snapshot_every
         self.polls = Polls(state.index)
         self.ready_answers = deque()  # functions that take the host
         self.results = {}  # index to (code, body) of entries applied in this turn
@@ -105,7 +107,8 @@
 
     def set_clocks(self, now, wall_ms):
         """Sets the clocks at each turn of the host. `wall_ms` is Unix time in milliseconds."""
-        self.now, self.wall_ms = now, wall_ms
+        self.now = now
+        self.wall_ms = wall_ms
 
     def receive(self, now, message):
         self.replica.receive(now, message)
--- a/lemonlead/ledger/membership.py
+++ b/lemonlead/ledger/membership.py
@@ -147,7 +147,10 @@
     joins: bool = False  # it was started in order to be added, so it does not form a cluster
 
 
-WAIT, FORM, STAY_OUT = "wait", "form", "stay out"
+# Actions of a member with an empty folder.
+WAIT = "wait"
+FORM = "form"
+STAY_OUT = "stay out"
 
 
 def to_form(me, members, greetings):
--- a/lemonlead/ledger/peers.py
+++ b/lemonlead/ledger/peers.py
@@ -5,7 +5,11 @@
 
 from collections import deque
 
-PROBE, STREAM, SNAPSHOT = "probe", "stream", "snapshot"
+# Modes of a peer: looking for the end of the common log, sending entries, or sending the snapshot.
+PROBE = "probe"
+STREAM = "stream"
+SNAPSHOT = "snapshot"
+
 MAX_RETRY_HEARTBEATS = 16  # the longest delay before a silent peer is sent another message
 MAX_CHUNK_RETRY_HEARTBEATS = 12  # the longest delay before a snapshot chunk is sent again
 
@@ -40,7 +44,8 @@
 
     def responded(self, now, heartbeat):
         """A valid response arrived."""
-        self.last_heard, self.retry_delay = now, heartbeat
+        self.last_heard = now
+        self.retry_delay = heartbeat
         self.send_due = min(self.send_due, now + heartbeat)
 
     def probe(self, index):
@@ -59,7 +64,8 @@
         self.next_index = max(self.next_index, self.match_index + 1)
         if self.match_index >= self.catch_up_index:
             self.caught_up = now - self.catch_up_start <= election
-            self.catch_up_index, self.catch_up_start = last, now
+            self.catch_up_index = last
+            self.catch_up_start = now
         return is_news
 
     def mismatched(self, hint):
--- a/lemonlead/ledger/replica.py
+++ b/lemonlead/ledger/replica.py
@@ -416,15 +416,18 @@
 
     def begin_term(self, term, voted):
         self.term, self.voted, self.voted_seal = term, voted, self.config.folder if voted else ""
-        self.pending_writes.vote_changed, self.term_write = True, self.pending_writes.next_number
+        self.pending_writes.vote_changed = True
+        self.term_write = self.pending_writes.next_number
         self.held_messages.clear()
         self.leader = ""
         self.follower_state.begin_term()
 
     def grant_vote(self, now, message):
         """Gives the one vote of this term. The response goes out once the vote is on disk."""
-        self.voted, self.voted_seal = message.sender, message.seal
-        self.pending_writes.vote_changed, self.term_write = True, self.pending_writes.next_number
+        self.voted = message.sender
+        self.voted_seal = message.seal
+        self.pending_writes.vote_changed = True
+        self.term_write = self.pending_writes.next_number
         self.reset_election_timer(now)
 
     def step_down(self, now):
@@ -441,7 +444,9 @@
         """Notes contact with the leader of this term."""
         if self.candidacy is not None:
             self.step_down(now)
-        self.leader, self.leader_seal, self.last_leader_contact = message.sender, message.seal, now
+        self.leader = message.sender
+        self.leader_seal = message.seal
+        self.last_leader_contact = now
         self.reset_election_timer(now)
 
     # ---- snapshots
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -92,8 +92,8 @@
     earlier = world.command("follow", gateway="gw")
     later = world.command("follow", gateway="gw")
     index = world.command("node", node="n2", site="s", units=5)
-    for stay in ({"since": earlier}, {}, {"since": index + 9}):
-        world.poll("late", index, "gw", **stay)
+    for fields in ({"since": earlier}, {}, {"since": index + 9}):
+        world.poll("late", index, "gw", **fields)
         assert world.waits_for(index) == ["gw"]
     world.poll("its own", index, "gw", since=later)
     assert world.waits_for(index) == []
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -138,8 +138,8 @@
     third, again = apply(second, id="x", **reserve("other", 1, site="t"))
     assert again.repeat and again.body == done.body and third.parts == second.parts
     late, _ = apply(third, at=third.moment + third.settings.remember, **node("d"))
-    fourth, anew = apply(late, id="x", **reserve("r", 20, site="s"))
-    assert not anew.repeat and anew.code == 409
+    fourth, done_again = apply(late, id="x", **reserve("r", 20, site="s"))
+    assert not done_again.repeat and done_again.code == 409
     assert fourth.answers["x"].code == 409
 
 
