--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -1,4 +1,4 @@
-"""Builds replicas in the state that a test needs, and a small network of them in simulated time."""
+"""Helpers for tests of the replica: replicas in a given state, and a small network in simulated time."""
 
 import random
 
@@ -12,7 +12,7 @@
 ELECTION, BEAT = 1000 * MS, 150 * MS
 
 
-def seats(names="abc", learners=""):
+def members_of(names="abc", learners=""):
     return {
         name: r.ConfiguredMember(f"127.0.0.1:{ord(name)}", f"folder-{name}", name not in learners)
         for name in names
@@ -28,20 +28,20 @@
 
 
 def entries(terms, start=2):
-    """Entries of these terms from index 2 on: the base is index 1, term 1."""
+    """Returns entries of these terms from index 2 on, since the base has index 1 and term 1."""
     return [entry(start + at, term) for at, term in enumerate(terms)]
 
 
-def told(name="a", **more):
+def replica_config(name="a", **more):
     return r.ReplicaConfig("c1", name, f"folder-{name}", 7, **more)
 
 
-def made(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
-    """A replica that has just started, with entries of these terms in its log."""
+def new_replica(name="a", names="abc", learners="", terms=(), term=None, voted="", log=None, **more):
+    """Returns a replica that has just started with entries of these terms in its log."""
     log = entries(terms) if log is None else log
     term = term or max([1, *(one.term for one in log)])
-    kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, seats(names, learners)), log)
-    return Replica(told(name, **more), kept, NOW)
+    kept = r.StoredState(term, voted, r.SnapshotBase(1, 1, members_of(names, learners)), log)
+    return Replica(replica_config(name, **more), kept, NOW)
 
 
 def message(kind, sender, to="a", term=1, **fields):
@@ -49,10 +49,10 @@
 
 
 class Host:
-    """A door that writes down what it is asked. `sync`: each Write is on disk at once."""
+    """A ReplicaHost that records its calls."""
 
     def __init__(self):
-        self.sent, self.writes, self.applied, self.ends, self.parts = [], [], [], {}, []
+        self.sent, self.writes, self.applied, self.results, self.chunks = [], [], [], {}, []
 
     def send(self, sent):
         self.sent.append(sent)
@@ -64,8 +64,8 @@
         self.applied += some
 
     def end(self, ticket, how):
-        assert ticket not in self.ends, "ended twice"
-        self.ends[ticket] = how
+        assert ticket not in self.results, "ended twice"
+        self.results[ticket] = how
 
     def answer(self, ticket, index):
         self.end(ticket, index)
@@ -76,35 +76,38 @@
     def refuse(self, ticket, outcome, leader):
         self.end(ticket, outcome)
 
-    def send_chunk(self, peer, part, most):
-        self.sent.append(part)
+    def send_chunk(self, peer, chunk, most):
+        self.sent.append(chunk)
 
-    def receive_chunk(self, part):
-        self.parts.append(part)
+    def receive_chunk(self, chunk):
+        self.chunks.append(chunk)
 
     def kinds(self):
         return [type(sent) for sent in self.sent]
 
-    def pull(self, replica, now, sync=True):
-        """All that is decided; what was sent by it."""
+    def decide_all(self, replica, now, sync=True):
+        """Calls `decide` until nothing is left to do. Returns the messages sent.
+
+        With `sync`, each Write is on disk at once.
+        """
         self.sent, turns = [], 0
         while True:
             while replica.decide(now, self):
                 turns += 1
-                assert turns < 20_000, "decides without end"
+                assert turns < 20_000, "decide never returns False"
             if not sync or not self.writes:
                 return self.sent
             number, self.writes = self.writes[-1].number, []
             replica.written(now, number)
 
 
-def elected(replica, host, now=None, sync=True):
-    """Makes it the leader of the next term by its peers' ballots; the moment of it."""
-    now = now or replica.deadline
+def elect(replica, host, now=None, sync=True):
+    """Makes the replica the leader of the next term by its peers' votes. Returns the time of it."""
+    now = now or replica.election_deadline
     for at in range(replica.now, now, ELECTION // 2):
         replica.tick(at)
-    replica.deadline = now
-    host.pull(replica, now, sync=True)
+    replica.election_deadline = now
+    host.decide_all(replica, now, sync=True)
     for early in (True, False):
         for name in replica.voters:
             if name != replica.name and replica.candidacy is not None:
@@ -114,13 +117,13 @@
                 )
                 if replica.candidacy is not None and replica.candidacy.early is not early:
                     break
-        host.pull(replica, now, sync=sync or early)
+        host.decide_all(replica, now, sync=sync or early)
     assert replica.role == r.LEADER
     return now
 
 
 def ack(replica, now, name, match=None, round=None, **more):
-    """A peer's answer to all that it was sent."""
+    """Delivers a peer's acknowledgement of all that it was sent."""
     match = replica.last if match is None else match
     round = replica.leader_state.round if round is None else round
     fields = {"fits": True, "match": match, "round": round, **more}
@@ -128,7 +131,8 @@
 
 
 class Member:
-    """One of a network: its replica, its disk, and a snapshot that is the list of what was applied."""
+    """A member of a network: its replica, its disk, and its snapshots. The state is the list of applied
+    entries."""
 
     def __init__(self, net, name, kept, **more):
         self.net, self.name, self.more = net, name, more
@@ -137,20 +141,20 @@
         self.start()
 
     def start(self):
-        self.replica = Replica(told(self.name, **self.more), self.disk_copy(), self.net.now)
+        self.replica = Replica(replica_config(self.name, **self.more), self.disk_copy(), self.net.now)
         self.writes, self.state, self.taken = [], self.snapshots[self.disk.base.index], b""
         self.frozen, self.up = False, True
 
     def disk_copy(self):
         return r.StoredState(self.disk.term, self.disk.voted, self.disk.base, list(self.disk.entries))
 
-    # the door
+    # callbacks of ReplicaHost
 
     def send(self, sent):
         self.net.send(sent)
 
     def write(self, write):
-        delay = self.net.chance.randrange(self.net.disk + 1)
+        delay = self.net.chance.randrange(self.net.disk_delay + 1)
         last = self.writes[-1][0] if self.writes else 0
         self.writes.append((max(self.net.now + delay, last), write))
 
@@ -173,17 +177,17 @@
     def refuse(self, ticket, outcome, leader):
         self.net.end(ticket, outcome)
 
-    def send_chunk(self, peer, part, most):
-        data = self.snapshots.get(part.base.index)
+    def send_chunk(self, peer, chunk, most):
+        data = self.snapshots.get(chunk.base.index)
         if data is not None:
-            piece = data[part.offset : part.offset + most]
-            last = part.offset + most >= len(data)
-            self.net.send(msgspec.structs.replace(part, data=piece, last=last))
+            piece = data[chunk.offset : chunk.offset + most]
+            last = chunk.offset + most >= len(data)
+            self.net.send(msgspec.structs.replace(chunk, data=piece, last=last))
 
-    def receive_chunk(self, part):
-        self.taken = (b"" if part.offset == 0 else self.taken) + part.data
+    def receive_chunk(self, chunk):
+        self.taken = (b"" if chunk.offset == 0 else self.taken) + chunk.data
 
-    # the machine
+    # the simulated machine
 
     def turn(self):
         now = self.net.now
@@ -210,7 +214,7 @@
         self.replica.written(self.net.now, write.number)
 
     def compact(self):
-        """A snapshot of what is applied."""
+        """Takes a snapshot of the applied state."""
         if self.at <= self.disk.base.index or self.replica.pending_writes.base:
             return
         while self.writes:
@@ -221,26 +225,26 @@
         )
         self.disk.base = base
         self.disk.entries = [one for one in self.disk.entries if one.index > base.index]
-        self.snapshots = {base.index: self.state}  # one alone, as a host keeps it
+        self.snapshots = {base.index: self.state}  # a host keeps only one
         self.replica.compacted(self.net.now, base)
 
     def kill(self):
-        """At once; Writes that are out are lost."""
+        """Stops the member; Writes in flight are lost."""
         self.up, self.writes = False, []
 
 
 class Net:
-    """`cuts`: set of (sender, to) whose messages are lost."""
+    """A simulated network. `cuts` is a set of (sender, to) whose messages are lost."""
 
     def __init__(self, names="abc", seed=1, learners="", delay=2 * MS, **more):
-        self.now, self.chance, self.delay, self.disk = NOW, random.Random(seed), delay, 1 * MS
-        self.lost = self.twice = 0.0  # shares of messages
-        self.wire, self.cuts, self.ends, self.history, self.log = [], set(), {}, {}, []
+        self.now, self.chance, self.delay, self.disk_delay = NOW, random.Random(seed), delay, 1 * MS
+        self.loss_rate = self.duplicate_rate = 0.0  # probabilities for each message
+        self.in_transit, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
         more.setdefault("most_bytes", 512)
         self.more = more
         self.members = {}
         for name in names:
-            self.add(name, r.StoredState(1, "", r.SnapshotBase(1, 1, seats(names, learners))))
+            self.add(name, r.StoredState(1, "", r.SnapshotBase(1, 1, members_of(names, learners))))
 
     def add(self, name, kept=None):
         self.members[name] = Member(self, name, kept or r.StoredState(), **self.more)
@@ -250,50 +254,50 @@
 
     def send(self, sent):
         self.log.append(sent)
-        for _ in range(1 + (self.chance.random() < self.twice)):
-            if (sent.sender, sent.to) not in self.cuts and self.chance.random() >= self.lost:
+        for _ in range(1 + (self.chance.random() < self.duplicate_rate)):
+            if (sent.sender, sent.to) not in self.cuts and self.chance.random() >= self.loss_rate:
                 at = self.now + self.chance.randrange(self.delay // 2, self.delay + 1)
-                self.wire.append((at, sent))
+                self.in_transit.append((at, sent))
 
     def end(self, ticket, how):
-        assert ticket not in self.ends, "ended twice"
-        self.ends[ticket] = how
+        assert ticket not in self.results, "ended twice"
+        self.results[ticket] = how
 
     def step(self, dt=1 * MS):
         self.now += dt
-        due = [sent for at, sent in self.wire if at <= self.now]
-        self.wire = [(at, sent) for at, sent in self.wire if at > self.now]
+        due = [sent for at, sent in self.in_transit if at <= self.now]
+        self.in_transit = [(at, sent) for at, sent in self.in_transit if at > self.now]
         for sent in due:
             member = self.members.get(sent.to)
             if member is not None and member.up and not member.frozen:
                 member.replica.receive(self.now, sent)
         for member in self.members.values():
             member.turn()
-        leading = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
-        assert len(set(leading)) == len(leading), "two leaders of one term"
+        leader_terms = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
+        assert len(set(leader_terms)) == len(leader_terms), "two leaders of one term"
 
     def run(self, until, within=20_000):
-        """Steps of a millisecond until the condition holds."""
+        """Advances time by milliseconds until the condition holds."""
         for _ in range(within):
             if until():
                 return
             self.step()
-        raise AssertionError("it did not come to that")
+        raise AssertionError("the condition was not reached")
 
     def pause(self, ms):
         for _ in range(ms):
             self.step()
 
     def leader(self):
-        """The name of the one that leads in the greatest term and has an entry of it committed."""
+        """Returns the name of the leader of the greatest term, if it has committed an entry of that term."""
         up = [m.replica for m in self.members.values() if m.up and not m.frozen]
         best = max((one for one in up if one.role == r.LEADER), key=lambda one: one.term, default=None)
-        if best is not None and best.leader_state.first <= best.committed:
+        if best is not None and best.leader_state.first_index <= best.committed:
             return best.name
         return None
 
     def lead(self):
-        """Runs until there is a leader; its replica."""
+        """Runs until there is a leader. Returns its replica."""
         self.run(self.leader)
         return self[self.leader()]
 
@@ -306,16 +310,16 @@
         (leader or self.lead()).propose(self.now, 0, repr(ticket).encode(), ticket)
 
     def done(self, ticket):
-        """Proposes until it is committed, as a client that asks again would."""
+        """Proposes until the command is committed, as a client that retries does."""
         for again in range(20):
             self.propose((ticket, again))
-            self.run(lambda again=again: (ticket, again) in self.ends)
-            if isinstance(self.ends[ticket, again], int):
+            self.run(lambda again=again: (ticket, again) in self.results)
+            if isinstance(self.results[ticket, again], int):
                 return
-        raise AssertionError("never done")
+        raise AssertionError("never committed")
 
     def same(self):
-        """Whether all that are up have applied the same, all of it."""
+        """Whether all running members have applied all committed entries."""
         states = {m.state for m in self.members.values() if m.up}
         return len(states) == 1 and max(m.replica.committed for m in self.members.values() if m.up) in {
             m.at for m in self.members.values() if m.up
