--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -33,7 +33,7 @@
 from lemonlead.ledger.membership import formed
 from lemonlead.ledger.records import COMMAND, ConfiguredMember, Entry, SnapshotBase, Write
 from lemonlead.ledger.state import LedgerSettings
-from lemonlead.member import whole
+from lemonlead.member import assembly
 from lemonlead.member.disk import open_folder
 from lemonlead.standins.members import Cluster, until
 from lemonlead.standins.wires import Wires, spare
@@ -63,7 +63,7 @@
 
 def holding(seats, records, ids=False):
     """A state of so many reservations, and its base."""
-    ledger = whole.ledger()
+    ledger = assembly.make_ledger()
     state, _ = formed(seats, LedgerSettings())
     node = b'{"id":"","kind":"node","node":"n1","site":"louis","units":1000000000}'
     state, _ = ledger.apply(state, Entry(2, 1, COMMAND, 2, 1, node))
--- a/benchmarks/ledger_disk.py
+++ b/benchmarks/ledger_disk.py
@@ -78,7 +78,7 @@
         filled.folder.close()
         began = time.perf_counter()
         folder = open_folder(filled.path)
-        folder.kept()
+        folder.read_stored()
         opened = time.perf_counter() - began
         folder.close()
         tracemalloc.start()
--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -11,8 +11,8 @@
 
 from ..ledger.entries import EntryRow
 from ..ledger.faults import Fault
-from ..member.asking import session
-from ..member.memory import uncollected
+from ..member.http_client import make_session
+from ..member.memory import pause_gc
 from .member_polling import MS, MemberPolling
 from .faults import Unreadable
 
@@ -51,7 +51,7 @@
     if check is not None and check != f"{zlib.crc32(body):08x}":
         raise Unreadable("the answer is not what its check says")
     try:
-        with uncollected():
+        with pause_gc():
             told = EVENTS.decode(body)
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
         raise Unreadable(str(error)[:200]) from None
@@ -121,7 +121,7 @@
 
     async def run(self, relay):
         """For ever: tells the relay what there is (`replace`) and what changes (`apply`)."""
-        async with session(self.name, self.listen, limit=4) as calls:
+        async with make_session(self.name, self.listen, limit=4) as calls:
             while True:
                 if (ask := self.course.next(now := time.monotonic_ns())) is None:
                     await asyncio.sleep(max(self.course.wake_at() - now, 0) / 1e9)
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -22,8 +22,8 @@
 from aiohttp import web
 
 from ..ledger.faults import Unusable
-from ..member.memory import settle_memory
-from ..member.run import Lines, bound, descriptors, log_lines
+from ..member.memory import freeze_memory
+from ..member.run import LogOutput, bind_listener, configure_log, raise_descriptor_limit
 from . import records
 from . import relay_settings as settings
 from .acknowledgements import Acknowledgements
@@ -98,9 +98,11 @@
 
     async def start(self, listener=None):
         """Answers calls and follows its source from here on. Unusable where it can't listen."""
-        listener = listener or bound(self.told.listen)
+        listener = listener or bind_listener(self.told.listen)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.told.bounds.waiting // 2)
-        self.most = max(min(APIECE * self.told.bounds.subscribers + SPARE, descriptors() - SPARE), SPARE)
+        self.most = max(
+            min(APIECE * self.told.bounds.subscribers + SPARE, raise_descriptor_limit() - SPARE), SPARE
+        )
         self.runner = web.AppRunner(
             self.app, keepalive_timeout=IDLE, shutdown_timeout=LINGER, access_log=None
         )
@@ -156,7 +158,7 @@
         """The whole state. Of another cluster than before, whoever is subscribed begins anew."""
         before = self.store.cluster
         self.store.replace(cluster, index, scopes)
-        settle_memory()
+        freeze_memory()
         if before and cluster != before:
             self.acknowledgements.reset_complete()
             self.end_streams()
@@ -302,7 +304,7 @@
     def figures(self):
         """All counters and the length of each table now."""
         now = {"cluster": self.store.cluster, "at": self.store.index, "subscribers": len(self.streams)}
-        now.update(connections=len(self.runner.server.connections), lines_lost=Lines.lost)
+        now.update(connections=len(self.runner.server.connections), lines_lost=LogOutput.lost)
         return {**now, **self.counts, **{f"ledger_{n}": c for n, c in self.source.figures().items()}}
 
 
@@ -323,11 +325,11 @@
 def main(path):
     try:
         told = settings.read(path)
-        listener = bound(told.listen)
+        listener = bind_listener(told.listen)
     except Unusable as error:
         print(f"lemonlead relay: {path}: {error.says}; {error.do}", file=sys.stderr)
         return 2
-    log_lines()
+    configure_log()
     return asyncio.run(run(told, listener))
 
 
--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -4,7 +4,7 @@
 
 from .. import settings
 from ..ledger.membership import MAX_MEMBERS
-from ..member.told import ALLOWED, address_fault, inside
+from ..member.member_settings import ADDRESS_REQUIREMENT, find_address_fault, is_loopback
 from .faults import Unfit
 
 
@@ -59,11 +59,11 @@
     addresses = {"listen": mine}
     addresses |= {f"members.{name}": address for name, address in told["members"].items()}
     for path, address in addresses.items():
-        if wrong := address_fault(address):
-            fault(path, wrong, ALLOWED)
+        if wrong := find_address_fault(address):
+            fault(path, wrong, ADDRESS_REQUIREMENT)
         elif address in seen:
             fault(path, address, "an address once", seen[address])
-        elif path != "listen" and not address_fault(mine) and inside(address) != inside(mine):
+        elif path != "listen" and not find_address_fault(mine) and is_loopback(address) != is_loopback(mine):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
     if not 0 < len(told["members"]) <= MAX_MEMBERS:
--- a/lemonlead/member/whole.py
+++ b/lemonlead/member/assembly.py
@@ -11,7 +11,7 @@
 SHOWN = {"drains": drains.describe_drains}  # parts that are asked for in another form than they are kept in
 
 
-def ledger():
+def make_ledger():
     rules, kinds, inner = {}, {}, []
     for module in MODULES:
         rules.update(module.RULES)
@@ -20,7 +20,7 @@
     return Ledger(rules, kinds, inner)
 
 
-def duties(dispatcher, cluster, clusters, seed):
+def make_leader_tasks(dispatcher, cluster, clusters, seed):
     """What a leader does unasked. `cluster`: this one's name; `clusters`: names of those it can call."""
     return [
         membership.Membership(dispatcher),
@@ -30,6 +30,6 @@
     ]
 
 
-def shown(state, part):
+def describe_part(state, part):
     """A part's records by key, as they are told to whoever asks for the part."""
     return SHOWN[part](state) if part in SHOWN else state.part(part)
--- a/lemonlead/member/disk.py
+++ b/lemonlead/member/disk.py
@@ -325,7 +325,7 @@
 
     # ---- reading
 
-    def kept(self):
+    def read_stored(self):
         """(Kept, the snapshot's bytes or None where the folder is not formed), as it is on disk."""
         self.works()
         found, self.found = self.found, None
--- a/lemonlead/member/shelf.py
+++ b/lemonlead/member/disk_thread.py
@@ -9,13 +9,13 @@
 
 from msgspec.structs import replace
 
-from .memory import uncollected
+from .memory import pause_gc
 
 MOST_JOBS = 20_000  # past it parts to send are dropped; what a replica writes is bounded by itself
 STEP_AFTER = 8  # jobs, with more of them waiting, after which a snapshot under way gets its next step
 
 
-class Shelf:
+class DiskThread:
     """`tell(function, *arguments)`: has this called in the loop, whichever thread asks."""
 
     def __init__(self, folder, ledger, tell):
@@ -112,7 +112,7 @@
         """Then (the state now in force,), where one of these brought a snapshot, else ()."""
         state = ()
         if writes[-1].base is not None:
-            with uncollected():
+            with pause_gc():
                 state = (self.ledger.whole(self.folder.gathered()),)
         self.folder.put(writes)
         if state:
--- a/lemonlead/member/forming.py
+++ b/lemonlead/member/forming.py
@@ -11,7 +11,7 @@
 from ..ledger.membership import FORM, first_base, formed, may_join, to_form
 from ..ledger.records import ConfiguredMember, SnapshotBase
 from ..ledger.state import State
-from .asking import TROUBLE, headers
+from .http_client import TROUBLE, headers
 
 LOOK_FIRST, LOOK_MOST = 50_000_000, 1_000_000_000  # between two looks at who answers, nanoseconds
 ADD_TIME = 3  # seconds for one that is to be added to say who it is
--- a/lemonlead/member/host.py
+++ b/lemonlead/member/host.py
@@ -12,7 +12,7 @@
 
 from ..ledger.dispatcher import Dispatcher
 from ..ledger.records import LEADER
-from .memory import settle_memory
+from .memory import freeze_memory
 
 MOST_INBOX = 4096  # messages of peers not yet handed on; past it the oldest is dropped
 MOST_AT_ONCE = 1000  # inputs, and decisions, in one turn; the rest is for the next, after the sockets
@@ -38,7 +38,7 @@
         self.leaving = {}  # futures of those that wait for an answer of the leader of this name
         self.counts = {"messages": 0, "messages_dropped": 0, "turns": 0}
         self.counts.update({"longest_late_ms": 0, "longest_turn_ms": 0})
-        settle_memory()
+        freeze_memory()
         self.ask_turn()
 
     # ---- what arrives; all of it waits for a turn
@@ -222,7 +222,7 @@
         self.shelf.receive_chunk(message, self)
 
     def snapshot(self, state, base):
-        settle_memory()
+        freeze_memory()
         self.shelf.snapshot(state, base, self)
 
     def answer(self, ticket, code, body):
--- a/lemonlead/member/asking.py
+++ b/lemonlead/member/http_client.py
@@ -17,7 +17,7 @@
 GREETING = msgspec.json.Decoder(Greeting)
 
 
-def session(name, listen, timeout=None, **limits):
+def make_session(name, listen, timeout=None, **limits):
     """A pool of connections. They go out from the address that the member listens at, so that whoever stands
     between knows whose they are."""
     return aiohttp.ClientSession(
@@ -29,13 +29,13 @@
     )
 
 
-class Asking:
+class HttpClient:
     """`name`, `listen`: the asking member's. `clusters`: name to addresses. `patience`: seconds for one short
     answer, `longest`: for a command."""
 
     def __init__(self, name, listen, clusters, patience, longest):
         self.clusters, self.patience, self.longest = clusters, patience, longest
-        self.session = session(name, listen, limit=512, keepalive_timeout=30)
+        self.session = make_session(name, listen, limit=512, keepalive_timeout=30)
         self.tasks = set()
         self.counts = {"greetings": 0, "passed_on": 0, "calls": 0, "calls_dropped": 0, "calls_failed": 0}
 
--- a/lemonlead/member/outside.py
+++ b/lemonlead/member/http_server.py
@@ -13,8 +13,8 @@
 from ..ledger.faults import Senseless
 from ..ledger.records import CANDIDATE, FOLLOWER, LEADER, LEARNER, NOT_DONE, OUTSIDE, UNKNOWN
 from ..ledger.state import MAX_COMMAND_BYTES
-from . import peers, whole
-from .asking import HOP, REACHED
+from . import assembly, peers
+from .http_client import HOP, REACHED
 from .forming import numeric
 from .faults import Late, NoLeader, NotNow, Outside, TooMany, Undecided
 
@@ -65,7 +65,7 @@
     return int(text)
 
 
-class Outdoors:
+class HttpServer:
     """`member`: the process (run.Member)."""
 
     def __init__(self, member):
@@ -226,7 +226,7 @@
                 return await self.pass_on(request, leader)
         async with self.whole:
             head = ENCODE({"at": state.index, "moment": state.moment, "cluster_id": self.cluster_id, **more})
-            return answer(200, head[:-1], b',"items":', await rows(whole.shown(state, name)), b"}")
+            return answer(200, head[:-1], b',"items":', await rows(assembly.describe_part(state, name)), b"}")
 
     async def events(self, request):
         after, since = number(request, "after"), number(request, "since")
--- a/lemonlead/member/told.py
+++ b/lemonlead/member/member_settings.py
@@ -14,7 +14,9 @@
 ADDRESS = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):([1-9]\d{0,4})")
 LOOPBACK = IPv4Network("127.0.0.0/8")
 NETWORKS = [LOOPBACK, *map(IPv4Network, ("10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16", "100.64.0.0/10"))]
-ALLOWED = "ip:port of loopback or a private network, such as 127.0.0.1:7101; names are not looked up"
+ADDRESS_REQUIREMENT = (
+    "ip:port of loopback or a private network, such as 127.0.0.1:7101; names are not looked up"
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberTold:
+class MemberSettings:
     cluster: str
     member: str
     data: Path  # where it is relative: from the settings file's folder
@@ -47,7 +49,7 @@
     except settings.Unfit as error:
         raise Unfit(error.faults) from None
     told = file.value
-    return MemberTold(
+    return MemberSettings(
         **{name: told[name] for name in ("cluster", "member", "listen", "members", "clusters", "bounds")},
         reached=told.get("reached", told["listen"]),
         data=Path(path).parent / told["data"],
@@ -56,7 +58,7 @@
     )
 
 
-def address_fault(address):
+def find_address_fault(address):
     """What is wrong with an address, or an empty string."""
     match = ADDRESS.fullmatch(address)
     if match is None:
@@ -72,7 +74,7 @@
     return ""
 
 
-def inside(address):
+def is_loopback(address):
     return IPv4Address(address.partition(":")[0]) in LOOPBACK
 
 
@@ -97,15 +99,17 @@
         for name, addresses in told["clusters"].items():
             all_of_them += [(f"clusters.{name}[{at}]", address) for at, address in enumerate(addresses)]
         for path, address in all_of_them:
-            if wrong := address_fault(address):
-                self.fault(path, wrong, ALLOWED)
+            if wrong := find_address_fault(address):
+                self.fault(path, wrong, ADDRESS_REQUIREMENT)
             elif path in ("listen", "reached"):
                 continue
             elif address in seen:
                 self.fault(path, address, "an address once", seen[address])
             else:
                 seen[address] = path
-                if not address_fault(told["listen"]) and inside(address) != inside(told["listen"]):
+                if not find_address_fault(told["listen"]) and is_loopback(address) != is_loopback(
+                    told["listen"]
+                ):
                     self.fault(path, address, "all of loopback or none: they reach each other", "listen")
 
     def own_place(self):
--- a/lemonlead/member/memory.py
+++ b/lemonlead/member/memory.py
@@ -5,14 +5,14 @@
 from contextlib import contextmanager
 
 
-def settle_memory():
+def freeze_memory():
     """What has lived until now is looked at no more."""
     gc.collect()
     gc.freeze()
 
 
 @contextmanager
-def uncollected():
+def pause_gc():
     """While a state is read from bytes, which makes so many records that the collector would come again and
     again: three quarters of the time that reading took."""
     gc.disable()
--- a/lemonlead/member/peers.py
+++ b/lemonlead/member/peers.py
@@ -12,7 +12,7 @@
 
 from ..ledger.backoff import Backoff
 from ..ledger.records import PeerMessage
-from .asking import REACHED, session
+from .http_client import REACHED, make_session
 
 MOST_QUEUED = 512  # messages to one peer
 MOST_QUEUED_BYTES = 16 * 1024 * 1024
@@ -32,7 +32,7 @@
         self.times, self.seed, self.seated, self.unformed = times, seed, seated, unformed
         self.said = {}  # name to the address that it gave with its messages
         time_out = aiohttp.ClientTimeout(total=max(2 * times.election / 1e9, 0.5))
-        self.session = session(name, listen, time_out, limit=0, limit_per_host=1, keepalive_timeout=60)
+        self.session = make_session(name, listen, time_out, limit=0, limit_per_host=1, keepalive_timeout=60)
         self.session.headers[REACHED] = reached
         self.queues, self.tasks = {}, {}
         self.counts = {"batches": 0, "sent": 0, "failed": 0, "dropped": 0, "queued_most": 0}
--- a/lemonlead/member/run.py
+++ b/lemonlead/member/run.py
@@ -17,16 +17,16 @@
 from ..ledger.faults import Unusable
 from ..ledger.membership import Greeting
 from ..ledger.records import LEADER, ReplicaConfig
-from . import disk, whole
-from . import told as settings
-from .asking import Asking
+from . import assembly, disk
+from . import member_settings
+from .http_client import HttpClient
 from .faults import AddressTaken, Damaged
 from .forming import Forming
 from .host import Host
-from .memory import uncollected
-from .outside import Outdoors
+from .memory import pause_gc
+from .http_server import HttpServer
 from .peers import Peers
-from .shelf import Shelf
+from .disk_thread import DiskThread
 
 MOST_CONNECTIONS = 4000  # past it, or what descriptors allow, a new one is closed at once
 SPARE = 200  # descriptors for all that is no connection of others to this member
@@ -39,33 +39,33 @@
 
 def main(path, joins=False):
     try:
-        told = settings.read(path)
+        told = member_settings.read(path)
         folder = disk.open_folder(told.data, told.member, told.cluster)
         try:
-            listener = bound(told.listen)
+            listener = bind_listener(told.listen)
         except Unusable:
             folder.close()
             raise
-        log_lines()
+        configure_log()
         return asyncio.run(run(told, joins, folder, listener))
     except Unusable as error:
         print(f"lemonlead member: {path}: {error.says}; {error.do}", file=sys.stderr)
         return 2
 
 
-def log_lines():
+def configure_log():
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
-        logger_factory=structlog.PrintLoggerFactory(Lines()),
+        logger_factory=structlog.PrintLoggerFactory(LogOutput()),
         cache_logger_on_first_use=True,
     )
 
 
-def bound(listen):
+def bind_listener(listen):
     host, _, port = listen.rpartition(":")
     try:
         listener = socket.create_server((host, int(port)), backlog=BACKLOG)
@@ -92,12 +92,16 @@
     def __init__(self, told, joins, folder):
         self.told, self.name, self.joins, self.folder = told, told.member, joins, folder
         self.log = structlog.get_logger(member=told.member)
-        self.seed, self.loop, self.ledger = secrets.randbits(48), asyncio.get_running_loop(), whole.ledger()
+        self.seed, self.loop, self.ledger = (
+            secrets.randbits(48),
+            asyncio.get_running_loop(),
+            assembly.make_ledger(),
+        )
         self.host, self.why, self.tasks, self.runner, self.server = None, "", set(), None, None
         self.ending, self.code, self.closed = asyncio.Event(), 0, 0
-        self.most_connections = min(MOST_CONNECTIONS, max(descriptors() - SPARE, SPARE))
+        self.most_connections = min(MOST_CONNECTIONS, max(raise_descriptor_limit() - SPARE, SPARE))
         times = told.times
-        self.asking = Asking(self.name, told.listen, told.clusters, max(times.election / 2e9, 0.25), 11)
+        self.asking = HttpClient(self.name, told.listen, told.clusters, max(times.election / 2e9, 0.25), 11)
         self.peers = Peers(
             self.name,
             told.listen,
@@ -107,9 +111,9 @@
             self.address,
             lambda name: self.forming.hand(name),
         )
-        self.shelf = Shelf(folder, self.ledger, self.tell)
+        self.shelf = DiskThread(folder, self.ledger, self.tell)
         self.forming = Forming(self, self.seed)
-        self.outdoors = Outdoors(self)
+        self.outdoors = HttpServer(self)
 
     def tell(self, function, *arguments):
         """From the disk's thread."""
@@ -176,9 +180,9 @@
 
     async def enter(self):
         """The folder is in a cluster: from here on the member takes part."""
-        kept, data = await self.on_disk(self.folder.kept)
+        kept, data = await self.on_disk(self.folder.read_stored)
         try:
-            with uncollected():
+            with pause_gc():
                 state = self.ledger.whole(data)
         except ValueError as error:
             raise Damaged(f"{self.told.data}: {error}") from None
@@ -200,7 +204,7 @@
         self.log.info("in cluster", cluster_id=self.folder.cluster, at=state.index, last=last)
 
     def duties(self, dispatcher):
-        return whole.duties(dispatcher, self.told.cluster, self.told.clusters, self.seed)
+        return assembly.make_leader_tasks(dispatcher, self.told.cluster, self.told.clusters, self.seed)
 
     # ---- from start to end
 
@@ -284,7 +288,7 @@
         tables = [("http", self.outdoors.counts), ("peers", self.peers.counts), ("disk", self.shelf.counts)]
         tables += [("asked", self.asking.counts), ("forming", self.forming.counts)]
         now = {"open": self.outdoors.open, "polls": self.outdoors.polls, "jobs": len(self.shelf.jobs)}
-        now.update(lines_lost=Lines.lost, connections_closed=self.closed)
+        now.update(lines_lost=LogOutput.lost, connections_closed=self.closed)
         now["queued"] = sum(len(queue.messages) for queue in self.peers.queues.values())
         now["connections"] = len(self.runner.server.connections) if self.runner.server else 0
         if host is not None:
@@ -321,7 +325,7 @@
             transport.abort()
 
 
-def descriptors():
+def raise_descriptor_limit():
     """How many this process may have; all that the system lets it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     most = min(hard, 65536) if hard != resource.RLIM_INFINITY else 65536
@@ -330,7 +334,7 @@
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
-class Lines:
+class LogOutput:
     """Standard output for log lines. A log that cannot be written (its disk is full as well) is no reason to
     stop: the lines are lost, and counted."""
 
@@ -340,10 +344,10 @@
         try:
             sys.stdout.write(text)
         except OSError:
-            Lines.lost += 1
+            LogOutput.lost += 1
 
     def flush(self):
         try:
             sys.stdout.flush()
         except OSError:
-            Lines.lost += 1
+            LogOutput.lost += 1
--- a/lemonlead/standins/simulated/calls.py
+++ b/lemonlead/standins/simulated/calls.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from lemonlead.member import whole
+from lemonlead.member import assembly
 
 from .world import MS
 
@@ -39,7 +39,7 @@
     def readable(self, host, state, leader):
         if state is None:
             return self.back(host, 503, not_done(leader))
-        items = dict(whole.shown(state, self.part))
+        items = dict(assembly.describe_part(state, self.part))
         self.back(host, 200, {"at": state.index, "moment": state.moment, "items": items})
 
     def polled(self, host, events, at, state, leader):
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -6,7 +6,7 @@
 
 from lemonlead.ledger.dispatcher import Dispatcher
 from lemonlead.ledger.state import LedgerSettings
-from lemonlead.member import whole
+from lemonlead.member import assembly
 
 from . import schedules
 from .clients import Asking, Operator
@@ -42,7 +42,7 @@
 def dispatcher(host, told, kept, state, now):
     cluster = host.cluster
     made = Dispatcher(told, kept, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
-    made.leader_tasks = whole.duties(
+    made.leader_tasks = assembly.make_leader_tasks(
         made, cluster.id, [name for name in NAMES if name != cluster.id], told.seed
     )
     return made
@@ -243,7 +243,7 @@
     def __init__(self, schedule, span=SPAN, **made):
         self.schedule, self.span, self.world = schedule, span, World(schedule.seed)
         self.between = Between(NAMES, TERMS, QUORUM)
-        ledger = made.get("ledger", lambda name: whole.ledger())
+        ledger = made.get("ledger", lambda name: assembly.make_ledger())
         self.sides = [Side(self, name, ledger(name), made) for name in NAMES]
         self.prepared = False
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -9,7 +9,7 @@
 from lemonlead.ledger.membership import LedgerSettings, formed
 from lemonlead.ledger.polls import POLL
 from lemonlead.ledger.records import LEADER, ConfiguredMember, ReplicaConfig, StoredState
-from lemonlead.member import whole
+from lemonlead.member import assembly
 
 MS = 1_000_000
 
@@ -45,7 +45,7 @@
         told = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.door, self.number = 1, Door(), 0
         self.dispatcher = Dispatcher(
-            told, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
+            told, StoredState(term=1, base=base), assembly.make_ledger(), state, self.now, **more
         )
         while self.dispatcher.replica.role != LEADER:
             self.passes(max(self.dispatcher.wake_at() - self.now, MS))
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lemonlead.member import run
-from lemonlead.member.outside import COMMAND_TIME
+from lemonlead.member.http_server import COMMAND_TIME
 from lemonlead.standins.members import Cluster, until
 
 
--- a/tests/test_member_disk.py
+++ b/tests/test_member_disk.py
@@ -102,7 +102,7 @@
 
 def test_a_new_folder_holds_nothing_and_keeps_its_id(tmp_path):
     folder = open_folder(tmp_path / "a" / "b")
-    assert folder.kept() == (StoredState(), None) and folder.cluster == ""
+    assert folder.read_stored() == (StoredState(), None) and folder.cluster == ""
     id = folder.id
     folder.close()
     again, other = open_folder(tmp_path / "a" / "b"), open_folder(tmp_path / "c")
@@ -138,13 +138,13 @@
     def work():
         folder = formed(tmp_path)
         folder.put(writes)
-        assert folder.kept() == (wanted, state(1))
+        assert folder.read_stored() == (wanted, state(1))
         if not killed:
             folder.close()
 
     assert in_child(work) == 0
     folder = open_folder(tmp_path, "g1", "louis")
-    assert folder.kept() == (wanted, state(1)) and folder.cluster == "c1"
+    assert folder.read_stored() == (wanted, state(1)) and folder.cluster == "c1"
 
 
 @pytest.mark.parametrize("size", [0, 1, 1000, disk.ROW, 3 * disk.ROW + 5])
@@ -155,7 +155,7 @@
         folder.put([write(entries=[entry(index)])])
         index += 1
     wanted = StoredState(1, "", base, entries(16, index - 1)), data
-    assert folder.kept() == wanted
+    assert folder.read_stored() == wanted
     assert folder.db.execute("SELECT min(idx) FROM log").fetchone() == (16,)
     assert folder.part(SnapshotBase(1, 1, SEATS, 5), 0, 10) is None
     for most in (1, 70_000, disk.ROW, 10**6):
@@ -167,7 +167,7 @@
                 got += some
             assert got == data
     folder.close()
-    assert open_folder(tmp_path).kept() == wanted
+    assert open_folder(tmp_path).read_stored() == wanted
 
 
 @pytest.mark.parametrize(
@@ -184,15 +184,15 @@
     before = StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 21)), state(1)
     receive(folder, SnapshotBase(12, 1), b"given up half-way")
     receive(folder, base, data)
-    assert folder.kept() == before and folder.gathered() == data
+    assert folder.read_stored() == before and folder.gathered() == data
     folder.put([write(2, base=base)])
     assert run(folder.tidy()) > 0
     following = entries(max(base.index, stay[-1].index if stay else 0) + 1, 40, 2)
     folder.put([write(2, entries=following)])
     wanted = StoredState(2, "", base, stay + following), data
-    assert folder.kept() == wanted and folder.needless() == []
+    assert folder.read_stored() == wanted and folder.needless() == []
     folder.close()
-    assert open_folder(tmp_path).kept() == wanted
+    assert open_folder(tmp_path).read_stored() == wanted
 
 
 def test_a_snapshot_not_in_force_is_dropped_at_the_next_start(tmp_path):
@@ -202,7 +202,10 @@
     next(own), next(own)
     folder.close()
     folder = open_folder(tmp_path)
-    assert folder.kept() == (StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 21)), state(1))
+    assert folder.read_stored() == (
+        StoredState(1, "", SnapshotBase(1, 1, SEATS, 5), entries(2, 21)),
+        state(1),
+    )
     assert folder.db.execute("SELECT count(*) FROM piece").fetchone() == (1,)
 
 
@@ -213,7 +216,7 @@
     receive(folder, base, state("far"))
     folder.put([write(base=base)])
     run(own)
-    assert folder.kept() == (StoredState(1, "", base, []), state("far"))
+    assert folder.read_stored() == (StoredState(1, "", base, []), state("far"))
     assert folder.db.execute("SELECT count(*) FROM piece").fetchone() == (1,)
 
 
@@ -273,10 +276,10 @@
         elif what == "reopen":
             folder.close()
             folder = open_folder(path)
-        assert folder.kept() == (wanted, held)
+        assert folder.read_stored() == (wanted, held)
     folder.close()
     folder = open_folder(path)
-    assert folder.kept() == (wanted, held)
+    assert folder.read_stored() == (wanted, held)
     folder.close()
 
 
@@ -299,13 +302,13 @@
 def test_what_contradicts_is_not_written_and_nothing_beside_it(tmp_path, case):
     folder = formed(tmp_path, 10)
     folder.put([write(2, "g1")])
-    before = folder.kept()
+    before = folder.read_stored()
     with pytest.raises(faults.Contradicts):
         folder.put([write(2, "g1", entries=entries(12, 12)), WRONG[case]] if "gap" in case else [WRONG[case]])
-    assert folder.kept() == before
+    assert folder.read_stored() == before
     folder.put([write(2, "g1", entries=entries(12, 12))])
     folder.close()
-    assert open_folder(tmp_path).kept()[0].entries == before[0].entries + entries(12, 12)
+    assert open_folder(tmp_path).read_stored()[0].entries == before[0].entries + entries(12, 12)
 
 
 def test_a_part_that_does_not_follow_is_not_taken(tmp_path):
@@ -554,7 +557,7 @@
     assert in_child(work) in (0, 5)
     folder = open_folder(tmp_path)
     folder.form("c1", "g1", SnapshotBase(1, 1), [b"x"])
-    assert folder.kept() == (StoredState(1, "", SnapshotBase(1, 1), []), b"x")
+    assert folder.read_stored() == (StoredState(1, "", SnapshotBase(1, 1), []), b"x")
 
 
 def test_the_names_of_a_new_folder_are_synced(tmp_path, monkeypatch):
@@ -603,7 +606,7 @@
         lambda: folder.part(folder.base, 0, 10),
         lambda: next(folder.tidy()),
         lambda: folder.gathered(),
-        lambda: folder.kept(),
+        lambda: folder.read_stored(),
     ]
     for call in calls:
         try:
@@ -630,7 +633,7 @@
         return 4
 
     assert in_child(work) == 0
-    entries_kept = open_folder(tmp_path).kept()[0].entries
+    entries_kept = open_folder(tmp_path).read_stored()[0].entries
     assert entries_kept in (entries(2, 11), entries(2, 12))
 
 
@@ -648,7 +651,7 @@
             return 0 if refuses_all(folder) else 3
 
     assert in_child(work) == 0
-    assert len(open_folder(tmp_path).kept()[0].entries) in (10, 11)
+    assert len(open_folder(tmp_path).read_stored()[0].entries) in (10, 11)
 
 
 def fill(folder):
@@ -678,7 +681,7 @@
     assert in_child(work) == 0
     last = int((tmp_path.parent / "told").read_text())
     assert last > 100
-    kept = open_folder(tmp_path).kept()[0].entries
+    kept = open_folder(tmp_path).read_stored()[0].entries
     assert kept in (entries(2, last), entries(2, last + 10))
 
 
@@ -693,7 +696,7 @@
         run(folder.snapshot(SnapshotBase(5, 1), pieces()))
     folder.put([write(entries=entries(12, 12))])
     assert run(folder.snapshot(SnapshotBase(5, 1), [b"x"])) > 0
-    assert folder.kept() == (StoredState(1, "", SnapshotBase(5, 1), entries(6, 12)), b"x")
+    assert folder.read_stored() == (StoredState(1, "", SnapshotBase(5, 1), entries(6, 12)), b"x")
 
 
 # ---- kills
@@ -702,7 +705,7 @@
 def busy_member(path, told, seed):
     """Puts groups of entries, each told once it is on disk, with cuts, votes and snapshots between."""
     chance, folder = random.Random(seed), open_folder(path)
-    kept = folder.kept()[0]
+    kept = folder.read_stored()[0]
     term, last = kept.term + 1, kept.entries[-1].index if kept.entries else kept.base.index
     own = iter(())
     while True:
@@ -741,7 +744,7 @@
                 terms.update(dict.fromkeys(range(last + 1, index + 1), term))
                 last = index
         folder = open_folder(tmp_path, "g1", "louis")
-        kept, data = folder.kept()
+        kept, data = folder.read_stored()
         folder.close()
         newest = kept.entries[-1].index if kept.entries else kept.base.index
         assert last <= newest <= last + 64 and kept.voted == f"g{number}"
@@ -842,12 +845,12 @@
     except Unusable:
         return
     try:
-        assert folder.kept() == wanted
+        assert folder.read_stored() == wanted
         folder.put([write(3, "g2", entries=entries(71, 71, 3))])
     finally:
         folder.close()
     with closing(open_folder(path)) as folder:
-        assert folder.kept()[0].entries == wanted[0].entries + entries(71, 71, 3)
+        assert folder.read_stored()[0].entries == wanted[0].entries + entries(71, 71, 3)
 
 
 NOTES = {  # (slots that are spoilt, the log of the killed run cut): what comes of it
@@ -873,7 +876,7 @@
         os.truncate(tmp_path / "ledger.db-wal", (tmp_path / "ledger.db-wal").stat().st_size - 100)
     spoil_slots(tmp_path, slots)
     if wanted is None:
-        assert len(open_folder(tmp_path).kept()[0].entries) == 12
+        assert len(open_folder(tmp_path).read_stored()[0].entries) == 12
     else:
         with pytest.raises(wanted):
             open_folder(tmp_path)
@@ -887,7 +890,7 @@
 
     assert in_child(work) == 5
     for _ in range(3):
-        assert in_child(lambda: len(open_folder(tmp_path).kept()[0].entries)) == 12
+        assert in_child(lambda: len(open_folder(tmp_path).read_stored()[0].entries)) == 12
 
 
 def spoil_slots(path, slots):
@@ -912,4 +915,4 @@
         folder.put([write(entries=entries(12, 13))])
 
     assert in_child(work) == 5
-    assert len(open_folder(tmp_path).kept()[0].entries) == 12
+    assert len(open_folder(tmp_path).read_stored()[0].entries) == 12
--- a/tests/test_member_parts.py
+++ b/tests/test_member_parts.py
@@ -12,9 +12,9 @@
 from lemonlead.ledger.membership import first_base
 from lemonlead.ledger.records import ConfiguredMember, SnapshotBase, SnapshotChunk, Write
 from lemonlead.member import faults, peers, run
-from lemonlead.member.asking import Asking
+from lemonlead.member.http_client import HttpClient
 from lemonlead.member.host import Host
-from lemonlead.member.shelf import Shelf
+from lemonlead.member.disk_thread import DiskThread
 
 MS = 1_000_000
 
@@ -120,7 +120,7 @@
 
     def make(folder):
         ledger = SimpleNamespace(pieces=lambda state: iter(state))
-        made.append(Shelf(folder, ledger, lambda function, *arguments: function(*arguments)))
+        made.append(DiskThread(folder, ledger, lambda function, *arguments: function(*arguments)))
         return made[-1]
 
     yield make
@@ -355,7 +355,7 @@
     left, came = list(answers), []
 
     async def play():
-        asking = Asking("g1", "127.0.0.1:1", {"ebene": [f"a{n}:1" for n in range(len(answers))]}, 1, 1)
+        asking = HttpClient("g1", "127.0.0.1:1", {"ebene": [f"a{n}:1" for n in range(len(answers))]}, 1, 1)
 
         async def answer(*_, **__):
             return left.pop(0)
--- a/tests/test_member_told.py
+++ b/tests/test_member_told.py
@@ -7,7 +7,7 @@
 from lemonlead.ledger.faults import Unusable
 from lemonlead.ledger.records import ReplicaConfig
 from lemonlead.ledger.state import LedgerSettings
-from lemonlead.member import told
+from lemonlead.member import member_settings
 from lemonlead.member.faults import Unfit
 
 PAGE = """cluster: "louis"
@@ -21,7 +21,7 @@
 
 def read(tmp_path, text):
     (tmp_path / "g1.cue").write_text(text)
-    return told.read(str(tmp_path / "g1.cue"))
+    return member_settings.read(str(tmp_path / "g1.cue"))
 
 
 def test_the_outside_pages_own_file_is_read(tmp_path):
@@ -39,7 +39,7 @@
 def test_times_and_terms_are_taken(tmp_path):
     more = "times: {election: 400ms, heartbeat: 50ms}\nterms: remember: 20m\nbounds: keep: 7\n"
     found = read(tmp_path, PAGE + more)
-    assert found.times == told.Times(400_000_000, 50_000_000, 3_000_000_000)
+    assert found.times == member_settings.Times(400_000_000, 50_000_000, 3_000_000_000)
     assert found.terms.remember == 1_200_000_000_000 and found.bounds["keep"] == 7
 
 
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("name", ["g1", "g2", "g3"])
 def test_the_examples_can_be_used(name):
-    found = told.read(f"deploy/cluster/{name}.cue")
+    found = member_settings.read(f"deploy/cluster/{name}.cue")
     assert found.member == name and found.members[name] == found.listen and len(found.members) == 3
 
 
@@ -127,6 +127,6 @@
 def test_bytes_that_are_no_settings_are_refused(tmp_path, data):
     (tmp_path / "g1.cue").write_bytes(data)
     with pytest.raises(Unfit):
-        told.read(str(tmp_path / "g1.cue"))
+        member_settings.read(str(tmp_path / "g1.cue"))
     with pytest.raises(Unfit):
-        told.read(str(tmp_path / "missing.cue"))
+        member_settings.read(str(tmp_path / "missing.cue"))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -13,7 +13,7 @@
 from lemonlead.ledger import capacity, state
 from lemonlead.ledger.faults import Refused
 from lemonlead.ledger.records import COMMAND, Entry
-from lemonlead.member import whole
+from lemonlead.member import assembly
 from lemonlead.moves import faults, rules, steps
 from lemonlead.standins import promises, two_clusters
 from lemonlead.standins.move_faults import FAULTS, NAMES, STEPS, awaited, begin, crossed, lossy, made, stop
@@ -496,7 +496,7 @@
 
 
 def test_ledger_of_the_program_includes_moves():
-    found = whole.ledger()
+    found = assembly.make_ledger()
     assert set(rules.RULES) <= set(found.rules) and set(rules.KINDS) <= set(found.kinds)
     assert set(rules.INNER) <= set(found.inner)
 
--- a/tests/test_simulated_whole.py
+++ b/tests/test_simulated_whole.py
@@ -5,7 +5,7 @@
 
 from benchmarks import schedules
 from lemonlead.ledger.state import Ledger
-from lemonlead.member import whole as rules_of
+from lemonlead.member import assembly
 from lemonlead.moves import rules
 from lemonlead.standins.simulated.gateways import Gateway
 from lemonlead.standins.simulated.nodes import Node
@@ -76,7 +76,7 @@
 
 def frees_early(name):
     """A destination that lets go what it holds as the requests come."""
-    made = rules_of.ledger()
+    made = assembly.make_ledger()
 
     def warm(draft, command):
         told = rules.warm_hold(draft, command)
