--- a/lemonlead/distribution/ledger_source.py
+++ b/lemonlead/distribution/ledger_source.py
@@ -11,8 +11,8 @@
 
 from ..ledger.entries import EntryRow
 from ..ledger.faults import Fault
-from ..member.asking import session
-from ..member.memory import uncollected
+from ..member.http_client import make_session
+from ..member.memory import pause_gc
 from .member_polling import MS, MemberPolling
 from .faults import Unreadable
 
@@ -58,7 +58,7 @@
     if check is not None and check != f"{zlib.crc32(body):08x}":
         raise Unreadable("the response doesn't match its checksum")
     try:
-        with uncollected():
+        with pause_gc():
             response = EVENTS_DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
         raise Unreadable(str(error)[:200]) from None
@@ -137,7 +137,7 @@
     async def run(self, relay):
         """Polls members forever and passes the state to the relay, as a whole (`replace`) or change by change
         (`apply`)."""
-        async with session(self.name, self.listen, limit=4) as calls:
+        async with make_session(self.name, self.listen, limit=4) as calls:
             while True:
                 if (request := self.polling.next(now := time.monotonic_ns())) is None:
                     await asyncio.sleep(max(self.polling.wake_at() - now, 0) / 1e9)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -8,7 +8,7 @@
 from lemonlead.ledger.membership import LedgerSettings, formed
 from lemonlead.ledger.polls import MAX_POLL_NS
 from lemonlead.ledger.records import LEADER, ConfiguredMember, ReplicaConfig, StoredState
-from lemonlead.member import whole
+from lemonlead.member import assembly
 
 MS = 1_000_000
 
@@ -46,7 +46,7 @@
         config = ReplicaConfig(cluster="c", name="g1", folder="f1", seed=1)
         self.now, self.host, self.number = 1, RecordingHost(), 0
         self.dispatcher = Dispatcher(
-            config, StoredState(term=1, base=base), whole.ledger(), state, self.now, **more
+            config, StoredState(term=1, base=base), assembly.make_ledger(), state, self.now, **more
         )
         while self.dispatcher.replica.role != LEADER:
             self.advance(max(self.dispatcher.wake_at() - self.now, MS))
