--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -396,7 +396,7 @@
         write(name, getattr(world.Gateway, name))
     day.offer(S, factor)
     day.lose("two", 9 * S, 11 * S)
-    day.played_out()
+    day.run_to_end()
     monkeypatch.undo()
     return calls
 
