--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -85,7 +85,9 @@
     """
 
     def __init__(self, start):
-        release, request_classes, balancers = start.release, start.request_classes, max(start.balancers, 1)
+        release = start.release
+        request_classes = start.request_classes
+        balancers = max(start.balancers, 1)
         for request_class in request_classes:
             # Without an objective the deadline serves as one; only ratios to it are used.
             request_class.latency_objective = (
@@ -93,7 +95,8 @@
             )
 
         # Settings of the host and the fleet.
-        self.rng, self.zone = random.Random(start.seed), start.zone
+        self.rng = random.Random(start.seed)
+        self.zone = start.zone
         self.cross_zone_factor = 1 + start.prices.get("CrossZone", 0.0)
         self.may_duplicate = start.may_duplicate
         self.may_cancel = start.may_cancel
@@ -102,7 +105,8 @@
         self.connect_time = start.connect_time
         self.repeat_margin = 2 * start.step  # before an instance stops dropping repeats
         self.max_list_call_gap = start.max_list_call_gap
-        self.cold_time, self.cold_share = start.cold_time, max(start.cold_share, 0.01)
+        self.cold_time = start.cold_time
+        self.cold_share = max(start.cold_share, 0.01)
         # Part of its share that a cold instance gets; the rest is left for bursts and random peaks.
         self.cold_headroom = max(1 - 1 / max(start.cold_multiple, 0.1), 0.1)
         self.mean_revenue = (
@@ -132,8 +136,8 @@
         # have been answered.
         objectives = [request_class.latency_objective for request_class in request_classes] or [0]
         self.min_last_stage_time = max(self.min_stage_time, release.bake + sum(objectives) // len(objectives))
-        # When the balancer started, and when `latency_ratio` was last updated.
-        self.started_at = self.latency_ratio_at = start.now
+        self.started_at = start.now
+        self.latency_ratio_at = start.now  # when `latency_ratio` was last updated
         # How often one balancer may call a sound build bad. As many votes as a rollback needs are then all
         # wrong only very rarely.
         self.false_alarm_probability = (
@@ -143,14 +147,15 @@
             release.vote_timeout + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
         )
 
-        # Instances by id, and groups of instances by (zone, kind).
-        self.instances, self.groups = InstanceTable(start.balancer_index * GOLDEN_RATIO % 1.0), {}
-        # The instances in the order in which this balancer uses them, the smoothed time between requests, and
-        # the time of the last request.
-        self.ring, self.request_gap, self.last_arrival = self.instances.arc(()), 1e9, start.now
-        # The build of the last release news, the build on trial that has instances, and the build that votes
-        # can still promote or roll back.
-        self.reported_build = self.trial_build = self.judged_build = None
+        # The instances, and the requests so far.
+        self.instances = InstanceTable(start.balancer_index * GOLDEN_RATIO % 1.0)  # by id
+        self.groups = {}  # by (zone, kind)
+        self.ring = self.instances.arc(())  # the instances in the order in which this balancer uses them
+        self.request_gap = 1e9  # ns between requests, smoothed
+        self.last_arrival = start.now  # time of the last request
+        self.reported_build = None  # the build that the last release news was about
+        self.trial_build = None  # the build on trial that has instances
+        self.judged_build = None  # the build that votes can still promote or roll back
         # The kinds of instance that run both the judged build and an earlier one; empty if there are none.
         self.comparable_kinds = set()
         self.arrivals = {}  # times of requests by cap key, as `Build.sent_times`
@@ -165,8 +170,11 @@
         self.latency_ratios = {}  # the last times to answer by latency objective
         self.lower_quartiles = {}  # the lower quartile of those
         self.wait_tested_at = {}  # when a request of a class or tenant that waits was last let in
-        # Requests to decide on, lines to log, and timers.
-        self.due, self.log_lines, self.timers = deque(), deque(), RequestTimers()
+
+        # What is left to do.
+        self.due = deque()  # requests to decide on
+        self.log_lines = deque()
+        self.timers = RequestTimers()
 
         # The list of instances. The more balancers start together, the longer they spread their first call.
         spread = min(25 * MS * (balancers - 1), 2000 * MS, start.max_list_call_gap // 2 or 2000 * MS)
@@ -184,11 +192,10 @@
         self.pair_outcomes = {}  # by (of the judged build?, number of the request class)
         self.unconnected_share = 0.0  # share of attempts that got no connection, smoothed
         self.idle_time = start.idle_time - start.step
-        # Whether outcomes came since the open pair was last judged, and whether a vote may be due.
-        self.has_new_outcomes = self.vote_check_due = False
-        # The share of the load that instances on trial should get, and the median time by work of the last
-        # pair without a trial.
-        self.trial_share = self.baseline_time = 0.0
+        self.has_new_outcomes = False  # outcomes came since the open pair was last judged
+        self.vote_check_due = False  # a vote may be due
+        self.trial_share = 0.0  # share of the load that instances on trial should get
+        self.baseline_time = 0.0  # median time by work of the last pair without a trial
         self.last_vote = None  # (build, stage, verdict)
         self.next_vote_at = start.now
         self.vote_busy_until = start.now  # the answer to the last vote is awaited until then
@@ -225,10 +232,8 @@
             # The first list after a start: how long it is taken to be complete.
             complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_SHARE
             complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.assumed_known_after)
-            self.list_current_at, call_delay = (
-                now - self.assumed_known_after + complete_for,
-                (self.list_call_at - now) * complete_for // RESTARTED_LIST_AGE,
-            )
+            self.list_current_at = now - self.assumed_known_after + complete_for
+            call_delay = (self.list_call_at - now) * complete_for // RESTARTED_LIST_AGE
             # The call that confirms it is made within that time.
             self.list_call_at = now + min(call_delay, self.max_list_call_gap // 2 or call_delay)
         self.list_call_at, self.list_current_at = (
@@ -253,10 +258,8 @@
             self.arrivals.setdefault(key, deque()).append(now)
             recent(self.arrivals[key], now - self.arrivals_window)
         self.mean_work += 0.01 * (request.work - self.mean_work)
-        self.request_gap, self.last_arrival = (
-            self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap),
-            now,
-        )
+        self.request_gap = self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap)
+        self.last_arrival = now
         self.retry_budget = min(
             self.retry_budget + RETRIES_PER_REQUEST * (1 - self.latency_ratio * self.unseen_share), 20.0
         )
@@ -292,11 +295,9 @@
         instance.held_work -= 0 if written_off else request.work
         request.finished = request.finished or over
         self.due.extend([] if request.finished else [request])
-        number, objective, waits = (
-            request_class.number,
-            max(request_class.latency_objective, 1),
-            self.waits(request),
-        )
+        number = request_class.number
+        objective = max(request_class.latency_objective, 1)
+        waits = self.waits(request)
         slow = took > objective
         answered = end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
@@ -319,15 +320,11 @@
         if answered or end in (UNREADABLE, BAD_REQUEST):
             # An unreadable answer or a bad request shows only that the instance is reachable. This could hide
             # a build whose answers are unreadable.
-            instance.last_heard_at, instance.newest_answered, instance.path_failures = (
-                now,
-                max(instance.newest_answered, attempt.sent_at),
-                0,
-            )
-            instance.answer_count, instance.error_count = (
-                instance.answer_count + 1,
-                instance.error_count + (end == ERRED),
-            )
+            instance.last_heard_at = now
+            instance.newest_answered = max(instance.newest_answered, attempt.sent_at)
+            instance.path_failures = 0
+            instance.answer_count = instance.answer_count + 1
+            instance.error_count = instance.error_count + (end == ERRED)
             instance.avoided_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
             self.record_path_failure(instance, now, 0.5 if end == RESET else 1)
@@ -337,11 +334,9 @@
             spent = objective if end in (ERRED, REJECTED) else took
             # The average moves by a tenth for each answer. After a pause it falls the whole way, because a
             # balancer that sheds gets few answers. It doesn't rise faster: one late answer is no overload.
-            ratio_to_objective, age, self.latency_ratio_at = (
-                min(spent / objective, 2.0),
-                (now - self.latency_ratio_at) / LATENCY_RATIO_AGE,
-                now,
-            )
+            ratio_to_objective = min(spent / objective, 2.0)
+            age = (now - self.latency_ratio_at) / LATENCY_RATIO_AGE
+            self.latency_ratio_at = now
             self.latency_ratio += (
                 min(max(age, 0.1), 1.0) if ratio_to_objective < self.latency_ratio else 0.1
             ) * (ratio_to_objective - self.latency_ratio)
@@ -358,15 +353,14 @@
         if end == REJECTED or not waits and instance.slowness * self.class_work[number] > objective / 2.5:
             # One overload lowers it once, however many attempts it delays.
             if now - instance.limit_lowered_at > 200 * MS:
-                instance.limit_lowered_at, instance.request_limit = (
-                    now,
-                    max(instance.request_limit * 0.8, 1.0),
-                )
+                instance.limit_lowered_at = now
+                instance.request_limit = max(instance.request_limit * 0.8, 1.0)
         elif end == SUCCEEDED and 2 * (len(instance.in_flight) + 1) >= instance.request_limit:
             instance.request_limit += 0.25 / instance.request_limit
         if end == SUCCEEDED:
             instance.record_connection(attempt.connected_since, attempt.sent_at)
-            instance.build.answer_count, group = instance.build.answer_count + 1, instance.group
+            instance.build.answer_count = instance.build.answer_count + 1
+            group = instance.group
             group.answer_time = smoothed(group.answer_time, took, 0.05)
             group.answer_work = smoothed(group.answer_work, max(request.work, 1), 0.05)
         if end == SUCCEEDED and self.forward_only and request.key:
@@ -412,12 +406,10 @@
         build.stage_began_at = (
             build.stage_began_at if (build.stage, build.phase) == (stage, phase) else now - age
         )
-        build.stage, build.phase, build.cap, build.seen_on_trial = (
-            stage,
-            phase,
-            cap,
-            build.seen_on_trial or phase == ON_TRIAL,
-        )
+        build.stage = stage
+        build.phase = phase
+        build.cap = cap
+        build.seen_on_trial = build.seen_on_trial or phase == ON_TRIAL
         self.update_trial()
 
     def vote_answered(self, now, answer):
@@ -430,13 +422,16 @@
         rolls_back = self.last_vote is not None and self.last_vote[2] == VERDICT_ROLL_BACK
         if answer == OVER_ALLOWANCE and not rolls_back:
             self.vote_backoff = min(2 * self.vote_backoff or 400 * MS, self.vote_lifetime)
-        short, jitter = 400 * MS, self.rng.uniform(0.5, 1.0)
+        short = 400 * MS
+        jitter = self.rng.uniform(0.5, 1.0)
         pause = short if rolls_back else max(self.vote_backoff, short)
-        self.vote_busy_until, self.next_vote_at = now + int(jitter * short), now + int(jitter * pause)
+        self.vote_busy_until = now + int(jitter * short)
+        self.next_vote_at = now + int(jitter * pause)
         if answer == COUNTED:
             # The vote is renewed before it lapses; later if the platform was full.
             later = 0.2 if self.vote_backoff else 0.0
-            self.vote_busy_until, self.vote_backoff = now, self.vote_backoff // 2
+            self.vote_busy_until = now
+            self.vote_backoff = self.vote_backoff // 2
             self.next_vote_at = now + int(self.vote_lifetime * (self.rng.uniform(0.6, 0.8) + later))
 
     # ---- decisions, one for each call
@@ -460,7 +455,8 @@
             self.list_call_at = now + 5000 * MS
             host.watch_list()
             return True
-        vote_check_due, self.vote_check_due = self.vote_check_due, False
+        vote_check_due = self.vote_check_due
+        self.vote_check_due = False
         if vote_check_due and self.cast_vote(now, host):
             return True
         while self.due:
@@ -505,10 +501,8 @@
             for key in self.cap_keys(request):
                 instance.build.sent_times.setdefault(key, deque()).append(now)
             instance.build.attempt_credit = max(instance.build.attempt_credit - 1.0, -3.0)
-        instance.cold_since_work, instance.cold_work_due = (
-            self.accepted_work,
-            request.work * len(self.instances),
-        )
+        instance.cold_since_work = self.accepted_work
+        instance.cold_work_due = request.work * len(self.instances)
         host.attempt(request, instance.id, request.deadline - now)
         instance.connection_free_at = attempt.connection_free_at
         self.timers.add(self.overdue_at(attempt), request)
@@ -567,11 +561,9 @@
 
     def give_up(self, request, host):
         """Ends a request: aborts it if it may have run, else rejects it; returns True."""
-        request.finished, request_class, ends = (
-            True,
-            request.request_class,
-            {attempt.end for attempt in request.attempts},
-        )
+        request.finished = True
+        request_class = request.request_class
+        ends = {attempt.end for attempt in request.attempts}
         unsafe_elsewhere = (
             request_class.effect == NON_IDEMPOTENT
             or request_class.effect == DEDUPLICATED
@@ -632,7 +624,8 @@
         """
         if self.waits(request):
             # The request would only occupy a slot. One is let in every two objectives, to see when this ends.
-            keys, pause = latency_keys(request), 2 * request.request_class.latency_objective
+            keys = latency_keys(request)
+            pause = 2 * request.request_class.latency_objective
             if now < max(self.wait_tested_at.get(key, 0) for key in keys) + pause:
                 return True
             self.wait_tested_at.update(dict.fromkeys(keys, now))
@@ -861,10 +854,8 @@
             self.judged_build = judged
             self.pair_started_at = None
             self.pair_outcomes = {}
-        self.vote_check_due, oldest = (
-            True,
-            min([self.reported_build.number if self.reported_build else 0, *numbers]),
-        )
+        self.vote_check_due = True
+        oldest = min([self.reported_build.number if self.reported_build else 0, *numbers])
         # No instance runs these builds, and no news is about them.
         for old in [old for old in self.builds if old < oldest]:
             del self.builds[old]
@@ -875,15 +866,14 @@
 
     def record_outcome(self, now, instance, request, end, took):
         """Adds an outcome to the open pair: (time by work, whether it is an error, the instance)."""
-        of_judged, warmth = instance.build is self.judged_build, self.warmth(instance, now)
+        of_judged = instance.build is self.judged_build
+        warmth = self.warmth(instance, now)
         # Only like instances are compared: of the same kinds, and earlier builds only on warm ones.
         if (not self.comparable_kinds or instance.kind in self.comparable_kinds) and (
             of_judged or warmth == 1
         ):
-            self.has_new_outcomes, outcome = (
-                True,
-                (took * warmth / max(request.work, 1), end == ERRED, instance),
-            )
+            self.has_new_outcomes = True
+            outcome = (took * warmth / max(request.work, 1), end == ERRED, instance)
             self.pair_outcomes.setdefault((of_judged, request.request_class.number), []).append(outcome)
 
     def tick(self, now):
@@ -900,7 +890,8 @@
             self.pair_started_at = now if newest and max(newest) + TRIAL_WARM_UP <= now else None
         elif now - self.pair_started_at >= PAIR_TIME and self.has_new_outcomes:
             self.has_new_outcomes = False
-            ours, earlier = self.pooled(True), self.pooled(False)
+            ours = self.pooled(True)
+            earlier = self.pooled(False)
             # After the release earlier instances may stay listed but get hardly any requests.
             alone = build is None or build.phase == RELEASED
             if len(ours if build else earlier) >= MIN_PAIR_OUTCOMES and (
@@ -949,7 +940,8 @@
         )
         figures = {(-1, "errors"): error_figures(ours, earlier)}
         if ours and len(earlier) >= MIN_PAIR_OUTCOMES:
-            earlier_time, our_time = median_time(earlier), median_time(earlier if alike else ours)
+            earlier_time = median_time(earlier)
+            our_time = median_time(earlier if alike else ours)
             slow_counts = [
                 sum(time > earlier_time * (1 + LATENCY_TOLERANCE) for time, *_ in sample)
                 for sample in (earlier, () if alike else ours)
@@ -985,12 +977,12 @@
         bound is at least the spread of the earlier builds' figures. Latency needs one more pair in breach
         than errors do. If traffic is too thin to close pairs, `pairs` is the open one alone.
         """
-        known, build.in_doubt, build.provisionally_bad = build.bad or build.provisionally_bad, False, False
+        known = build.bad or build.provisionally_bad
+        build.in_doubt = False
+        build.provisionally_bad = False
         others = [other for other in self.builds.values() if other is not build]
-        wrong_answers, answers = (
-            sum(other.wrong_answers for other in others),
-            sum(other.answer_count for other in others),
-        )
+        wrong_answers = sum(other.wrong_answers for other in others)
+        answers = sum(other.answer_count for other in others)
         if (
             build.wrong_answers >= MIN_WRONG_ANSWERS
             and build.wrong_answers * answers > 2 * wrong_answers * build.answer_count
@@ -1030,7 +1022,8 @@
         alarms would add up.
         """
         self.log_lines.extend([] if known else [f"build {build.number} bad: {why}"])
-        build.provisionally_bad, build.bad = True, build.bad or bool(lasting)
+        build.provisionally_bad = True
+        build.bad = build.bad or bool(lasting)
 
     def verdict(self, build, now):
         """Returns the verdict on a build, or None if there is none yet."""
@@ -1089,7 +1082,8 @@
 
 def error_figures(ours, earlier_outcomes):
     """Returns the figures on errors, as `Balancer.compare` describes them."""
-    earlier, ours = without_faulty_instance(earlier_outcomes), without_faulty_instance(ours)
+    earlier = without_faulty_instance(earlier_outcomes)
+    ours = without_faulty_instance(ours)
     usual = sum(erred for _, erred, _ in earlier) / max(len(earlier), 1)
     erred = sum(erred for _, erred, _ in ours)
     return usual, erred / max(len(ours), 1), erred, len(ours), usual + ERROR_TOLERANCE
@@ -1108,7 +1102,8 @@
     peers = [
         instance for instance in instances if instance is not worst and instance.started <= worst.started
     ]
-    errors, answers = sum(peer.error_count for peer in peers), sum(peer.answer_count for peer in peers)
+    errors = sum(peer.error_count for peer in peers)
+    answers = sum(peer.answer_count for peer in peers)
     if worst and worst.error_count * answers > 3 * (errors + 1) * worst.answer_count:
         return [outcome for outcome in outcomes if outcome[2] is not worst]
     return outcomes
--- a/lemonlead/instance_table.py
+++ b/lemonlead/instance_table.py
@@ -73,7 +73,8 @@
     """
 
     def __init__(self, start_fraction):
-        self.start_fraction, self.sequence = start_fraction, count()
+        self.start_fraction = start_fraction
+        self.sequence = count()
         self.ring = []  # all instances by ring position
         self.connected = set()  # instances to which `keep_open` set a time
         self.changed = {}  # by id, until `commit`: the instance that the ring still holds, or None
@@ -93,12 +94,14 @@
         for id in gone:
             old = self.pop(id)
             self.changed.setdefault(id, old)
-        changed, self.changed = self.changed, {}
+        changed = self.changed
+        self.changed = {}
         removed = [old for old in changed.values() if old is not None]
         added = [self[id] for id in changed if id in self]
         self.ring = updated_ring(self.ring, removed, added)
         self.connected.difference_update(removed)
-        removed_by_build, added_by_build = by_build(removed), by_build(added)
+        removed_by_build = by_build(removed)
+        added_by_build = by_build(added)
         for build in {*removed_by_build, *added_by_build}:
             build.update_instances(removed_by_build.get(build, ()), added_by_build.get(build, ()))
         self.share_cache = NO_SHARE_CACHED if changed else self.share_cache
@@ -137,7 +140,8 @@
                 slot for slot, instance in zip(slots, self.values(), strict=True) if instance.build is build
             ]
             # The two at the end have weight 0: with fewer than two indices itemgetter returns no tuple.
-            all_weights, build_weights = itemgetter(*slots, -1, -1), itemgetter(*build_slots, -1, -1)
+            all_weights = itemgetter(*slots, -1, -1)
+            build_weights = itemgetter(*build_slots, -1, -1)
             self.share_cache = (
                 (build, until),
                 [instance for _, instance in sorts.values()],
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -30,8 +30,8 @@
     def __init__(self):
         self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
         self.loss_rate = 0.0  # share of attempts that were lost on the way, smoothed
-        # Of successful answers, smoothed (ns): the time that they took and their work.
-        self.answer_time = self.answer_work = 0.0
+        self.answer_time = 0.0  # time that successful answers took, smoothed (ns)
+        self.answer_work = 0.0  # their work, smoothed (ns)
 
 
 class InstanceState:
@@ -81,13 +81,14 @@
         self.held_work = 0  # work of the attempts in flight
         self.last_heard_at = now  # time of its last answer, or of the first attempt after it was idle
         self.newest_answered = 0  # when the latest of the attempts that it answered was sent
-        # It was up all the time between these two, as the connections to it show.
-        self.up_from = self.up_until = 0
+        # Between these two times it was up without a break, as the connections to it show.
+        self.up_from = 0
+        self.up_until = 0
         self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
         self.request_limit = request_limit  # requests of mean work that it may hold for this balancer
         self.limit_lowered_at = 0
-        # The service time that it reports, smoothed (ms): now, and while no build was on trial.
-        self.service_time = self.usual_service_time = 0.0
+        self.service_time = 0.0  # as it reports it, smoothed (ms)
+        self.usual_service_time = 0.0  # the same, updated only while no build is on trial
         self.error_count = 0
         self.answer_count = 0  # errors included
         self.connection_open_until = 0  # as far as the host's settings tell
@@ -114,7 +115,8 @@
         """Notes that an attempt sent at `sent_at` succeeded on a connection open since `since`."""
         if since > self.up_until:
             self.up_from = since
-        self.up_from, self.up_until = min(self.up_from, since), max(self.up_until, sent_at)
+        self.up_from = min(self.up_from, since)
+        self.up_until = max(self.up_until, sent_at)
 
 
 class Build:
@@ -134,12 +136,12 @@
         self.recent_outcomes = deque(maxlen=max_outcomes)  # its last outcomes in closed pairs
         self.answer_count = 0
         self.wrong_answers = 0  # answers that clients reported as wrong
-        # Whether the medians breach a bound, and whether it is found bad for good.
-        self.in_doubt = self.bad = False
+        self.in_doubt = False  # a median breaches its bound
+        self.bad = False  # found bad for good
         self.provisionally_bad = False  # found bad on an open pair; the trial goes on
-        # Of its instances: themselves in the order of the ring, how many are of each kind, and their start
-        # times in ascending order.
-        self.ring, self.kinds, self.start_times = [], Counter(), []
+        self.ring = []  # its instances in the order of the ring
+        self.kinds = Counter()  # how many of its instances are of each kind
+        self.start_times = []  # of its instances, in ascending order
 
     def update_instances(self, gone, added):
         """Takes out instances that no longer run it and puts in those that now do."""
@@ -175,7 +177,9 @@
     """
 
     def __init__(self):
-        self.heap, self.sequence, self.max_size = [], count(), 1000
+        self.heap = []
+        self.sequence = count()
+        self.max_size = 1000
 
     def __len__(self):
         return len(self.heap)
--- a/lemonlead/significance.py
+++ b/lemonlead/significance.py
@@ -9,7 +9,8 @@
     A sample is (number of worse outcomes, number of outcomes, usual share of worse outcomes). Without any
     outcomes the result is 0, as chance played no part.
     """
-    worse, total = sum(sample[0] for sample in samples), sum(sample[1] for sample in samples)
+    worse = sum(sample[0] for sample in samples)
+    total = sum(sample[1] for sample in samples)
     if not total:
         return 0.0
     usual = sum(sample[1] * min(sample[2], 0.99) for sample in samples) / total
--- a/lemonlead/start_settings.py
+++ b/lemonlead/start_settings.py
@@ -174,7 +174,9 @@
     What is absent keeps its default. Raises `InvalidSettings`.
     """
     reader = SettingsReader(settings, "settings")
-    limits, obligations, tariffs = reader.part("Limits"), reader.part("Obligations"), reader.part("Tariffs")
+    limits = reader.part("Limits")
+    obligations = reader.part("Obligations")
+    tariffs = reader.part("Tariffs")
     retry_after = limits.time("MaxRetryAfter") if limits.flag("RetryAfter") else 0
     return interface.StartSettings(
         now=now,
