--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -49,9 +49,8 @@
 MAX_RECENT_OUTCOMES = 200  # outcomes of closed pairs that are kept for each build
 PAIR_TIME = 1000 * MS  # the shortest time for which a pair of samples collects outcomes
 MIN_PAIR_OUTCOMES = 8  # outcomes that each side needs before a pair closes; with little traffic it stays open
-TRIAL_WARM_UP = (
-    1000 * MS
-)  # pairs start once all instances on trial have run this long; `warmth` covers the rest
+# Pairs start once all instances on trial have run this long; `warmth` covers the rest.
+TRIAL_WARM_UP = 1000 * MS
 LATENCY_TOLERANCE = 1.0  # ratio; a larger increase of the time to answer is a breach
 SERVICE_TIME_TOLERANCE = 0.5  # ratio; the same for the service time that instances report
 ERROR_TOLERANCE = 0.02  # share of answers; a larger increase of errors is a breach
@@ -160,9 +159,8 @@
         self.comparable_kinds = set()
         self.arrivals = {}  # times of requests by cap key, as `Build.sent_times`
         self.accepted_work = 0  # sum of the work of all accepted requests
-        self.mean_work = sum(self.class_work.values()) / max(
-            len(self.class_work), 1
-        )  # of a request, smoothed
+        # The mean work of a request, smoothed.
+        self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)
         self.latency_ratio = 0.0  # time to answer by latency objective, smoothed
         self.retry_budget = 5.0  # unspent part of RETRIES_PER_REQUEST
 
--- a/lemonlead/instance_table.py
+++ b/lemonlead/instance_table.py
@@ -14,12 +14,13 @@
 SORT_RATIO = (
     16  # if more than 1/16 of a ring changes at once, sorting it again costs less than single changes
 )
+# An empty share cache: (build, until), one instance of each sort, and the getters of the weights to add up.
 NO_SHARE_CACHED = (
     None,
     (),
     None,
     None,
-)  # (build, until), one instance of each sort, getters of the weights to add
+)
 
 
 class Arc:
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -16,6 +16,7 @@
 BEGIN = 1_700_000_000_000 * MS
 STATES = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
 PHASES = (at.ON_TRIAL, at.ROLLING_BACK, at.RELEASED, at.WITHDRAWN)
+# How attempts end; silent ones time out.
 ENDS = (
     at.SUCCEEDED,
     at.ERRED,
@@ -25,7 +26,7 @@
     at.UNREADABLE,
     at.BAD_REQUEST,
     "silent",
-)  # how attempts end; silent ones time out
+)
 NEVER = {at.REJECTED, at.UNCONNECTED, at.NOT_SENT}
 MAX_DECISIONS = 2000  # at one time
 MAX_WAKE_UPS = 30_000  # in one simulation
@@ -44,11 +45,12 @@
         self.start = start_from_settings(settings, world["seed"], BEGIN)
         self.balancer = make(self.start)
         self.open, self.in_flight, self.timer_at, self.wake_ups = {}, {}, None, 0
+        # `latest`: when the last client gives up.
         self.instances, self.watching, self.latest = (
             {},
             False,
             BEGIN,
-        )  # `latest`: when the last client gives up
+        )
         self.ahead = world["requests"] + world["changes"]  # events that are still to come
         self.build, self.stage, self.phase, self.cap, self.since = 1, 0, at.RELEASED, 1.0, BEGIN
         self.step = max(int(settings.get("Step", 0) * MS), 0)
--- a/tests/days.py
+++ b/tests/days.py
@@ -84,9 +84,8 @@
     # By gateway: (time, whether it was rejected) of each request that it sent on or rejected.
     decided: dict = field(default_factory=dict)
     asked: Counter = field(default_factory=Counter)  # by ("class" or "tenant", number, third)
-    served: Counter = field(
-        default_factory=Counter
-    )  # the same, of those answered within their latency objective
+    # The same, of those answered within their latency objective.
+    served: Counter = field(default_factory=Counter)
 
     def __post_init__(self):
         super().__post_init__()
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -313,9 +313,8 @@
     assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
     made.vote_answered(NOW + 3500 * MS, at.COUNTED)
     made.stage_reported(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
-    assert ("vote", 2, 1, at.VERDICT_ROLL_BACK) in dispatcher.pull(
-        made, NOW + 3500 * MS
-    )  # a change does not wait
+    # A change does not wait.
+    assert ("vote", 2, 1, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
 
 
 def test_silent_instance_is_avoided_then_tried_with_one_request():
@@ -482,12 +481,13 @@
         (0.1, 60, 3, at.VERDICT_PROMOTE),
         (1.0, 0, 8, None),
         (1.0, 60, 2, None),
+        # A rolling restart must not delay the last stage.
         (
             1.0,
             60,
             3,
             at.VERDICT_PROMOTE,
-        ),  # a rolling restart must not delay the last stage
+        ),
     ],
 )
 def test_no_vote_to_promote_soon_after_the_balancers_start(cap, age, after, verdict):
@@ -545,9 +545,8 @@
     made.judge(made.judged_build, [made.compare(made.judged_build, on, outcomes(count=8))])
     assert made.judged_build.provisionally_bad is bad and made.judged_build.in_doubt
     made.judge(made.judged_build, [made.compare(made.judged_build, outcomes(count=7), outcomes(count=8))])
-    assert (
-        not made.judged_build.bad and not made.judged_build.provisionally_bad
-    )  # it holds only as long as the evidence
+    # It holds only as long as the evidence.
+    assert not made.judged_build.bad and not made.judged_build.provisionally_bad
 
 
 @pytest.mark.parametrize("worse, count, usual, most", [(0, 0, 0.1, 0), (1, 9, 0.5, 1), (3, 3, 0.1, 0.001)])
@@ -648,11 +647,12 @@
     [
         (1, lambda made, asked: None, True),
         (1, lambda made, asked: made.list_received(NOW, [line(1, state=at.DRAINING)], False, True), False),
+        # It was restarted.
         (
             1,
             lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True),
             False,
-        ),  # it was restarted
+        ),
         (1, lambda made, asked: made.request_left(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -183,9 +183,8 @@
 def test_list_is_called_for_within_six_seconds_of_silence():
     made, *_ = driver()
     made.connection.reset_pause()  # it had received a list before
-    assert (
-        drivers.SILENCE + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
-    )  # the rest is left for the network
+    # The rest is left for the network.
+    assert drivers.SILENCE + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
@@ -298,9 +297,8 @@
         for thread in threads:
             thread.join(60)
         assert {words[1] for words in server.got} == answered  # each request that was read was answered
-        assert (
-            len(asked) >= len(answered) + 6
-        )  # the last request of each thread met a closing connection or none
+        # The last request of each thread met a closing connection or none.
+        assert len(asked) >= len(answered) + 6
 
 
 # ---- the load of a cold instance from all gateways
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -49,9 +49,8 @@
     answer(made, made.instances[2], NOW + 4000 * MS, since=NOW - 1000 * MS)
     assert {chosen_id(made, NOW + 5600 * MS + n, n) for n in range(50)} == {2}
     assert chosen_id(made, NOW + 6400 * MS) == 2
-    assert (
-        chosen_id(made, NOW + 6600 * MS) is None
-    )  # its drain may have been announced 3 s before that answer
+    # Its drain may have been announced 3 s before that answer.
+    assert chosen_id(made, NOW + 6600 * MS) is None
     made.list_received(NOW + 9700 * MS, [], False, True)  # discovery answered: the list is current
     assert chosen_id(made, NOW + 9700 * MS) in (1, 2, 3)
 
