--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -58,9 +58,8 @@
 LOOKS_PER_TRIAL = 8  # looks at thin evidence in one trial, which share the probability of a false alarm
 MIN_WRONG_ANSWERS = 3  # this many wrong answers make a build bad, at over twice the rate of other builds
 LATENCY_RATIO_AGE = 2000 * MS  # a lower ratio after this long without an answer replaces the average
-MIN_REVENUE_WEIGHT = (
-    0.5  # of the mean revenue; the requests worth least are let in half as often as the average
-)
+# Of the mean revenue: when requests are shed, those worth least are let in half as often as the average ones.
+MIN_REVENUE_WEIGHT = 0.5
 SHED_THRESHOLD = 0.45  # time to answer by latency objective above which requests are shed
 SHED_SLOPE = 2  # the share of requests shed is this multiple of the excess above the threshold
 OVERDUE_FACTOR = 2.5  # of the usual time for an attempt's work; one answer in twenty or thirty takes longer
@@ -68,7 +67,7 @@
 RETRIES_PER_REQUEST = 0.1  # limits second attempts, so that they don't feed an overload
 MIN_STRETCH = 24  # instances of the ring that a balancer uses; more if it can use each of them often
 GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' stretches evenly over the ring
-NEWS_DELAY = 500 * MS  # time that a balancer has to act on news before they count as known
+NEWS_DELAY = 500 * MS  # time that a balancer has to act on news before it counts as known
 RESTARTED_LIST_AGE = 2000 * MS  # the shortest time for which a list of unknown age is taken to be complete
 QUIET_SHARE = 8  # such a list is complete for 1/8 of the time since the last start of an instance
 DRAIN_ANSWER_TIME = 3000 * MS  # an instance may still answer for this long after its drain was announced
@@ -179,7 +178,7 @@
         first_call = start.now + int(self.rng.random() * spread)
         self.next_judging = start.now
         self.list_call_at = first_call if start.ask_for_list else None
-        # News that were not received count as known after this time.
+        # News that was not received counts as known after this time.
         self.assumed_known_after = (
             start.assumed_known_after - NEWS_DELAY if start.assumed_known_after else inf
         )
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -104,7 +104,7 @@
     ask_for_list: bool = False  # the balancer has to call for the list
     # Without a watch or call for this long, the gateway counts as knowing everything listed; 0: no such rule.
     max_list_call_gap: int = 0
-    # Discovery's news count as known this long after it has them, received or not; 0: only once received.
+    # News counts as known this long after discovery has it, received or not; 0: only once it is received.
     assumed_known_after: int = 0
     attempts_cap: int = 1  # attempts that a request may get
     may_cancel: bool = False
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -115,7 +115,7 @@
 
 
 def test_silent_watch_is_reopened_and_reports_missed_changes(monkeypatch):
-    monkeypatch.setattr(drivers, "SILENCE", 0.2)
+    monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
     server.tell(entry("a", server), full=True, version=2)
@@ -141,7 +141,7 @@
 
 
 def test_half_a_list_followed_by_blank_lines_counts_as_silence(monkeypatch):
-    monkeypatch.setattr(drivers, "SILENCE", 0.2)
+    monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
 
     class Half(Server):
         def serve(self, sock):
@@ -184,7 +184,9 @@
     made, *_ = driver()
     made.connection.reset_pause()  # it had received a list before
     # The rest is left for the network.
-    assert drivers.SILENCE + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
+    assert (
+        drivers.SILENCE_TIMEOUT_SECONDS + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
+    )
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
@@ -208,7 +210,7 @@
     server.tell(entry("a", server), full=True, version=2)
     made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
-    made.move(address(server.address))
+    made.change_address(address(server.address))
     until(lambda: lists == [["a"]], 4)  # its reports count from then on
     for one in (full, server):
         one.close()
@@ -226,11 +228,14 @@
         theirs.connect(listener.getsockname())
         ours, _ = listener.accept()
         gateway_server = SimpleNamespace(
-            stopping=True, thread_pool=ThreadPool(), request=lambda *_: request(), gone=lambda _: None
+            stopping=True,
+            thread_pool=ThreadPool(),
+            parse_request=lambda *_: request(),
+            client_ended=lambda _: None,
         )
-        gateway_server.weigh, gateway_server.dispatcher = (
+        gateway_server.reserve_bytes, gateway_server.dispatcher = (
             lambda _: True,
-            SimpleNamespace(request_arrived=None, TWICE=b"-"),
+            SimpleNamespace(request_arrived=None, DUPLICATE_ID_ERROR=b"-"),
         )
         gateway_server.counters = Counters()
         client = Client(ours, gateway_server, False)
@@ -259,7 +264,7 @@
     client, theirs = ended
     theirs.sendall(COMMAND[:cut])
     until(lambda: len(client.sock.recv(99, socket.MSG_PEEK)) == cut)
-    client.leave("stopping")
+    client.close_when_idle("stopping")
     thread = threading.Thread(target=client.run, daemon=True)
     thread.start()
     if COMMAND[cut:]:  # the other half is sent once the first is read
