--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -266,10 +266,12 @@
             def rate(instance):
                 return self.capacity_share(instance, now) / (instance.group.slowness or 1.0)
 
-            def sort(instance):
+            def group_key(instance):
                 return instance.group, instance.started if self.warmth(instance, now) < 1 else 0
 
-            self.trial_share = self.instances.weight_share(self.trial_build, rate, sort, now // STALE_TIME)
+            self.trial_share = self.instances.weight_share(
+                self.trial_build, rate, group_key, now // STALE_TIME
+            )
             self.trial_build.attempt_credit = min(self.trial_build.attempt_credit + self.trial_share, 2.0)
         self.due.append(request)
 
--- a/lemonlead/instance_table.py
+++ b/lemonlead/instance_table.py
@@ -11,10 +11,9 @@
 from zlib import crc32
 
 RING_POSITION = attrgetter("ring_position")
-SORT_RATIO = (
-    16  # if more than 1/16 of a ring changes at once, sorting it again costs less than single changes
-)
-# An empty share cache: (build, until), one instance of each sort, and the getters of the weights to add up.
+# If more than 1/16 of a ring changes at once, sorting it again costs less than single changes.
+SORT_RATIO = 16
+# An empty share cache: (build, until), one instance of each group, and the getters of the weights to add up.
 NO_SHARE_CACHED = (
     None,
     (),
@@ -125,32 +124,34 @@
         else:
             self.connected.discard(instance)
 
-    def weight_share(self, build, weight, sort, until):
+    def weight_share(self, build, weight, group_key, until):
         """Returns which part of the sum of all instances' weights belongs to the instances of this build.
 
-        `weight(instance)` is the same for all instances of one `sort(instance)`. The sorts are kept until the
-        list or `until` changes. Each sum is added up in the order of the instances, because rounding depends
-        on the order.
+        `weight(instance)` is the same for all instances with the same `group_key(instance)`. The grouping is
+        kept until the list or `until` changes. Each sum is added up in the order of the instances, because
+        rounding depends on the order.
         """
         if self.share_cache[0] != (build, until):
-            sorts = {}
-            slots = []
+            groups = {}
+            group_numbers = []
             for instance in self.values():
-                slots.append(sorts.setdefault(sort(instance), (len(sorts), instance))[0])
-            build_slots = [
-                slot for slot, instance in zip(slots, self.values(), strict=True) if instance.build is build
+                group_numbers.append(groups.setdefault(group_key(instance), (len(groups), instance))[0])
+            build_group_numbers = [
+                group_number
+                for group_number, instance in zip(group_numbers, self.values(), strict=True)
+                if instance.build is build
             ]
             # The two at the end have weight 0: with fewer than two indices itemgetter returns no tuple.
-            all_weights = itemgetter(*slots, -1, -1)
-            build_weights = itemgetter(*build_slots, -1, -1)
+            all_weights = itemgetter(*group_numbers, -1, -1)
+            build_weights = itemgetter(*build_group_numbers, -1, -1)
             self.share_cache = (
                 (build, until),
-                [instance for _, instance in sorts.values()],
+                [instance for _, instance in groups.values()],
                 all_weights,
                 build_weights,
             )
-        _, one_of_each_sort, all_weights, build_weights = self.share_cache
-        weights = [*map(weight, one_of_each_sort), 0.0]
+        _, one_of_each_group, all_weights, build_weights = self.share_cache
+        weights = [*map(weight, one_of_each_group), 0.0]
         return sum(build_weights(weights)) / sum(all_weights(weights))
 
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -1,5 +1,7 @@
-"""A change of the list costs what it changes, and no decision is another for it: balancers beside a plain
-reference that goes over the whole list for each."""
+"""Changes of the list: their cost depends on what changes, and they lead to the same decisions.
+
+A balancer is compared with a plain reference that goes over the whole list for every change.
+"""
 
 import random
 from collections import Counter, deque
@@ -29,19 +31,18 @@
 from lemonlead.records import Build, InstanceGroup, InstanceState
 
 
-class PlainInstanceTable(dict):
+class ReferenceTable(dict):
     def keep_open(self, member, until):
         member.connection_open_until = until
 
 
-class Plain(Balancer):
-    """The list as it was kept at first, line for line: gone over as a whole for each change, request and
-    tick."""
+class ReferenceBalancer(Balancer):
+    """The reference: goes over the whole list for each change, request and tick."""
 
     def __init__(self, start):
         super().__init__(start)
         self.instances, self.ring, self.start_at = (
-            PlainInstanceTable(),
+            ReferenceTable(),
             [],
             start.balancer_index * GOLDEN_RATIO % 1.0,
         )
@@ -58,8 +59,8 @@
                 )
                 self.instances[row.id].ring_position = hashed(row.id)
             self.instances[row.id].ready = row.state == at.READY
-        kept = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
-        self.instances = PlainInstanceTable(kept)
+        table = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
+        self.instances = ReferenceTable(table)
         self.list_call_at = None if fresh else self.list_call_at
         ring = sorted(self.instances.values(), key=lambda member: member.ring_position)
         cut = int(self.start_at * len(ring))
@@ -166,7 +167,7 @@
 
 
 def state_of(made):
-    """What later decisions go by, and shows the first one that would differ before it does."""
+    """Returns the state on which later decisions depend: it shows a difference before a decision does."""
     number = [build and build.number for build in (made.reported_build, made.trial_build, made.judged_build)]
     builds = {
         n: (build.attempt_credit, build.bad, build.in_doubt, len(build.pairs), build.wrong_answers)
@@ -188,7 +189,7 @@
     )
 
 
-class Written(Dispatcher):
+class RecordingHost(Dispatcher):
     def __init__(self):
         super().__init__()
         self.log = lambda text: self.calls.append(("log", text))
@@ -247,9 +248,11 @@
     )
 
 
-class Play:
-    """A seeded day of whole lists and changes, new builds, drains, returns, trials, requests and outcomes: a
-    balancer and the plain one are told each thing, and must decide the same and end in the same state."""
+class Comparison:
+    """A random sequence of lists, new builds, drains, restarts, trials, requests and outcomes.
+
+    A balancer and the reference get the same input, and must make the same decisions and keep the same state.
+    """
 
     def __init__(self, seed, most):
         self.chance, self.most, self.ids = random.Random(seed), most, [f"s-{n}" for n in range(most)]
@@ -257,15 +260,15 @@
         self.calls, self.seen = Counter(), Counter()
         starts = [start_of(seed) for _ in range(2)]
         self.request_classes = [start.request_classes for start in starts]
-        self.both = Balancer(starts[0]), Plain(starts[1])
+        self.both = Balancer(starts[0]), ReferenceBalancer(starts[1])
         self.tell("list_received", [self.row(id) for id in self.ids], True, True)
 
     def tell(self, name, *values, each=None):
-        """`each`: what each of the two is told, as requests and attempts are changed by theirs."""
+        """`each` holds separate values for the two, because each changes its requests and attempts."""
         decided = []
         for n, made in enumerate(self.both):
             getattr(made, name)(self.now, *(each[n] if each else values))
-            decided.append(Written().pull(made, self.now))
+            decided.append(RecordingHost().pull(made, self.now))
         assert decided[0] == decided[1]
         assert state_of(self.both[0]) == state_of(self.both[1])
         self.compared += 1
@@ -286,7 +289,8 @@
 
     def step(self, number):
         self.now += self.chance.choice((0, MS, 20 * MS, 150 * MS))
-        what = self.chance.random() * (0.75 if number % 200 > 80 else 1)  # the list rests while pairs are had
+        # In part of the steps the list does not change, so that pairs can collect outcomes.
+        what = self.chance.random() * (0.75 if number % 200 > 80 else 1)
         if what < 0.45:
             self.ask(number)
         elif what < 0.75:
@@ -319,7 +323,7 @@
         self.tell("request_arrived", each=[(request,) for request in both])
 
     def attempts(self):
-        """One that is out, of each of the two."""
+        """Returns the same attempt in flight of each of the two, or None."""
         self.open = [both for both in self.open if any(not s.end for s in both[0].attempts)]
         tried = [zip(*(request.attempts for request in both), strict=True) for both in self.open]
         out = [pair for pairs in tried for pair in pairs if not pair[0].end]
@@ -338,29 +342,29 @@
             assert until[0] == until[1]
 
 
-def played(seed, most, steps=600):
-    play = Play(seed, most)
+def compared_run(seed, most, steps=600):
+    run = Comparison(seed, most)
     for number in range(steps):
-        play.step(number)
-    return play
+        run.step(number)
+    return run
 
 
 @pytest.mark.parametrize("most", [3, 20, 60, 400])
-def test_each_decision_is_that_of_a_plain_list(most):
-    plays = [played(seed, most) for seed in range(6)]
-    met = sum((play.seen for play in plays), Counter())
-    assert min(play.compared for play in plays) > 300 and min(play.calls["attempt"] for play in plays) > 20
+def test_decisions_equal_the_references(most):
+    runs = [compared_run(seed, most) for seed in range(6)]
+    met = sum((run.seen for run in runs), Counter())
+    assert min(run.compared for run in runs) > 300 and min(run.calls["attempt"] for run in runs) > 20
     assert min(met[what] for what in ("trial", "comparable kinds", "pairs", "builds", "unconnected")) > 20, (
         met
     )
 
 
 @pytest.mark.parametrize("seed, most", [(100, 20), (101, 60), (102, 200), (103, 400)])
-def test_each_decision_is_that_of_a_plain_list_where_places_are_equal(seed, most, monkeypatch):
-    """A hash of 7 values: of one place, the order goes by who came first, also after changes."""
+def test_decisions_equal_the_references_with_equal_ring_positions(seed, most, monkeypatch):
+    """With only 7 hash values, instances of one ring position stay in the order in which they came."""
     monkeypatch.setattr(instance_table, "crc32", lambda data: crc32(data) % 7)
     monkeypatch.setitem(globals(), "hashed", lambda id: crc32(repr(id).encode()) % 7)
-    assert played(seed, most).compared > 300
+    assert compared_run(seed, most).compared > 300
 
 
 FLEET = """
@@ -380,7 +384,7 @@
 
 
 def decided(read, made, seed, factor, monkeypatch):
-    """Each decision of a day on which a build comes in by stages and a site is lost, with its moment."""
+    """Returns the decisions, with their times, of a run with a staged release and the loss of a site."""
     monkeypatch.setattr(world, "Balancer", made)
     day, calls = Day(read, seed, length=14), []
 
@@ -402,79 +406,79 @@
 
 
 @pytest.mark.parametrize("seed, factor", [(1, 1.0), (2, 1.0), (3, 2.5)])
-def test_days_go_as_with_plain_lists(seed, factor, tmp_path, monkeypatch):
+def test_simulated_days_equal_the_references(seed, factor, tmp_path, monkeypatch):
     (tmp_path / "fleet.cue").write_text(FLEET)
     read = fleet.read(tmp_path / "fleet.cue")
-    ours, plain = (decided(read, made, seed, factor, monkeypatch) for made in (Balancer, Plain))
+    ours, plain = (decided(read, made, seed, factor, monkeypatch) for made in (Balancer, ReferenceBalancer))
     assert ours == plain and {"attempt", "vote"} <= {call[2] for call in ours} and len(ours) > 3000
 
 
-# ---- what a change goes over
+# ---- the cost of a change
 
 
-class Looked(int):
-    """A place, which counts how often one is held against another."""
+class CountingPosition(int):
+    """A ring position that counts comparisons."""
 
     count = 0
 
     def __lt__(self, other):
-        Looked.count += 1
+        CountingPosition.count += 1
         return int.__lt__(self, other)
 
 
 def filled(count):
-    kept, build = InstanceTable(0.3), Build(1, 1.0, 4, 200)
+    table, build = InstanceTable(0.3), Build(1, 1.0, 4, 200)
     for n in range(count):
-        kept.put(InstanceState(line(n), build, InstanceGroup(), 0, 3.0, 0, 0))
-        kept[n].ring_position = Looked(kept[n].ring_position)
-    kept.commit(())
-    return kept, build
+        table.put(InstanceState(line(n), build, InstanceGroup(), 0, 3.0, 0, 0))
+        table[n].ring_position = CountingPosition(table[n].ring_position)
+    table.commit(())
+    return table, build
 
 
-def looked_at(count, steps=20):
-    kept, build = filled(count)
-    Looked.count = 0
+def comparisons_per_change(count, steps=20):
+    table, build = filled(count)
+    CountingPosition.count = 0
     for step in range(steps):
-        kept.commit([step])
-        kept.put(InstanceState(line(count + step), build, InstanceGroup(), 0, 3.0, 0, 0))
-        kept.commit(())
-        assert len(kept.ring) == len(build.ring) == len(build.start_times) == build.kinds[0] == count
-    return Looked.count / steps
+        table.commit([step])
+        table.put(InstanceState(line(count + step), build, InstanceGroup(), 0, 3.0, 0, 0))
+        table.commit(())
+        assert len(table.ring) == len(build.ring) == len(build.start_times) == build.kinds[0] == count
+    return CountingPosition.count / steps
 
 
-def test_a_change_looks_at_few_of_the_others():
-    """By halves: eight times as many cost three looks more in each of two rings, going out and coming in."""
-    few, many = looked_at(500), looked_at(4000)
+def test_change_compares_few_ring_positions():
+    """Binary search: eight times as many instances cost three comparisons more, in two rings, out and in."""
+    few, many = comparisons_per_change(500), comparisons_per_change(4000)
     assert 0 < many - few < 4 * 3 + 4 and many < 100
 
 
-def test_only_as_many_are_found_round_the_ring_as_are_asked_for():
-    kept, build = filled(4000)
+def test_arc_compares_only_the_positions_that_are_read():
+    table, build = filled(4000)
     other = Build(2, 1.0, 4, 200)
-    kept.put(InstanceState(line(4000), other, InstanceGroup(), 0, 3.0, 0, 0))
-    kept.commit(())
-    for arc, size in ((kept.arc([build, other]), 4001), (kept.arc([build]), 4000), (kept.arc([other]), 1)):
+    table.put(InstanceState(line(4000), other, InstanceGroup(), 0, 3.0, 0, 0))
+    table.commit(())
+    for arc, size in ((table.arc([build, other]), 4001), (table.arc([build]), 4000), (table.arc([other]), 1)):
         assert len(arc) == size == len(list(arc))
-    Looked.count = 0
-    assert [member.ring_position for member in kept.arc([build, other])[:5]] == [
-        member.ring_position for member in kept.ring[1200:1205]
+    CountingPosition.count = 0
+    assert [member.ring_position for member in table.arc([build, other])[:5]] == [
+        member.ring_position for member in table.ring[1200:1205]
     ]
-    assert Looked.count < 100
+    assert CountingPosition.count < 100
 
 
-def test_of_one_that_left_or_made_way_no_open_connection_is_remembered():
-    kept, build = filled(40)
-    old, other, third = kept[1], kept[2], kept[3]
+def test_open_connections_of_removed_instances_are_forgotten():
+    table, build = filled(40)
+    old, other, third = table[1], table[2], table[3]
     for member in (old, other, third):
-        kept.keep_open(member, 10)
-    arc = kept.arc([build])
+        table.keep_open(member, 10)
+    arc = table.arc([build])
     in_turn = [member for member in arc if member in (old, other, third)]
     assert arc.open(9) == in_turn and arc.open(10) == []
-    kept.put(InstanceState(line(1), build, InstanceGroup(), 0, 3.0, 0, 0))
-    kept.commit([2])
-    assert kept.connected == {third}
-    kept.keep_open(old, 20)  # an answer that came late
-    kept.keep_open(other, 20)
-    assert kept.connected == {third} and kept.arc([build]).open(9) == [third]
-    kept.keep_open(third, 0)
-    assert not kept.connected
+    table.put(InstanceState(line(1), build, InstanceGroup(), 0, 3.0, 0, 0))
+    table.commit([2])
+    assert table.connected == {third}
+    table.keep_open(old, 20)  # a late answer
+    table.keep_open(other, 20)
+    assert table.connected == {third} and table.arc([build]).open(9) == [third]
+    table.keep_open(third, 0)
+    assert not table.connected
