--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -8,26 +8,26 @@
 from collections import Counter
 from itertools import count
 
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 from lemonlead.start_settings import start_from_settings
 
 MS = 1_000_000
 BEGIN = 1_700_000_000_000 * MS
-STATES = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
-PHASES = (at.ON_TRIAL, at.ROLLING_BACK, at.RELEASED, at.WITHDRAWN)
+STATES = {"up": interface.READY, "draining": interface.DRAINING, "removed": interface.GONE}
+PHASES = (interface.ON_TRIAL, interface.ROLLING_BACK, interface.RELEASED, interface.WITHDRAWN)
 # How attempts end; silent ones time out.
 ENDS = (
-    at.SUCCEEDED,
-    at.ERRED,
-    at.REJECTED,
-    at.RESET,
-    at.UNCONNECTED,
-    at.UNREADABLE,
-    at.BAD_REQUEST,
+    interface.SUCCEEDED,
+    interface.ERRED,
+    interface.REJECTED,
+    interface.RESET,
+    interface.UNCONNECTED,
+    interface.UNREADABLE,
+    interface.BAD_REQUEST,
     "silent",
 )
-NEVER = {at.REJECTED, at.UNCONNECTED, at.NOT_SENT}
+NEVER = {interface.REJECTED, interface.UNCONNECTED, interface.NOT_SENT}
 MAX_DECISIONS = 2000  # at one time
 MAX_WAKE_UPS = 30_000  # in one simulation
 
@@ -52,7 +52,7 @@
             BEGIN,
         )
         self.ahead = world["requests"] + world["changes"]  # events that are still to come
-        self.build, self.stage, self.phase, self.cap, self.since = 1, 0, at.RELEASED, 1.0, BEGIN
+        self.build, self.stage, self.phase, self.cap, self.since = 1, 0, interface.RELEASED, 1.0, BEGIN
         self.step = max(int(settings.get("Step", 0) * MS), 0)
 
     # ---- the clock
@@ -129,7 +129,7 @@
         if stale and self.random.random() < 0.2:
             rows = rows[: len(rows) // 2]
         lines = [
-            at.Instance(
+            interface.Instance(
                 r["id"], r["zone"], r["kind"], r["build"], r["cell"], STATES[r["state"]], 1.0, r["started"]
             )
             for r in rows
@@ -174,8 +174,8 @@
 
     def news(self, row):
         caps = self.settings.get("FamilyInfo", {}).get("StageCap", [])
-        if self.phase in (at.RELEASED, at.WITHDRAWN):
-            self.build, self.stage, self.phase = self.build + 1, 0, at.ON_TRIAL
+        if self.phase in (interface.RELEASED, interface.WITHDRAWN):
+            self.build, self.stage, self.phase = self.build + 1, 0, interface.ON_TRIAL
             if row:
                 number = int(row["id"][1:])
                 self.instances[number] = self.new_instance(number, self.build)
@@ -185,9 +185,13 @@
             if go < 0.5 and self.stage + 1 < len(caps):
                 self.stage += 1
             else:
-                self.phase = self.random.choice([at.ROLLING_BACK, at.RELEASED, at.WITHDRAWN])
+                self.phase = self.random.choice(
+                    [interface.ROLLING_BACK, interface.RELEASED, interface.WITHDRAWN]
+                )
         trial = caps[min(self.stage, len(caps) - 1)] if caps else 0.0
-        self.cap = 1.0 if self.phase == at.RELEASED else trial if self.phase == at.ON_TRIAL else 0.0
+        self.cap = (
+            1.0 if self.phase == interface.RELEASED else trial if self.phase == interface.ON_TRIAL else 0.0
+        )
         self.since = self.now
         self.after(self.random.choice([0, 20 * MS]), self.stage_reported)
 
@@ -207,7 +211,7 @@
         tenant = self.random.randrange(-1, tenants) if tenants else self.random.choice([0, -1])
         work = max(int(self.random.expovariate(1.0) * 20 * MS), 1) if self.world["hints"] else 0
         key = self.random.choice([b"", b"a", b"b", b"c%d" % number])
-        request = at.Request(number, request_class, tenant, key, self.now, self.now + left, work)
+        request = interface.Request(number, request_class, tenant, key, self.now, self.now + left, work)
         self.open[number], self.latest = request, max(self.latest, request.deadline)
         self.note("taken", number, request_class.number, left, key, work)
         if self.random.random() < self.world["leave"]:
@@ -235,22 +239,24 @@
         if asked and (
             cancelled or request.id not in self.open or not self.balancer.may_begin(self.now, attempt)
         ):
-            return self.after(0, self.end, attempt, at.NOT_SENT)
+            return self.after(0, self.end, attempt, interface.NOT_SENT)
         self.in_flight[attempt] = "written"
         self.note("attempt", request.id, attempt.number, instance_id)
         row = self.instances.get(int(instance_id[1:]))
         goal = min(request.request_class.latency_objective or 100 * MS, 1000 * MS)
         takes = self.random.expovariate(1.0) * goal * self.world["slow"] / (row["speed"] if row else 1)
         if row is None or row["faulty"] and self.random.random() < 0.5:
-            end = self.random.choice([at.UNCONNECTED, at.RESET, "silent", at.ERRED, at.REJECTED])
+            end = self.random.choice(
+                [interface.UNCONNECTED, interface.RESET, "silent", interface.ERRED, interface.REJECTED]
+            )
         else:
             end = self.random.choices(ENDS, [self.world["good"], 2, 3, 2, 2, 1, 0.5, 2])[0]
-        if end == at.UNCONNECTED:
+        if end == interface.UNCONNECTED:
             takes = self.random.choice([0, min(self.start.connect_time, time_out)])
         left = request.deadline - self.now if asked else time_out
         if end == "silent" or takes >= left:
-            takes, end = left, at.TIMED_OUT
-        elif request.request_class.streamed and end == at.SUCCEEDED:
+            takes, end = left, interface.TIMED_OUT
+        elif request.request_class.streamed and end == interface.SUCCEEDED:
             self.after(takes / 2, self.first_byte, attempt)
         self.after(takes, self.end, attempt, end)
 
@@ -264,7 +270,7 @@
             return
         request = attempt.request
         self.note("outcome", request.id, attempt.number, end)
-        if end == at.SUCCEEDED and self.open.pop(request.id, None) is not None:
+        if end == interface.SUCCEEDED and self.open.pop(request.id, None) is not None:
             self.note("final", request.id, "served")
         over = request.id not in self.open
         report = {"svc_ms": 5.0} if self.start.report_fields and self.random.random() < 0.5 else {}
@@ -275,7 +281,7 @@
         if self.in_flight.get(attempt) == "new":
             self.in_flight[attempt] = "cancelled"
         elif attempt in self.in_flight:
-            self.after(self.random.choice([0, 3 * MS]), self.end, attempt, at.CANCELLED)
+            self.after(self.random.choice([0, 3 * MS]), self.end, attempt, interface.CANCELLED)
 
     def reject(self, request, retry_after):
         assert self.open.pop(request.id, None) is request
@@ -299,7 +305,15 @@
 
     def vote(self, build, stage, verdict):
         self.note("vote", build, stage, verdict)
-        answer = self.random.choice([at.COUNTED, at.MOOT, at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED])
+        answer = self.random.choice(
+            [
+                interface.COUNTED,
+                interface.MOOT,
+                interface.OVER_ALLOWANCE,
+                interface.VOTE_ERRED,
+                interface.UNANSWERED,
+            ]
+        )
         self.after(self.random.random() * 100 * MS, lambda: self.balancer.vote_answered(self.now, answer))
 
     def log(self, text):
@@ -423,7 +437,7 @@
         for attempt in self.requests[id]["attempts"]:
             if attempt["number"] == number:
                 attempt["end"] = end
-                if end == at.SUCCEEDED and self.requests[id]["key"]:
+                if end == interface.SUCCEEDED and self.requests[id]["key"]:
                     self.served.setdefault(self.requests[id]["key"], []).append(
                         (now, attempt["row"]["build"])
                     )
--- a/tests/days.py
+++ b/tests/days.py
@@ -10,7 +10,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.planning.world import Gateway, World
 
 S = 1_000_000_000
@@ -57,13 +57,13 @@
         fit = [number for number in states if number not in tried]
         some = self.random.sample(fit, min(3, len(fit)))
         best = min(some, key=lambda number: states[number], default=None)
-        ran = request.request_class.effect == at.NON_IDEMPOTENT and any(
-            previous.end not in at.NEVER_RAN for previous in request.attempts
+        ran = request.request_class.effect == interface.NON_IDEMPOTENT and any(
+            previous.end not in interface.NEVER_RAN for previous in request.attempts
         )
         if best is None or ran or 4 * states[best] > request.request_class.latency_objective:
             request.finished = True
             return host.reject(request, STATE_DELAY // 2)
-        request.attempts.append(at.Attempt(request, len(request.attempts), best, now))
+        request.attempts.append(interface.Attempt(request, len(request.attempts), best, now))
         return host.attempt(request, best, request.deadline - now)
 
 
@@ -154,7 +154,7 @@
             site = self.gateways[number].site
             gateway = self.gateways[number] = Gateway(self, site, number, self.start(site, number))
             gateway.balancer.list_received(self.now, lines, True, True)
-            gateway.balancer.stage_reported(self.now, 1, 0, at.RELEASED, 1.0, 0)
+            gateway.balancer.stage_reported(self.now, 1, 0, interface.RELEASED, 1.0, 0)
 
     # ---- measurements
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """Builds balancers, requests and attempts for tests, and collects the decisions."""
 
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 
 MS = 1_000_000
@@ -42,16 +42,16 @@
         return self.calls
 
 
-def request_class(number=0, effect=at.IDEMPOTENT, **more):
-    return at.RequestClass(number, effect, 1000 * MS, 4000 * MS, 1.0, **more)
+def request_class(number=0, effect=interface.IDEMPOTENT, **more):
+    return interface.RequestClass(number, effect, 1000 * MS, 4000 * MS, 1.0, **more)
 
 
-def line(id=1, build=1, zone=0, cell=0, state=at.READY, started=0, kind=0):
-    return at.Instance(id, zone, kind, build, cell, state, 1.0, started)
+def line(id=1, build=1, zone=0, cell=0, state=interface.READY, started=0, kind=0):
+    return interface.Instance(id, zone, kind, build, cell, state, 1.0, started)
 
 
-def balancer(lines=(), request_classes=None, told=(1, 0, at.RELEASED, 1.0), release=None, **more):
-    release = release or at.Release(
+def balancer(lines=(), request_classes=None, told=(1, 0, interface.RELEASED, 1.0), release=None, **more):
+    release = release or interface.Release(
         window=2000 * MS,
         free_attempts=2,
         caps=[0.1, 0.5, 1.0],
@@ -73,7 +73,7 @@
         cold_multiple=3.0,
         retry_after_cap=500 * MS,
     )
-    start = at.StartSettings(
+    start = interface.StartSettings(
         now=NOW,
         request_classes=request_classes or [request_class()],
         release=release,
@@ -87,12 +87,12 @@
 
 
 def request(id=1, on=None, now=NOW, left=4000 * MS, key=0, work=100 * MS):
-    return at.Request(id, on or request_class(), 0, key, now, now + left, work)
+    return interface.Request(id, on or request_class(), 0, key, now, now + left, work)
 
 
 def sent(asked, member, end="", at_time=NOW):
     """Adds an attempt of a request at an instance; `end` is how it ended, empty while it is in flight."""
-    attempt = at.Attempt(asked, len(asked.attempts), member, at_time, end)
+    attempt = interface.Attempt(asked, len(asked.attempts), member, at_time, end)
     asked.attempts.append(attempt)
     if not end:
         member.in_flight[attempt] = None
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as some
 
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 from lemonlead.standins.fleet import SETTINGS
 from lemonlead.start_settings import start_from_settings
@@ -201,14 +201,14 @@
         start_from_settings({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **release}}, 7, BEGIN)
     )
     made.list_received(
-        BEGIN, [at.Instance(f"i{n}", 0, 0, n, 0, at.READY, 1.0, 0) for n in (1, 2)], True, True
+        BEGIN, [interface.Instance(f"i{n}", 0, 0, n, 0, interface.READY, 1.0, 0) for n in (1, 2)], True, True
     )
-    made.stage_reported(BEGIN, 2, 0, at.ON_TRIAL, 0.5, 0)
+    made.stage_reported(BEGIN, 2, 0, interface.ON_TRIAL, 0.5, 0)
     attempts, made_lane = {}, start_from_settings(SETTINGS, 7, BEGIN).request_classes[0]
     for build in (1, 2):
-        request = at.Request(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
+        request = interface.Request(build, made_lane, 0, key, at_, at_ + 60_000 * MS)
         made.request_arrived(at_, request)
-        request.attempts.append(at.Attempt(request, 0, made.instances[f"i{build}"], at_))
+        request.attempts.append(interface.Attempt(request, 0, made.instances[f"i{build}"], at_))
         attempts[build] = request.attempts[0]
     return made, attempts
 
@@ -216,7 +216,7 @@
 def test_waiting_attempt_does_not_return_a_key_to_an_older_build():
     made, attempts = with_waiting_attempts({"ForwardOnly": True, "SpareTries": 1000.0})
     assert made.may_begin(BEGIN, attempts[1])
-    made.attempt_ended(BEGIN + MS, attempts[2], at.SUCCEEDED, MS, True, {})
+    made.attempt_ended(BEGIN + MS, attempts[2], interface.SUCCEEDED, MS, True, {})
     assert not made.may_begin(BEGIN + MS, attempts[1])
 
 
@@ -224,8 +224,8 @@
     made, attempts = with_waiting_attempts(
         {"SpareTries": 1.0, "ExposureWindow": 1000.0, "StageCap": [0.0001]}
     )
-    made.stage_reported(BEGIN, 2, 0, at.ON_TRIAL, 0.0001, 0)
-    other = at.Request(3, attempts[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
+    made.stage_reported(BEGIN, 2, 0, interface.ON_TRIAL, 0.0001, 0)
+    other = interface.Request(3, attempts[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
     assert made.may_begin(late, attempts[2])
     assert not made.may_attempt(other, made.instances["i2"], late)
@@ -245,7 +245,7 @@
     """Gives up a request without an answer at its deadline."""
 
     def give_up(self, request, host):
-        if not any(attempt.end in (at.TIMED_OUT, "") for attempt in request.attempts):
+        if not any(attempt.end in (interface.TIMED_OUT, "") for attempt in request.attempts):
             return super().give_up(request, host)
         request.finished = True
         return True
@@ -270,7 +270,7 @@
     def may_attempt(self, request, member, now):
         ends = [attempt.end for attempt in request.attempts]
         for attempt in request.attempts:
-            attempt.end = attempt.end and at.REJECTED
+            attempt.end = attempt.end and interface.REJECTED
         found = super().may_attempt(request, member, now)
         for attempt, end in zip(request.attempts, ends, strict=True):
             attempt.end = end
@@ -297,7 +297,7 @@
 
     def list_received(self, now, lines, whole, fresh):
         for line in lines:
-            line.state = at.READY
+            line.state = interface.READY
         super().list_received(now, lines, False, fresh)
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -5,17 +5,17 @@
 import pytest
 from helpers import MS, NOW, Dispatcher, balancer, judged, line, request, request_class, sent
 
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import MIN_STRETCH, Balancer, without_faulty_instance
 from lemonlead.significance import probability_bound
 
-DEDUPLICATED_ZONE = request_class(1, at.DEDUPLICATED, repeat_scope="zone", repeat_window=4000 * MS)
-DEDUPLICATED_ALL = request_class(1, at.DEDUPLICATED, repeat_scope="all", repeat_window=8000 * MS)
-NON_IDEMPOTENT = request_class(2, at.NON_IDEMPOTENT)
+DEDUPLICATED_ZONE = request_class(1, interface.DEDUPLICATED, repeat_scope="zone", repeat_window=4000 * MS)
+DEDUPLICATED_ALL = request_class(1, interface.DEDUPLICATED, repeat_scope="all", repeat_window=8000 * MS)
+NON_IDEMPOTENT = request_class(2, interface.NON_IDEMPOTENT)
 SECOND = 1000 * MS
 
 
-def trial(stage=0, cap=0.1, phase=at.ON_TRIAL, **more):
+def trial(stage=0, cap=0.1, phase=interface.ON_TRIAL, **more):
     """Returns a balancer with two instances of build 1 and one of build 2, which is on trial."""
     return balancer([line(1), line(2), line(3, build=2)], told=(2, stage, phase, cap), **more)
 
@@ -24,18 +24,18 @@
     "on, end, zone, age, allowed",
     [
         (request_class(), "", 1, 10, True),
-        (request_class(), at.ERRED, 1, 10, True),
-        (NON_IDEMPOTENT, at.UNCONNECTED, 1, 10, True),
-        (NON_IDEMPOTENT, at.REJECTED, 1, 10, True),
-        (NON_IDEMPOTENT, at.RESET, 0, 10, False),
-        (NON_IDEMPOTENT, at.ERRED, 0, 10, False),
+        (request_class(), interface.ERRED, 1, 10, True),
+        (NON_IDEMPOTENT, interface.UNCONNECTED, 1, 10, True),
+        (NON_IDEMPOTENT, interface.REJECTED, 1, 10, True),
+        (NON_IDEMPOTENT, interface.RESET, 0, 10, False),
+        (NON_IDEMPOTENT, interface.ERRED, 0, 10, False),
         (NON_IDEMPOTENT, "", 0, 10, False),
-        (DEDUPLICATED_ZONE, at.ERRED, 0, 10, True),
-        (DEDUPLICATED_ZONE, at.ERRED, 1, 10, False),
-        (DEDUPLICATED_ZONE, at.UNCONNECTED, 1, 10, True),
+        (DEDUPLICATED_ZONE, interface.ERRED, 0, 10, True),
+        (DEDUPLICATED_ZONE, interface.ERRED, 1, 10, False),
+        (DEDUPLICATED_ZONE, interface.UNCONNECTED, 1, 10, True),
         # the repeat window could end before a slow connection is open
-        (DEDUPLICATED_ZONE, at.CANCELLED, 0, 3800, False),
-        (DEDUPLICATED_ALL, at.TIMED_OUT, 1, 3800, True),
+        (DEDUPLICATED_ZONE, interface.CANCELLED, 0, 3800, False),
+        (DEDUPLICATED_ALL, interface.TIMED_OUT, 1, 3800, True),
     ],
 )
 def test_request_class_decides_whether_a_second_attempt_is_allowed(on, end, zone, age, allowed):
@@ -59,19 +59,19 @@
     made = balancer([line(1)])
     asked = request(left=left * MS)
     for _ in range(attempts):
-        sent(asked, made.instances[1], at.UNCONNECTED)
+        sent(asked, made.instances[1], interface.UNCONNECTED)
     assert made.may_attempt(asked, made.instances[1], NOW) is allowed
 
 
 @pytest.mark.parametrize(
     "on, end, answer",
     [
-        (request_class(), at.TIMED_OUT, "reject"),
-        (DEDUPLICATED_ALL, at.TIMED_OUT, "reject"),
-        (DEDUPLICATED_ZONE, at.TIMED_OUT, "abort"),
-        (DEDUPLICATED_ZONE, at.REJECTED, "reject"),
-        (NON_IDEMPOTENT, at.RESET, "abort"),
-        (NON_IDEMPOTENT, at.NOT_SENT, "reject"),
+        (request_class(), interface.TIMED_OUT, "reject"),
+        (DEDUPLICATED_ALL, interface.TIMED_OUT, "reject"),
+        (DEDUPLICATED_ZONE, interface.TIMED_OUT, "abort"),
+        (DEDUPLICATED_ZONE, interface.REJECTED, "reject"),
+        (NON_IDEMPOTENT, interface.RESET, "abort"),
+        (NON_IDEMPOTENT, interface.NOT_SENT, "reject"),
     ],
 )
 def test_requests_that_may_have_run_are_aborted_others_rejected(on, end, answer):
@@ -99,11 +99,11 @@
     made.retry_budget = budget
     asked = request()
     sent(asked, made.instances[1])
-    made.attempt_ended(NOW + MS, asked.attempts[0], at.REJECTED, MS, False, {})
+    made.attempt_ended(NOW + MS, asked.attempts[0], interface.REJECTED, MS, False, {})
     assert [call[0] for call in dispatcher.pull(made, NOW + MS)] == [answer]
 
 
-@pytest.mark.parametrize("state", [at.DRAINING, at.GONE])
+@pytest.mark.parametrize("state", [interface.DRAINING, interface.GONE])
 def test_no_attempts_to_draining_or_gone_instances(state):
     made, dispatcher = balancer([line(1)]), Dispatcher()
     made.list_received(NOW, [line(1, state=state)], False, True)
@@ -142,18 +142,19 @@
 @pytest.mark.parametrize(
     "told, on, attempts, arrived, allowed",
     [
-        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free attempts
-        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 0, False),
-        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 2, 10, True),
-        ((2, 0, at.ON_TRIAL, 0.1), request_class(), 3, 10, False),
-        ((2, 0, at.ON_TRIAL, 0.0), request_class(), 0, 99, False),
-        ((2, 1, at.ROLLING_BACK, 0.0), request_class(), 0, 99, False),
-        ((2, 0, at.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
-        ((1, 2, at.RELEASED, 1.0), request_class(), 2, 10, True),  # not reported yet: as in its first stage
-        ((1, 2, at.RELEASED, 1.0), request_class(), 3, 10, False),
-        ((1, 2, at.RELEASED, 1.0), NON_IDEMPOTENT, 0, 10, False),
-        ((2, 0, at.ON_TRIAL, 0.1), NON_IDEMPOTENT, 0, 10, False),  # guarded
-        ((2, 1, at.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
+        ((2, 0, interface.ON_TRIAL, 0.1), request_class(), 1, 0, True),  # free attempts
+        ((2, 0, interface.ON_TRIAL, 0.1), request_class(), 2, 0, False),
+        ((2, 0, interface.ON_TRIAL, 0.1), request_class(), 2, 10, True),
+        ((2, 0, interface.ON_TRIAL, 0.1), request_class(), 3, 10, False),
+        ((2, 0, interface.ON_TRIAL, 0.0), request_class(), 0, 99, False),
+        ((2, 1, interface.ROLLING_BACK, 0.0), request_class(), 0, 99, False),
+        ((2, 0, interface.RELEASED, 1.0), NON_IDEMPOTENT, 99, 0, True),
+        # Not reported yet: as in its first stage.
+        ((1, 2, interface.RELEASED, 1.0), request_class(), 2, 10, True),
+        ((1, 2, interface.RELEASED, 1.0), request_class(), 3, 10, False),
+        ((1, 2, interface.RELEASED, 1.0), NON_IDEMPOTENT, 0, 10, False),
+        ((2, 0, interface.ON_TRIAL, 0.1), NON_IDEMPOTENT, 0, 10, False),  # guarded
+        ((2, 1, interface.ON_TRIAL, 0.5), NON_IDEMPOTENT, 0, 10, True),
     ],
 )
 def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, arrived, allowed):
@@ -179,7 +180,7 @@
     made.instances[3].build.answered_keys.add(77)
     assert not made.may_attempt(request(key=77), made.instances[1], NOW)
     assert made.may_attempt(request(key=78), made.instances[1], NOW)
-    made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0)
+    made.stage_reported(NOW, 2, 0, interface.ROLLING_BACK, 0.0, 0)
     assert made.may_attempt(request(key=77), made.instances[1], NOW)
 
 
@@ -211,7 +212,7 @@
     ],
 )
 def test_build_is_bad_when_most_pairs_breach(on, off, services, bad):
-    made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, at.ON_TRIAL, 0.1))
+    made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, interface.ON_TRIAL, 0.1))
     made.baseline_time = 1.2
     for member in made.instances.values():
         member.service_time, member.usual_service_time = (
@@ -251,11 +252,11 @@
 @pytest.mark.parametrize(
     "doubt, bad, age, automatic, verdict",
     [
-        (False, False, 9, False, at.VERDICT_PROMOTE),
+        (False, False, 9, False, interface.VERDICT_PROMOTE),
         (False, False, 1, False, None),  # too early in the stage
         (True, False, 9, False, None),
-        (True, True, 9, False, at.VERDICT_ROLL_BACK),
-        (True, False, 9, True, at.VERDICT_HOLD),
+        (True, True, 9, False, interface.VERDICT_ROLL_BACK),
+        (True, False, 9, True, interface.VERDICT_HOLD),
         (False, False, 9, True, None),
     ],
 )
@@ -285,43 +286,46 @@
     next one came on trial. All its instances (15 of 20) were avoided, while the cap of the trial let in an
     eighth: 30 to 70 % of the requests were rejected, and their repeats then overloaded the gateway.
     """
-    made = balancer([line(n) for n in range(8)], told=(1, 2, at.RELEASED, 1.0))
+    made = balancer([line(n) for n in range(8)], told=(1, 2, interface.RELEASED, 1.0))
     made.builds[1].bad = True
     if instances:
         made.list_received(NOW, [line(100 + n, build=2) for n in range(instances)], False, True)
-        made.stage_reported(NOW, 2, 2, at.ON_TRIAL, cap, 0)
+        made.stage_reported(NOW, 2, 2, interface.ON_TRIAL, cap, 0)
         made.request_arrived(NOW, request(1))
     made.class_work = dict.fromkeys((0, 1, 2), 100 * MS)
     assert made.usable(made.instances[1], request(2, on=on), NOW) is not takes
 
 
 def test_bad_released_build_is_avoided_if_earlier_ones_have_room():
-    made = balancer([line(1), line(2), line(3, build=2)], told=(2, 2, at.RELEASED, 1.0))
+    made = balancer([line(1), line(2), line(3, build=2)], told=(2, 2, interface.RELEASED, 1.0))
     made.builds[2].bad = True
     assert not made.usable(made.instances[3], request(), NOW)
     assert made.usable(made.instances[1], request(), NOW)
 
 
-@pytest.mark.parametrize("answer", [at.OVER_ALLOWANCE, at.VOTE_ERRED, at.UNANSWERED, at.MOOT, at.COUNTED])
+@pytest.mark.parametrize(
+    "answer",
+    [interface.OVER_ALLOWANCE, interface.VOTE_ERRED, interface.UNANSWERED, interface.MOOT, interface.COUNTED],
+)
 def test_vote_is_repeated_after_any_answer(answer):
     made, dispatcher = trial(), Dispatcher()
     made.judged_build.bad = True
-    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW)
+    assert ("vote", 2, 0, interface.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW)
     made.vote_answered(NOW, answer)
-    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) not in dispatcher.pull(made, NOW)
+    assert ("vote", 2, 0, interface.VERDICT_ROLL_BACK) not in dispatcher.pull(made, NOW)
     # renewed while the last one still stands
-    assert ("vote", 2, 0, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
-    made.vote_answered(NOW + 3500 * MS, at.COUNTED)
-    made.stage_reported(NOW + 3500 * MS, 2, 1, at.ON_TRIAL, 0.5, 0)
+    assert ("vote", 2, 0, interface.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
+    made.vote_answered(NOW + 3500 * MS, interface.COUNTED)
+    made.stage_reported(NOW + 3500 * MS, 2, 1, interface.ON_TRIAL, 0.5, 0)
     # A change does not wait.
-    assert ("vote", 2, 1, at.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
+    assert ("vote", 2, 1, interface.VERDICT_ROLL_BACK) in dispatcher.pull(made, NOW + 3500 * MS)
 
 
 def test_silent_instance_is_avoided_then_tried_with_one_request():
     made = balancer([line(1)])
     member, asked = made.instances[1], request()
     attempt = sent(asked, member)
-    made.attempt_ended(NOW + SECOND, attempt, at.TIMED_OUT, SECOND, False, {})
+    made.attempt_ended(NOW + SECOND, attempt, interface.TIMED_OUT, SECOND, False, {})
     assert not made.usable(member, request(2), NOW + SECOND)
     assert made.usable(member, request(2), NOW + 9 * SECOND)
     assert not made.usable(member, request(2, on=NON_IDEMPOTENT), NOW + 9 * SECOND)
@@ -336,13 +340,15 @@
     member.request_limit = 1.0
     for number in range(20):
         asked = request(number)
-        made.attempt_ended(NOW + number * SECOND, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
+        made.attempt_ended(
+            NOW + number * SECOND, sent(asked, member), interface.SUCCEEDED, took * MS, True, {}
+        )
     assert (member.request_limit > 1.5) is grows
 
 
-@pytest.mark.parametrize("end, again", [(at.UNREADABLE, True), (at.BAD_REQUEST, False)])
+@pytest.mark.parametrize("end, again", [(interface.UNREADABLE, True), (interface.BAD_REQUEST, False)])
 def test_unreadable_answers_count_against_no_instance_or_build(end, again):
-    made = balancer([line(1), line(2, build=2)], told=(2, 0, at.ON_TRIAL, 0.5))
+    made = balancer([line(1), line(2, build=2)], told=(2, 0, interface.ON_TRIAL, 0.5))
     made.pair_started_at, member = NOW, made.instances[2]
     member.slowness, asked = 1.0, request()
     made.attempt_ended(NOW, sent(asked, member), end, MS, False, {})
@@ -359,10 +365,10 @@
 @pytest.mark.parametrize(
     "ends, avoided",
     [
-        ([at.RESET], False),
-        ([at.RESET, at.RESET], True),
-        ([at.UNCONNECTED], True),
-        ([at.RESET, at.SUCCEEDED, at.RESET], False),
+        ([interface.RESET], False),
+        ([interface.RESET, interface.RESET], True),
+        ([interface.UNCONNECTED], True),
+        ([interface.RESET, interface.SUCCEEDED, interface.RESET], False),
     ],
 )
 def test_one_reset_does_not_make_an_instance_avoided(ends, avoided):
@@ -379,7 +385,7 @@
     made = balancer([line(1), line(2)])
     member = made.instances[1]
     member.slowness = member.group.slowness = 2.0
-    made.attempt_ended(NOW, sent(request(work=MS), member), at.SUCCEEDED, 300 * MS, False, {})
+    made.attempt_ended(NOW, sent(request(work=MS), member), interface.SUCCEEDED, 300 * MS, False, {})
     assert member.slowness <= 3.0 and member.group.slowness <= 3.0
 
 
@@ -406,7 +412,7 @@
         failures,
         budget - (again and not newest),
     )
-    made.attempt_ended(NOW + 4000 * MS, attempt, at.TIMED_OUT, 4000 * MS, True, {})
+    made.attempt_ended(NOW + 4000 * MS, attempt, interface.TIMED_OUT, 4000 * MS, True, {})
     assert member.held_work == 0 and (member.slowness == 0) is (held == 0)
 
 
@@ -414,7 +420,7 @@
     made = balancer([line(1)])
     for number in range(2, 9):
         made.list_received(NOW, [line(number, build=number)], True, True)
-        made.stage_reported(NOW, number, 0, at.RELEASED, 1.0, 0)
+        made.stage_reported(NOW, number, 0, interface.RELEASED, 1.0, 0)
     for second in range(20):
         made.request_arrived(NOW + second * SECOND, request(second))
     assert set(made.builds) == {8} and len(made.arrivals[0]) <= 2
@@ -425,15 +431,15 @@
     made = balancer([line(1), line(2)])
     for number in range(40):
         for member, end, took in (
-            (made.instances[1], at.ERRED, MS),
-            (made.instances[2], at.SUCCEEDED, 100 * MS),
+            (made.instances[1], interface.ERRED, MS),
+            (made.instances[2], interface.SUCCEEDED, 100 * MS),
         ):
             made.attempt_ended(NOW, sent(request(number), member), end, took, True, {})
     costs = [made.cost(member, request(99), NOW) for member in made.instances.values()]
     assert costs[0] > 3 * costs[1]
 
 
-@pytest.mark.parametrize("heard, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
+@pytest.mark.parametrize("heard, verdict", [(True, interface.VERDICT_PROMOTE), (False, None)])
 def test_no_vote_to_promote_without_a_current_list(heard, verdict):
     """Guards against a release while discovery is down: nobody knows the build's instances then."""
     made = trial()
@@ -444,9 +450,9 @@
     assert made.verdict(made.judged_build, NOW + 9 * SECOND) == verdict
 
 
-@pytest.mark.parametrize("listed, verdict", [(True, at.VERDICT_PROMOTE), (False, None)])
+@pytest.mark.parametrize("listed, verdict", [(True, interface.VERDICT_PROMOTE), (False, None)])
 def test_no_vote_to_promote_a_build_without_instances(listed, verdict):
-    made, dispatcher = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1)), Dispatcher()
+    made, dispatcher = balancer([line(1), line(2)], told=(2, 0, interface.ON_TRIAL, 0.1)), Dispatcher()
     if listed:
         made.list_received(NOW, [line(3, build=2, started=NOW)], False, True)
     for second in range(8):
@@ -457,18 +463,20 @@
 @pytest.mark.parametrize(
     "objective, cap, after, verdict",
     [
-        (1, 1.0, 3, at.VERDICT_PROMOTE),  # answers are due soon: the bake time and two seconds are enough
-        (8, 0.1, 3, at.VERDICT_PROMOTE),  # not the last stage: earlier instances stay
+        # Answers are due soon: the bake time and two seconds are enough.
+        (1, 1.0, 3, interface.VERDICT_PROMOTE),
+        (8, 0.1, 3, interface.VERDICT_PROMOTE),  # not the last stage: earlier instances stay
         (8, 1.0, 8, None),
-        (8, 1.0, 9, at.VERDICT_PROMOTE),
+        (8, 1.0, 9, interface.VERDICT_PROMOTE),
     ],
 )
 def test_last_stage_lasts_until_its_requests_are_due(objective, cap, after, verdict):
     """Guards against releasing a slow build before its first answers, which take seconds, have come."""
     made = balancer(
-        [line(1), line(2, build=2)], [at.RequestClass(0, at.IDEMPOTENT, objective * SECOND, 30 * SECOND, 1.0)]
+        [line(1), line(2, build=2)],
+        [interface.RequestClass(0, interface.IDEMPOTENT, objective * SECOND, 30 * SECOND, 1.0)],
     )
-    made.stage_reported(NOW, 2, 1, at.ON_TRIAL, cap, 0)
+    made.stage_reported(NOW, 2, 1, interface.ON_TRIAL, cap, 0)
     made.pair_started_at = NOW
     assert made.verdict(made.judged_build, NOW + after * SECOND) == verdict
 
@@ -476,25 +484,20 @@
 @pytest.mark.parametrize(
     "cap, age, after, verdict",
     [
-        (0.1, 0, 3, at.VERDICT_PROMOTE),
+        (0.1, 0, 3, interface.VERDICT_PROMOTE),
         (0.1, 60, 2, None),
-        (0.1, 60, 3, at.VERDICT_PROMOTE),
+        (0.1, 60, 3, interface.VERDICT_PROMOTE),
         (1.0, 0, 8, None),
         (1.0, 60, 2, None),
         # A rolling restart must not delay the last stage.
-        (
-            1.0,
-            60,
-            3,
-            at.VERDICT_PROMOTE,
-        ),
+        (1.0, 60, 3, interface.VERDICT_PROMOTE),
     ],
 )
 def test_no_vote_to_promote_soon_after_the_balancers_start(cap, age, after, verdict):
     """Guards against promotion by just restarted balancers that have sent the build nothing yet."""
-    request_classes = [at.RequestClass(0, at.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
+    request_classes = [interface.RequestClass(0, interface.IDEMPOTENT, 8 * SECOND, 30 * SECOND, 1.0)]
     made = balancer([line(1), line(2, build=2)], request_classes, told=None)
-    made.stage_reported(NOW, 2, 0, at.ON_TRIAL, cap, age * SECOND)
+    made.stage_reported(NOW, 2, 0, interface.ON_TRIAL, cap, age * SECOND)
     made.pair_started_at = NOW - 9 * SECOND
     assert made.verdict(made.judged_build, NOW + after * SECOND) == verdict
 
@@ -523,7 +526,7 @@
 
 def test_trial_without_outcomes_closes_no_pair():
     """Guards against a pair without outcomes on trial, as when the instances on trial are gone again."""
-    made = balancer([line(1), line(2)], told=(2, 0, at.ON_TRIAL, 0.1))
+    made = balancer([line(1), line(2)], told=(2, 0, interface.ON_TRIAL, 0.1))
     made.pair_started_at, made.pair_outcomes = NOW, {(False, 0): outcomes()}
     made.tick(NOW + 2 * SECOND)
     assert not made.judged_build.pairs
@@ -541,7 +544,9 @@
 )
 def test_thin_evidence_is_weighed_by_the_votes_needed(balancers, roll_back_votes_needed, on, bad):
     """Guards against passing bad builds with little traffic, and rolling back good ones by chance."""
-    made = trial(balancers=balancers, release=at.Release(roll_back_votes_needed=roll_back_votes_needed))
+    made = trial(
+        balancers=balancers, release=interface.Release(roll_back_votes_needed=roll_back_votes_needed)
+    )
     made.judge(made.judged_build, [made.compare(made.judged_build, on, outcomes(count=8))])
     assert made.judged_build.provisionally_bad is bad and made.judged_build.in_doubt
     made.judge(made.judged_build, [made.compare(made.judged_build, outcomes(count=7), outcomes(count=8))])
@@ -564,7 +569,7 @@
     for number in range(40):
         for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
             member = made.instances[1 + number % 2]
-            made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took * MS, True, {})
+            made.attempt_ended(NOW, sent(asked, member), interface.SUCCEEDED, took * MS, True, {})
     assert all(member.slowness < 2 < member.request_limit for member in made.instances.values())
     for number in range(10):
         made.request_arrived(NOW, request(200 + number, on=on))
@@ -602,7 +607,7 @@
     made, asked = balancer([line(1), line(2)]), request()
     member, attempt = made.instances[1], sent(asked, made.instances[1])
     attempt.connection_free_at = NOW + 10 * MS
-    made.attempt_ended(NOW, attempt, at.SUCCEEDED, MS, True, {})
+    made.attempt_ended(NOW, attempt, interface.SUCCEEDED, MS, True, {})
     member.slowness, member.group.slowness = 0.001, 0.002
     random_state = made.rng.getstate()
     cost = []
@@ -646,18 +651,18 @@
     "member, changed, allowed",
     [
         (1, lambda made, asked: None, True),
-        (1, lambda made, asked: made.list_received(NOW, [line(1, state=at.DRAINING)], False, True), False),
-        # It was restarted.
         (
             1,
-            lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True),
+            lambda made, asked: made.list_received(NOW, [line(1, state=interface.DRAINING)], False, True),
             False,
         ),
+        # It was restarted.
+        (1, lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True), False),
         (1, lambda made, asked: made.request_left(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
-        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ON_TRIAL, 0.0, 0), False),
-        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, at.ROLLING_BACK, 0.0, 0), False),
+        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, interface.ON_TRIAL, 0.0, 0), False),
+        (3, lambda made, asked: made.stage_reported(NOW, 2, 0, interface.ROLLING_BACK, 0.0, 0), False),
         (3, lambda made, asked: made.builds[2].sent_times[0].extend([NOW] * 2), False),
     ],
 )
@@ -696,12 +701,15 @@
 
 
 def test_repeat_must_be_written_within_the_repeat_window():
-    repeated = request_class(effect=at.DEDUPLICATED, repeat_window=2000 * MS)
+    repeated = request_class(effect=interface.DEDUPLICATED, repeat_window=2000 * MS)
     made, asked = balancer([line(1), line(2)], [repeated]), request(on=repeated)
-    first, again = sent(asked, made.instances[1], at.RESET), sent(asked, made.instances[2], at_time=NOW + MS)
+    first, again = (
+        sent(asked, made.instances[1], interface.RESET),
+        sent(asked, made.instances[2], at_time=NOW + MS),
+    )
     last = NOW + 1990 * MS  # two steps of margin
     assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
-    first.end = at.REJECTED  # it did not run, so there is no repeat
+    first.end = interface.REJECTED  # it did not run, so there is no repeat
     assert made.may_begin(last, again) == asked.deadline
 
 
@@ -716,8 +724,8 @@
 
 def test_cap_per_class_counts_the_class_named_and_the_class_given():
     one, other = request_class(0), request_class(1)
-    release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
-    made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, at.ON_TRIAL, 0.5), release)
+    release = interface.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
+    made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, interface.ON_TRIAL, 0.5), release)
     build = made.builds[2]
     for number in range(8):  # sent by clients as class `one`, treated as class `other`
         made.request_arrived(NOW, ruled(number, one, other))
@@ -743,19 +751,19 @@
 
 @pytest.mark.parametrize("key", [b"asked", b"given"])
 def test_forward_only_holds_for_the_clients_key_and_the_key_given(key):
-    release = at.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
-    made = balancer([line(1), line(2, build=2)], None, (2, 0, at.ON_TRIAL, 1.0), release)
+    release = interface.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
+    made = balancer([line(1), line(2, build=2)], None, (2, 0, interface.ON_TRIAL, 1.0), release)
     first = request(1, key=b"given")
     first.client_key = b"asked"
     made.request_arrived(NOW, first)
-    made.attempt_ended(NOW, sent(first, made.instances[2]), at.SUCCEEDED, 5 * MS, True, {})
+    made.attempt_ended(NOW, sent(first, made.instances[2]), interface.SUCCEEDED, 5 * MS, True, {})
     again = request(2, key=key)
     assert not made.may_attempt(again, made.instances[1], NOW)
     assert made.may_attempt(request(3, key=b"x"), made.instances[1], NOW)
 
 
 def test_without_rules_requests_count_for_their_class_only():
-    release = at.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
+    release = interface.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
     made.request_arrived(NOW, request(1, request_class(1)))
     assert list(made.arrivals) == [1]
@@ -816,7 +824,9 @@
     made.latency_ratio, made.latency_ratio_at = 1.0, NOW
     for n in range(1, 3):
         asked = request(n, now=NOW + n * gap)
-        made.attempt_ended(NOW + n * gap, sent(asked, made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(
+            NOW + n * gap, sent(asked, made.instances[1]), interface.SUCCEEDED, 100 * MS, False, {}
+        )
     assert any(made.sheds(request(9), NOW) for _ in range(100)) is shed
 
 
@@ -829,7 +839,7 @@
     member.last_heard_at = NOW
     Dispatcher().pull(made, NOW + 600 * MS)
     assert made.usable(member, request(2), NOW + 3 * SECOND) is not left
-    made.attempt_ended(NOW + 800 * MS, attempt, at.SUCCEEDED, 800 * MS, False, {})
+    made.attempt_ended(NOW + 800 * MS, attempt, interface.SUCCEEDED, 800 * MS, False, {})
     assert made.usable(member, request(2), NOW + 800 * MS)
 
 
@@ -837,10 +847,10 @@
     made = balancer([line(1), line(2), line(3, zone=1)], balancers=40)
     lost, other = made.instances[2], made.instances[3]
     for n in range(6):
-        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.UNCONNECTED, MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.instances[1]), interface.UNCONNECTED, MS, False, {})
     assert sum(made.cost(lost, request(), NOW) > made.cost(other, request(), NOW) for _ in range(200)) > 150
     for n in range(12):
-        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 100 * MS, False, {})
+        made.attempt_ended(NOW, sent(request(n), made.instances[1]), interface.SUCCEEDED, 100 * MS, False, {})
     assert lost.group.loss_rate < 0.1
 
 
@@ -852,38 +862,38 @@
         light = n % 2
         asked = request(n, work=(10 if light else 190) * MS)
         took = (100 if light else 300) * MS
-        made.attempt_ended(NOW, sent(asked, member), at.SUCCEEDED, took, False, {})
+        made.attempt_ended(NOW, sent(asked, member), interface.SUCCEEDED, took, False, {})
     attempt = sent(request(work=work * MS), member)
     assert made.overdue_at(attempt) - NOW == pytest.approx(due * MS, rel=0.15)
 
 
 def test_refused_votes_to_promote_back_off_votes_to_roll_back_do_not():
-    pauses = {at.VERDICT_PROMOTE: [], at.VERDICT_ROLL_BACK: []}
+    pauses = {interface.VERDICT_PROMOTE: [], interface.VERDICT_ROLL_BACK: []}
     for seed in range(20):
         for verdict in pauses:
             made = balancer([line(1)], seed=seed, balancers=200)
             made.last_vote = (2, 0, verdict)
             for _ in range(6):
-                made.vote_answered(NOW, at.OVER_ALLOWANCE)
+                made.vote_answered(NOW, interface.OVER_ALLOWANCE)
             pauses[verdict].append(made.next_vote_at - NOW)
             assert made.vote_busy_until <= NOW + 400 * MS  # another verdict or stage is voted on before
     assert (
-        1900 * MS < min(pauses[at.VERDICT_PROMOTE]) < 2500 * MS
-        and 3500 * MS < max(pauses[at.VERDICT_PROMOTE]) <= 4000 * MS
+        1900 * MS < min(pauses[interface.VERDICT_PROMOTE]) < 2500 * MS
+        and 3500 * MS < max(pauses[interface.VERDICT_PROMOTE]) <= 4000 * MS
     )
-    assert max(pauses[at.VERDICT_ROLL_BACK]) <= 400 * MS
+    assert max(pauses[interface.VERDICT_ROLL_BACK]) <= 400 * MS
 
 
 def test_answer_to_a_vote_from_before_the_start():
     made = balancer([line(1)])
-    made.vote_answered(NOW, at.OVER_ALLOWANCE)
+    made.vote_answered(NOW, interface.OVER_ALLOWANCE)
     assert NOW < made.vote_busy_until <= NOW + 400 * MS
 
 
 def test_counted_vote_is_renewed_later_while_the_platform_is_full():
     made = balancer([line(1)])
-    made.last_vote, made.vote_backoff = (2, 0, at.VERDICT_PROMOTE), 800 * MS
-    made.vote_answered(NOW, at.COUNTED)
+    made.last_vote, made.vote_backoff = (2, 0, interface.VERDICT_PROMOTE), 800 * MS
+    made.vote_answered(NOW, interface.COUNTED)
     assert made.next_vote_at >= NOW + 3200 * MS and made.vote_backoff == 400 * MS
 
 
@@ -892,23 +902,25 @@
     made = balancer([line(1)], request_classes=[request_class(0), request_class(1)], balancers=200)
     made.lower_quartiles[("class", 1)], made.latency_ratio, asked = 0.2, 1.0, request()
     for n in range(8):
-        made.attempt_ended(NOW, sent(request(n), made.instances[1]), at.SUCCEEDED, 3 * SECOND, False, {})
+        made.attempt_ended(
+            NOW, sent(request(n), made.instances[1]), interface.SUCCEEDED, 3 * SECOND, False, {}
+        )
     assert made.waits(asked)
-    made.attempt_ended(NOW, sent(asked, made.instances[1]), at.SUCCEEDED, took * MS, False, {})
+    made.attempt_ended(NOW, sent(asked, made.instances[1]), interface.SUCCEEDED, took * MS, False, {})
     assert made.waits(request()) is waits
 
 
 def test_one_late_answer_after_a_pause_is_no_overload():
     made = balancer([line(1)], balancers=200)
     made.latency_ratio, made.latency_ratio_at = 0.2, NOW - 3 * SECOND
-    made.attempt_ended(NOW, sent(request(), made.instances[1]), at.SUCCEEDED, 2 * SECOND, False, {})
+    made.attempt_ended(NOW, sent(request(), made.instances[1]), interface.SUCCEEDED, 2 * SECOND, False, {})
     assert made.latency_ratio == pytest.approx(0.38)
 
 
 def test_state_stays_small_while_builds_and_requests_change():
     made, dispatcher, now = balancer(balancers=200), Dispatcher(), NOW
     for build in range(1, 200):
-        made.stage_reported(now, build, 0, at.RELEASED, 1.0, 0)
+        made.stage_reported(now, build, 0, interface.RELEASED, 1.0, 0)
         made.list_received(
             now, [line(f"s-{build}-{n}", build=build, zone=n % 3) for n in range(30)], True, True
         )
@@ -916,7 +928,7 @@
             asked = request((build, n), now=now, left=4 * SECOND)
             made.request_arrived(now, asked)
             dispatcher.pull(made, now)
-            end = (at.SUCCEEDED, at.TIMED_OUT, at.RESET, at.UNCONNECTED)[n % 4]
+            end = (interface.SUCCEEDED, interface.TIMED_OUT, interface.RESET, interface.UNCONNECTED)[n % 4]
             for attempt in [attempt for attempt in asked.attempts if not attempt.end]:
                 made.attempt_ended(now, attempt, end, 100 * MS, True, {})
             now += 300 * MS
@@ -942,5 +954,7 @@
     "balancers, least, most", [(1, 0, 0), (3, 20, 50), (40, 700, 975), (200, 1500, 2000)]
 )
 def test_first_list_calls_spread_with_the_number_of_balancers(balancers, least, most):
-    starts = [at.StartSettings(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)]
+    starts = [
+        interface.StartSettings(now=0, seed=n, balancers=balancers, ask_for_list=True) for n in range(40)
+    ]
     assert least <= max(Balancer(start).list_call_at for start in starts) / MS <= most
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -11,7 +11,7 @@
 
 from days import S, Day
 from helpers import NOW, Dispatcher, line, request_class
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead import instance_table
 from lemonlead.balance import (
     GOLDEN_RATIO,
@@ -58,7 +58,7 @@
                     row, self.builds[row.build], group, now, 3.0, self.accepted_work, due
                 )
                 self.instances[row.id].ring_position = hashed(row.id)
-            self.instances[row.id].ready = row.state == at.READY
+            self.instances[row.id].ready = row.state == interface.READY
         table = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
         self.instances = ReferenceTable(table)
         self.list_call_at = None if fresh else self.list_call_at
@@ -118,7 +118,7 @@
         trial = (
             trial if trial and (self.on_trial(trial) if self.reported_build else len(numbers) > 1) else None
         )
-        phases = (at.ON_TRIAL, at.RELEASED)
+        phases = (interface.ON_TRIAL, interface.RELEASED)
         judged = (
             told if (told := self.reported_build) and told.seen_on_trial and told.phase in phases else None
         )
@@ -149,7 +149,7 @@
         elif now - self.pair_started_at >= PAIR_TIME and self.has_new_outcomes:
             self.has_new_outcomes = False
             on, off = self.pooled(True), self.pooled(False)
-            alone = build is None or build.phase == at.RELEASED
+            alone = build is None or build.phase == interface.RELEASED
             if len(on if build else off) >= MIN_PAIR_OUTCOMES and (alone or len(off) >= MIN_PAIR_OUTCOMES):
                 if build is None:
                     self.baseline_time = median_time(off)
@@ -196,26 +196,26 @@
 
 
 REQUEST_CLASSES = (
-    (at.IDEMPOTENT, {}),
-    (at.NON_IDEMPOTENT, {}),
-    (at.DEDUPLICATED, {"repeat_scope": "zone", "repeat_window": 3 * S}),
+    (interface.IDEMPOTENT, {}),
+    (interface.NON_IDEMPOTENT, {}),
+    (interface.DEDUPLICATED, {"repeat_scope": "zone", "repeat_window": 3 * S}),
 )
-ENDS = (at.SUCCEEDED,) * 9 + (
-    at.ERRED,
-    at.REJECTED,
-    at.TIMED_OUT,
-    at.UNCONNECTED,
-    at.RESET,
-    at.CANCELLED,
-    at.NOT_SENT,
-    at.BAD_REQUEST,
+ENDS = (interface.SUCCEEDED,) * 9 + (
+    interface.ERRED,
+    interface.REJECTED,
+    interface.TIMED_OUT,
+    interface.UNCONNECTED,
+    interface.RESET,
+    interface.CANCELLED,
+    interface.NOT_SENT,
+    interface.BAD_REQUEST,
 )
-STATES = (at.READY,) * 5 + (at.DRAINING, at.GONE)
+STATES = (interface.READY,) * 5 + (interface.DRAINING, interface.GONE)
 
 
 def start_of(seed):
     chance = random.Random(seed)
-    return at.StartSettings(
+    return interface.StartSettings(
         now=NOW,
         seed=chance.getrandbits(64),
         balancer_index=chance.randrange(300),
@@ -232,7 +232,7 @@
         idle_time=15 * S,
         prices={"CrossZone": 0.2},
         retry_after_cap=500 * MS,
-        release=at.Release(
+        release=interface.Release(
             window=2000 * MS,
             free_attempts=chance.choice((2, 50)),
             vote_lifetime=4000 * MS,
@@ -305,18 +305,22 @@
             self.tell("list_received", [self.row(id) for id in named], True, True)
         elif what < 0.98:
             self.build += self.chance.random() < 0.3
-            phase = self.chance.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.ROLLING_BACK))
+            phase = self.chance.choice(
+                (interface.ON_TRIAL, interface.ON_TRIAL, interface.RELEASED, interface.ROLLING_BACK)
+            )
             told = max(self.build - self.chance.choice((0, 0, 0, 1)), 1)
             cap = self.chance.choice((0.1, 0.5, 1.0))
             self.tell("stage_reported", told, self.chance.randrange(3), phase, cap, 0)
         else:
             wrong = "wrong_answer_reported", self.chance.choice(self.ids)
-            self.tell(*self.chance.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong)))
+            self.tell(
+                *self.chance.choice((("list_failed", self.now), ("vote_answered", interface.COUNTED), wrong))
+            )
 
     def ask(self, number):
         work = (number * 7919 % 200 + 1) * MS if number % 4 else 0
         both = [
-            at.Request(number, classes[number % 3], number % 5, 0, self.now, self.now + 4 * S, work)
+            interface.Request(number, classes[number % 3], number % 5, 0, self.now, self.now + 4 * S, work)
             for classes in self.request_classes
         ]
         self.open.append(both)
@@ -333,7 +337,7 @@
         end, took = self.chance.choice(ENDS), self.chance.randrange(1, 1500) * MS
         report = {"svc_ms": self.chance.uniform(5, 20)} if self.chance.random() < 0.3 else {}
         if (pair := self.attempts()) is not None:
-            over = end == at.SUCCEEDED
+            over = end == interface.SUCCEEDED
             self.tell("attempt_ended", each=[(attempt, end, took, over, report) for attempt in pair])
 
     def begin(self):
@@ -390,7 +394,9 @@
 
     def write(name, does):
         def written(gateway, *values):
-            told = [getattr(value, "id", value) for value in values if not isinstance(value, at.Attempt)]
+            told = [
+                getattr(value, "id", value) for value in values if not isinstance(value, interface.Attempt)
+            ]
             calls.append((day.now, gateway.number, name, *told))
             return does(gateway, *values)
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,7 +19,7 @@
 import pytest
 from days import Day, S
 from helpers import MS, NOW, Dispatcher, balancer, request_class, line, request, sent
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
 from lemonlead.gateway import resp, managed_connection
@@ -200,7 +200,7 @@
     longest = max(pauses(made.connection, True) + pauses(made.connection, False))
     assert 2.0 + longest + longest_list_call_delay() <= 4 * within / 1e3
     rules = dict(now=NOW, balancers=200, ask_for_list=True, max_list_call_gap=within * MS)
-    firsts = [Balancer(at.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
+    firsts = [Balancer(interface.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
     assert max(firsts) <= NOW + within * MS // 2 and len(set(firsts)) > 100
 
 
@@ -449,7 +449,8 @@
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
 def test_class_of_least_revenue_is_let_in_half_as_often_as_average(pace):
     request_classes = [
-        at.RequestClass(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))
+        interface.RequestClass(n, interface.IDEMPOTENT, S, 4 * S, revenue)
+        for n, revenue in enumerate((0.01, 1.0, 1.99))
     ]
     made = balancer([line(1)], request_classes=request_classes, balancers=200)
     made.latency_ratio, let_in = pace, []
@@ -461,8 +462,10 @@
 # ---- requests that were never sent, and new connections closed without an answer
 
 
-@pytest.mark.parametrize("effect", [at.IDEMPOTENT, at.DEDUPLICATED, at.NON_IDEMPOTENT])
-@pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
+@pytest.mark.parametrize("effect", [interface.IDEMPOTENT, interface.DEDUPLICATED, interface.NON_IDEMPOTENT])
+@pytest.mark.parametrize(
+    "ends", [(), (interface.NOT_SENT,), (interface.UNCONNECTED, interface.NOT_SENT), (interface.REJECTED,)]
+)
 def test_requests_that_were_not_sent_are_rejected_not_aborted(effect, ends):
     on, dispatcher = request_class(effect=effect, repeat_scope="zone"), Dispatcher()
     made = balancer([line(1)], request_classes=[on])
@@ -473,13 +476,15 @@
     assert dispatcher.calls[0][0] == "reject"
 
 
-@pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
+@pytest.mark.parametrize(
+    "ends, counted", [((), 1), ((interface.UNCONNECTED,), 1), ((interface.UNCONNECTED, interface.RESET), 0)]
+)
 def test_gateway_counts_aborted_requests_that_were_not_sent(ends, counted):
     made = DispatcherOfGateway(
-        at.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
+        interface.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
     asked = request()
-    asked.attempts = [at.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
+    asked.attempts = [interface.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.pending_requests[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
     made.abort(asked)
     assert made.counters.read().get("aborted unsent", 0) == counted
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -11,7 +11,7 @@
 
 import pytest
 from helpers import MS, NOW, Dispatcher, balancer, line, request, request_class, sent
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 from lemonlead.gateway import managed_connection
 from lemonlead.gateway.config import MAX_LIST_DELAY_NS, now
@@ -33,7 +33,7 @@
     asked = request(100 + time % 97, now=time)
     attempt = sent(asked, member, at_time=time)
     attempt.connected_since = since
-    made.attempt_ended(time + 50 * MS, attempt, at.SUCCEEDED, 50 * MS, True, {})
+    made.attempt_ended(time + 50 * MS, attempt, interface.SUCCEEDED, 50 * MS, True, {})
 
 
 def without_watch(lines=(1, 2, 3)):
@@ -109,7 +109,7 @@
     """`started`: ms from the last start in the list until ours, 0: long; `holds`: ms that the list holds."""
     for seed in range(30):
         rules = dict(request_classes=[request_class()], attempts_cap=1, **RULES)
-        made = Balancer(at.StartSettings(now=NOW, seed=seed, **rules))
+        made = Balancer(interface.StartSettings(now=NOW, seed=seed, **rules))
         made.list_received(NOW, [line(1, started=NOW - started * MS if started else 0)], True, False)
         assert made.list_call_at <= NOW + holds * MS
         assert chosen_id(made, NOW + holds * MS) == 1 and chosen_id(made, NOW + (holds + 1) * MS) is None
@@ -196,7 +196,7 @@
         heapq.heappush(self.events, (self.now + delay, next(self.sequence), callback, values))
 
     def start(self, number, first):
-        start = at.StartSettings(
+        start = interface.StartSettings(
             now=self.now,
             seed=number * 31 + first,
             balancer_index=number,
@@ -268,11 +268,13 @@
             pool = self.now
         if up:
             gateway.pools[id] = attempt.connected_since = pool
-        self.after(80 * MS, self.ended, gateway, attempt, at.SUCCEEDED if up else at.UNCONNECTED)
+        self.after(
+            80 * MS, self.ended, gateway, attempt, interface.SUCCEEDED if up else interface.UNCONNECTED
+        )
 
     def ended(self, gateway, attempt, end):
         if gateway.up:
-            gateway.made.attempt_ended(self.now, attempt, end, 80 * MS, end == at.SUCCEEDED, {})
+            gateway.made.attempt_ended(self.now, attempt, end, 80 * MS, end == interface.SUCCEEDED, {})
             self.decide(gateway)
 
     def call(self, gateway):
@@ -286,7 +288,7 @@
         if not gateway.up:
             return
         self.list_received_at[gateway.number], gateway.calls = self.now, False
-        lines = [line(id, state=at.GONE) for id in self.gone]
+        lines = [line(id, state=interface.GONE) for id in self.gone]
         if self.now >= NOW + self.AGAIN:
             lines = [line(row.id, started=NOW + self.AGAIN) if row.id in self.back else row for row in lines]
         gateway.made.list_received(self.now, lines, False, True)
