--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -70,7 +70,11 @@
             fault(path, wrong, ADDRESS_REQUIREMENT)
         elif address in seen:
             fault(path, address, "an address once", seen[address])
-        elif path != "listen" and not find_address_fault(own_address) and is_loopback(address) != is_loopback(own_address):
+        elif (
+            path != "listen"
+            and not find_address_fault(own_address)
+            and is_loopback(address) != is_loopback(own_address)
+        ):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
     if not 0 < len(fields["members"]) <= MAX_MEMBERS:
