--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense end the start with one line that says where, what and what is expected."""
+"""Invalid settings end the start with one line: the key, its value and the expected value."""
 
 import copy
 import json
@@ -35,7 +35,7 @@
 
 
 def changed(*path, to):
-    """The configuration with this one value changed, or left out."""
+    """Returns the configuration with this value changed, or removed if `to` is ABSENT."""
     config = copy.deepcopy(CONFIG)
     *before, last = path
     part = config
@@ -194,12 +194,12 @@
 ]
 
 
-def test_a_sound_configuration_is_read(tmp_path):
+def test_valid_config_is_read(tmp_path):
     assert list(read(tmp_path, CONFIG).request_classes) == ["look", "hold", "buy"]
 
 
 @pytest.mark.parametrize("path", sorted({path for path, _ in CASES}, key=str), ids=lambda path: str(path[-1]))
-def test_what_makes_no_sense_is_refused_where_it_stands(tmp_path, path):
+def test_invalid_value_is_refused_with_its_key(tmp_path, path):
     for value in [value for where, value in CASES if where == path]:
         said = refused(tmp_path, changed(*path, to=value))
         assert str(path[-1]) in said or path[-1] == 0 and f"{path[-2]}[0]" in said, (value, said)
@@ -219,7 +219,7 @@
         ('{"seed": "\ud800"}', "is no JSON"),
     ],
 )
-def test_what_is_no_configuration_at_all_is_refused(tmp_path, text, said):
+def test_text_that_is_no_config_is_refused(tmp_path, text, said):
     path = tmp_path / "config.json"
     path.write_bytes(text.encode(errors="surrogatepass"))
     with pytest.raises(configs.InvalidConfig, match=said) as caught:
@@ -227,19 +227,19 @@
     assert "\n" not in str(caught.value)
 
 
-def test_a_file_that_cannot_be_read_or_is_not_named_is_refused(tmp_path):
+def test_missing_or_unreadable_file_is_refused(tmp_path):
     for environment in ({}, {"ROUTER_CONFIG": str(tmp_path)}, {"ROUTER_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(configs.InvalidConfig, match="ROUTER_CONFIG|directory"):
             configs.read(environment)
 
 
 @pytest.mark.parametrize("key", ["Lanes", "Projects"])
-def test_a_name_given_twice_is_refused(tmp_path, key):
+def test_duplicate_name_is_refused(tmp_path, key):
     entries = SETTINGS[key]
     assert "twice" in refused(tmp_path, changed("settings", key, to=[*entries, entries[0]]))
 
 
-def test_a_name_in_the_environment_in_place_of_an_address_is_refused(tmp_path):
+def test_host_name_in_environment_is_refused(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     for name, key in (("ROUTER_LISTEN", "listen"), ("ROUTER_DISCOVERY", "discovery")):
@@ -247,8 +247,8 @@
             configs.read({"ROUTER_CONFIG": str(path), name: "here:80"})
 
 
-def test_absent_keys_have_defaults_and_unknown_ones_are_ignored(tmp_path):
-    """Also a request class's group and memory, which mean something for deduplicated ones alone."""
+def test_missing_keys_have_defaults_and_unknown_keys_are_ignored(tmp_path):
+    """This includes a request class's group and window, which apply to deduplicated classes only."""
     settings = {"Lanes": [{"Name": "look", "Group": "off", "Window": -1, "Mood": [None]}], "Mood": {}}
     config = {name: CONFIG[name] for name in ("name", "listen", "discovery", "seed")}
     got = read(tmp_path, {**config, "settings": settings, "limits": None, "release_api": None, "known": None})
@@ -274,7 +274,7 @@
     assert read(tmp_path, {**config, "settings": {}}).request_classes == {}
 
 
-def test_a_deduplicated_class_without_a_window_is_never_sent_again_once_it_may_have_run(tmp_path):
+def test_deduplicated_request_without_window_is_not_repeated(tmp_path):
     got = read(tmp_path, changed("settings", "Lanes", 1, "Window", to=ABSENT))
     made = Balancer(got.start)
     made.list_received(got.start.now, [line(1), line(2)], True, True)
@@ -286,7 +286,7 @@
     assert made.may_attempt(asked, made.instances[2], got.start.now)
 
 
-def test_whole_numbers_may_be_written_as_fractions(tmp_path):
+def test_integer_may_be_written_as_float(tmp_path):
     got = read(tmp_path, changed(*LIMITS, "AttemptsCap", to=5.0))
     assert got.start.attempts_cap == 5 and type(got.start.attempts_cap) is int
 
@@ -303,7 +303,7 @@
     ],
     ids=["no time", "a name twice", "no list", "no address", "a huge weight", "a name for an address"],
 )
-def test_the_program_says_it_on_one_line_and_ends(tmp_path, config):
+def test_program_reports_invalid_config_on_one_line(tmp_path, config):
     (tmp_path / "config.json").write_text(json.dumps(config))
     done = subprocess.run(
         [sys.executable, "-m", "lemonlead.gateway"],
@@ -316,7 +316,7 @@
     assert done.stderr.startswith("lemonlead.gateway: the configuration cannot be used: ")
 
 
-def test_sighup_with_settings_that_make_no_sense_changes_nothing_and_logs_one_line(tmp_path):
+def test_sighup_with_invalid_settings_changes_nothing(tmp_path):
     server, discovery = InstanceServer().start(), DiscoveryServer().start()
     with gateway(tmp_path, server) as ran:
         until(lambda: ran.discovery.asked)
@@ -332,7 +332,7 @@
     discovery.close()
 
 
-def test_names_of_any_letters_are_known_as_the_settings_give_them(tmp_path):
+def test_non_ascii_names_are_accepted(tmp_path):
     request_classes = [{**SETTINGS["Lanes"][0], "Name": "pièce à vue"}, *SETTINGS["Lanes"][1:]]
     settings = {"Lanes": request_classes, "Projects": [{"Name": "Île = une"}]}
     with gateway(tmp_path, InstanceServer().start(), settings=settings) as ran:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -1,4 +1,4 @@
-"""Crossings of an attempt with all that can happen to it, each in its bad order, on loopback connections."""
+"""Races between an attempt and other events, each forced in its worst order, on loopback connections."""
 
 import contextlib
 import socket
@@ -23,36 +23,40 @@
 WAIT = 20000 * MS
 
 
-class Quiet:
+class SilentLog:
     def info(self, *_, **more):
         pass
 
     warning = error = info
 
 
-class Ask(SimpleNamespace):
-    """A client's command; notes which attempts were still free to go on when its answer was set."""
+class RecordedCommand(SimpleNamespace):
+    """A client's command. Records in `free` the attempts that could still continue when it was answered."""
 
     def __setattr__(self, name, value):
         if name == "answer":
-            trips = [
-                self.world.instances.attempts_in_flight.get(attempt) for attempt in self.request.attempts
+            in_flight_attempts = [
+                self.gateway.instances.attempts_in_flight.get(attempt) for attempt in self.request.attempts
+            ]
+            self.free = [
+                in_flight
+                for in_flight in in_flight_attempts
+                if in_flight and not (in_flight.written or in_flight.cancelled)
             ]
-            self.free = [trip for trip in trips if trip and not (trip.written or trip.cancelled)]
         super().__setattr__(name, value)
 
 
-class World:
-    """A dispatcher and its instances among stand-ins, without the doors to clients, discovery and the
+class GatewayUnderTest:
+    """A dispatcher and connection pools with stand-in instances, without clients, discovery and the
     platform."""
 
     def __init__(self, *servers, limits=()):
         settings = {**SETTINGS, "Limits": {**SETTINGS["Limits"], **dict(limits)}}
         config = SimpleNamespace(start=start_from_settings(settings, 7, now()), connections=64)
-        self.dispatcher = Dispatcher(config.start, Quiet(), Counters())
+        self.dispatcher = Dispatcher(config.start, SilentLog(), Counters())
         counters = self.dispatcher.counters
         self.instances = self.dispatcher.instances = Instances(
-            config, self.dispatcher, ThreadPool(), Quiet(), counters
+            config, self.dispatcher, ThreadPool(), SilentLog(), counters
         )
         self.dispatcher.discovery = SimpleNamespace(request_list=lambda: None)
         self.dispatcher.service = SimpleNamespace(ended=lambda *_: None, vote=lambda *_: None)
@@ -66,7 +70,7 @@
             self.list(f"i{number}", server)
 
     def list(self, id, server, state=at.READY, since=0, build=1):
-        """Discovery's news of one instance."""
+        """Reports one instance, as discovery does."""
         host, port = server.address.split(":")
         where = (host, int(port)) if state == at.READY else None
         line = at.Instance(id, 0, 0, build, 0, state, 1.0, since)
@@ -78,7 +82,7 @@
         self.dispatcher.handle(listed)
 
     def ask(self, **more):
-        """A request that a client sends; its answer is put into what is given back."""
+        """Sends a request as a client. Returns its command, which gets the response."""
         ask = self.made(**more)
         self.dispatcher.handle(self.dispatcher.request_arrived, ask, ask.request)
         return ask
@@ -86,14 +90,14 @@
     def made(self, request_class=0, body=b"BODY"):
         id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
-        ask = Ask(world=self, words=words, answer=None, answers=0)
+        ask = RecordedCommand(gateway=self, words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
         moment = now()
         ask.request = at.Request(id, self.request_classes[request_class], 0, id, moment, moment + WAIT)
         self.asked.append(ask)
         return ask
 
-    def keep_time(self):
+    def run_timer(self):
         threading.Thread(target=self.dispatcher.run_timer, daemon=True).start()
 
     def answered(self, ask):
@@ -101,7 +105,7 @@
         return ask.answer
 
     def ended(self):
-        """Once no attempt is under way."""
+        """Waits until no attempt is in flight."""
 
         def told():
             with self.dispatcher.lock:
@@ -114,8 +118,8 @@
         return list(self.instances.pools[id].unused)
 
 
-class Halt:
-    """Holds whoever calls a method, before or after it ran, until it is opened."""
+class Pause:
+    """Holds the callers of a method, before or after it has run, until `opened` is set."""
 
     def __init__(self, monkeypatch, owner, name, after=False):
         self.reached, self.opened = threading.Event(), threading.Event()
@@ -131,12 +135,12 @@
 
 
 @pytest.fixture
-def world():
+def gateway():
     made, servers = [], []
 
     def make(*given, **more):
         servers.extend(given)
-        made.append(World(*given, **more))
+        made.append(GatewayUnderTest(*given, **more))
         return made[-1]
 
     yield make
@@ -147,18 +151,20 @@
     ]
 
 
-def test_an_attempt_that_is_not_sent_leaves_its_connection_as_long_unused_as_it_was(world, monkeypatch):
-    made = world(server := InstanceServer().start())
+def test_unsent_attempt_does_not_reset_connection_idle_time(gateway, monkeypatch):
+    made = gateway(server := InstanceServer().start())
     assert made.answered(made.ask()) == b"$1\r\n0\r\n"
     made.ended()
     ((connection,),) = [made.unused()]
     answered = connection.idle_since
-    halt = Halt(monkeypatch, made.instances, "get_connection", after=True)
+    halt = Pause(monkeypatch, made.instances, "get_connection", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
     made.dispatcher.handle(made.dispatcher.client_left, [given_up.request])
     late = answered + made.instances.idle_time
-    monkeypatch.setattr(instances, "now", lambda: late)  # just within its time; the instance counts on
+    monkeypatch.setattr(
+        instances, "now", lambda: late
+    )  # just within its idle time, which the instance still counts
     halt.opened.set()
     made.ended()
     assert made.unused() == [connection] and connection.idle_since == answered
@@ -168,10 +174,10 @@
     assert len(server.connections) == 2 and connection.sock.fileno() < 0
 
 
-def test_a_new_connection_is_unused_from_before_the_instance_could_count(world, monkeypatch):
-    made = world(server := InstanceServer().start())
+def test_new_connection_counts_as_idle_from_its_creation(gateway, monkeypatch):
+    made = gateway(server := InstanceServer().start())
     begun = now()
-    halt = Halt(monkeypatch, made.instances, "get_connection", after=True)
+    halt = Pause(monkeypatch, made.instances, "get_connection", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
     until(lambda: server.connections)
@@ -184,7 +190,7 @@
 
 
 def arrived(sock):
-    """Once something has come that is not read yet."""
+    """Waits until unread bytes have arrived."""
 
     def looked():
         with contextlib.suppress(BlockingIOError):
@@ -193,8 +199,8 @@
     until(looked)
 
 
-def test_a_second_answer_that_comes_late_is_not_read_as_the_next_requests(world, monkeypatch):
-    made = world(server := InstanceServer().start())
+def test_late_second_response_is_not_taken_for_the_next_one(gateway, monkeypatch):
+    made = gateway(server := InstanceServer().start())
     made.answered(made.ask())
     made.ended()
     (connection,), write, late = made.unused(), Connection.write, []
@@ -205,10 +211,10 @@
             arrived(connection.sock)
 
     def written(self, data, until):
-        second_answer()  # after the last look, unless it came while the connection rested
+        second_answer()  # after the last check, unless it came during the reuse delay
         write(self, data, until)
 
-    monkeypatch.setattr(instances, "now", lambda: connection.idle_since)  # the next request is there at once
+    monkeypatch.setattr(instances, "now", lambda: connection.idle_since)  # the next request comes at once
     sleeps = SimpleNamespace(sleep=lambda seconds: second_answer())
     monkeypatch.setattr(instances, "time", sleeps, raising=False)
     monkeypatch.setattr(Connection, "write", written)
@@ -218,8 +224,8 @@
 
 
 @pytest.mark.parametrize("rested, wait", [(0, 10), (4, 6), (10, 0), (11, 0)])
-def test_a_connection_rests_after_an_answer_for_what_is_left_of_its_time(world, monkeypatch, rested, wait):
-    made, slept = world(InstanceServer().start()), []
+def test_connection_waits_for_the_rest_of_its_reuse_delay(gateway, monkeypatch, rested, wait):
+    made, slept = gateway(InstanceServer().start()), []
     made.answered(made.ask())
     made.ended()
     (connection,) = made.unused()
@@ -230,13 +236,16 @@
 
 
 @pytest.mark.parametrize("rested, same", [(0, False), (9, False), (10, True)])
-def test_a_request_goes_where_no_connection_has_to_rest_first(world, monkeypatch, rested, same):
-    made, slept = world(*(InstanceServer().start() for _ in range(2))), []
+def test_instance_without_reuse_delay_is_chosen(gateway, monkeypatch, rested, same):
+    made, slept = gateway(*(InstanceServer().start() for _ in range(2))), []
     made.answered(ask := made.ask())
     made.ended()
     (first,) = ask.request.attempts
     (connection,) = made.unused(first.instance.id)
-    first.instance.slowness, first.instance.group.slowness = 0.001, 0.002  # half of the other's, under a rest
+    first.instance.slowness, first.instance.group.slowness = (
+        0.001,
+        0.002,
+    )  # half of the other's, by less than the reuse delay
     for module in (dispatcher, instances):
         monkeypatch.setattr(module, "now", lambda: connection.idle_since + rested * MS)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
@@ -245,19 +254,23 @@
     assert (second.instance is first.instance) is same and not slept
 
 
-def test_what_an_attempt_leaves_unused_is_what_the_next_choice_goes_by(world, monkeypatch):
-    """Two connections at the quicker of two instances: one has rested and is taken, the other has not."""
+def test_next_choice_sees_connections_left_by_last_attempt(gateway, monkeypatch):
+    """The faster of two instances has two connections: one is past its reuse delay and is taken, the other
+    is not."""
     open_, slept = threading.Event(), []
 
     def react(words):
         assert open_.wait(60)
         return gives(words[1])
 
-    made = world(*(InstanceServer(react).start() for _ in range(2)))
+    made = gateway(*(InstanceServer(react).start() for _ in range(2)))
     quick = made.balancer.instances["i0"]
 
     def chosen():
-        quick.slowness, quick.group.slowness = 0.001, 0.004  # a quarter of the other's, far under a rest
+        quick.slowness, quick.group.slowness = (
+            0.001,
+            0.004,
+        )  # a quarter of the other's, by far less than the reuse delay
         return made.ask().request.attempts[0].instance.id
 
     assert [chosen(), chosen()] == ["i0", "i0"]
@@ -276,8 +289,8 @@
     assert not slept
 
 
-class Slow(Server):
-    """Reads nothing until it is told to, then all there is; its receive buffer holds a part of a command."""
+class SlowReader(Server):
+    """Reads nothing until `reading` is set, then everything. Its receive buffer holds part of a command."""
 
     def __init__(self):
         super().__init__()
@@ -291,7 +304,7 @@
         self.ended.set()
 
     def whole(self):
-        """Whether a command came in full, once its connection has ended."""
+        """Returns whether a whole command arrived, once the connection has ended."""
         self.reading.set()
         assert self.ended.wait(60)
         reader = resp.Reader(commands=True)
@@ -301,7 +314,7 @@
 
 @pytest.fixture
 def narrow(monkeypatch):
-    """New connections hold little that is unsent."""
+    """Gives new connections a small send buffer."""
     connect = Connection.connect
 
     def narrowed(self, until):
@@ -312,7 +325,7 @@
 
 
 def stuck(made, server):
-    """A request of which a part is written to a slow instance."""
+    """Sends a request that is partly written to a slow instance."""
     ask = made.ask(body=b"x" * 60000)
     until(lambda: server.connections)
     arrived(server.connections[0])
@@ -320,8 +333,8 @@
 
 
 @pytest.mark.parametrize("waits", ["for another attempt", "for its connection"])
-def test_an_attempt_is_told_what_is_left_to_its_client_when_it_begins(world, monkeypatch, waits):
-    """Seven seconds pass once, by the gateway's clock, before it does: of twenty thirteen are left."""
+def test_attempt_forwards_the_wait_left_when_it_begins(gateway, monkeypatch, waits):
+    """Seven seconds pass on the gateway's clock before the attempt begins, so 13 of 20 are left."""
     ahead, connect = [], Connection.connect
     for module in (instances, dispatcher):
         monkeypatch.setattr(module, "now", lambda: now() + sum(ahead))
@@ -340,20 +353,20 @@
         InstanceServer(lambda words: b"-BUSY\r\n" if turned_away and passes() else gives(words[1])).start()
         for _ in range(2)
     ]
-    made = world(*servers)
+    made = gateway(*servers)
     assert made.answered(made.ask()) == b"$1\r\n0\r\n"
     told = [int(words[3].split(b"d=")[1].split(b",")[0]) for server in servers for words in server.got]
     assert len(told) == 1 + turned_away and 8000 < min(told) <= 13_000
 
 
 @pytest.mark.parametrize("request_class, again", [(0, True), (1, True), (2, False)])
-def test_what_an_instance_that_is_killed_had_not_accepted_yet_may_have_run(world, request_class, again):
-    """Its system takes the connection and the whole command; then both are reset."""
-    made = world(killed := Server())
-    made.keep_time()
+def test_attempt_to_killed_instance_counts_as_possibly_run(gateway, request_class, again):
+    """The instance's kernel accepts the connection and the command; then the connection is reset."""
+    made = gateway(killed := Server())
+    made.run_timer()
     made.request_classes[1].repeat_window = 10000 * MS
     ask = made.ask(request_class=request_class)
-    until(lambda: any(trip.written for trip in made.instances.attempts_in_flight.values()))
+    until(lambda: any(in_flight.written for in_flight in made.instances.attempts_in_flight.values()))
     made.list("i1", other := InstanceServer().start())
     killed.close()
     answer = made.answered(ask)
@@ -364,7 +377,7 @@
 
 
 def second(made, ask, id="i1"):
-    """Decides on another attempt."""
+    """Makes the balancer begin another attempt."""
     made.dispatcher.handle(
         lambda moment: made.balancer.attempt(
             ask.request, made.balancer.instances[id], moment, made.dispatcher
@@ -373,8 +386,8 @@
 
 
 @pytest.mark.parametrize("by", ["an answer", "the client leaves", "cancelled", "a break", "the deadline"])
-def test_what_is_given_up_while_it_is_written_is_never_written_whole(world, narrow, monkeypatch, by):
-    made = world(server := Slow().start(), limits={"AttemptsCap": 2}.items())
+def test_attempt_given_up_while_written_is_never_completed(gateway, narrow, monkeypatch, by):
+    made = gateway(server := SlowReader().start(), limits={"AttemptsCap": 2}.items())
     if by == "the deadline":
         limit = instances.socket_timeout
         monkeypatch.setattr(instances, "socket_timeout", lambda until: limit(now() + 50 * MS))
@@ -388,12 +401,12 @@
     elif by == "the client leaves":
         made.dispatcher.handle(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
-        ask.request.finished = True  # so that nothing follows
+        ask.request.finished = True  # so that no other attempt follows
         made.dispatcher.handle(lambda moment: made.dispatcher.cancel(attempt))
     elif by == "a break":
         ask.request.finished = True
-        (trip,) = made.instances.attempts_in_flight.values()
-        trip.connection.sock.shutdown(socket.SHUT_RDWR)
+        (in_flight,) = made.instances.attempts_in_flight.values()
+        in_flight.connection.sock.shutdown(socket.SHUT_RDWR)
     else:
         made.ended()
     assert not server.whole()
@@ -403,10 +416,10 @@
 
 
 @pytest.mark.parametrize("at_point", ["may_begin", "forwarded_words"])
-def test_an_attempt_is_not_written_once_its_request_has_the_answer(world, monkeypatch, at_point):
-    made = world(server := InstanceServer().start())
+def test_attempt_is_not_written_once_request_is_answered(gateway, monkeypatch, at_point):
+    made = gateway(server := InstanceServer().start())
     owner = made.dispatcher if at_point == "may_begin" else instances
-    halt = Halt(monkeypatch, owner, at_point, after=True)
+    halt = Pause(monkeypatch, owner, at_point, after=True)
     ask = made.ask()
     assert halt.reached.wait(60)
     monkeypatch.undo()
@@ -423,11 +436,9 @@
 
 @pytest.mark.parametrize("point", ["connect", "may_begin"])
 @pytest.mark.parametrize("since, build", [(0, 1), (5, 1), (0, 2)])
-def test_an_instance_that_returns_elsewhere_gets_nothing_at_its_old_address(
-    world, monkeypatch, point, since, build
-):
-    made = world(old := InstanceServer().start())
-    halt = Halt(monkeypatch, Connection if point == "connect" else made.dispatcher, point, after=True)
+def test_moved_instance_gets_nothing_at_its_old_address(gateway, monkeypatch, point, since, build):
+    made = gateway(old := InstanceServer().start())
+    halt = Pause(monkeypatch, Connection if point == "connect" else made.dispatcher, point, after=True)
     ask = made.ask()
     assert halt.reached.wait(60)
     monkeypatch.undo()
@@ -441,15 +452,17 @@
     assert not old.got and len(new.got) == 1 and made.instances.open == 1 == len(made.unused())
 
 
-def test_a_repeat_does_not_begin_past_the_time_for_which_repeats_are_dropped(world, monkeypatch):
-    made = world(first := InstanceServer(lambda words: None).start())  # it may have run there
+def test_repeat_does_not_begin_after_deduplication_window(gateway, monkeypatch):
+    made = gateway(
+        first := InstanceServer(lambda words: None).start()
+    )  # the first attempt may have run there
     made.request_classes[1].repeat_window = 10000 * MS
-    halt = Halt(monkeypatch, Connection, "connect", after=True)
+    halt = Pause(monkeypatch, Connection, "connect", after=True)
     ask = made.ask(request_class=1)
     assert halt.reached.wait(60)
     monkeypatch.undo()
     made.list("i1", other := InstanceServer().start())
-    again = Halt(monkeypatch, made.instances, "get_connection", after=True)
+    again = Pause(monkeypatch, made.instances, "get_connection", after=True)
     halt.opened.set()
     assert again.reached.wait(60) and [attempt.end for attempt in ask.request.attempts] == [at.RESET, ""]
     monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].sent_at + 10000 * MS - 1)
@@ -460,8 +473,8 @@
     assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
 
 
-def test_a_fault_once_an_attempt_has_begun_is_no_proof_that_it_did_not_run(world, monkeypatch):
-    made, write = world(server := InstanceServer().start()), Connection.write
+def test_exception_after_write_counts_as_possibly_run(gateway, monkeypatch):
+    made, write = gateway(server := InstanceServer().start()), Connection.write
     made.faulty = True
 
     def fails(self, data, until):
@@ -469,30 +482,30 @@
         raise ValueError
 
     monkeypatch.setattr(Connection, "write", fails)
-    made.keep_time()
-    ask = made.ask(request_class=2)  # it may run only once
+    made.run_timer()
+    ask = made.ask(request_class=2)  # a class that may run only once
     assert made.answered(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
     assert [attempt.end for attempt in ask.request.attempts] == [at.RESET] and made.instances.open == 0
 
 
 @pytest.mark.parametrize("error", [OSError, MemoryError])
-def test_a_connection_that_cannot_be_made_is_not_counted(world, monkeypatch, error):
-    made = world(InstanceServer().start())
+def test_connection_that_cannot_be_made_is_not_counted(gateway, monkeypatch, error):
+    made = gateway(InstanceServer().start())
 
     def fails(pool):
         raise error
 
     monkeypatch.setattr(instances, "Connection", fails)
-    made.keep_time()
+    made.run_timer()
     ask = made.ask()
     made.answered(ask)
     assert made.instances.open == 0 and {attempt.end for attempt in ask.request.attempts} == {at.NOT_SENT}
 
 
 @pytest.mark.parametrize("name", ["choose", "cost", "may_attempt", "attempt", "sheds", "overdue_at"])
-def test_a_request_whose_decisions_fail_is_answered_in_time_and_takes_none_along(world, monkeypatch, name):
-    made = world(InstanceServer().start())
+def test_request_with_failing_decisions_is_answered_and_harms_no_other(gateway, monkeypatch, name):
+    made = gateway(InstanceServer().start())
     made.faulty, spoilt, method = True, made.made(), getattr(made.balancer, name)
 
     def fails(*given):
@@ -508,8 +521,8 @@
         for ask in (spoilt, *others):
             made.dispatcher.request_arrived(moment, ask, ask.request)
 
-    made.keep_time()
-    made.dispatcher.handle(arrive)  # all three are due at once
+    made.run_timer()
+    made.dispatcher.handle(arrive)  # all three need a decision at once
     assert [made.answered(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
     made.answered(spoilt)
     made.ended()
@@ -517,8 +530,8 @@
 
 
 @pytest.mark.parametrize("name", ["tick", "cast_vote", "wake_at"])
-def test_a_decision_that_always_fails_keeps_no_request_from_its_own(world, monkeypatch, name):
-    made = world(InstanceServer().start())
+def test_permanently_failing_decision_blocks_no_request(gateway, monkeypatch, name):
+    made = gateway(InstanceServer().start())
     made.faulty = True
     made.balancer.next_tick, made.balancer.look = 0, True
 
@@ -529,7 +542,7 @@
         raise ZeroDivisionError
 
     monkeypatch.setattr(made.balancer, name, fails)
-    made.keep_time()
+    made.run_timer()
     assert made.answered(made.ask()) == b"$1\r\n0\r\n"
     monkeypatch.undo()
     assert made.answered(made.ask()) == b"$1\r\n1\r\n"
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -1,4 +1,4 @@
-"""Events of a client's connection that can cross, each forced in its bad order: `docs/crossings.md`."""
+"""Races between the events of a client connection, each forced in its worst order: `docs/crossings.md`."""
 
 import contextlib
 import json
@@ -27,8 +27,8 @@
 from lemonlead.standins.server import until
 
 
-class Lines:
-    """A log that keeps its lines."""
+class RecordingLog:
+    """A log that records its lines."""
 
     def __init__(self):
         self.lines = []
@@ -41,9 +41,10 @@
 
 @contextlib.contextmanager
 def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
-    """A gateway in this process among these instances, all on loopback: `gateway_server`, `dispatcher`,
-    `log`, `count(name)`, `tell(*entries)` changes its list, `client()` connects one and waits until ours
-    stands, which is `ours(client)`."""
+    """Runs a gateway in this process with these instances, all on loopback. Yields `gateway_server`,
+    `dispatcher`, `log`, `thread`, `count(name)` for counters, `tell(*entries)`, which changes the list,
+    `client()`, which connects a client and waits until it is accepted, and `ours(client)`, the gateway's
+    side of that connection."""
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
         "name": "g0",
@@ -57,13 +58,13 @@
     }
     (tmp_path / "config.json").write_text(json.dumps(config))
     config = configs.read({"ROUTER_CONFIG": str(tmp_path / "config.json")})
-    log, counters, thread_pool = Lines(), Counters(), ThreadPool()
+    log, counters, thread_pool = RecordingLog(), Counters(), ThreadPool()
     dispatcher = Dispatcher(config.start, log, counters)
     dispatcher.instances = Instances(config, dispatcher, thread_pool, log, counters)
     dispatcher.discovery = discovery = Discovery(config, dispatcher, log, counters)
     gateway_server = Server(config, dispatcher, thread_pool, log, counters)
     with dispatcher.lock:
-        # its watch stands: else the list would hold for some seconds only
+        # As from an open watch; otherwise the list would be valid for some seconds only.
         discovery.listed(configs.now(), *discovery.parse_update(config.known), True, True)
         dispatcher.balancer.stage_reported(configs.now(), *config.news)
     threading.Thread(target=dispatcher.run_timer, daemon=True).start()
@@ -81,7 +82,7 @@
         theirs = client.sock.getsockname()
         with gateway_server.condition:
             for one in gateway_server.clients:
-                with contextlib.suppress(OSError):  # its own has ended
+                with contextlib.suppress(OSError):  # that connection has ended
                     if one.sock.getpeername() == theirs:
                         return one
 
@@ -114,7 +115,7 @@
             server.close()
 
 
-class Held(InstanceServer):
+class HeldInstance(InstanceServer):
     """An instance that answers each request with its key once `go` is set."""
 
     def __init__(self):
@@ -131,15 +132,17 @@
     client.sock.close()
 
 
-ENDS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
+HANGUPS = pytest.mark.parametrize("end", [reset, lambda client: client.sock.close()], ids=["reset", "fin"])
 
 
-# nor sent twice
-SLOW = [{**request_class, "Slo": 400_000.0, "GiveUp": 400_000.0} for request_class in SETTINGS["Lanes"]]
+# Request classes with such long objectives that no request is rejected, aborted or repeated by time.
+LONG_DEADLINES = [
+    {**request_class, "Slo": 400_000.0, "GiveUp": 400_000.0} for request_class in SETTINGS["Lanes"]
+]
 
 
-class Paused:
-    """A client's socket whose reads wait from now on, until `go` is set; `met` once one does."""
+class PausedSocket:
+    """The gateway's socket of a client. Reads wait until `go` is set; `met` is set once one waits."""
 
     def __init__(self, ours):
         self.sock, self.met, self.go = ours.sock, threading.Event(), threading.Event()
@@ -154,16 +157,16 @@
         assert self.go.wait(60)
         return self.sock.recv_into(room)
 
-    def come(self):
-        """Waits until what was written has come."""
+    def wait_for_bytes(self):
+        """Waits until the client's bytes have arrived."""
         self.sock.recv(1, socket.MSG_PEEK)
 
 
-# ---- the listener's look at a client, and what its thread reads meanwhile
+# ---- the listener's idle check, while the client's thread reads
 
 
-class Ending:
-    """A moment that its owner sets to None between two looks at it."""
+class VanishingTime:
+    """A descriptor for a time that becomes None between two reads of it."""
 
     def __init__(self, first):
         self.values = [first]
@@ -175,22 +178,22 @@
         pass
 
 
-def test_half_a_command_that_becomes_whole_during_a_look_at_it_is_no_error(tmp_path, monkeypatch):
+def test_partial_command_completed_during_idle_check_is_no_error(tmp_path, monkeypatch):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        monkeypatch.setattr(type(ours), "partial_since", Ending(time.monotonic()), raising=False)
+        monkeypatch.setattr(type(ours), "partial_since", VanishingTime(time.monotonic()), raising=False)
         assert ours.is_idle() is False
         monkeypatch.undo()
         assert client.ask().read() == b"aa"
 
 
-# ---- bytes counted against the room for all
+# ---- bytes counted against the memory limit of all clients
 
 
 @pytest.mark.parametrize("behind", [False, True])
-def test_a_large_ping_gives_back_no_room_that_it_never_took(tmp_path, behind):
-    server = Held()
+def test_large_ping_releases_no_bytes_it_never_reserved(tmp_path, behind):
+    server = HeldInstance()
     with gateway(tmp_path, server.start()) as ran:
         client = ran.client()
         if behind:
@@ -200,7 +203,7 @@
         client.write(resp.command([b"PING", b"x" * 60_000]))
         if behind:
             until(lambda: len(ran.ours(client).pending_requests) == 2)
-            client.sock.close()  # it is not answered, but dropped with its connection
+            client.sock.close()  # the PING is dropped with its connection, not answered
         else:
             assert client.read() == b"PONG"
             client.sock.close()
@@ -208,20 +211,20 @@
         assert ran.gateway_server.large_command_bytes == 0
 
 
-def buys(client, id, size=60_000):
+def send_large_command(client, id, size=60_000):
     return client.write(resp.command([b"Q.DO", b"key", id, b"c=buy,t=acme,d=20000", b"x" * size]))
 
 
-@ENDS
+@HANGUPS
 @pytest.mark.parametrize("answered", [True, False])
-def test_each_large_command_gives_back_its_room_once_however_it_ends(tmp_path, end, answered):
-    server = Held()
+def test_large_command_releases_its_bytes_exactly_once(tmp_path, end, answered):
+    server = HeldInstance()
     with gateway(tmp_path, server.start()) as ran:
         client, other = ran.client(), ran.client()
-        buys(client, b"id1")
+        send_large_command(client, b"id1")
         until(lambda: server.got)
-        assert buys(other, b"id1").read().startswith(b"ERR no request: its id")
-        # less their buffers
+        assert send_large_command(other, b"id1").read().startswith(b"ERR no request: its id")
+        # Without the read buffers.
         one = ran.gateway_server.large_command_bytes - sum(
             theirs.counted_bytes for theirs in ran.gateway_server.clients
         )
@@ -238,38 +241,38 @@
 @pytest.mark.parametrize(
     "size, room, fits", [(60_000, 95_000, True), (60_000, 85_000, False), (6_000, 1, True)]
 )
-def test_a_large_command_is_rejected_where_there_is_no_room_and_never_cut_short_once_taken(
-    tmp_path, size, room, fits
-):
-    """While it is read, half of its buffer counts as well."""
+def test_large_command_is_rejected_without_room_and_never_cut_off(tmp_path, size, room, fits):
+    """Half of the read buffer counts as well while the command is read."""
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         client = ran.client()
         assert ran.gateway_server.reserve_bytes(others := ran.gateway_server.max_large_command_bytes - room)
-        paused = Paused(ran.ours(client))
-        buys(client, b"id1", size)
-        until(lambda: len(paused.sock.recv(1 << 17, socket.MSG_PEEK)) > size)  # so each read fills its buffer
+        paused = PausedSocket(ran.ours(client))
+        send_large_command(client, b"id1", size)
+        until(
+            lambda: len(paused.sock.recv(1 << 17, socket.MSG_PEEK)) > size
+        )  # so that each read fills the buffer
         paused.go.set()
         answer = client.read()
         assert answer == b"key" if fits else answer.startswith(b"BUSY") and not server.got
-        assert client.write(resp.command([b"PING"])).read() == b"PONG"  # its connection stays
+        assert client.write(resp.command([b"PING"])).read() == b"PONG"  # the connection stays open
         assert ran.gateway_server.large_command_bytes == others
 
 
-# ---- a client that goes, with its thread held and what it asked not yet sent on
+# ---- a client that hangs up while its thread is held and its requests are not forwarded yet
 
 
 @pytest.fixture
 def waiting(tmp_path):
-    """A gateway whose one instance drains, so that what it takes waits for its first attempt."""
+    """A gateway whose only instance drains, so that requests wait for their first attempt."""
     server = InstanceServer().start()
-    with gateway(tmp_path, server, entries=[entry("i0", server, "draining")], Lanes=SLOW) as ran:
+    with gateway(tmp_path, server, entries=[entry("i0", server, "draining")], Lanes=LONG_DEADLINES) as ran:
         ran.server = server
         yield ran
 
 
-def left_at_once(ran, asked):
-    """Whether all that its client asked is dropped soon after its end, and nothing of it is sent on then."""
+def dropped_at_once(ran, asked):
+    """Returns whether all requests of the client are dropped soon after its hangup and none is forwarded."""
     until(lambda: ran.count("left") == asked, 20)
     until(lambda: not ran.gateway_server.clients, 20)
     ran.tell(entry("i0", ran.server))
@@ -277,18 +280,18 @@
     return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
 
 
-@ENDS
-def test_the_end_of_a_client_is_seen_though_it_asked_more_than_is_read(waiting, end):
+@HANGUPS
+def test_hangup_is_seen_with_more_commands_than_are_read(waiting, end):
     client = waiting.client()
     for _ in range(clients.MAX_PENDING_REQUESTS + 9):
         client.ask(wait=400_000)
     until(lambda: waiting.count("taken") == clients.MAX_PENDING_REQUESTS)
     end(client)
-    assert left_at_once(waiting, clients.MAX_PENDING_REQUESTS)
+    assert dropped_at_once(waiting, clients.MAX_PENDING_REQUESTS)
 
 
-def test_the_end_of_a_client_is_looked_for_in_time_while_nothing_more_is_read(waiting):
-    """An attempt that begins over 0.1 s after the end is a break; half of that is for the way."""
+def test_hangup_is_checked_often_while_nothing_is_read(waiting):
+    """No attempt may begin more than 0.1 s after the hangup; half of that is for the network."""
     client, lengths = waiting.client(), []
     ours = waiting.ours(client)
     wait, ours.condition.wait = ours.condition.wait, lambda length: lengths.append(length) or wait(length)
@@ -298,43 +301,41 @@
     assert 0 < max(lengths) <= 0.05
 
 
-@ENDS
-def test_the_end_of_a_client_is_seen_while_it_is_made_to_wait_for_nonsense(waiting, end, monkeypatch):
+@HANGUPS
+def test_hangup_is_seen_during_penalty(waiting, end, monkeypatch):
     monkeypatch.setattr(clients, "PENALTY_SECONDS", 60)
     monkeypatch.setattr(clients, "MAX_PENALTY_SECONDS", 60)
     client = waiting.client().ask(wait=400_000).write(resp.command([b"NONSENSE"])).ask()
     until(lambda: waiting.count("bad requests"))
     end(client)
-    assert left_at_once(waiting, 1)
+    assert dropped_at_once(waiting, 1)
 
 
-@ENDS
-def test_the_end_of_a_client_is_seen_while_it_is_turned_away(waiting, end, monkeypatch):
+@HANGUPS
+def test_hangup_is_seen_while_malformed_input_is_rejected(waiting, end, monkeypatch):
     monkeypatch.setattr(clients, "ERROR_WAIT_SECONDS", 60)
     client = waiting.client().ask(wait=400_000).write(b"noise\r\n")
     until(lambda: waiting.count("taken") and not len(waiting.ours(client).reader.buffer))
     end(client)
-    assert left_at_once(waiting, 1)
+    assert dropped_at_once(waiting, 1)
 
 
-@ENDS
+@HANGUPS
 @pytest.mark.parametrize("where", ["start", "get_connection"])
-def test_what_waits_for_a_thread_or_a_connection_when_its_client_goes_is_not_sent(
-    tmp_path, monkeypatch, where, end
-):
-    real, met, go, server = getattr(Instances, where), threading.Event(), threading.Event(), Held()
+def test_attempt_waiting_at_hangup_is_not_sent(tmp_path, monkeypatch, where, end):
+    real, met, go, server = getattr(Instances, where), threading.Event(), threading.Event(), HeldInstance()
 
-    def held(instances, trip):
-        made = real(instances, trip) if where == "get_connection" else None  # the connection stands
+    def held(instances, in_flight):
+        made = real(instances, in_flight) if where == "get_connection" else None  # the connection is made
         met.set()
         assert go.wait(60)
-        return made if where == "get_connection" else real(instances, trip)
+        return made if where == "get_connection" else real(instances, in_flight)
 
     with gateway(tmp_path, server.start()) as ran:
         monkeypatch.setattr(Instances, where, held)
-        if where == "start":  # its client's own thread would hand it over
+        if where == "start":  # otherwise the client's own thread would wait
             monkeypatch.setattr(
-                Instances, "start", lambda *trip: ran.gateway_server.thread_pool.submit(held, *trip)
+                Instances, "start", lambda *in_flight: ran.gateway_server.thread_pool.submit(held, *in_flight)
             )
         client = ran.client().ask()
         assert met.wait(60)
@@ -345,28 +346,28 @@
         assert not server.got
 
 
-@ENDS
-def test_what_is_turned_away_after_its_client_went_is_not_sent_anew(tmp_path, end):
+@HANGUPS
+def test_attempt_rejected_after_hangup_is_not_repeated(tmp_path, end):
     gone = threading.Event()
     servers = [InstanceServer(lambda words: gone.wait(60) and b"-BUSY\r\n").start() for _ in range(2)]
-    with gateway(tmp_path, *servers, Lanes=SLOW) as ran:
+    with gateway(tmp_path, *servers, Lanes=LONG_DEADLINES) as ran:
         client = ran.client().ask()
         until(lambda: any(server.got for server in servers))
         end(client)
         until(lambda: ran.count("left") == 1)
         gone.set()
         until(lambda: ran.count(f"attempts {at.REJECTED}"))
-        with ran.dispatcher.lock:  # so all that was decided on it is
+        with ran.dispatcher.lock:  # so that all decisions on it are made
             assert sum(len(server.got) for server in servers) == 1 and ran.count("attempts") == 1
 
 
-GONE = ("clients gone unaccepted", "clients ended: client closed", "clients ended: reset")
+GONE_COUNTERS = ("clients gone unaccepted", "clients ended: client closed", "clients ended: reset")
 
 
-@ENDS
+@HANGUPS
 @pytest.mark.parametrize("where", ["accepted", "given a thread", "read"])
-def test_what_its_client_asked_and_left_before_it_was_read_is_not_sent(tmp_path, monkeypatch, where, end):
-    """It may wait for over 0.1 s to be accepted, for a thread, or to be read."""
+def test_request_abandoned_before_it_was_read_is_not_sent(tmp_path, monkeypatch, where, end):
+    """The wait to be accepted, for a thread, or to be read may take over 0.1 s."""
     server, met, go = InstanceServer().start(), threading.Event(), threading.Event()
     owner, name = {
         "accepted": (Server, "admit"),
@@ -386,17 +387,15 @@
         assert met.wait(60)
         end(client)
         go.set()
-        until(lambda: sum(map(ran.count, GONE)))
+        until(lambda: sum(map(ran.count, GONE_COUNTERS)))
         monkeypatch.undo()
         assert ran.client().ask(b"other").read() == b"other"
         assert [words[1] for words in server.got] == [b"other"] and ran.count("attempts") == 1
 
 
-@ENDS
-def test_clients_that_gave_up_before_they_were_let_in_take_neither_place_nor_thread(
-    tmp_path, monkeypatch, end
-):
-    """Else, once clients wait to be let in for longer than they stay, no work is left for those that stay."""
+@HANGUPS
+def test_clients_that_hung_up_before_accept_take_no_thread(tmp_path, monkeypatch, end):
+    """Otherwise, once clients wait for longer than their patience, all work is for clients that have gone."""
     admit, met, go, hired = Server.admit, threading.Event(), threading.Event(), []
 
     def held(*given):
@@ -421,8 +420,8 @@
 
 
 @pytest.mark.parametrize("reason", ["made room", "stopping"])
-def test_what_comes_before_we_end_its_connection_is_no_client_that_has_gone(tmp_path, monkeypatch, reason):
-    """Our own SHUT_RD, by another thread, looks like its client's end to a thread that reads a command."""
+def test_own_shutdown_is_not_taken_for_a_hangup(tmp_path, monkeypatch, reason):
+    """Our own SHUT_RD, by another thread, looks like a hangup to the thread that reads a command."""
     next_of, server = resp.Reader.next, InstanceServer().start()
 
     def ends(reader):
@@ -438,46 +437,46 @@
         assert client.ask().read() == b"aa" and client.read() is None and ours.reason == reason
 
 
-# ---- a connection that we end as its client writes
+# ---- a connection that the gateway ends while its client writes
 
 
-def asks_as_its_connection_ends(waiting):
-    """A client whose request comes as its connection is ended; our thread waits for the answer."""
+def client_sending_during_close(waiting):
+    """Returns a client whose request arrives as the gateway ends its connection; the thread waits for the
+    response."""
     client = waiting.client()
     ours = waiting.ours(client)
-    paused = Paused(ours)
+    paused = PausedSocket(ours)
     ours.close_when_idle("made room")
     client.ask(wait=400_000)
-    paused.come()
+    paused.wait_for_bytes()
     paused.go.set()
     until(lambda: waiting.count("taken") and ours.condition._waiters)
     return client
 
 
-def test_a_reset_shows_though_we_had_begun_to_end_the_connection_as_its_request_came(waiting):
-    reset(asks_as_its_connection_ends(waiting))
-    assert left_at_once(waiting, 1)
+def test_reset_is_seen_after_our_own_shutdown(waiting):
+    reset(client_sending_during_close(waiting))
+    assert dropped_at_once(waiting, 1)
 
 
-def test_the_end_in_order_shows_though_we_had_begun_to_end_the_connection_as_its_request_came(waiting):
-    """A client writes as we end its connection at rest, and goes. Past our own SHUT_RD poll tells of a reset
-    alone, so that what it asked was sent on for nobody, once for each such connection. The state of the
-    connection in TCP_INFO still tells of its end."""
-    asks_as_its_connection_ends(waiting).sock.close()
-    assert left_at_once(waiting, 1)
+def test_fin_is_seen_after_our_own_shutdown(waiting):
+    """After our own SHUT_RD, `poll` shows a reset but no FIN, so that a request was forwarded for a client
+    that had gone. The connection's state in TCP_INFO still shows the FIN."""
+    client_sending_during_close(waiting).sock.close()
+    assert dropped_at_once(waiting, 1)
 
 
-@ENDS
-def test_what_a_client_asked_and_left_as_we_ended_its_connection_is_not_sent(tmp_path, end):
-    """The same, where its end has come before what it asked is read."""
+@HANGUPS
+def test_request_abandoned_during_our_shutdown_is_not_sent(tmp_path, end):
+    """The hangup has arrived before the request is read."""
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        paused = Paused(ours)
+        paused = PausedSocket(ours)
         ours.close_when_idle("made room")
         client.ask(b"left")
-        paused.come()
+        paused.wait_for_bytes()
         end(client)
         paused.go.set()
         until(lambda: ours not in ran.gateway_server.clients)
@@ -486,29 +485,27 @@
 
 
 @pytest.mark.parametrize("reason", ["made room", "stopping"])
-def test_what_comes_after_we_ask_to_end_an_idle_connection_is_answered(tmp_path, reason):
+def test_request_during_idle_close_is_answered(tmp_path, reason):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        paused = Paused(ours)
+        paused = PausedSocket(ours)
         ours.close_when_idle(reason)
         client.ask().ask(b"bb")
-        paused.come()
+        paused.wait_for_bytes()
         paused.go.set()
         assert [client.read() for _ in range(3)] == [b"aa", b"bb", None] and ours.reason == reason
 
 
 @pytest.mark.parametrize("asked, reason", [(True, "rest"), (False, "silent")])
-def test_what_comes_just_as_its_connection_has_rested_for_long_is_answered(
-    tmp_path, monkeypatch, asked, reason
-):
+def test_request_at_idle_timeout_is_answered(tmp_path, monkeypatch, asked, reason):
     rests, written = clients.Client.end_if_idle, threading.Event()
 
     def decided(ours):
         ended = rests(ours)
         if (ended or ours.reason) and not written.is_set():
             client.ask(b"late")
-            ours.sock.recv(1, socket.MSG_PEEK)  # it has come
+            ours.sock.recv(1, socket.MSG_PEEK)  # the request has arrived
             written.set()
         return ended
 
@@ -523,7 +520,7 @@
         assert ran.count("new connections ended in vain") == 0
 
 
-def test_what_comes_after_the_last_look_at_it_is_never_begun_and_asked_anew(tmp_path, monkeypatch):
+def test_request_after_last_check_is_never_begun(tmp_path, monkeypatch):
     close, server = clients.Client.close, InstanceServer().start()
 
     def late(ours, reason):
@@ -544,16 +541,18 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_long_command_that_has_come_in_time_is_read_though_we_were_held_up(tmp_path, monkeypatch, whole):
+def test_long_command_received_in_time_is_read_after_a_delay(tmp_path, monkeypatch, whole):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        paused, body = Paused(ours), b"x" * 60_000
+        paused, body = PausedSocket(ours), b"x" * 60_000
         data = resp.command([b"Q.DO", b"long", b"id", b"c=buy,t=acme,d=20000", body])
         client.write(data if whole else data[:-1])
         until(lambda: len(ours.sock.recv(1 << 17, socket.MSG_PEEK)) >= len(data) - 1)
-        monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", -1)  # all that is not whole at once is late
+        monkeypatch.setattr(
+            clients, "MAX_COMMAND_SECONDS", -1
+        )  # any command that is not whole at once is late
         paused.go.set()
         if whole:
             assert client.read() == b"long" and server.got[0][4] == body
@@ -565,26 +564,27 @@
 
 
 @pytest.mark.parametrize("cut", [1, 9, len(COMMAND) - 1])
-def test_the_time_of_a_request_that_comes_in_pieces_counts_from_its_last(tmp_path, monkeypatch, cut):
+def test_wait_of_a_split_request_counts_from_its_last_part(tmp_path, monkeypatch, cut):
     ahead, server = [], InstanceServer().start()
     monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", 60)
     for module in (clients, dispatchers, instances):
         monkeypatch.setattr(module, "now", lambda: configs.now() + sum(ahead))
     with gateway(tmp_path, server) as ran:
         client = ran.client().write(COMMAND[:cut])
-        until(lambda: ran.ours(client).partial_since is not None)  # it is read
-        ahead.append(60_000_000_000)  # longer than its client waits
+        until(lambda: ran.ours(client).partial_since is not None)  # the part is read
+        ahead.append(60_000_000_000)  # longer than the client waits
         assert client.write(COMMAND[cut:]).read() == b"key"
         told = int(server.got[0][3].split(b"d=")[1])
         assert 10_000 < told <= 20_000
 
 
-# ---- answers that are written by several threads
+# ---- responses that several threads write
 
 
-class Trickling:
-    """A client's socket whose sends, in turn, take so many bytes, find no room (OSError), or wait until `go`
-    is set ("held"), with `met` set once one does; later ones take all."""
+class LimitedSends:
+    """The gateway's socket of a client with limited sends. Each of `takes` is for one send: a number of bytes
+    that it takes, OSError for a full buffer, or "held" for one that sets `met` and waits for `go`. Later
+    sends take everything."""
 
     def __init__(self, sock, *takes):
         self.sock, self.takes, self.met, self.go = sock, list(takes), threading.Event(), threading.Event()
@@ -604,11 +604,11 @@
 
 
 def held(ran, *asked):
-    """A client that asked, our side of it, and its socket, while a thread is in the midst of sending it the
-    answer, without the lock."""
+    """Returns a client, the gateway's side of it, and its socket, while a thread is sending the response
+    without holding the lock."""
     client = ran.client()
     ours = ran.ours(client)
-    ours.sock = slow = Trickling(ours.sock, 2, "held")
+    ours.sock = slow = LimitedSends(ours.sock, 2, "held")
     client.ask(*asked)
     assert slow.met.wait(60)
     return client, ours, slow
@@ -616,13 +616,13 @@
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)])
 @pytest.mark.parametrize("takes", [(), (1,), (OSError,), (5, 2, 1, 7)])
-def test_answers_go_out_whole_and_in_their_order_whoever_writes_them(tmp_path, order, takes):
+def test_responses_are_sent_whole_and_in_order(tmp_path, order, takes):
     held = {key: threading.Event() for key in (b"0", b"1", b"2")}
     server = InstanceServer(lambda words: held[words[1]].wait(60) and gives(words[1] * 9))
     with gateway(tmp_path, server.start()) as ran:
         client = ran.client()
         ours = ran.ours(client)
-        ours.sock = Trickling(ours.sock, *takes)
+        ours.sock = LimitedSends(ours.sock, *takes)
         for key in held:
             client.ask(key)
         for done, number in enumerate(order, 1):
@@ -632,7 +632,7 @@
         until(lambda: not (ours.writing or ours.unsent))
 
 
-def test_an_answer_that_comes_while_an_earlier_one_is_written_out_goes_behind_it(tmp_path):
+def test_response_queues_behind_one_being_sent(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, ours, slow = held(ran, b"first")
         client.ask(b"second")
@@ -641,7 +641,7 @@
         assert [client.read(), client.read()] == [b"first", b"second"]
 
 
-def test_a_connection_is_not_closed_under_the_thread_that_writes_to_it(tmp_path):
+def test_connection_stays_open_while_a_thread_writes(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, ours, slow = held(ran)
         client.sock.close()
@@ -652,44 +652,46 @@
         assert slow.sock.fileno() < 0 and not ours.writing
 
 
-def test_a_client_that_took_a_long_answer_slowly_rests_from_its_last_byte_on(tmp_path):
+def test_idle_time_starts_after_a_slowly_read_response(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, ours, slow = held(ran)
-        ours.since, resumed = time.monotonic() - 60, time.monotonic()  # it has taken a minute so far
+        ours.since, resumed = time.monotonic() - 60, time.monotonic()  # sending has taken a minute so far
         slow.go.set()
         assert client.read() == b"aa"
         until(lambda: not ours.writing)
         assert ours.since >= resumed
 
 
-# ---- one id, asked twice
+# ---- one id in two requests
 
 
 def ask_by(client, key, id=b"id1"):
     return client.write(resp.command([b"Q.ASK", key, id, b"c=look,t=acme,d=20000"]))
 
 
-def goes_on_with_nonsense(client):
+def send_garbage(client):
     client.write(b"nonsense\r\n")
 
 
-@pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), goes_on_with_nonsense])
-def test_the_id_of_an_open_request_lets_another_client_neither_get_nor_cancel_it(tmp_path, end):
-    server = Held()
-    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
+@pytest.mark.parametrize("end", [reset, lambda client: client.sock.close(), send_garbage])
+def test_duplicate_id_neither_gets_nor_cancels_the_open_request(tmp_path, end):
+    server = HeldInstance()
+    with gateway(tmp_path, server.start(), Lanes=LONG_DEADLINES) as ran:
         usual, bad = ask_by(ran.client(), b"mine"), ran.client()
         until(lambda: server.got)
         assert ask_by(bad, b"theirs").read().startswith(b"ERR no request: its id")
         end(bad)
         until(lambda: len(ran.gateway_server.clients) == 1)
         other = ran.client()
-        assert ask_by(other, b"theirs").read().startswith(b"ERR no request: its id")  # it is still open
+        assert (
+            ask_by(other, b"theirs").read().startswith(b"ERR no request: its id")
+        )  # the first request is still open
         server.go.set()
         assert usual.read() == b"mine" and ask_by(other, b"next").read() == b"next"
         assert [words[1] for words in server.got] == [b"mine", b"next"]
 
 
-def test_an_id_is_free_again_once_its_answer_is_decided_though_not_yet_written(tmp_path, monkeypatch):
+def test_id_is_free_once_its_response_is_decided(tmp_path, monkeypatch):
     flush, go, first, slow = clients.Client.flush, threading.Event(), [], threading.Event()
 
     def held(ours):
@@ -708,9 +710,9 @@
         assert client.read() == b"first"
 
 
-@ENDS
-def test_the_late_answer_of_a_client_that_went_is_not_given_to_the_next_with_its_id(tmp_path, end):
-    server = Held()
+@HANGUPS
+def test_late_response_is_not_given_to_next_request_with_same_id(tmp_path, end):
+    server = HeldInstance()
     with gateway(tmp_path, server.start()) as ran:
         client = ask_by(ran.client(), b"first")
         until(lambda: server.got)
@@ -723,11 +725,11 @@
         assert ask_by(other, b"third").read() == b"third"
 
 
-# ---- the bound on clients
+# ---- the limit on clients
 
 
-def test_a_client_counts_until_its_thread_has_nothing_left_to_do(tmp_path, monkeypatch):
-    """Else threads that only have to write their line pile up past the bound, as new clients come."""
+def test_client_counts_until_its_thread_is_done(tmp_path, monkeypatch):
+    """Otherwise threads that still have to write a log line pile up past the limit as new clients come."""
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, met, go = ran.client(), threading.Event(), threading.Event()
         ours = ran.ours(client)
@@ -738,33 +740,33 @@
         until(lambda: not ran.gateway_server.clients)
 
 
-# ---- an answer that is decided just as its connection ends
+# ---- a response that is decided just as its connection ends
 
 
-class Late:
-    """Has the dispatcher told of this only once `go` is set; `met` from when it was to be told on."""
+class DelayedEvent:
+    """Delays the dispatcher's event of this name until `go` is set. `met` is set once the event has come."""
 
     def __init__(self, monkeypatch, dispatcher, name):
-        self.met, self.go, self.tell, self.name = (
+        self.met, self.go, self.real_handle, self.name = (
             threading.Event(),
             threading.Event(),
             dispatcher.handle,
             name,
         )
-        monkeypatch.setattr(dispatcher, "handle", self.told)
+        monkeypatch.setattr(dispatcher, "handle", self.handle)
 
-    def told(self, happened, *values):
+    def handle(self, happened, *values):
         if happened.__name__ == self.name:
             self.met.set()
             assert self.go.wait(60)
-        self.tell(happened, *values)
+        self.real_handle(happened, *values)
 
 
-def test_an_answer_that_comes_as_its_connection_is_turned_away_is_the_only_one(tmp_path, monkeypatch):
+def test_response_during_rejection_is_the_only_one(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "ERROR_WAIT_SECONDS", 0)
-    server = Held()
-    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
-        late = Late(monkeypatch, ran.dispatcher, "abort_requests")
+    server = HeldInstance()
+    with gateway(tmp_path, server.start(), Lanes=LONG_DEADLINES) as ran:
+        late = DelayedEvent(monkeypatch, ran.dispatcher, "abort_requests")
         client = ran.client().ask(request_class="buy").write(b"noise\r\n")
         assert late.met.wait(60)
         server.go.set()
@@ -774,18 +776,18 @@
         assert (ran.count("taken"), ran.count("succeeded"), ran.count("aborted")) == (1, 1, 0)
 
 
-@ENDS
-def test_an_answer_that_comes_as_its_client_goes_is_counted_once_and_frees_its_id(tmp_path, monkeypatch, end):
-    server = Held()
-    with gateway(tmp_path, server.start(), Lanes=SLOW) as ran:
-        late = Late(monkeypatch, ran.dispatcher, "client_left")
+@HANGUPS
+def test_response_at_hangup_is_counted_once_and_frees_its_id(tmp_path, monkeypatch, end):
+    server = HeldInstance()
+    with gateway(tmp_path, server.start(), Lanes=LONG_DEADLINES) as ran:
+        late = DelayedEvent(monkeypatch, ran.dispatcher, "client_left")
         client = ask_by(ran.client(), b"first")
         until(lambda: server.got)
         end(client)
-        assert late.met.wait(60)  # its connection is closed, and the dispatcher does not know
+        assert late.met.wait(60)  # the connection is closed, but the dispatcher does not know yet
         server.go.set()
         until(lambda: ran.count("succeeded") == 1)
-        other = ask_by(ran.client(), b"second")  # with the same id
+        other = ask_by(ran.client(), b"second")  # it has the same id
         assert other.read() == b"second"
         late.go.set()
         until(lambda: len(ran.gateway_server.clients) == 1)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -1,8 +1,7 @@
-"""What can cross SIGTERM, the closing of the listener and the end of the process: each bad order is forced.
+"""Races with SIGTERM, the closing of the listener and the end of the process, each forced in its worst order.
 
-Where the order is one of threads inside the gateway, the process runs a few lines of Python of the test's
-before it becomes the gateway (`program`): they hold a thread at a named point until another has passed its
-own.
+For an order of threads within the gateway, the process first runs a few lines of Python from the test
+(`program`), which hold one thread at a certain point until another thread has passed its own.
 """
 
 import contextlib
@@ -17,7 +16,7 @@
 from types import SimpleNamespace
 
 import pytest
-from lemonlead.gateway import __main__ as gateways
+from lemonlead.gateway import __main__ as program
 from lemonlead.gateway import clients, resp
 from lemonlead.gateway.clients import MIN_IDLE_SECONDS_SUSPECT, Client, Server as GatewayServer
 from lemonlead.gateway.counters import Counters
@@ -30,7 +29,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 GATEWAY = 'import runpy\nrunpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)\n'
 
-# The thread of a client that has gone begins to log that once "stopped" has been written, and is still at it
+# The thread of an ended client begins to log its end once "stopped" has been written, and is still writing
 # when the process ends.
 LOGS_TO_THE_END = """
 import io, os, sys, threading, time
@@ -66,16 +65,18 @@
 """
 
 
-def test_the_process_ends_well_though_a_thread_writes_a_log_line_at_that_moment(tmp_path):
+def test_process_ends_cleanly_while_a_thread_writes_a_log_line(tmp_path):
     with gateway(tmp_path, InstanceServer().start(), program=LOGS_TO_THE_END + GATEWAY) as ran:
         assert ran.client().ask().read() == b"aa"
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
 
 
-def test_sigterm_before_anybody_is_let_in_ends_the_process_at_once(tmp_path):
+def test_sigterm_before_first_client_ends_process_at_once(tmp_path):
     silent = Server().start()
-    silent.serve = lambda sock: sock.recv(1) and sock.recv(1 << 16) and sock.recv(1)  # asked, it says nothing
+    silent.serve = (
+        lambda sock: sock.recv(1) and sock.recv(1 << 16) and sock.recv(1)
+    )  # it reads the call and sends nothing
     with gateway(tmp_path, settings={"Discovery": "push"}, source=silent, serves=False) as ran:
         until(lambda: silent.connections)
         ran.process.send_signal(signal.SIGTERM)
@@ -83,7 +84,7 @@
         assert "event=serving" not in ran.log() and counted(ran.log(), "stopped")["open"] == 0
 
 
-# The first connection is accepted, and not yet among the clients until the stop has looked at them twice.
+# The first connection is accepted, but is among the clients only after the stop has checked them twice.
 ADMITS_LATE = """
 import threading
 from lemonlead.gateway.clients import Server as GatewayServer
@@ -109,7 +110,7 @@
 """
 
 
-def test_a_connection_that_was_accepted_last_is_served_though_no_other_client_is_left(tmp_path):
+def test_connection_accepted_last_is_served_during_stop(tmp_path):
     with gateway(tmp_path, InstanceServer().start(), program=ADMITS_LATE + GATEWAY) as ran:
         client = ran.client().ask()
         ran.process.send_signal(signal.SIGTERM)
@@ -118,13 +119,13 @@
         assert counted(ran.log(), "stopped")["succeeded"] == 1
 
 
-# ---- what comes on connections that stay open
+# ---- requests on connections that stay open
 
-STOPS = {"Lanes": [{**request_class, "GiveUp": 1500.0} for request_class in SETTINGS["Lanes"]]}
+SHORT_DEADLINES = {"Lanes": [{**request_class, "GiveUp": 1500.0} for request_class in SETTINGS["Lanes"]]}
 
 
 def refused(port):
-    """Whether the listener is closed."""
+    """Returns whether the listener is closed."""
     try:
         socket.create_connection(("127.0.0.1", port), 60).close()
     except ConnectionRefusedError:
@@ -133,13 +134,13 @@
 
 
 def stopping(ran):
-    """SIGTERM; returns once the listener is closed."""
+    """Sends SIGTERM and waits until the listener is closed."""
     ran.process.send_signal(signal.SIGTERM)
     until(lambda: refused(ran.port))
 
 
-# A connection whose answer is out is looked at, whether it can be closed, only once the next request has
-# come.
+# After a response, the check whether the connection can be closed comes only once the next request has
+# arrived.
 NEXT_COMES_FIRST = """
 import select
 from lemonlead.gateway.clients import Client
@@ -156,11 +157,11 @@
 """
 
 
-def test_a_request_that_crosses_the_closing_of_its_connection_is_answered_before_sigkill(tmp_path):
+def test_request_during_close_is_answered_before_sigkill(tmp_path):
     hold = threading.Event()
     answers = {b"first": lambda: hold.wait(60) and gives(b"first"), b"next": lambda: time.sleep(60)}
     server = InstanceServer(lambda words: answers[words[1]]()).start()
-    with gateway(tmp_path, server, settings=STOPS, program=NEXT_COMES_FIRST + GATEWAY) as ran:
+    with gateway(tmp_path, server, settings=SHORT_DEADLINES, program=NEXT_COMES_FIRST + GATEWAY) as ran:
         client = ran.client().ask(b"first")
         until(lambda: server.got)
         stopping(ran)
@@ -170,8 +171,8 @@
         assert ran.process.wait(60) == 0 and counted(ran.log(), "stopped")["open"] == 0
 
 
-def test_a_client_that_always_has_a_second_request_out_gets_an_answer_to_each_that_was_read(tmp_path):
-    """The instance answers each request only once the next one has come."""
+def test_never_idle_client_gets_all_responses_at_stop(tmp_path):
+    """The instance answers each request only once the next one has arrived."""
     came, over = [threading.Event() for _ in range(50_000)], threading.Event()
 
     def react(words):
@@ -182,7 +183,7 @@
         return gives(words[1])
 
     answers = []
-    with gateway(tmp_path, InstanceServer(react).start(), settings=STOPS) as ran:
+    with gateway(tmp_path, InstanceServer(react).start(), settings=SHORT_DEADLINES) as ran:
         client = ran.client().ask(b"0")
 
         def go_on():
@@ -206,10 +207,10 @@
         assert len(answers) == said["taken"] == said["succeeded"] + said["rejected"]
 
 
-def test_what_comes_behind_nonsense_after_sigterm_is_read_at_once(tmp_path):
+def test_request_behind_invalid_commands_is_read_at_once_at_stop(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1])).start()
-    with gateway(tmp_path, server, settings=STOPS) as ran:
+    with gateway(tmp_path, server, settings=SHORT_DEADLINES) as ran:
         client = ran.client().ask(b"first")
         until(lambda: server.got)
         stopping(ran)
@@ -223,14 +224,14 @@
 @pytest.mark.parametrize(
     "asked, before, stays", [(False, 0.0, True), (False, MIN_IDLE_SECONDS_SUSPECT, False), (True, 0.0, False)]
 )
-def test_a_new_connection_is_given_a_moment_for_its_first_request(asked, before, stays):
+def test_new_connection_has_time_for_its_first_request_at_stop(asked, before, stays):
     ours, theirs = socket.socketpair()
     gateway_server = SimpleNamespace(clients=set(), condition=threading.Condition())
     client = Client(ours, gateway_server, False)
     client.has_sent_command, client.since = (
         asked,
         time.monotonic() + (-before if before else 60),
-    )  # no time runs out
+    )  # so that no time limit matters
     gateway_server.clients.add(client)
     assert GatewayServer.close_idle(gateway_server) and (client.reason is None) is stays
     for sock in (ours, theirs):
@@ -240,16 +241,15 @@
 @pytest.mark.parametrize(
     "longest, hurries, all_of_it, ends", [(2.5, 3.0, 3.0, 3.2), (20.0, 3.5, 20.5, 20.7), (0.0, 0.5, 0.5, 0.7)]
 )
-def test_when_what_came_late_is_answered_and_when_the_process_ends(
-    monkeypatch, longest, hurries, all_of_it, ends
-):
-    """Seconds after SIGTERM, with a client that does not read its answers and so is left until the end.
-    SIGKILL comes no sooner than at 0.7 and the longest stop, counted as 3 where it is longer."""
+def test_times_of_late_responses_and_process_end(monkeypatch, longest, hurries, all_of_it, ends):
+    """Times are seconds after SIGTERM, with a client that does not read its responses and so stays until the
+    end. SIGKILL comes 0.7 s plus the longest deadline, counted as at most 3 s, after SIGTERM at the
+    earliest."""
     clock, seen = SimpleNamespace(at=0.0), []
     clock.monotonic = lambda: clock.at
     clock.sleep = lambda seconds: setattr(clock, "at", clock.at + seconds)
-    monkeypatch.setattr(gateways, "time", clock)
-    monkeypatch.setattr(gateways.configs, "now", lambda: clock.at * 1e9)
+    monkeypatch.setattr(program, "time", clock)
+    monkeypatch.setattr(program.configs, "now", lambda: clock.at * 1e9)
     gateway_server = SimpleNamespace(
         config=SimpleNamespace(
             start=SimpleNamespace(request_classes=[SimpleNamespace(deadline=longest * 1e9)])
@@ -260,20 +260,20 @@
         finish_late_requests=lambda since: seen.append((clock.at, since / 1e9)),
     )
     dispatcher = SimpleNamespace(lock=threading.Lock(), pending_requests={}, counters=Counters())
-    assert gateways.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
+    assert program.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
     moments = [at for at, _ in seen]
-    assert moments[0] == pytest.approx(hurries, abs=2 * gateways.POLL_SECONDS)
+    assert moments[0] == pytest.approx(hurries, abs=2 * program.POLL_SECONDS)
     assert min(at for at, since in seen if since == 0) == pytest.approx(
-        all_of_it, abs=2 * gateways.POLL_SECONDS
+        all_of_it, abs=2 * program.POLL_SECONDS
     )
-    assert {since for _, since in seen} - {0} == ({gateways.LINGER_SECONDS} if all_of_it > hurries else set())
-    assert clock.at == pytest.approx(ends, abs=2 * gateways.POLL_SECONDS)
-    assert moments[0] + gateways.LAST_RESPONSES_SECONDS <= 0.7 + min(longest, 3.0) + gateways.POLL_SECONDS
+    assert {since for _, since in seen} - {0} == ({program.LINGER_SECONDS} if all_of_it > hurries else set())
+    assert clock.at == pytest.approx(ends, abs=2 * program.POLL_SECONDS)
+    assert moments[0] + program.LAST_RESPONSES_SECONDS <= 0.7 + min(longest, 3.0) + program.POLL_SECONDS
 
 
 # ---- SIGHUP
 
-READS_FOR_GOOD = """
+READS_FOREVER = """
 import threading
 from lemonlead.gateway import config
 
@@ -285,8 +285,8 @@
 """
 
 
-def test_sigterm_is_heeded_while_a_configuration_is_read(tmp_path):
-    with gateway(tmp_path, InstanceServer().start(), program=READS_FOR_GOOD + GATEWAY) as ran:
+def test_sigterm_works_while_config_is_read(tmp_path):
+    with gateway(tmp_path, InstanceServer().start(), program=READS_FOREVER + GATEWAY) as ran:
         ran.process.send_signal(signal.SIGHUP)
         until(lambda: "reads the configuration" in ran.log())
         assert ran.client().ask().read() == b"aa"
@@ -294,10 +294,10 @@
         assert ran.process.wait(20) == 0
 
 
-# ---- one process after another under the same address
+# ---- consecutive processes with the same address
 
 
-def test_a_gateway_waits_for_its_address_while_another_process_listens_there(tmp_path):
+def test_gateway_waits_while_another_process_has_its_address(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as other:
         where = f"127.0.0.1:{other.getsockname()[1]}"
         with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
@@ -308,7 +308,7 @@
             assert ran.client().ask().read() == b"aa"
 
 
-def test_sigterm_ends_a_gateway_that_waits_for_its_address(tmp_path):
+def test_sigterm_ends_the_wait_for_the_address(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as other:
         where = f"127.0.0.1:{other.getsockname()[1]}"
         with gateway(tmp_path, InstanceServer().start(), listen=where, serves=False) as ran:
@@ -318,22 +318,22 @@
 
 
 @pytest.mark.parametrize("taken, waits", [(True, True), (False, False)])
-def test_an_address_that_is_not_to_be_had_ends_the_start(monkeypatch, taken, waits):
+def test_unusable_address_ends_the_start(monkeypatch, taken, waits):
     clock, slept = SimpleNamespace(at=0.0), []
     clock.monotonic = lambda: clock.at
     clock.sleep = lambda seconds: slept.append(seconds) or setattr(clock, "at", clock.at + seconds)
-    monkeypatch.setattr(gateways, "time", clock)
+    monkeypatch.setattr(program, "time", clock)
     with socket.create_server(("127.0.0.1", 0)) as other:
-        listen = other.getsockname() if taken else ("192.0.2.1", 9)  # one that no machine has
+        listen = other.getsockname() if taken else ("192.0.2.1", 9)  # an address that no machine has
         config = SimpleNamespace(connections=8, memory=16000, listen=listen)
         gateway_server = GatewayServer(config, None, None, None, Counters())
         with pytest.raises(OSError):
-            gateways.open_server(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
+            program.open_server(gateway_server, SimpleNamespace(info=lambda *_, **__: None))
         gateway_server.listener.close()
-    assert (sum(slept) >= gateways.ADDRESS_WAIT_SECONDS) is waits and bool(slept) is waits
+    assert (sum(slept) >= program.ADDRESS_WAIT_SECONDS) is waits and bool(slept) is waits
 
 
-def test_the_next_process_serves_while_the_one_before_it_ends(tmp_path):
+def test_next_process_serves_while_the_earlier_one_ends(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: (words[1] != b"held" or hold.wait(60)) and gives(words[1])).start()
     folders = [tmp_path / name for name in ("old", "new")]
@@ -351,7 +351,7 @@
             assert old.process.wait(60) == 0
 
 
-def test_a_killed_process_is_followed_at_once_though_clients_hold_its_connections(tmp_path):
+def test_address_is_free_at_once_after_process_is_killed(tmp_path):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as old:
         client = old.client()
@@ -364,7 +364,7 @@
             assert client.read() is None
 
 
-# ---- the listener out of descriptors or threads
+# ---- no descriptors or threads left for the listener
 
 NO_DESCRIPTORS = """
 import os, resource, threading
@@ -391,11 +391,11 @@
 """
 
 
-def test_a_connection_that_no_descriptor_is_left_for_waits_and_is_served(tmp_path):
+def test_connection_waits_for_a_descriptor_and_is_served(tmp_path):
     with gateway(tmp_path, InstanceServer().start(), program=NO_DESCRIPTORS + GATEWAY) as ran:
         client = ran.client().ask()
         until(lambda: 'event="accept failed"' in ran.log())
-        ran.counters()  # frees them
+        ran.counters()  # frees the descriptors
         assert client.read() == b"aa"
 
 
@@ -412,7 +412,7 @@
 
 
 @pytest.mark.parametrize("times, served", [(3, True), (1000, False)])
-def test_a_client_that_no_thread_is_to_be_had_for_is_served_once_one_is(monkeypatch, times, served):
+def test_client_is_served_once_a_thread_is_available(monkeypatch, times, served):
     monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", 0.9 if served else 0.0)
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
     thread_pool, told = thread_pool_that_fails(times), []
@@ -432,7 +432,7 @@
     assert gateway_server.closed.is_set()
 
 
-def test_nothing_is_left_of_clients_that_came_and_went():
+def test_ended_clients_leave_no_threads_or_bytes():
     config = SimpleNamespace(connections=64, memory=16000, listen=("127.0.0.1", 0))
     dispatcher, counters = SimpleNamespace(handle=None), Counters()
     gateway_server = GatewayServer(
@@ -457,9 +457,9 @@
     assert gateway_server.closed.is_set() and gateway_server.large_command_bytes == 0
 
 
-# ---- signals before the gateway waits for them
+# ---- signals before the gateway handles them
 
-NOT_YET = """
+NOT_STARTED = """
 import os, time
 print("starts", flush=True)
 while not os.path.exists(os.environ["ROUTER_CONFIG"] + ".go"):
@@ -467,8 +467,8 @@
 """
 
 
-def test_a_gateway_that_is_only_just_starting_outlives_sighup_and_then_heeds_it(tmp_path, monkeypatch):
-    """By the line of the deploy file, with a program that has not yet come to the gateway."""
+def test_sighup_during_start_is_ignored_and_later_works(tmp_path, monkeypatch):
+    """Uses the run line of the deploy file, with a program that has not reached the gateway's code yet."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     line, popen = run.replace(".venv/bin/python -m lemonlead.gateway", '"$0" -c "$1"'), subprocess.Popen
 
@@ -476,7 +476,7 @@
         return popen(["sh", "-c", line, words[0], words[2]], **more)
 
     monkeypatch.setattr(fleet.subprocess, "Popen", by_the_line)
-    with gateway(tmp_path, InstanceServer().start(), program=NOT_YET + GATEWAY, serves=False) as ran:
+    with gateway(tmp_path, InstanceServer().start(), program=NOT_STARTED + GATEWAY, serves=False) as ran:
         until(lambda: "starts" in ran.log())
         for early in (signal.SIGHUP, signal.SIGUSR1):
             ran.process.send_signal(early)
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -1,4 +1,4 @@
-"""The gateway's drivers, one call at a time, without a network but for a socket pair."""
+"""Unit tests of the gateway's drivers, with socket pairs instead of a network."""
 
 import heapq
 import json
@@ -28,7 +28,7 @@
 WORDS = [b"Q.DO", b"key", b"id", b"c=buy,d=900,t=acme", b"BODY"]
 
 
-class Quiet:
+class SilentLog:
     def info(self, *_, **more):
         pass
 
@@ -37,8 +37,8 @@
 
 def dispatcher():
     config = SimpleNamespace(start=start_from_settings(SETTINGS, 7, now()), connections=8)
-    made = Dispatcher(config.start, Quiet(), Counters())
-    made.instances = Instances(config, made, ThreadPool(), Quiet(), made.counters)
+    made = Dispatcher(config.start, SilentLog(), Counters())
+    made.instances = Instances(config, made, ThreadPool(), SilentLog(), made.counters)
     made.discovery = SimpleNamespace(request_list=lambda: None)
     made.balancer.list_received(now(), [at.Instance("i0", 0, 0, 1, 0, at.READY, 1.0, 0)], True, True)
     made.balancer.stage_reported(now(), 1, 0, at.RELEASED, 1.0, 0)
@@ -46,8 +46,8 @@
     return made
 
 
-def trip(made, left=5000 * MS):
-    """An attempt under way on one end of a socket pair; the other end is the instance."""
+def make_in_flight(made, left=5000 * MS):
+    """Returns an attempt in flight on one end of a socket pair, and the other end, which is the instance."""
     ours, theirs = socket.socketpair()
     pool = Pool(("127.0.0.1", 1), 0)
     connection = Connection(pool)
@@ -58,15 +58,15 @@
     asked.attempts.append(attempt)
     made.pending_requests[asked] = SimpleNamespace(client=SimpleNamespace(flush=lambda: None))
     made.balancer.instances["i0"].out[attempt] = None
-    under_way = made.instances.attempts_in_flight[attempt] = AttemptInFlight(
+    in_flight = made.instances.attempts_in_flight[attempt] = AttemptInFlight(
         attempt, pool, WORDS, now() + left
     )
     pool.unused.append(connection)
     made.instances.open += 1
-    return under_way, theirs
+    return in_flight, theirs
 
 
-def test_an_input_and_its_decisions_share_one_moment():
+def test_event_and_its_decisions_share_one_timestamp():
     made = dispatcher()
     seen = []
     made.instances = SimpleNamespace(
@@ -75,10 +75,10 @@
     asked = request(now=0)
     asked.deadline = now() + 5000 * MS
     made.handle(made.request_arrived, SimpleNamespace(words=WORDS), asked)
-    assert seen == [asked.work]  # the module knows a new request by its moment, and counts its work once
+    assert seen == [asked.work]  # a new request is recognized by its timestamp; its work counts once
 
 
-def test_a_fault_of_the_balancer_does_not_end_the_thread_that_met_it():
+def test_exception_in_balancer_does_not_end_the_calling_thread():
     made = dispatcher()
     made.handle(lambda moment: 1 // 0)
     assert made.counters.read()["faults"] == 1
@@ -88,12 +88,12 @@
 
 
 @pytest.mark.parametrize(
-    "answer, end, kept",
+    "answer, end, reused",
     [
         (GOOD, at.SUCCEEDED, True),
         (b"-ERR failed\r\n", at.ERRED, True),
         (b"-BUSY\r\n", at.REJECTED, True),
-        (GOOD[:-5] + b"$3\r\n=,=\r\n", at.SUCCEEDED, True),  # a report that cannot be read
+        (GOOD[:-5] + b"$3\r\n=,=\r\n", at.SUCCEEDED, True),  # a load report that cannot be parsed
         (GOOD + GOOD, at.SUCCEEDED, False),
         (GOOD + b"\xf6", at.SUCCEEDED, False),
         (b"-BUSY\r\n$5", at.REJECTED, False),
@@ -112,43 +112,43 @@
         (b"", at.RESET, False),
     ],
 )
-def test_how_an_attempt_ends_by_what_comes_back_and_whether_its_connection_is_used_again(answer, end, kept):
+def test_attempt_end_and_connection_reuse_by_response(answer, end, reused):
     made = dispatcher()
-    under_way, theirs = trip(made)
-    under_way.pool.unused[0].is_quiet = lambda: True  # the answer is there before the command
+    in_flight, theirs = make_in_flight(made)
+    in_flight.pool.unused[0].is_quiet = lambda: True  # the response arrives before the command is sent
     theirs.sendall(answer)
     if end == at.RESET:
         theirs.shutdown(socket.SHUT_WR)
     told = []
     made.attempt_ended = lambda moment, attempt, how, value: told.append(how)
-    made.instances.run(under_way)
-    assert told == [end] and under_way.written and bool(under_way.pool.unused) is kept
+    made.instances.run(in_flight)
+    assert told == [end] and in_flight.written and bool(in_flight.pool.unused) is reused
 
 
-def test_an_attempt_that_nobody_answers_times_out():
+def test_unanswered_attempt_times_out():
     made = dispatcher()
-    under_way, theirs = trip(made, left=30 * MS)
-    assert made.instances.execute(under_way)[0] == at.TIMED_OUT
+    in_flight, theirs = make_in_flight(made, left=30 * MS)
+    assert made.instances.execute(in_flight)[0] == at.TIMED_OUT
     theirs.close()
 
 
-def test_a_connection_that_breaks_before_the_last_byte_shows_that_nothing_ran():
+def test_break_before_last_byte_ends_attempt_as_unconnected():
     made = dispatcher()
-    under_way, theirs = trip(made)
+    in_flight, theirs = make_in_flight(made)
 
     def breaks(data, until):
         raise BrokenPipeError
 
-    under_way.pool.unused[0].write = breaks
-    assert made.instances.execute(under_way)[0] == at.UNCONNECTED and not under_way.written
+    in_flight.pool.unused[0].write = breaks
+    assert made.instances.execute(in_flight)[0] == at.UNCONNECTED and not in_flight.written
     theirs.close()
 
 
 @pytest.mark.parametrize("spoil", ["over", "drained", "late", "cancelled"])
-def test_what_may_no_longer_begin_is_not_sent(spoil):
+def test_attempt_that_may_not_begin_is_not_sent(spoil):
     made = dispatcher()
-    under_way, theirs = trip(made)
-    asked = under_way.attempt.request
+    in_flight, theirs = make_in_flight(made)
+    asked = in_flight.attempt.request
     if spoil == "over":
         del made.pending_requests[asked]
     elif spoil == "drained":
@@ -156,18 +156,18 @@
     elif spoil == "late":
         asked.deadline = now()
     else:
-        made.instances.cancel(under_way.attempt)
-    assert made.instances.execute(under_way)[0] == at.NOT_SENT
+        made.instances.cancel(in_flight.attempt)
+    assert made.instances.execute(in_flight)[0] == at.NOT_SENT
     theirs.setblocking(False)
     with pytest.raises(BlockingIOError):
         theirs.recv(1)
 
 
 @pytest.mark.parametrize("spoil", ["closed", "an answer that nobody awaits", "unused for too long"])
-def test_an_unused_connection_that_is_spoilt_is_replaced_before_anything_is_written(monkeypatch, spoil):
+def test_bad_unused_connection_is_replaced_before_writing(monkeypatch, spoil):
     made = dispatcher()
-    under_way, theirs = trip(made)
-    old = under_way.pool.unused[0]
+    in_flight, theirs = make_in_flight(made)
+    old = in_flight.pool.unused[0]
     old.idle_since = now()
     if spoil == "closed":
         theirs.close()
@@ -178,25 +178,25 @@
     ours, other = socket.socketpair()
     other.sendall(GOOD)
     monkeypatch.setattr(Connection, "connect", lambda self, until: setattr(self, "sock", ours))
-    assert made.instances.execute(under_way) == (at.SUCCEEDED, b"v") and other.recv(4096)
-    assert under_way.connection is not old and old.sock.fileno() < 0 and made.instances.open == 1
+    assert made.instances.execute(in_flight) == (at.SUCCEEDED, b"v") and other.recv(4096)
+    assert in_flight.connection is not old and old.sock.fileno() < 0 and made.instances.open == 1
 
 
-def test_after_a_failure_connections_unused_since_before_are_closed():
+def test_failure_closes_connections_unused_since_before_it():
     made = dispatcher()
-    under_way, theirs = trip(made)
-    pool = under_way.pool
-    under_way.connection = pool.unused.pop()
+    in_flight, theirs = make_in_flight(made)
+    pool = in_flight.pool
+    in_flight.connection = pool.unused.pop()
     stale, fresh = Connection(pool), Connection(pool)
-    stale.idle_since, fresh.idle_since = under_way.attempt.sent_at - 1, under_way.attempt.sent_at + 1
+    stale.idle_since, fresh.idle_since = in_flight.attempt.sent_at - 1, in_flight.attempt.sent_at + 1
     pool.unused.extend([stale, fresh])
     made.instances.open = 3
-    made.instances.finish(under_way, at.TIMED_OUT, None)
+    made.instances.finish(in_flight, at.TIMED_OUT, None)
     assert list(pool.unused) == [fresh] and stale.sock.fileno() < 0 and made.instances.open == 1
     theirs.close()
 
 
-def test_at_the_bound_the_connection_longest_unused_makes_room():
+def test_at_limit_longest_unused_connection_is_closed():
     made = dispatcher()
     pools = [Pool(("127.0.0.1", n), 0) for n in (1, 2)]
     made.instances.used_pools = set(pools)
@@ -209,32 +209,32 @@
     assert not made.instances.make_room() and made.instances.open == made.instances.max_connections
 
 
-def test_cancelling_wakes_the_attempt_and_its_late_answer_is_never_read():
+def test_cancel_ends_attempt_and_late_response_is_not_read():
     made = dispatcher()
-    under_way, theirs = trip(made)
+    in_flight, theirs = make_in_flight(made)
     ended = []
     made.attempt_ended = lambda moment, attempt, end, value: ended.append(end)
-    thread = threading.Thread(target=made.instances.run, args=(under_way,), daemon=True)
+    thread = threading.Thread(target=made.instances.run, args=(in_flight,), daemon=True)
     thread.start()
-    until(lambda: under_way.written)
-    made.instances.cancel(under_way.attempt)
+    until(lambda: in_flight.written)
+    made.instances.cancel(in_flight.attempt)
     thread.join(60)
     assert theirs.recv(4096) and ended == [at.CANCELLED]
-    assert not under_way.pool.unused and under_way.connection.sock.fileno() < 0
+    assert not in_flight.pool.unused and in_flight.connection.sock.fileno() < 0
 
 
-def test_all_but_the_wait_is_passed_on_unchanged():
+def test_only_the_wait_changes_in_a_forwarded_command():
     assert forwarded_words(WORDS, 5) == [b"Q.DO", b"key", b"id", b"c=buy,d=5,t=acme", b"BODY"]
 
 
-def test_a_thread_pool_does_all_at_once_and_keeps_no_more_threads_than_its_work_takes():
+def test_thread_pool_runs_all_tasks_at_once_and_drops_idle_threads():
     thread_pool, gate, done = ThreadPool(), threading.Barrier(5), []
     for _ in range(4):
         thread_pool.submit(gate.wait)
-    gate.wait(60)  # none waited for another
+    gate.wait(60)  # no task waited for another
     until(lambda: len(thread_pool.idle_workers) == 4)
 
-    def one_is_left():  # though work goes on coming, one piece at a time
+    def one_is_left():  # while single tasks keep arriving
         thread_pool.submit(lambda: done.append(threading.get_ident()))
         until(lambda: thread_pool.idle_workers)
         return len(thread_pool.idle_workers) == 1
@@ -244,9 +244,9 @@
 
 
 @pytest.mark.parametrize("size, fits", [(1000, True), (1001, False)])
-def test_large_commands_of_all_clients_share_one_bound(size, fits):
+def test_large_commands_of_all_clients_share_one_limit(size, fits):
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    server = Server(config, None, None, Quiet(), Counters())
+    server = Server(config, None, None, SilentLog(), Counters())
     assert (
         server.reserve_bytes(1000)
         and server.reserve_bytes(size) is fits
@@ -266,9 +266,9 @@
         (False, 1, 1.0, "silent"),
     ],
 )
-def test_an_unused_connection_ends_the_sooner_the_more_there_are(asked, others, rested, ends):
+def test_idle_timeout_is_shorter_with_many_connections(asked, others, rested, ends):
     config = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
-    server, (ours, theirs) = Server(config, None, None, Quiet(), Counters()), socket.socketpair()
+    server, (ours, theirs) = Server(config, None, None, SilentLog(), Counters()), socket.socketpair()
     client, server.clients = Client(ours, server, False), set(range(others))
     client.has_sent_command, client.since = asked, time.monotonic() - rested
     client.end_if_idle()
@@ -278,13 +278,13 @@
 
 
 @pytest.mark.parametrize("asked, faults, gone", [(True, 0, 0), (False, 0, 1), (True, 1, 1)])
-def test_those_that_never_asked_or_ask_nonsense_make_room_first(asked, faults, gone):
+def test_suspect_clients_are_closed_first(asked, faults, gone):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    server, left = Server(config, None, None, Quiet(), Counters()), []
+    server, left = Server(config, None, None, SilentLog(), Counters()), []
     pairs = [socket.socketpair() for _ in range(2)]
     clients = [Client(ours, server, False) for ours, _ in pairs]
     for number, client in enumerate(clients):
-        client.has_sent_command, client.since = True, number  # both rested for long, the first for longer
+        client.has_sent_command, client.since = True, number  # both are idle for long, the first for longer
         client.close_when_idle = lambda reason, number=number: left.append(number)
     clients[1].has_sent_command, clients[1].faults = asked, faults
     server.clients = set(clients)
@@ -319,12 +319,12 @@
     ],
     ids=range(22),
 )
-def test_a_list_that_cannot_be_read_in_full_changes_nothing(text):
+def test_invalid_list_changes_nothing(text):
     made = dispatcher()
     config = SimpleNamespace(
         start=start_from_settings(SETTINGS, 7, now()), discovery=None, zones={}, kinds={}
     )
-    made.discovery = discovery = Discovery(config, made, Quiet(), made.counters)
+    made.discovery = discovery = Discovery(config, made, SilentLog(), made.counters)
     with pytest.raises(Malformed):
         discovery.process_update(text.encode(), None)
     assert list(made.balancer.instances) == ["i0"] and not made.instances.pools and discovery.version == -1
@@ -333,14 +333,14 @@
 
 
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
-def test_past_the_bound_only_clients_that_wait_for_answers_count(waiting, crowded):
+def test_only_clients_with_open_requests_count_past_the_limit(waiting, crowded):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
     told, dispatcher = (
         [],
         SimpleNamespace(request_turned_away="away", request_arrived="arrived", DUPLICATE_ID_ERROR=b"-"),
     )
     dispatcher.handle = lambda happened, *_: told.append(happened)
-    server = Server(config, dispatcher, None, Quiet(), Counters())
+    server = Server(config, dispatcher, None, SilentLog(), Counters())
     server.parse_request = lambda *_: request()
     pairs = [socket.socketpair() for _ in range(4)]
     client, *others = clients = [Client(ours, server, True) for ours, _ in pairs]
@@ -352,9 +352,9 @@
     server.listener.close()
 
 
-def test_what_waits_to_be_accepted_is_still_taken_when_the_door_closes():
+def test_waiting_connections_are_accepted_before_listener_closes():
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    server, taken = Server(config, None, None, Quiet(), Counters()), []
+    server, taken = Server(config, None, None, SilentLog(), Counters()), []
     server.admit, server.closing = taken.append, True
     server.open()
     waiting = [socket.create_connection(server.listener.getsockname()) for _ in range(5)]
@@ -365,37 +365,39 @@
 
 
 @pytest.mark.parametrize("crowded, longest", [(False, 1.0), (True, 16.0)])
-def test_who_finds_too_many_callers_comes_ever_less_often_until_it_gets_through(crowded, longest):
-    kept, waited = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0), []
-    kept.condition.wait_for = lambda moving, seconds: waited.append(seconds)
+def test_pause_grows_while_the_server_has_too_many_callers(crowded, longest):
+    connection, waited = managed_connection.ManagedConnection(("127.0.0.1", 1), 7, 0.05, 1.0), []
+    connection.condition.wait_for = lambda moving, seconds: waited.append(seconds)
     for _ in range(12):
-        kept.pause_before_retry(crowded)
+        connection.pause_before_retry(crowded)
     assert longest / 2 <= waited[-1] <= longest and max(waited) <= longest
     assert not crowded or waited[0] >= 1.0
-    kept.reset_pause()
-    kept.pause_before_retry()
+    connection.reset_pause()
+    connection.pause_before_retry()
     assert waited[-1] <= 0.05
 
 
 def served(calls, grows):
-    """How many callers that start together get through within a minute to a service that works calls off in
-    turn, also those given up meanwhile: 0.15 s a call, 2 s until one is given up."""
+    """Returns how many callers that start together are served within a minute by a server that takes calls
+    in order, including abandoned ones: 0.15 s a call; a caller gives up after 2 s."""
     chances, free, through, queue = random.Random(3), 0.0, 0, []
     for number in range(calls):
-        kept = managed_connection.ManagedConnection(("127.0.0.1", 1), number, 0.05, 1.0)
-        kept.condition.wait_for = lambda moving, seconds, kept=kept: setattr(kept, "waited", seconds)
-        queue.append((chances.random() * 0.1, number, kept))
+        connection = managed_connection.ManagedConnection(("127.0.0.1", 1), number, 0.05, 1.0)
+        connection.condition.wait_for = lambda moving, seconds, connection=connection: setattr(
+            connection, "waited", seconds
+        )
+        queue.append((chances.random() * 0.1, number, connection))
     heapq.heapify(queue)
     while queue and queue[0][0] < 60:
-        moment, number, kept = heapq.heappop(queue)
+        moment, number, connection = heapq.heappop(queue)
         free = max(free, moment) + 0.15
         if free - moment <= 2.0:
             through += 1
             continue
-        kept.pause_before_retry(grows)
-        heapq.heappush(queue, (moment + 2.0 + 0.6 + kept.waited, number, kept))
+        connection.pause_before_retry(grows)
+        heapq.heappush(queue, (moment + 2.0 + 0.6 + connection.waited, number, connection))
     return through
 
 
-def test_a_service_that_works_off_what_was_given_up_serves_a_crowd_that_backs_off():
+def test_server_with_a_stale_queue_serves_all_callers_that_back_off():
     assert served(40, grows=False) < 20 and served(40, grows=True) == 40
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,6 +1,6 @@
-"""Floods of clients: twice as many as there is room for, all at once, with what cannot be used. The others
-are served meanwhile, each of their requests that was begun is answered, and what the flood took comes
-back."""
+"""Floods: twice as many clients as there is room for, all at once, send unusable input. Other clients are
+served meanwhile, each of their requests that was begun is answered, and the flood leaves no threads,
+descriptors or connections behind."""
 
 import contextlib
 import pathlib
@@ -15,8 +15,8 @@
 from lemonlead.standins.instances import InstanceServer
 from lemonlead.standins.server import until
 
-SOCKETS, ROOM, EXTRA = 144, 60, 8  # descriptors told, and the clients that there is room for by them
-MEMORY = 64  # megabytes told
+SOCKETS, ROOM, EXTRA = 144, 60, 8  # the descriptor limit, and the clients and extra clients it allows
+MEMORY = 64  # the memory limit in megabytes
 
 DATA = {
     "nothing": b"",
@@ -34,8 +34,8 @@
 
 
 class Flood:
-    """Connections that write this at full speed and read what they are sent, up to an error or the end; then
-    they come again, until stopped. `due`: seconds from each one's start to that."""
+    """Clients that send data at full speed and read until an error response or the end, then reconnect, until
+    stopped. `due`: the seconds that each connection lasted."""
 
     def __init__(self, port, kinds, count):
         self.port, self.due, self.stopped = port, [], threading.Event()
@@ -71,9 +71,9 @@
         assert not any(thread.is_alive() for thread in self.threads)
 
 
-class Usual:
-    """One of the usual clients: requests one after the other, each key a new one. One whose connection ended
-    is asked again on a new one, under a new key."""
+class NormalClient:
+    """A normal client: it sends one request after the other, each with a new key. After its connection ends
+    it reconnects."""
 
     def __init__(self, port, name):
         self.port, self.name, self.answered, self.unanswered = port, name, set(), set()
@@ -96,26 +96,26 @@
                         (self.answered.add if answer == key else self.wrong.append)(answer)
 
 
-def held(ran):
-    """Threads, descriptors and megabytes of the gateway's process."""
+def process_usage(ran):
+    """Returns the threads, descriptors and megabytes of the gateway's process."""
     proc = pathlib.Path("/proc") / str(ran.process.pid)
     said = dict(line.split(":", 1) for line in (proc / "status").read_text().splitlines())
     return int(said["Threads"]), len(list((proc / "fd").iterdir())), int(said["VmRSS"].split()[0]) / 1024
 
 
 @pytest.mark.parametrize("kinds", [HOLD, [kind for kind in DATA if kind not in HOLD]], ids=["hold", "noise"])
-def test_in_a_flood_the_others_are_served_and_all_that_it_took_comes_back(tmp_path, kinds):
+def test_flood_delays_no_other_client_and_leaves_nothing_behind(tmp_path, kinds):
     server = InstanceServer().start()
     with gateway(tmp_path, server, limits={"sockets": SOCKETS, "memory_mb": MEMORY}) as ran:
         until(lambda: ran.platform.asked and ran.discovery.asked)
-        before, most = held(ran), (0, 0, 0)
+        before, most = process_usage(ran), (0, 0, 0)
         flood = Flood(ran.port, kinds, 2 * ROOM)
-        until(lambda: ran.counters().get("clients_accepted", 0) >= ROOM)  # it holds all places
-        usual = [Usual(ran.port, b"%d" % n) for n in range(4)]
+        until(lambda: ran.counters().get("clients_accepted", 0) >= ROOM)  # it holds all connections
+        usual = [NormalClient(ran.port, b"%d" % n) for n in range(4)]
 
         def enough():
             nonlocal most
-            most = tuple(map(max, most, held(ran)))
+            most = tuple(map(max, most, process_usage(ran)))
             return len(flood.due) >= 2 * ROOM and all(len(one.answered) >= 20 for one in usual)
 
         until(enough)
@@ -125,11 +125,13 @@
         flood.stop()
         threads, descriptors, megabytes = most
         assert threads <= before[0] + 2 * (ROOM + EXTRA) and descriptors <= SOCKETS and megabytes <= MEMORY
-        until(lambda: held(ran)[0] <= before[0])  # the threads are gone, and with them the connections
+        until(
+            lambda: process_usage(ran)[0] <= before[0]
+        )  # the threads have ended, and with them the connections
         said, begun = ran.counters(), {words[1] for words in server.got} - {b"bad"}
         ended = sum(count for name, count in said.items() if name.startswith("clients_ended_"))
         assert said["open"] == 0 and ended == said["clients_accepted"]
-        assert held(ran)[1] <= before[1] + said["connections_made"]
-        for one in usual:  # what found its connection at its end was not begun
+        assert process_usage(ran)[1] <= before[1] + said["connections_made"]
+        for one in usual:  # a request on an ended connection was not begun
             assert not one.wrong and not one.unanswered & begun
         assert begun == set().union(*(one.answered for one in usual))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,6 +1,6 @@
-"""The gateway, started as a program among stand-ins on loopback: what it takes, sends and answers.
+"""The gateway as a program, among stand-ins on loopback: what it accepts, forwards and answers.
 
-Everything waits on conditions; the one clock that matters is the deadline where a test is about it.
+The tests wait on conditions. Only tests about a deadline depend on the clock.
 """
 
 import contextlib
@@ -26,20 +26,20 @@
 @pytest.mark.parametrize(
     "request_class, body", [("look", ()), ("hold", (b"BODY",)), ("buy", (b"\0\r\n" * 9000,))]
 )
-def test_a_request_of_each_effect_succeeds_and_is_passed_on_unchanged(tmp_path, request_class, body):
+def test_request_of_each_effect_is_forwarded_unchanged(tmp_path, request_class, body):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         assert ran.client().write(resp.command([b"PING"])).read() == b"PONG"
         assert ran.client().ask(b"7f3a", request_class, body=body, h=5000, r=1).read() == b"7f3a"
         ((name, key, _, extras, *rest),) = server.got
-        said = dict(pair.split("=") for pair in extras.decode().split(","))
+        counts = dict(pair.split("=") for pair in extras.decode().split(","))
         assert (name, key, tuple(rest)) == (b"Q.ASK" if request_class == "look" else b"Q.DO", b"7f3a", body)
-        assert 0 < int(said.pop("d")) <= 20000
+        assert 0 < int(counts.pop("d")) <= 20000
         idempotency_key = {"k": "5c"} if request_class == "hold" else {}
-        assert said == {"c": request_class, "t": "acme", "h": "5000", "r": "1", **idempotency_key}
+        assert counts == {"c": request_class, "t": "acme", "h": "5000", "r": "1", **idempotency_key}
 
 
-def test_pipelined_commands_are_answered_in_their_order(tmp_path):
+def test_pipelined_commands_are_answered_in_order(tmp_path):
     later = threading.Event()
 
     def react(words):
@@ -54,7 +54,7 @@
         assert [client.read() for _ in range(4)] == [b"first", b"second", b"PONG", b"third"]
 
 
-def test_input_that_comes_byte_by_byte_is_read(tmp_path):
+def test_command_sent_byte_by_byte_is_read(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client()
         for byte in resp.command([b"Q.ASK", b"key", b"id", b"c=look,t=acme,d=20000"]):
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "data", [b"GET / HTTP/1.1\r\n", b"*1\r\n$99999\r\n", b"*1\r\n$4\r\nPINGxx", b"*1000\r\n"]
 )
-def test_malformed_input_gets_an_error_and_ends_that_connection_alone(tmp_path, data):
+def test_malformed_input_gets_error_and_ends_only_its_connection(tmp_path, data):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, other = ran.client(), ran.client()
         client.ask(b"before").write(data)
@@ -102,20 +102,20 @@
         "Q.ASK k " + "i" * 200 + " c=look,d=10",
     ],
 )
-def test_a_command_that_makes_no_sense_gets_an_error_and_the_connection_stays(shared, words):
+def test_invalid_command_gets_error_and_connection_stays(shared, words):
     client = shared.client().write(resp.command(words.encode().split()))
     assert isinstance(client.read(), resp.Fault)
     assert client.ask().read() == b"aa"
 
 
-def test_a_client_that_goes_on_with_nonsense_is_read_ever_more_slowly(shared):
+def test_repeated_invalid_commands_are_read_ever_more_slowly(shared):
     client = shared.client()
     began = time.monotonic()
     assert isinstance(client.write(resp.command([b"Q.ASK", b"k"]) * 5).read(), resp.Fault)
     assert all(isinstance(client.read(), resp.Fault) for _ in range(4)) and time.monotonic() - began >= 0.9
 
 
-def test_the_id_of_an_open_request_gets_an_error_and_the_open_one_its_own_answer(tmp_path):
+def test_duplicate_id_gets_error_and_open_request_its_response(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
     with gateway(tmp_path, server.start()) as ran:
@@ -128,7 +128,7 @@
         assert client.read() == b"mine" and other.ask().read() == b"aa"
 
 
-def test_what_cannot_be_read_is_turned_away_soon_though_a_request_before_it_waits(tmp_path):
+def test_malformed_input_is_rejected_soon_behind_a_waiting_request(tmp_path):
     hold = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: hold.wait(60) and None).start()) as ran:
         client = ran.client().ask(request_class="buy").write(b"noise\r\n")
@@ -148,7 +148,7 @@
         (b"*1\r\n$60000000\r\n" + b"x" * 9999, "malformed"),
     ],
 )
-def test_a_connection_that_holds_a_place_for_nothing_ends(tmp_path, data, reason):
+def test_idle_or_incomplete_connection_is_closed(tmp_path, data, reason):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client = ran.client().write(data)
         answers = list(iter(client.read, None))
@@ -167,19 +167,19 @@
     "answer, request_class, ending",
     [
         (b"-BUSY\r\n", "look", b"BUSY 62"),
-        (b"-BUSY\r\n", "buy", b"BUSY 62"),  # never ran
+        (b"-BUSY\r\n", "buy", b"BUSY 62"),  # it never ran
         (b"-ERR failed\r\n", "buy", b"ERR aborted"),
         (b"-ERR failed\r\n", "look", b"BUSY 62"),
         (None, "buy", b"ERR aborted"),
-        (None, "hold", b"BUSY 62"),  # reset after the last byte
+        (None, "hold", b"BUSY 62"),  # the connection is reset after the last byte
         (b"nonsense\r\n", "buy", b"ERR aborted"),
         (b"$-1\r\n", "buy", b"ERR aborted"),
         (b":5\r\n", "hold", b"BUSY 62"),
         (b"-ERR bad request\r\n", "look", b"ERR aborted"),
-        (b"*3\r\n$5\r\nab", "buy", b"ERR aborted"),  # broken amid the answer
+        (b"*3\r\n$5\r\nab", "buy", b"ERR aborted"),  # the connection breaks within the response
     ],
 )
-def test_what_a_lone_instance_does_decides_how_a_request_ends(tmp_path, answer, request_class, ending):
+def test_request_result_follows_the_only_instances_response(tmp_path, answer, request_class, ending):
     server = InstanceServer()
 
     def react(words):
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("heeds, ending", [(True, b"BUSY 62"), (False, b"BUSY")])
-def test_a_refused_connection_is_rejected_with_a_time_where_clients_heed_one(tmp_path, heeds, ending):
+def test_refused_connection_gives_retry_time_only_if_configured(tmp_path, heeds, ending):
     server = InstanceServer()
     server.close()
     with gateway(tmp_path, server, settings={"Limits": {**LIMITS, "RetryAfter": heeds}}) as ran:
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize(
     "request_class, ending", [("look", b"BUSY 62"), ("hold", b"BUSY 62"), ("buy", b"ERR aborted")]
 )
-def test_a_silent_instance_is_waited_for_until_the_deadline(tmp_path, request_class, ending):
+def test_silent_instance_is_waited_for_until_deadline(tmp_path, request_class, ending):
     asked = threading.Event()
     with gateway(tmp_path, InstanceServer(lambda words: asked.wait(60) and None).start()) as ran:
         began = time.monotonic()
@@ -215,11 +215,11 @@
         asked.set()
 
 
-def test_what_one_instance_lets_wait_is_asked_of_another(tmp_path):
+def test_request_to_a_silent_instance_is_sent_to_another(tmp_path):
     silent = threading.Event()
 
     def react(words):
-        if not silent.is_set():  # whichever is asked first
+        if not silent.is_set():  # the instance that gets the first attempt
             silent.set()
             threading.Event().wait(30)
         return gives(b"second")
@@ -228,24 +228,24 @@
         assert ran.client().ask().read() == b"second"
 
 
-def tells_change(ran, drained, other):
+def send_change(ran, drained, other):
     ran.discovery.tell(entry("i0", drained, "draining"), entry("i1", other))
 
 
-def tells_whole_list(ran, drained, other):
+def send_whole_list(ran, drained, other):
     ran.discovery.tell(entry("i1", other), full=True)
 
 
-def tells_after_sighup(ran, drained, other):
+def send_after_sighup(ran, drained, other):
     ran.elsewhere.tell(entry("i0", drained, "draining"), entry("i1", other), full=True, version=1)
     ran.reload(json.dumps({**ran.config, "discovery": ran.elsewhere.address}))
 
 
-@pytest.mark.parametrize("tells", [tells_change, tells_whole_list, tells_after_sighup])
-def test_a_drain_told_while_an_attempt_waits_for_its_connection_is_kept(tmp_path, tells):
+@pytest.mark.parametrize("send_update", [send_change, send_whole_list, send_after_sighup])
+def test_drain_during_connect_prevents_the_attempt(tmp_path, send_update):
     drained, other = InstanceServer(backlog=0), InstanceServer(lambda words: gives(b"other")).start()
     host, port = drained.address.split(":")
-    plugs = [socket.socket() for _ in range(8)]  # fill the queue of connections: further ones do not come up
+    plugs = [socket.socket() for _ in range(8)]  # fill the accept queue, so that no connect succeeds
     for plug in plugs:
         plug.setblocking(False)
         plug.connect_ex((host, int(port)))
@@ -253,18 +253,18 @@
         client = ran.client().ask(request_class="buy")
         until(lambda: ran.counters().get("connections_made") == 1)
         ran.elsewhere = DiscoveryServer().start()
-        tells(ran, drained, other)
+        send_update(ran, drained, other)
         until(lambda: ran.counters().get("lists_told", 0) >= 2)
         for plug in plugs:
             plug.close()
         drained.start()
         assert client.read() == b"other" and not drained.got
         ran.elsewhere.close()
-        said = ran.counters()
-        assert said.get("attempts_not_sent", 0) + said.get("attempts_unconnected", 0) == 1
+        counts = ran.counters()
+        assert counts.get("attempts_not_sent", 0) + counts.get("attempts_unconnected", 0) == 1
 
 
-def test_the_watch_goes_on_from_the_last_version_after_a_cut(tmp_path):
+def test_watch_resumes_from_last_version_after_disconnect(tmp_path):
     old = InstanceServer(lambda words: gives(b"old")).start()
     new = InstanceServer(lambda words: gives(b"new")).start()
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
@@ -273,13 +273,13 @@
         until(lambda: ran.counters().get("lists_told", 0) >= 2)
         ran.discovery.cut()
         until(lambda: ran.discovery.asked[1:] == ["/api/targets?stream=1&index=2"])
-        ran.discovery.tell(entry("i0", old), version=1)  # older than what is known: tells nothing
+        ran.discovery.tell(entry("i0", old), version=1)  # older than the known version, so ignored
         ran.discovery.tell(entry("i0", old, "removed"), entry("i1", new), version=3)
         until(lambda: ran.counters().get("lists_told", 0) >= 4)
         assert ran.client().ask().read() == b"new" and not old.got
 
 
-def test_news_that_cannot_be_read_or_are_cut_off_are_asked_for_anew(tmp_path):
+def test_malformed_or_cut_off_news_are_requested_again(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         until(lambda: ran.platform.asked == 1)
         ran.platform.cut()
@@ -295,7 +295,7 @@
 @pytest.mark.parametrize(
     "answer, counted_as", [(None, "counted"), ("ERR Throttling", "over"), ("what", "unanswered")]
 )
-def test_a_good_build_is_voted_on_and_a_vote_that_did_not_count_is_cast_again(tmp_path, answer, counted_as):
+def test_good_build_gets_vote_and_uncounted_vote_is_repeated(tmp_path, answer, counted_as):
     earlier, trial = InstanceServer().start(), InstanceServer().start()
     entries = [entry("i0", earlier), entry("i1", trial, build=2)]
     with gateway(tmp_path, earlier, trial, entries=entries) as ran:
@@ -318,7 +318,7 @@
         until(lambda: f"votes_{counted_as}" in ran.counters())
 
 
-def test_sigterm_serves_what_still_comes_and_ends_what_was_taken(tmp_path):
+def test_sigterm_finishes_open_requests_and_closes_idle_connections(tmp_path):
     hold = threading.Event()
 
     def react(words):
@@ -331,17 +331,17 @@
         until(lambda: ran.counters().get("attempts") == 1)
         ran.process.send_signal(signal.SIGTERM)
         until(lambda: "event=stopping" in ran.log())
-        assert unused.read() is None  # closed between requests
+        assert unused.read() is None  # the idle connection is closed
         hold.set()
         assert held.read() == b"held" and held.read() is None
         assert ran.process.wait(60) == 0
-        said = counted(ran.log(), "stopped")
-        assert (said["taken"], said["succeeded"], said["open"]) == (1, 1, 0)
+        counts = counted(ran.log(), "stopped")
+        assert (counts["taken"], counts["succeeded"], counts["open"]) == (1, 1, 0)
 
 
-def test_clients_that_go_on_asking_after_sigterm_lose_nothing(tmp_path):
+def test_no_request_is_lost_while_clients_send_after_sigterm(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
-        until(lambda: ran.platform.asked == 1)  # that it has started in full
+        until(lambda: ran.platform.asked == 1)  # it has started completely
         ran.clients = [ran.client() for _ in range(4)]
         answered = []
 
@@ -356,11 +356,15 @@
         until(lambda: set(answered) == set(ran.clients))
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
-        said = counted(ran.log(), "stopped")
-        assert said["taken"] == said["succeeded"] and said["open"] == 0 and "clients_ended_stopping" in said
+        counts = counted(ran.log(), "stopped")
+        assert (
+            counts["taken"] == counts["succeeded"]
+            and counts["open"] == 0
+            and "clients_ended_stopping" in counts
+        )
 
 
-def test_the_counters_add_up(tmp_path):
+def test_counters_add_up(tmp_path):
     gate = threading.Event()
 
     def react(words):
@@ -376,23 +380,23 @@
         until(lambda: ran.counters()["taken"] == 6)
         gone.sock.close()
         until(lambda: ran.counters().get("left") == 1)
-        said = ran.counters()
-        endings = [said.get(name, 0) for name in ("succeeded", "rejected", "aborted", "left", "open")]
-        assert said["taken"] == sum(endings) and endings[0] >= 1 and endings[3:] == [1, 1]
+        counts = ran.counters()
+        endings = [counts.get(name, 0) for name in ("succeeded", "rejected", "aborted", "left", "open")]
+        assert counts["taken"] == sum(endings) and endings[0] >= 1 and endings[3:] == [1, 1]
         gate.set()
 
 
-def test_a_client_that_reads_nothing_holds_up_nobody_else(tmp_path):
+def test_client_that_reads_nothing_delays_no_other(tmp_path):
     with gateway(tmp_path, InstanceServer(lambda words: gives(b"x" * 65536)).start()) as ran:
         slow = ran.client()
         slow.sock.settimeout(5)
-        with pytest.raises((TimeoutError, ConnectionError)):  # in the end it is not read from any more either
+        with pytest.raises((TimeoutError, ConnectionError)):  # in the end the gateway stops reading it
             for _ in range(100_000):
                 slow.ask(wait=300)
         assert ran.client().ask().read() == b"x" * 65536
 
 
-def test_a_killed_gateway_starts_anew_from_what_it_is_told(tmp_path):
+def test_gateway_serves_from_config_when_discovery_and_platform_end(tmp_path):
     server = InstanceServer().start()
     with gateway(tmp_path, server) as ran:
         ran.discovery.close()
@@ -401,10 +405,10 @@
         assert ran.client().ask().read() == b"aa"
 
 
-def test_sighup_moves_to_the_addresses_that_the_file_then_names_and_nothing_else_changes(tmp_path):
+def test_sighup_changes_only_discovery_and_platform_addresses(tmp_path):
     old, new = InstanceServer().start(), InstanceServer(lambda words: gives(b"new")).start()
     discovery, platform = DiscoveryServer().start(), PlatformServer().start()
-    discovery.tell(entry("i1", new), full=True, version=1)  # a service that counts anew
+    discovery.tell(entry("i1", new), full=True, version=1)  # another service with its own versions
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
         until(lambda: ran.platform.asked and ran.discovery.asked)
         ran.discovery.tell(entry("i0", old), version=7)
@@ -430,7 +434,7 @@
 @pytest.mark.parametrize(
     "text", [None, "{", "[]", "{}", '{"settings": {}, "seed": "xyz"}', '{"settings": 3, "seed": "1"}']
 )
-def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line(tmp_path, text):
+def test_unusable_config_ends_start_with_one_line(tmp_path, text):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -443,10 +447,10 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and done.stdout == ""
 
 
-def test_at_the_bound_extra_clients_are_rejected_and_unused_ones_make_room(tmp_path):
+def test_at_limit_extra_clients_are_rejected_and_idle_ones_closed(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
-    with gateway(tmp_path, server.start(), limits={"sockets": 60}) as ran:  # 18 clients
+    with gateway(tmp_path, server.start(), limits={"sockets": 60}) as ran:  # room for 18 clients
         busy = [ran.client().ask(request_class="buy") for _ in range(18)]
         until(lambda: ran.counters().get("taken") == 18)
         assert ran.client().ask(request_class="buy").read().startswith(b"BUSY")
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -1,5 +1,5 @@
-"""A change of the list costs what it changes, and no decision is another for it: balancers beside a plain
-reference that goes over the whole list for each."""
+"""Incremental list changes: balancers decide the same as a plain reference implementation that goes over the
+whole list each time, and the cost of a change depends only on its size."""
 
 import random
 from collections import Counter, deque
@@ -29,19 +29,18 @@
 from lemonlead.records import Build, InstanceGroup, InstanceState
 
 
-class PlainInstanceTable(dict):
+class ReferenceInstanceTable(dict):
     def keep_open(self, member, until):
         member.open_until = until
 
 
-class Plain(Balancer):
-    """The list as it was kept at first, line for line: gone over as a whole for each change, request and
-    tick."""
+class ReferenceBalancer(Balancer):
+    """The reference implementation: it goes over the whole list for each change, request and tick."""
 
     def __init__(self, start):
         super().__init__(start)
         self.instances, self.ring, self.start_at = (
-            PlainInstanceTable(),
+            ReferenceInstanceTable(),
             [],
             start.balancer_index * GOLDEN % 1.0,
         )
@@ -59,7 +58,7 @@
                 self.instances[row.id].place = hashed(row.id)
             self.instances[row.id].ready = row.state == at.READY
         kept = {id: m for id, m in self.instances.items() if m.ready and (not whole or id in named)}
-        self.instances = PlainInstanceTable(kept)
+        self.instances = ReferenceInstanceTable(kept)
         self.ask_at = None if fresh else self.ask_at
         ring = sorted(self.instances.values(), key=lambda member: member.place)
         cut = int(self.start_at * len(ring))
@@ -143,7 +142,7 @@
 
 
 def state_of(made):
-    """What later decisions go by, and shows the first one that would differ before it does."""
+    """Returns the state that later decisions depend on, so that a difference shows before it has effects."""
     number = [build and build.number for build in (made.reported_build, made.trial, made.judged)]
     builds = {
         n: (build.credit, build.bad, build.doubt, len(build.pairs), build.flags)
@@ -165,7 +164,7 @@
     )
 
 
-class Written(Dispatcher):
+class RecordingHost(Dispatcher):
     def __init__(self):
         super().__init__()
         self.log = lambda text: self.calls.append(("log", text))
@@ -190,16 +189,16 @@
 
 
 def start_of(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     return at.StartSettings(
         now=NOW,
-        seed=chance.getrandbits(64),
-        balancer_index=chance.randrange(300),
-        balancers=chance.choice((1, 6, 200)),
+        seed=rng.getrandbits(64),
+        balancer_index=rng.randrange(300),
+        balancers=rng.choice((1, 6, 200)),
         step=5 * MS,
         attempts_cap=4,
         may_cancel=True,
-        may_duplicate=chance.random() < 0.8,
+        may_duplicate=rng.random() < 0.8,
         connect_time=250 * MS,
         cold_time=5000 * MS,
         cold_share=0.4,
@@ -210,7 +209,7 @@
         retry_after_cap=500 * MS,
         release=at.Release(
             window=2000 * MS,
-            free_attempts=chance.choice((2, 50)),
+            free_attempts=rng.choice((2, 50)),
             vote_lifetime=4000 * MS,
             bake=1000 * MS,
             vote_timeout=800 * MS,
@@ -224,29 +223,30 @@
     )
 
 
-class Play:
-    """A seeded day of whole lists and changes, new builds, drains, returns, trials, requests and outcomes: a
-    balancer and the plain one are told each thing, and must decide the same and end in the same state."""
+class Comparison:
+    """A seeded sequence of whole lists, changes, new builds, drains, trials, requests and outcomes. A
+    balancer and the reference get the same events, and must make the same decisions and have the same
+    state."""
 
     def __init__(self, seed, most):
-        self.chance, self.most, self.ids = random.Random(seed), most, [f"s-{n}" for n in range(most)]
+        self.rng, self.most, self.ids = random.Random(seed), most, [f"s-{n}" for n in range(most)]
         self.now, self.build, self.open, self.compared = NOW, 1, [], 0
         self.calls, self.seen = Counter(), Counter()
         starts = [start_of(seed) for _ in range(2)]
         self.request_classes = [start.request_classes for start in starts]
-        self.both = Balancer(starts[0]), Plain(starts[1])
+        self.both = Balancer(starts[0]), ReferenceBalancer(starts[1])
         self.tell("list_received", [self.row(id) for id in self.ids], True, True)
 
     def tell(self, name, *values, each=None):
-        """`each`: what each of the two is told, as requests and attempts are changed by theirs."""
-        decided = []
+        """`each`: separate values for the two balancers, because each changes its requests and attempts."""
+        decisions_of_day = []
         for n, made in enumerate(self.both):
             getattr(made, name)(self.now, *(each[n] if each else values))
-            decided.append(Written().pull(made, self.now))
-        assert decided[0] == decided[1]
+            decisions_of_day.append(RecordingHost().pull(made, self.now))
+        assert decisions_of_day[0] == decisions_of_day[1]
         assert state_of(self.both[0]) == state_of(self.both[1])
         self.compared += 1
-        self.calls.update(call[0] for call in decided[0])
+        self.calls.update(call[0] for call in decisions_of_day[0])
         made = self.both[0]
         self.seen["trial"] += made.trial is not None and name == "request_arrived"
         self.seen["like"] += bool(made.like)
@@ -255,15 +255,17 @@
         self.seen["scarce"] += made.scarce > 0.05
 
     def row(self, id):
-        chance, now = self.chance, self.now
-        started = chance.choice((0, 0, now - chance.randrange(9 * S), now // S * S))
-        build = max(self.build - chance.choice((0, 0, 0, 1, 2)), 1)
-        zone, cell, kind = chance.randrange(3), chance.randrange(2), chance.randrange(2)
-        return line(id, build, zone, cell, chance.choice(STATES), started, kind)
+        rng, now = self.rng, self.now
+        started = rng.choice((0, 0, now - rng.randrange(9 * S), now // S * S))
+        build = max(self.build - rng.choice((0, 0, 0, 1, 2)), 1)
+        zone, cell, kind = rng.randrange(3), rng.randrange(2), rng.randrange(2)
+        return line(id, build, zone, cell, rng.choice(STATES), started, kind)
 
     def step(self, number):
-        self.now += self.chance.choice((0, MS, 20 * MS, 150 * MS))
-        what = self.chance.random() * (0.75 if number % 200 > 80 else 1)  # the list rests while pairs are had
+        self.now += self.rng.choice((0, MS, 20 * MS, 150 * MS))
+        what = self.rng.random() * (
+            0.75 if number % 200 > 80 else 1
+        )  # no list changes while pairs are collected
         if what < 0.45:
             self.ask(number)
         elif what < 0.75:
@@ -271,20 +273,20 @@
         elif what < 0.78:
             self.begin()
         elif what < 0.93:
-            named = [self.chance.choice(self.ids) for _ in range(self.chance.choice((0, 1, 1, 1, 2, 9)))]
-            self.tell("list_received", [self.row(id) for id in named], False, self.chance.random() < 0.9)
+            named = [self.rng.choice(self.ids) for _ in range(self.rng.choice((0, 1, 1, 1, 2, 9)))]
+            self.tell("list_received", [self.row(id) for id in named], False, self.rng.random() < 0.9)
         elif what < 0.95:
-            named = self.chance.sample(self.ids, self.chance.randrange(self.most))
+            named = self.rng.sample(self.ids, self.rng.randrange(self.most))
             self.tell("list_received", [self.row(id) for id in named], True, True)
         elif what < 0.98:
-            self.build += self.chance.random() < 0.3
-            phase = self.chance.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.ROLLING_BACK))
-            told = max(self.build - self.chance.choice((0, 0, 0, 1)), 1)
-            cap = self.chance.choice((0.1, 0.5, 1.0))
-            self.tell("stage_reported", told, self.chance.randrange(3), phase, cap, 0)
+            self.build += self.rng.random() < 0.3
+            phase = self.rng.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.ROLLING_BACK))
+            told = max(self.build - self.rng.choice((0, 0, 0, 1)), 1)
+            cap = self.rng.choice((0.1, 0.5, 1.0))
+            self.tell("stage_reported", told, self.rng.randrange(3), phase, cap, 0)
         else:
-            wrong = "wrong_answer_reported", self.chance.choice(self.ids)
-            self.tell(*self.chance.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong)))
+            wrong = "wrong_answer_reported", self.rng.choice(self.ids)
+            self.tell(*self.rng.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong)))
 
     def ask(self, number):
         work = (number * 7919 % 200 + 1) * MS if number % 4 else 0
@@ -296,15 +298,15 @@
         self.tell("request_arrived", each=[(request,) for request in both])
 
     def attempts(self):
-        """One that is out, of each of the two."""
+        """Returns an open attempt, as one object of each balancer, or None."""
         self.open = [both for both in self.open if any(not s.end for s in both[0].attempts)]
         tried = [zip(*(request.attempts for request in both), strict=True) for both in self.open]
         out = [pair for pairs in tried for pair in pairs if not pair[0].end]
-        return self.chance.choice(out) if out else None
+        return self.rng.choice(out) if out else None
 
     def end(self):
-        end, took = self.chance.choice(ENDS), self.chance.randrange(1, 1500) * MS
-        report = {"svc_ms": self.chance.uniform(5, 20)} if self.chance.random() < 0.3 else {}
+        end, took = self.rng.choice(ENDS), self.rng.randrange(1, 1500) * MS
+        report = {"svc_ms": self.rng.uniform(5, 20)} if self.rng.random() < 0.3 else {}
         if (pair := self.attempts()) is not None:
             over = end == at.SUCCEEDED
             self.tell("attempt_ended", each=[(attempt, end, took, over, report) for attempt in pair])
@@ -315,27 +317,27 @@
             assert until[0] == until[1]
 
 
-def played(seed, most, steps=600):
-    play = Play(seed, most)
+def compare(seed, most, steps=600):
+    play = Comparison(seed, most)
     for number in range(steps):
         play.step(number)
     return play
 
 
 @pytest.mark.parametrize("most", [3, 20, 60, 400])
-def test_each_decision_is_that_of_a_plain_list(most):
-    plays = [played(seed, most) for seed in range(6)]
+def test_decisions_equal_those_of_reference_implementation(most):
+    plays = [compare(seed, most) for seed in range(6)]
     met = sum((play.seen for play in plays), Counter())
     assert min(play.compared for play in plays) > 300 and min(play.calls["attempt"] for play in plays) > 20
     assert min(met[what] for what in ("trial", "like", "pairs", "builds", "scarce")) > 20, met
 
 
 @pytest.mark.parametrize("seed, most", [(100, 20), (101, 60), (102, 200), (103, 400)])
-def test_each_decision_is_that_of_a_plain_list_where_places_are_equal(seed, most, monkeypatch):
-    """A hash of 7 values: of one place, the order goes by who came first, also after changes."""
+def test_decisions_equal_reference_with_colliding_ring_positions(seed, most, monkeypatch):
+    """The hash has 7 values. Instances with one position stay in the order of their arrival."""
     monkeypatch.setattr(instance_table, "crc32", lambda data: crc32(data) % 7)
     monkeypatch.setitem(globals(), "hashed", lambda id: crc32(repr(id).encode()) % 7)
-    assert played(seed, most).compared > 300
+    assert compare(seed, most).compared > 300
 
 
 FLEET = """
@@ -354,8 +356,8 @@
 """
 
 
-def decided(read, made, seed, factor, monkeypatch):
-    """Each decision of a day on which a build comes in by stages and a site is lost, with its moment."""
+def decisions_of_day(read, made, seed, factor, monkeypatch):
+    """Returns the timed decisions of a simulated day with a staged build and the loss of a site."""
     monkeypatch.setattr(world, "Balancer", made)
     day, calls = Day(read, seed, length=14), []
 
@@ -377,68 +379,71 @@
 
 
 @pytest.mark.parametrize("seed, factor", [(1, 1.0), (2, 1.0), (3, 2.5)])
-def test_days_go_as_with_plain_lists(seed, factor, tmp_path, monkeypatch):
+def test_simulated_day_equals_reference_implementation(seed, factor, tmp_path, monkeypatch):
     (tmp_path / "fleet.cue").write_text(FLEET)
     read = fleet.read(tmp_path / "fleet.cue")
-    ours, plain = (decided(read, made, seed, factor, monkeypatch) for made in (Balancer, Plain))
+    ours, plain = (
+        decisions_of_day(read, made, seed, factor, monkeypatch) for made in (Balancer, ReferenceBalancer)
+    )
     assert ours == plain and {"attempt", "vote"} <= {call[2] for call in ours} and len(ours) > 3000
 
 
-# ---- what a change goes over
+# ---- the cost of a change
 
 
-class Looked(int):
-    """A place, which counts how often one is held against another."""
+class CountingPosition(int):
+    """A ring position that counts its comparisons."""
 
     count = 0
 
     def __lt__(self, other):
-        Looked.count += 1
+        CountingPosition.count += 1
         return int.__lt__(self, other)
 
 
-def filled(count):
+def make_table(count):
     kept, build = InstanceTable(0.3), Build(1, 1.0, 4, 200)
     for n in range(count):
         kept.put(InstanceState(line(n), build, InstanceGroup(), 0, 3.0, 0, 0))
-        kept[n].place = Looked(kept[n].place)
+        kept[n].place = CountingPosition(kept[n].place)
     kept.settle(())
     return kept, build
 
 
-def looked_at(count, steps=20):
-    kept, build = filled(count)
-    Looked.count = 0
+def comparisons_per_change(count, steps=20):
+    kept, build = make_table(count)
+    CountingPosition.count = 0
     for step in range(steps):
         kept.settle([step])
         kept.put(InstanceState(line(count + step), build, InstanceGroup(), 0, 3.0, 0, 0))
         kept.settle(())
         assert len(kept.ring) == len(build.ring) == len(build.starts) == build.kinds[0] == count
-    return Looked.count / steps
+    return CountingPosition.count / steps
 
 
-def test_a_change_looks_at_few_of_the_others():
-    """By halves: eight times as many cost three looks more in each of two rings, going out and coming in."""
-    few, many = looked_at(500), looked_at(4000)
+def test_list_change_compares_few_other_instances():
+    """Binary search: with eight times as many instances, each of two rings needs three more comparisons, for
+    the removal and for the insertion."""
+    few, many = comparisons_per_change(500), comparisons_per_change(4000)
     assert 0 < many - few < 4 * 3 + 4 and many < 100
 
 
-def test_only_as_many_are_found_round_the_ring_as_are_asked_for():
-    kept, build = filled(4000)
+def test_ring_search_visits_only_the_requested_number():
+    kept, build = make_table(4000)
     other = Build(2, 1.0, 4, 200)
     kept.put(InstanceState(line(4000), other, InstanceGroup(), 0, 3.0, 0, 0))
     kept.settle(())
     for arc, size in ((kept.arc([build, other]), 4001), (kept.arc([build]), 4000), (kept.arc([other]), 1)):
         assert len(arc) == size == len(list(arc))
-    Looked.count = 0
+    CountingPosition.count = 0
     assert [member.place for member in kept.arc([build, other])[:5]] == [
         member.place for member in kept.ring[1200:1205]
     ]
-    assert Looked.count < 100
+    assert CountingPosition.count < 100
 
 
-def test_of_one_that_left_or_made_way_no_open_connection_is_remembered():
-    kept, build = filled(40)
+def test_removed_or_replaced_instance_has_no_open_connection():
+    kept, build = make_table(40)
     old, other, third = kept[1], kept[2], kept[3]
     for member in (old, other, third):
         kept.keep_open(member, 10)
@@ -448,7 +453,7 @@
     kept.put(InstanceState(line(1), build, InstanceGroup(), 0, 3.0, 0, 0))
     kept.settle([2])
     assert kept.opened == {third}
-    kept.keep_open(old, 20)  # an answer that came late
+    kept.keep_open(old, 20)  # a late response
     kept.keep_open(other, 20)
     assert kept.opened == {third} and kept.arc([build]).open(9) == [third]
     kept.keep_open(third, 0)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The protocols' state machines: fed whole, split at every byte, and with what breaks their limits."""
+"""The protocol parsers: whole input, input split at every byte, and input that exceeds their limits."""
 
 import json
 import random
@@ -13,7 +13,7 @@
 
 
 def fed(machine, pieces, more):
-    """All that a machine gives, fed these pieces."""
+    """Returns all values that a parser gives for these pieces."""
     given = []
     for piece in pieces:
         machine.buffer.add(piece)
@@ -25,7 +25,7 @@
 
 
 def splits(data):
-    """The data whole, in two at every byte, and byte by byte."""
+    """Yields the data whole, split in two at every byte, and byte by byte."""
     yield [data]
     yield from ([data[:at], data[at:]] for at in range(1, len(data)))
     yield [bytes([byte]) for byte in data]
@@ -37,13 +37,13 @@
 )
 
 
-def test_commands_are_read_however_they_are_split():
+def test_commands_are_parsed_for_every_split():
     for pieces in splits(COMMANDS):
         read = fed(resp.Reader(commands=True), pieces, resp.MORE)
         assert read == [[b"PING"], [b"Q.ASK", b"", b"\r\n"]]
 
 
-def test_answers_are_read_however_they_are_split():
+def test_responses_are_parsed_for_every_split():
     for pieces in splits(ANSWERS):
         read = fed(resp.Reader(), pieces, resp.MORE)
         assert read == [[b"abc", None, None], b"BUSY 5", b"PONG", None, -7, [[1], []], b""]
@@ -69,7 +69,7 @@
         b"$--1\r\n",
     ],
 )
-def test_what_is_malformed_or_too_long_is_said_to_be(data, commands):
+def test_malformed_or_too_long_input_raises_malformed(data, commands):
     with pytest.raises(resp.Malformed):
         fed(resp.Reader(commands), [data], resp.MORE)
 
@@ -77,19 +77,19 @@
 @pytest.mark.parametrize(
     "data", [b"*0\r\n", b"*-1\r\n", b"$4\r\nPING\r\n", b"PING\r\n", b"*1\r\n:1\r\n", b"*1\r\n$-1\r\n"]
 )
-def test_a_client_may_send_only_arrays_of_strings(data):
+def test_commands_must_be_arrays_of_bulk_strings(data):
     with pytest.raises(resp.Malformed):
         fed(resp.Reader(commands=True), [data], resp.MORE)
 
 
-def test_a_command_is_bounded_as_a_whole_and_an_answer_by_its_strings():
+def test_command_size_is_limited_in_total_and_response_per_string():
     data = b"*3\r\n" + resp.bulk(b"x" * 60000) * 2 + b"$-1\r\n"
     assert len(fed(resp.Reader(), [data], resp.MORE)[0]) == 3
     with pytest.raises(resp.Malformed):
         fed(resp.Reader(commands=True), [data], resp.MORE)
 
 
-def test_what_is_written_is_read_again():
+def test_written_command_is_parsed_back():
     words = [b"Q.DO", b"key", b"", b"a\r\nb"]
     assert fed(resp.Reader(commands=True), [resp.command(words)], resp.MORE) == [words]
 
@@ -104,7 +104,7 @@
     "data, status, lines",
     [(CHUNKED, 200, [b'{"a":1}', b"", b"{}"]), (SIZED, 503, [b"a", b"b"]), (EMPTY, 503, [])],
 )
-def test_a_body_is_read_by_lines_however_it_is_split(data, status, lines):
+def test_body_lines_are_parsed_for_every_split(data, status, lines):
     for pieces in splits(data):
         answer = http.Response()
         assert fed(answer, pieces, http.MORE) == [*lines, http.END] and answer.status == status
@@ -128,19 +128,19 @@
     ],
     ids=range(12),
 )
-def test_an_answer_that_breaks_http_is_said_to(data):
+def test_invalid_http_response_raises_malformed(data):
     with pytest.raises(http.Malformed):
         fed(http.Response(), [data], http.MORE)
 
 
-def test_the_platforms_lines_are_read_however_they_are_split():
+def test_platform_lines_are_parsed_for_every_split():
     for pieces in splits(b"OK\r\n* stage 42 1 trial 0.28 310\r\n*\r\n\r\n"):
         read = fed(platform.Reader(), pieces, None)
         assert read == [["OK"], ["*", "stage", "42", "1", "trial", "0.28", "310"], ["*"], []]
 
 
 @pytest.mark.parametrize("data", [b"x" * 8193, b"\xff\r\n"])
-def test_a_line_too_long_or_not_of_text_is_malformed(data):
+def test_too_long_or_non_ascii_platform_line_is_malformed(data):
     with pytest.raises(platform.Malformed):
         fed(platform.Reader(), [data], None)
 
@@ -156,7 +156,7 @@
         ("ERR", (at.VOTE_ERRED, None)),
     ],
 )
-def test_an_answer_to_a_vote_is_read(line, told):
+def test_vote_response_is_parsed(line, told):
     assert platform.parse_vote_response(line.split()) == told
 
 
@@ -175,12 +175,12 @@
         "OK 42 1 trial 1 -5",
     ],
 )
-def test_an_answer_that_makes_no_sense_is_malformed(line):
+def test_invalid_vote_response_is_malformed(line):
     with pytest.raises(platform.Malformed):
         platform.parse_vote_response(line.split())
 
 
-def test_a_buffer_grows_and_is_compacted_in_place():
+def test_buffer_grows_and_is_compacted_in_place():
     buffer = Buffer(8)
     buffer.add(b"abcdefgh")
     assert buffer.take(6) == b"abcdef" and buffer.take(3) is None
@@ -193,19 +193,19 @@
     assert buffer.take(20100) and len(buffer.free_space()) == RETAINED_BYTES and buffer.data is data
 
 
-def test_brackets_count_outside_of_strings_alone():
-    """Beside what is plain: all strings taken out, then each bracket counted."""
+def test_brackets_within_strings_do_not_count():
+    """Compares with a plain method: removes all strings, then counts the brackets."""
     chance = random.Random(1)
     for _ in range(20_000):
         line = bytes(chance.choices(b'"{}[]\\ab ', k=chance.randrange(1, 14)))
         bare = re.sub(rb'"(?:[^"\\]|\\.)*"', b"", line)
         objects = http.JsonObjects()
-        objects.add(b"{" * 20)  # so that it stays open
+        objects.add(b"{" * 20)  # so that the object stays unfinished
         objects.add(line)
         assert objects.depth == 20 + sum(map(bare.count, b"{[")) - sum(map(bare.count, b"}]"))
 
 
-def test_a_large_list_takes_little_more_than_itself_to_find_its_end():
+def test_finding_the_end_of_a_large_list_needs_little_memory():
     servers = [{"id": f"s-{n}", "addr": "127.0.0.1:7000", "cell": n, "state": "up"} for n in range(2000)]
     text = json.dumps({"version": 2, "full": True, "servers": servers}).encode()
     objects = http.JsonObjects()
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -1,4 +1,4 @@
-"""What production adds to the standing test, where no other test holds it; each in the order that is bad."""
+"""Cases from production that the standing test does not cover, each in its worst order of events."""
 
 import signal
 import threading
@@ -12,41 +12,41 @@
 from lemonlead.standins.server import until
 from test_crossings_clients import gateway
 
-WHOLE = resp.command([b"Q.ASK", b"aa", b"0123456789abcdef", b"c=look,t=acme,d=2000"])
-OWED = 3.0  # seconds within which a bad client gets its error, or its connection is closed
-HELD_UP = 0.15  # seconds for which a gateway may be held up between its look at the clock and a write
-GRACE = 0.25  # seconds after news of a drain in which something new may still begin
+WHOLE_COMMAND = resp.command([b"Q.ASK", b"aa", b"0123456789abcdef", b"c=look,t=acme,d=2000"])
+ERROR_DEADLINE_SECONDS = (
+    3.0  # seconds within which an incomplete command gets an error, or its connection is closed
+)
+DELAY_SECONDS = 0.15  # seconds for which a gateway may be delayed between reading the clock and a write
+DRAIN_GRACE_SECONDS = 0.25  # seconds after a drain is announced in which an attempt may still begin
 
 
 def silent():
-    """An instance that takes requests and never answers; and what lets it go."""
+    """Returns an instance that accepts requests and never answers, and the event that releases it."""
     never = threading.Event()
     return InstanceServer(lambda words: never.wait(60) and None).start(), never
 
 
-@pytest.mark.parametrize("cut", [1, 12, len(WHOLE) - 1])
+@pytest.mark.parametrize("cut", [1, 12, len(WHOLE_COMMAND) - 1])
 @pytest.mark.parametrize("before", [0, 1])
-def test_a_client_that_stops_in_the_middle_of_a_request_and_stays_gets_its_error_or_end_in_time(
-    tmp_path, cut, before
-):
+def test_client_that_stops_within_a_command_is_ended_in_time(tmp_path, cut, before):
     server = InstanceServer().start()
     with fleet.gateway(tmp_path, server) as ran:
         client = ran.client()
         for _ in range(before):
             assert client.ask().read() == b"aa"
-        client.write(WHOLE[:cut])
+        client.write(WHOLE_COMMAND[:cut])
         began = time.monotonic()
-        client.sock.settimeout(OWED)
+        client.sock.settimeout(ERROR_DEADLINE_SECONDS)
         answer = client.read()
-        assert time.monotonic() - began < OWED
+        assert time.monotonic() - began < ERROR_DEADLINE_SECONDS
         assert answer is None or answer.startswith(b"ERR")
         assert len(server.got) == before
 
 
 @pytest.mark.parametrize("wait", [1, 3, 10])
 @pytest.mark.parametrize("drops", [False, True])
-def test_a_request_with_very_little_time_left_gets_one_final_answer(tmp_path, wait, drops):
-    """Its instance answers too late, or drops it without a word."""
+def test_request_with_little_time_left_gets_one_final_response(tmp_path, wait, drops):
+    """Its instance answers too late, or drops the request without a response."""
     server, never = silent()
     server.react = (lambda words: b"") if drops else server.react
     with fleet.gateway(tmp_path, server) as ran:
@@ -60,7 +60,7 @@
         assert all(int(words[3].split(b"d=")[1]) <= wait for words in server.got)
 
 
-def test_instances_that_hang_through_a_whole_shutdown_cost_no_request_its_answer(tmp_path):
+def test_hanging_instances_leave_no_request_unanswered_at_shutdown(tmp_path):
     server, never = silent()
     with fleet.gateway(tmp_path, server) as ran:
         clients = [ran.client().ask(wait=1500) for _ in range(5)]
@@ -75,10 +75,8 @@
         never.set()
 
 
-def test_a_gateway_held_up_before_it_writes_keeps_the_grace_of_a_drain_and_what_it_tells_of_the_time(
-    tmp_path, monkeypatch
-):
-    """Held up after the last look at the list and the clock; the drain is told just then."""
+def test_delay_before_write_keeps_drain_grace_and_forwarded_wait(tmp_path, monkeypatch):
+    """The delay comes after the last check of the list and the clock; the drain arrives just then."""
     write, began, told = instances.Connection.write, [], []
     servers = [InstanceServer().start() for _ in range(2)]
 
@@ -86,7 +84,7 @@
         if not told:
             ran.tell(entry("i0", servers[0], "draining"), entry("i1", servers[1], "draining"))
             told.append(time.monotonic())
-            while time.monotonic() < told[0] + HELD_UP:
+            while time.monotonic() < told[0] + DELAY_SECONDS:
                 time.sleep(0.005)
         began.append(time.monotonic())
         write(self, data, until_moment)
@@ -98,6 +96,8 @@
         client.sock.settimeout(3)
         client.read()
         for words in servers[0].got + servers[1].got:
-            left = asked + 1 - told[0] - HELD_UP
-            assert int(words[3].split(b"d=")[1]) <= (left + HELD_UP) * 1e3 + 20
-        assert began and began[-1] - told[0] < GRACE and len(servers[0].got + servers[1].got) == 1
+            left = asked + 1 - told[0] - DELAY_SECONDS
+            assert int(words[3].split(b"d=")[1]) <= (left + DELAY_SECONDS) * 1e3 + 20
+        assert (
+            began and began[-1] - told[0] < DRAIN_GRACE_SECONDS and len(servers[0].got + servers[1].got) == 1
+        )
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -1,4 +1,4 @@
-"""Rules in a gateway that runs as a program: what they change, what they may not, and new ones under load."""
+"""Request rules in a gateway program: what they change, what they must not, and replacing them under load."""
 
 import json
 import os
@@ -20,8 +20,8 @@
 HEAD = 'version: "{version}"\nrules: [\n'
 
 
-def text(*rules, version="1"):
-    """A set: each rule as name and the rest of its fields, as they are written."""
+def rule_set_text(*rules, version="1"):
+    """Returns the text of a rule set; each rule is a name and the text of its other fields."""
     return (
         HEAD.format(version=version)
         + "".join(f'\t{{name: "{name}", {rest}}},\n' for name, rest in rules)
@@ -29,12 +29,12 @@
     )
 
 
-def failing(words):
+def fail_request(words):
     return b"-ERR failed\r\n"
 
 
-def reload(ran, folder, **files):
-    """New files, then SIGHUP; waits until the gateway has read them, or refused to."""
+def reload_rules(ran, folder, **files):
+    """Writes files, sends SIGHUP, and waits until the gateway has read or refused them."""
     for name, body in files.items():
         (folder / f"{name}.cue").write_text(body)
     before = len(re.findall('event="rules (read|unfit)', ran.log()))
@@ -44,12 +44,14 @@
     )
 
 
-def test_a_rule_strengthens_an_effect_and_the_command_goes_on_unchanged(tmp_path):
-    server = InstanceServer(failing)
-    rules = text(("once", '''when: "lookup.key.startsWith('x/')", lane: "'buy'", customer: "'acme'"'''))
+def test_rule_strengthens_effect_and_command_is_unchanged(tmp_path):
+    server = InstanceServer(fail_request)
+    rules = rule_set_text(
+        ("once", '''when: "lookup.key.startsWith('x/')", lane: "'buy'", customer: "'acme'"''')
+    )
     with gateway(tmp_path, server.start(), rules=rules) as ran:
-        assert ran.client().ask(b"a").read() == b"BUSY 62"  # idempotent: it may be asked again
-        assert ran.client().ask(b"x/a").read() == b"ERR aborted"  # treated as non-idempotent, it is not
+        assert ran.client().ask(b"a").read() == b"BUSY 62"  # idempotent: it may be sent again
+        assert ran.client().ask(b"x/a").read() == b"ERR aborted"  # treated as non-idempotent
         assert [words[3].split(b",")[0] for words in server.got][-1] == b"c=look" and server.got[-1][
             0
         ] == b"Q.ASK"
@@ -57,18 +59,18 @@
         assert said["rules_matched"] == 1 and said["aborted"] == 1 and said["taken"] == 2
 
 
-def test_a_rule_that_errs_and_a_key_past_its_bound_leave_a_request_as_it_was_asked(tmp_path):
-    rules = text(("errs", '''when: "!(1 / (lookup.key.size() - 3) <= 5)", lane: "'buy'"'''))
+def test_failing_rule_or_too_long_key_leaves_request_unchanged(tmp_path):
+    rules = rule_set_text(("errs", '''when: "!(1 / (lookup.key.size() - 3) <= 5)", lane: "'buy'"'''))
     with gateway(tmp_path, InstanceServer().start(), rules=rules) as ran:
         for key in (b"abc", b"\xff\xfe", b"k" * 1000):
             assert ran.client().ask(key).read() == key
         assert ran.counters()["rules_erred"] == 3
-        assert ran.log().count('event="rule erred"') == 1  # one line a second at most
+        assert ran.log().count('event="rule erred"') == 1  # at most one line a second
         until(lambda: "event=rules " in ran.log() and "errs:3" in ran.log())
 
 
-def test_what_a_set_does_is_told_on_request(tmp_path):
-    rules = text(("named", """when: "lookup.key == 'a'", labels: {tier: "gold"}"""))
+def test_rule_counts_are_logged_on_request(tmp_path):
+    rules = rule_set_text(("named", """when: "lookup.key == 'a'", labels: {tier: "gold"}"""))
     with gateway(tmp_path, InstanceServer().start(), rules=rules) as ran:
         for key in (b"a", b"b", b"a"):
             ran.client().ask(key).read()
@@ -85,19 +87,23 @@
 @pytest.mark.parametrize(
     "body, where, words",
     [
-        (text(("weak", '''when: "lookup.lane == 'hold'", lane: "'look'"''')), "rules.cue:3:55", "weaken"),
-        (text(("none", '''when: "true", lane: "'nothing'"''')), "rules.cue:3:38", "no lane"),
         (
-            text(("dear", '''when: "lookup.key.split('').exists(x, lookup.key.contains(x))"''')),
+            rule_set_text(("weak", '''when: "lookup.lane == 'hold'", lane: "'look'"''')),
+            "rules.cue:3:55",
+            "weaken",
+        ),
+        (rule_set_text(("none", '''when: "true", lane: "'nothing'"''')), "rules.cue:3:38", "no lane"),
+        (
+            rule_set_text(("dear", '''when: "lookup.key.split('').exists(x, lookup.key.contains(x))"''')),
             "rules.cue:3:24",
             "steps",
         ),
-        (text(("typed", 'when: "lookup.key"')), "rules.cue:3:25", "bool was expected"),
+        (rule_set_text(("typed", 'when: "lookup.key"')), "rules.cue:3:25", "bool was expected"),
         ('version: "1"\nrules: [', "rules.cue:2:9", "the end"),
         ("rules: []", "rules.cue:1:1", "version"),
     ],
 )
-def test_a_gateway_does_not_start_with_rules_that_cannot_be_used(tmp_path, body, where, words):
+def test_gateway_does_not_start_with_invalid_rules(tmp_path, body, where, words):
     (tmp_path / "config.json").write_text(
         json.dumps(
             {
@@ -125,10 +131,10 @@
     assert where in done.stderr and words in done.stderr
 
 
-def test_sighup_puts_a_new_set_in_force_whole_or_keeps_the_old_one(tmp_path):
-    old = text(("all", '''when: "true", lane: "'buy'"'''), version="buy")
-    new = text(("look", '''when: "lookup.lane == 'look'", lane: "'look'"'''), version="look")
-    with gateway(tmp_path, InstanceServer(failing).start(), rules=old) as ran:
+def test_sighup_activates_whole_rule_set_or_keeps_the_old_one(tmp_path):
+    old = rule_set_text(("all", '''when: "true", lane: "'buy'"'''), version="buy")
+    new = rule_set_text(("look", '''when: "lookup.lane == 'look'", lane: "'look'"'''), version="look")
+    with gateway(tmp_path, InstanceServer(fail_request).start(), rules=old) as ran:
         assert ran.client().ask().read() == b"ERR aborted"
         for broken in (
             new[:-4],
@@ -138,47 +144,47 @@
             "\0",
             new.replace("version", "v"),
         ):
-            reload(ran, tmp_path, rules=broken)
+            reload_rules(ran, tmp_path, rules=broken)
             assert (
                 'event="rules unfit"' in ran.log().splitlines()[-1]
                 and "kept=buy" in ran.log().splitlines()[-1]
             )
             assert ran.client().ask().read() == b"ERR aborted"
-        reload(ran, tmp_path, gateway="rules: {file: 5}")
+        reload_rules(ran, tmp_path, gateway="rules: {file: 5}")
         assert "kept=buy" in ran.log().splitlines()[-1] and ran.client().ask().read() == b"ERR aborted"
-        reload(ran, tmp_path, gateway='rules: {file: "rules.cue"}', rules=new)
+        reload_rules(ran, tmp_path, gateway='rules: {file: "rules.cue"}', rules=new)
         assert "version=look" in ran.log().splitlines()[-1]
         assert ran.client().ask().read() == b"BUSY 62"
-        (tmp_path / "gateway.cue").write_text("")  # no rules any more
+        (tmp_path / "gateway.cue").write_text("")  # no rules are configured any more
         ran.process.send_signal(signal.SIGHUP)
         until(lambda: ran.client().ask().read() == b"BUSY 62" and "rules_matched" in ran.counters())
 
 
-def test_a_request_begun_under_one_set_keeps_what_it_was_given(tmp_path):
+def test_open_request_keeps_result_of_replaced_rule_set(tmp_path):
     hold = threading.Event()
     server = InstanceServer(lambda words: hold.wait(60) and b"-ERR failed\r\n")
-    old = text(("all", '''when: "true", lane: "'buy'"'''))
+    old = rule_set_text(("all", '''when: "true", lane: "'buy'"'''))
     with gateway(tmp_path, server.start(), rules=old) as ran:
         client = ran.client().ask()
         until(lambda: server.got)
-        reload(ran, tmp_path, rules=text(("none", 'when: "false"'), version="2"))
+        reload_rules(ran, tmp_path, rules=rule_set_text(("none", 'when: "false"'), version="2"))
         hold.set()
         assert client.read() == b"ERR aborted" and ran.client().ask().read() == b"BUSY 62"
 
 
-def test_a_thousand_sets_are_swapped_under_load_and_no_request_is_lost_or_judged_by_half_a_set(tmp_path):
-    """Each set has two rules of which exactly one matches any request: under half a set some would match
-    none. Each tenth file is cut off in the middle and must change nothing."""
+def test_thousand_rule_set_swaps_under_load_lose_no_request(tmp_path):
+    """Each set has two rules, and exactly one of them matches any request; with half a set some requests
+    would match none. Every tenth file is cut off in the middle and must change nothing."""
     swaps = int(os.environ.get("LEMONLEAD_SWAPS", "1000"))
     machines = [Machine(slots=8).start() for _ in range(2)]
 
     def ask(client, number):
-        key = os.urandom(8).hex().encode()  # 4 bytes came twice in one run of five, as two effects
+        key = os.urandom(8).hex().encode()  # with 4 bytes a key repeated in one run of five
         client.ask(key, ("look", "hold", "buy")[number % 3], k=key.decode())
         return key
 
     def made(number):
-        return text(
+        return rule_set_text(
             ("low", f'''when: "hash(lookup.key) % 100 < {number % 100}", key: "'low-{number}'"'''),
             ("high", f'''when: "hash(lookup.key) % 100 >= {number % 100}", key: "'high-{number}'"'''),
             version=str(number),
@@ -186,7 +192,7 @@
 
     with gateway(tmp_path, *machines, rules=made(0)) as ran, open(tmp_path / "log") as log:
 
-        def seen():  # events of sets since the last look
+        def seen():  # the events of rule sets since the last call
             return re.findall('event="rules (read|unfit)"', log.read())
 
         until(lambda: seen())
@@ -211,17 +217,20 @@
         assert ran.process.wait(60) == 0
         ended = counted(ran.log(), "stopped")
         assert ended["taken"] == sum(ended.get(name, 0) for name in ("succeeded", "rejected", "aborted"))
-        for machine in machines:  # no effect twice, whatever the rules said meanwhile
+        for machine in machines:  # no effect ran twice, with any of the rules
             assert all(count == 1 for idempotency_key, count in machine.ran.items())
 
 
-def test_a_set_on_trial_changes_nothing_and_its_differences_are_told(tmp_path):
+def test_shadow_rule_set_changes_nothing_and_logs_differences(tmp_path):
     rules, shadow = (
-        text(("all", 'when: "true"')),
-        text(("once", '''when: "true", lane: "'buy'"'''), version="2"),
+        rule_set_text(("all", 'when: "true"')),
+        rule_set_text(("once", '''when: "true", lane: "'buy'"'''), version="2"),
     )
     with gateway(
-        tmp_path, InstanceServer(failing).start(), rules=rules, extra={"shadow": shadow, "shadow_share": 0.5}
+        tmp_path,
+        InstanceServer(fail_request).start(),
+        rules=rules,
+        extra={"shadow": shadow, "shadow_share": 0.5},
     ) as ran:
         assert [ran.client().ask().read() for _ in range(5)] == [b"BUSY 62"] * 5
         ran.counters()
@@ -229,8 +238,8 @@
         assert "all/once:5" in line and "differs:5" in line
 
 
-def test_a_request_class_of_rules_is_told_to_nobody_that_does_not_ask(tmp_path):
-    """Off: nothing of the rules is imported, and nothing of theirs is logged."""
+def test_gateway_without_rules_imports_and_logs_none(tmp_path):
+    """Without rules, their modules are not imported, and nothing about them is logged."""
     server = InstanceServer(lambda words: gives(words[1]))
     with gateway(tmp_path, server.start()) as ran:
         assert ran.client().write(resp.command([b"PING"])).read() == b"PONG"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,5 +1,5 @@
-"""A gateway's start: what it imports, what its log's lines are, and that it serves in time whatever discovery
-does meanwhile."""
+"""A gateway's start: its imports, the format of its log lines, and that it serves in time despite any failure
+of discovery."""
 
 import contextlib
 import io
@@ -26,19 +26,19 @@
 from lemonlead.standins.server import Server, until
 
 ROOT = Path(__file__).parents[1]
-READY = 6.0  # seconds in which nine of ten restarted gateways have to be ready where the day ends soon
+READY = 6.0  # seconds in which nine of ten restarted gateways must be ready
 HEAVY = "asyncio concurrent ctypes email html http logging.config logging.handlers multiprocessing"
 HEAVY = set(f"{HEAVY} sqlite3 ssl subprocess unittest urllib uuid xml".split())
 NAMES = some.text("abcxyz_", min_size=1).filter(lambda name: name not in ("event", "level", "timestamp"))
 VALUES = some.none() | some.booleans() | some.integers() | some.floats() | some.text(' ="\\\nab\u00e9%{}')
 
 
-# ---- what is imported
+# ---- imports
 
 
 LOADED = """
 import os, runpy, sys
-os._exit = sys.exit  # by which the process ends
+os._exit = sys.exit  # the gateway ends its process with it
 before = set(sys.modules)
 try:
     runpy.run_module("lemonlead.gateway", run_name="__main__", alter_sys=True)
@@ -47,9 +47,9 @@
 """
 
 
-def test_a_gateway_imports_the_standard_library_alone_and_nothing_heavy_of_it():
-    """Guards against a start that pays for them from its share of a core. This one ends where it reads its
-    configuration, which is past all that it imports with no rules and no ledger."""
+def test_gateway_imports_only_light_standard_library_modules():
+    """Imports take start time on a share of a core. This start ends when it reads its configuration, which
+    is after all imports of a gateway without rules and ledger."""
     environment = {**os.environ, "ROUTER_CONFIG": "/none"}
     ran = subprocess.run([sys.executable, "-c", LOADED], capture_output=True, text=True, env=environment)
     code, *found = ran.stdout.split()
@@ -59,22 +59,22 @@
     assert {one for one in found if {one, one.split(".")[0]} & HEAVY} == set()
 
 
-def test_a_start_from_what_build_leaves_compiles_nothing_of_ours(tmp_path):
-    """Guards against paying for it at each start, as `run` sees a file system that it cannot write to."""
+def test_start_after_build_compiles_no_module(tmp_path):
+    """Guards against compiling at each start, because `run` has a read-only file system."""
     shutil.copytree(ROOT / "lemonlead", tmp_path / "lemonlead", ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True)
     for source in tmp_path.glob("lemonlead/**/*.py"):
-        os.utime(source, (1, 1))  # a copy of the folder need not keep the times
+        os.utime(source, (1, 1))  # a copy of the folder may not keep the modification times
     words = [sys.executable, "-B", "-v", "-c", "import lemonlead.gateway.__main__"]
     ran = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True, check=True)
     read = [line.split("'")[1] for line in ran.stderr.splitlines() if line.startswith("# code object from '")]
     ours = [path for path in read if path.startswith(str(tmp_path))]
     assert len(ours) > 15 and [path for path in ours if not path.endswith(".pyc")] == []
     changed = tmp_path / "lemonlead" / "gateway" / "logfmt.py"
-    changed.write_text("raise SystemExit(7)")  # what is kept never stands for a source that has changed
+    changed.write_text("raise SystemExit(7)")  # a cached file is never used for a changed source
     assert subprocess.run(words, cwd=tmp_path, capture_output=True).returncode == 7
 
 
@@ -86,8 +86,8 @@
 
 @settings(deadline=None)
 @given(some.text(' ="\\\nab%s{}'), some.dictionaries(NAMES, VALUES), LEVELS)
-def test_a_line_is_what_the_library_of_the_members_makes_of_it(event, told, level):
-    """Members log by structlog, and what reads logs reads both."""
+def test_log_line_equals_the_one_of_structlog(event, told, level):
+    """Members log with structlog, and the same tools read both logs."""
     stream = io.StringIO()
     getattr(logfmt.open_log(stream, gateway="g 0"), level)(event, **told)
     idempotency_key = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
@@ -96,7 +96,7 @@
     assert stream.getvalue() == render(None, level, told) + "\n"
 
 
-def test_a_line_tells_the_moment_in_utc_to_the_microsecond():
+def test_log_timestamp_is_utc_with_microseconds():
     stream, before = io.StringIO(), datetime.now(UTC)
     logfmt.open_log(stream).info("serving")
     text = stream.getvalue().split()[0].removeprefix("timestamp=")
@@ -105,7 +105,7 @@
     assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z", text)
 
 
-def test_lines_of_many_threads_are_each_whole_and_one_that_cannot_be_written_ends_none(capsys):
+def test_log_lines_of_threads_are_whole_and_write_errors_end_none(capsys):
     class Full(io.StringIO):
         def write(self, text):
             if "lost" in text:
@@ -130,11 +130,11 @@
     assert capsys.readouterr().err.count("\nOSError: [Errno 28]") == 8
 
 
-# ---- the wait for a first list
+# ---- the wait for the first list
 
 
-class Peer(Server):
-    """Discovery that takes each call and sends this, then nothing more until the test is over."""
+class StalledDiscovery(Server):
+    """A discovery server that answers each call with these bytes, then sends nothing until the test ends."""
 
     def __init__(self, data):
         super().__init__()
@@ -151,8 +151,8 @@
         super().close()
 
 
-class Refuses:
-    """An address where nobody listens, kept from others."""
+class RefusingAddress:
+    """A reserved address where nobody listens."""
 
     def __init__(self):
         self.sock, self.called = socket.socket(), threading.Event()
@@ -164,8 +164,8 @@
         self.sock.close()
 
 
-class Deaf(Refuses):
-    """One whose queue of connections is full, so that no new one comes up."""
+class FullAcceptQueue(RefusingAddress):
+    """A listener with a full accept queue, so that no connect succeeds."""
 
     def __init__(self):
         super().__init__()
@@ -184,29 +184,29 @@
             sock.close()
 
 
-HALF = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n{"version": 9,\r\n'
-TROUBLES = {
-    "refuses": Refuses,
-    "takes no connection": Deaf,
-    "says nothing": lambda: Peer(b""),
-    "half a head of a refusal": lambda: Peer(b"HTTP/1.1 503 Busy\r\nContent-"),
-    "too many callers": lambda: Peer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-    "half a list": lambda: Peer(HALF),
+HALF_LIST = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n{"version": 9,\r\n'
+FAILURES = {
+    "refuses": RefusingAddress,
+    "takes no connection": FullAcceptQueue,
+    "says nothing": lambda: StalledDiscovery(b""),
+    "half a head of a refusal": lambda: StalledDiscovery(b"HTTP/1.1 503 Busy\r\nContent-"),
+    "too many callers": lambda: StalledDiscovery(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+    "half a list": lambda: StalledDiscovery(HALF_LIST),
 }
 
 
 @pytest.mark.parametrize("setting", ["push", "ask"])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_it_serves_in_time_from_what_it_knew_whatever_discovery_does(tmp_path, trouble, setting):
-    """The trouble lasts until the gateway has answered: only its own bound ends the wait."""
-    discovery, server = TROUBLES[trouble](), InstanceServer().start()
-    if isinstance(discovery, Peer):
+@pytest.mark.parametrize("failure", FAILURES)
+def test_gateway_serves_in_time_despite_discovery_failures(tmp_path, failure, setting):
+    """The failure lasts until the gateway has answered, so only the gateway's own limit ends the wait."""
+    discovery, server = FAILURES[failure](), InstanceServer().start()
+    if isinstance(discovery, StalledDiscovery):
         discovery.start()
-    begun = time.monotonic()
+    began = time.monotonic()
     more = {"Discovery": setting, "Balancers": 200}
     with gateway(tmp_path, server, settings=more, source=discovery) as ran:
         client = ran.client()
         assert client.write(resp.command([b"PING"])).read() == b"PONG"
-        assert time.monotonic() - begun < READY
+        assert time.monotonic() - began < READY
         assert client.ask(b"key").read() == b"key"
         assert setting == "ask" or until(discovery.called.is_set)
