--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -130,7 +130,7 @@
         asks(n, n)
     memory = list_changes.memory(process) - before
     request = min(spent(300, lambda n: asks(size + n, n)) for _ in range(3))
-    balancer.lows["tenant", 0] = 0.9  # it alone waits
+    balancer.lower_quartiles["tenant", 0] = 0.9  # it alone waits
     waiting = min(
         spent(20, lambda n: balancer.waits(at.Request(n, request_class, 0, 0, now, now, 0))) for _ in range(3)
     )
@@ -168,7 +168,7 @@
     def whole(merge):
         words = json.loads(body).items()
         news = LedgerUpdate(1, [("nodes", key, one) for key, one in words], ("nodes", "permits"), None, "c")
-        assert merge.heard(1, news) is not None
+        assert merge.apply_update(1, news) is not None
         return merge
 
     merge = listed()
@@ -176,7 +176,7 @@
     _, memory = kept(lambda: whole(listed()))
     change = spent(
         2000,
-        lambda n: merge.heard(
+        lambda n: merge.apply_update(
             1,
             LedgerUpdate(
                 n + 10,
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -5,13 +5,13 @@
 
 from .. import interface as at
 from ..balance import Balancer
-from ..start_settings import NS
+from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
 
 # Of one event, besides one for each open request; after that many the rest waits for the next event.
 MAX_FAULTS = 8
-MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS  # the timer does not ask again sooner than this
+MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS_PER_MS  # the timer does not ask again sooner than this
 # The ends of attempts of which no instance received the whole request.
 UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)
 
@@ -178,7 +178,7 @@
         self.deferred_actions.append((self.instances.cancel, attempt))
 
     def reject(self, request, retry_after):
-        pause = b" %d" % (retry_after // NS) if retry_after >= NS else b""
+        pause = b" %d" % (retry_after // NS_PER_MS) if retry_after >= NS_PER_MS else b""
         self.answer(request, "rejected", b"-BUSY%s\r\n" % pause)
 
     def abort(self, request):
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -10,7 +10,7 @@
 import traceback
 
 from .. import interface as at
-from ..start_settings import NS
+from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
 from .sockets import unread_for
@@ -21,7 +21,7 @@
 # milliseconds late, and one that arrived after the last check would be taken for the response to the next
 # request. A request that finds no other connection waits for this time; a new connection would cost the
 # instance more.
-REUSE_DELAY_NS = 10 * NS
+REUSE_DELAY_NS = 10 * NS_PER_MS
 # The ends of attempts that received a whole response.
 ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
 
@@ -267,7 +267,7 @@
                     return at.NOT_SENT, None
                 in_flight.begun = True
             in_flight.attempt.connected_since = in_flight.connection.connected_at
-            wait = max((in_flight.until - now()) // NS, 1)
+            wait = max((in_flight.until - now()) // NS_PER_MS, 1)
             in_flight.connection.write(
                 resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, by)
             )
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -533,7 +533,7 @@
 def test_permanently_failing_decision_blocks_no_request(gateway, monkeypatch, name):
     made = gateway(InstanceServer().start())
     made.faulty = True
-    made.balancer.next_tick, made.balancer.look = 0, True
+    made.balancer.next_judging, made.balancer.vote_check_due = 0, True
 
     method = getattr(made.balancer, name)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -402,7 +402,7 @@
     made.change_address(address(new.address))
     until(lambda: dispatcher.taken == ["listed", "list_failed", "list_is_current"], TIMEOUT_SECONDS)
     assert new.asked == ["/api/targets?stream=1&index=2"] and list(dispatcher.balancer.instances) == ["a"]
-    assert dispatcher.balancer.ask_at is None and made.connection.pause == made.connection.min_pause
+    assert dispatcher.balancer.list_call_at is None and made.connection.pause == made.connection.min_pause
 
 
 # ---- signals at the start, and repeated SIGHUP
@@ -527,14 +527,16 @@
     dispatcher.gates["list_failed"] = once(lambda: over.wait(TIMEOUT_SECONDS))
     made.connection.random.uniform = lambda least, most: 0
     ages = []  # whether the list was old just before the keepalive
-    dispatcher.gates["list_is_current"] = once(lambda: ages.append(dispatcher.balancer.ask_at is not None))
+    dispatcher.gates["list_is_current"] = once(
+        lambda: ages.append(dispatcher.balancer.list_call_at is not None)
+    )
     dispatcher.balancer.list_received(NOW, [], False, True)
     run(made.run)
     until(lambda: made.counters.read().get("watches ended: unavailable"), TIMEOUT_SECONDS)
     server.head, server.byte = CHUNKED + b"1\r\n\n\r\n", b""
     made.request_list()  # early: before the failure is reported
     over.set()
-    until(lambda: ages and dispatcher.balancer.ask_at is None, TIMEOUT_SECONDS)
+    until(lambda: ages and dispatcher.balancer.list_call_at is None, TIMEOUT_SECONDS)
     assert ages == [True] and made.counters.read() == {"watches ended: unavailable": 1}
 
 
