--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -189,7 +189,7 @@
             return self.penalize()
         pending, size = PendingRequest(self, words, None, request), sum(map(len, words))
         self.enqueue(pending)
-        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.is_over_bound()
+        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.is_over_limit()
         if is_stale(unread, request.deadline - request.arrived):
             turned_away = True
             self.server.counters.add("stale requests")
@@ -490,7 +490,7 @@
                 return client
         return None
 
-    def is_over_bound(self):
+    def is_over_limit(self):
         """Returns whether more clients than the limit wait for responses. Idle connections must not cause the
         rejection of requests on extra connections."""
         with self.condition:
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -33,6 +33,8 @@
 
 @dataclass
 class Config:
+    """What a gateway is started with. `tenants`, `zones` and `kinds` (of instances) are numbers by name."""
+
     name: str
     listen: tuple
     discovery: tuple
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -20,6 +20,8 @@
 
 
 class Discovery:
+    """Keeps the balancer's list of instances up to date from the discovery service."""
+
     def __init__(self, config, dispatcher, log, counters):
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.list_requested = threading.Event()
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -38,20 +38,20 @@
 
     # ---- for the drivers
 
-    def handle(self, happened, *values):
+    def handle(self, event, *values):
         """Passes an event to the balancer or to this dispatcher, and carries out all decisions that follow.
-        `happened`: a function of the time in nanoseconds and of `values`."""
+        `event`: a function of the time in nanoseconds and of `values`."""
         with self.lock:
-            deferred_actions = self.process_event(happened, *values)
+            deferred_actions = self.process_event(event, *values)
         for action, *values in deferred_actions:
             try:
                 action(*values)
             except Exception:  # the later actions belong to other requests
                 self.fault(traceback.format_exc())
 
-    def process_event(self, happened, *values):
+    def process_event(self, event, *values):
         time_now, faults = now(), MAX_FAULTS + len(self.pending_requests)
-        self.call_guarded(happened, time_now, *values)
+        self.call_guarded(event, time_now, *values)
         # A decision takes its subject off its list first, so after a fault the others are still made.
         while (
             (more := self.call_guarded(self.balancer.decide, time_now, self)) or more is None and faults > 0
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -27,7 +27,7 @@
 
 
 class Connection:
-    """One connection to an instance. Methods with `until` raise TimeoutError once that time has passed."""
+    """A connection to an instance. Methods with `until` raise TimeoutError once that time has passed."""
 
     def __init__(self, pool):
         self.pool, self.sock = pool, socket.socket()
@@ -133,7 +133,7 @@
         self.dispatcher, self.thread_pool, self.log, self.counters = dispatcher, thread_pool, log, counters
         self.idle_time = int(config.start.idle_time * IDLE_SHARE)
         self.connect_time = config.start.connect_time
-        self.max_connections, self.open = config.connections // 2, 0  # `open`: those being made count too
+        self.max_connections, self.open_connections = config.connections // 2, 0  # including those being made
         self.lock = threading.Lock()
         self.pools, self.attempts_in_flight = {}, {}  # by the instance's id; by attempt
         self.used_pools = set()  # the pools for which a connection was ever begun
@@ -313,7 +313,7 @@
             in_flight.connection = Connection(pool)
         except (OSError, MemoryError):  # no descriptor or no memory is left
             with self.lock:
-                self.open -= 1
+                self.open_connections -= 1
             return None
         self.counters.add("connections made")
         in_flight.connection.connect(min(in_flight.until, now() + self.connect_time))
@@ -323,12 +323,12 @@
         """Counts one more connection. At the limit it closes the one that is longest unused; returns False if
         there is none."""
         with self.lock:
-            self.open += 1
-            if self.open <= self.max_connections:
+            self.open_connections += 1
+            if self.open_connections <= self.max_connections:
                 return True
             unused = [pool.unused for pool in self.used_pools if pool.unused]
             if not unused:
-                self.open -= 1
+                self.open_connections -= 1
                 return False
             oldest = min(unused, key=lambda connections: connections[0].idle_since).pop(0)
         self.close(oldest, "made room")
@@ -337,7 +337,7 @@
     def close(self, connection, reason):
         connection.sock.close()
         with self.lock:
-            self.open -= 1
+            self.open_connections -= 1
         self.counters.add(f"connections ended: {reason}")
         self.log.info("connection ended", instance=connection.pool.address[0], reason=reason)
 
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -14,6 +14,8 @@
 
 
 class Releases:
+    """Receives the platform's news of builds, and sends it the balancer's votes."""
+
     def __init__(self, config, dispatcher, log, counters):
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.vote_timeout = config.start.release.vote_timeout / 1e9
--- a/lemonlead/gateway/request_rules.py
+++ b/lemonlead/gateway/request_rules.py
@@ -22,6 +22,8 @@
 
 
 class RequestRules:
+    """The rule sets in force, and their effect on each request. `load` is called again after SIGHUP."""
+
     def __init__(self, config, path, dispatcher, log, counters):
         self.config, self.path, self.dispatcher, self.log, self.counters = (
             config,
--- a/lemonlead/gateway/resp.py
+++ b/lemonlead/gateway/resp.py
@@ -25,7 +25,7 @@
     def __init__(self, commands=False):
         self.buffer = Buffer()
         self.commands = commands
-        self.open = []  # the unfinished arrays: (items so far, number of items)
+        self.open_arrays = []  # the unfinished arrays: (items so far, number of items)
         self.bulk = None  # the length of the bulk string that comes next; None if none does
         self.size = 0  # bytes of the strings of the unfinished array
 
@@ -33,16 +33,16 @@
         """Returns the next value, or MORE until it is complete. Raises Malformed."""
         while True:
             value = self.line() if self.bulk is None else self.string()
-            while value is not MORE and value is not None and self.open:
-                items, count = self.open[-1]
+            while value is not MORE and value is not None and self.open_arrays:
+                items, count = self.open_arrays[-1]
                 items.append(None if value is NULL else value)
-                value = self.open.pop()[0] if len(items) == count else None
+                value = self.open_arrays.pop()[0] if len(items) == count else None
             if value is not None:
                 return None if value is NULL else value
 
     def empty(self):
         """Returns whether the parser is between values and has no byte of the next one."""
-        return not len(self.buffer) and not self.open and self.bulk is None
+        return not len(self.buffer) and not self.open_arrays and self.bulk is None
 
     def string(self):
         data = self.buffer.take(self.bulk + 2)
@@ -58,7 +58,7 @@
         if (line := self.buffer.line(MAX_LINE_BYTES)) is None:
             return MORE
         kind, rest = line[:1], line[1:]
-        if self.commands and kind != (b"$" if self.open else b"*"):
+        if self.commands and kind != (b"$" if self.open_arrays else b"*"):
             raise Malformed("a command is an array of bulk strings")
         if kind in (b"+", b"-"):
             return (Status if kind == b"+" else Fault)(rest)
@@ -75,12 +75,12 @@
                 raise Malformed(f"a bulk string of {number} bytes")
             self.bulk = number
             return None
-        if not self.commands <= number <= MAX_ITEMS or len(self.open) >= MAX_DEPTH:
-            raise Malformed(f"an array of {number} items at depth {len(self.open)}")
+        if not self.commands <= number <= MAX_ITEMS or len(self.open_arrays) >= MAX_DEPTH:
+            raise Malformed(f"an array of {number} items at depth {len(self.open_arrays)}")
         self.size = 0
         if number == 0:
             return []
-        self.open.append(([], number))
+        self.open_arrays.append(([], number))
         return None
 
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -75,9 +75,9 @@
         where = (host, int(port)) if state == at.READY else None
         line = at.Instance(id, 0, 0, build, 0, state, 1.0, since)
 
-        def listed(moment):
+        def listed(time_now):
             self.instances.listed(id, where, since)
-            self.balancer.list_received(moment, [line], False, True)
+            self.balancer.list_received(time_now, [line], False, True)
 
         self.dispatcher.handle(listed)
 
@@ -92,8 +92,8 @@
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
         ask = RecordedCommand(gateway=self, words=words, answer=None, answers=0)
         ask.client = SimpleNamespace(flush=lambda: setattr(ask, "answers", ask.answers + 1))
-        moment = now()
-        ask.request = at.Request(id, self.request_classes[request_class], 0, id, moment, moment + WAIT)
+        time_now = now()
+        ask.request = at.Request(id, self.request_classes[request_class], 0, id, time_now, time_now + WAIT)
         self.asked.append(ask)
         return ask
 
@@ -107,12 +107,12 @@
     def ended(self):
         """Waits until no attempt is in flight."""
 
-        def told():
+        def no_attempt_in_flight():
             with self.dispatcher.lock:
                 attempts = [attempt for ask in self.asked for attempt in ask.request.attempts]
                 return not self.instances.attempts_in_flight and all(attempt.end for attempt in attempts)
 
-        until(told)
+        until(no_attempt_in_flight)
 
     def unused(self, id="i0"):
         return list(self.instances.pools[id].unused)
@@ -176,7 +176,7 @@
 
 def test_new_connection_counts_as_idle_from_its_creation(gateway, monkeypatch):
     made = gateway(server := InstanceServer().start())
-    begun = now()
+    began = now()
     halt = Pause(monkeypatch, made.instances, "get_connection", after=True)
     given_up = made.ask()
     assert halt.reached.wait(60)
@@ -186,7 +186,7 @@
     halt.opened.set()
     made.ended()
     (connection,) = made.unused()
-    assert begun < connection.idle_since < accepted and not server.got
+    assert began < connection.idle_since < accepted and not server.got
 
 
 def arrived(sock):
@@ -355,8 +355,10 @@
     ]
     made = gateway(*servers)
     assert made.answered(made.ask()) == b"$1\r\n0\r\n"
-    told = [int(words[3].split(b"d=")[1].split(b",")[0]) for server in servers for words in server.got]
-    assert len(told) == 1 + turned_away and 8000 < min(told) <= 13_000
+    forwarded_waits = [
+        int(words[3].split(b"d=")[1].split(b",")[0]) for server in servers for words in server.got
+    ]
+    assert len(forwarded_waits) == 1 + turned_away and 8000 < min(forwarded_waits) <= 13_000
 
 
 @pytest.mark.parametrize("request_class, again", [(0, True), (1, True), (2, False)])
@@ -379,8 +381,8 @@
 def second(made, ask, id="i1"):
     """Makes the balancer begin another attempt."""
     made.dispatcher.handle(
-        lambda moment: made.balancer.attempt(
-            ask.request, made.balancer.instances[id], moment, made.dispatcher
+        lambda time_now: made.balancer.attempt(
+            ask.request, made.balancer.instances[id], time_now, made.dispatcher
         )
     )
 
@@ -402,7 +404,7 @@
         made.dispatcher.handle(made.dispatcher.client_left, [ask.request])
     elif by == "cancelled":
         ask.request.finished = True  # so that no other attempt follows
-        made.dispatcher.handle(lambda moment: made.dispatcher.cancel(attempt))
+        made.dispatcher.handle(lambda time_now: made.dispatcher.cancel(attempt))
     elif by == "a break":
         ask.request.finished = True
         (in_flight,) = made.instances.attempts_in_flight.values()
@@ -412,7 +414,7 @@
     assert not server.whole()
     made.ended()
     assert attempt.end == (at.UNCONNECTED if by in ("the deadline", "a break") else at.NOT_SENT)
-    assert not made.unused() and made.instances.open == (by == "an answer")
+    assert not made.unused() and made.instances.open_connections == (by == "an answer")
 
 
 @pytest.mark.parametrize("at_point", ["may_begin", "forwarded_words"])
@@ -449,7 +451,7 @@
     assert made.answered(ask) == b"$1\r\n0\r\n"
     made.ended()
     new.close()
-    assert not old.got and len(new.got) == 1 and made.instances.open == 1 == len(made.unused())
+    assert not old.got and len(new.got) == 1 and made.instances.open_connections == 1 == len(made.unused())
 
 
 def test_repeat_does_not_begin_after_deduplication_window(gateway, monkeypatch):
@@ -486,7 +488,9 @@
     ask = made.ask(request_class=2)  # a class that may run only once
     assert made.answered(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
-    assert [attempt.end for attempt in ask.request.attempts] == [at.RESET] and made.instances.open == 0
+    assert [attempt.end for attempt in ask.request.attempts] == [
+        at.RESET
+    ] and made.instances.open_connections == 0
 
 
 @pytest.mark.parametrize("error", [OSError, MemoryError])
@@ -500,7 +504,9 @@
     made.run_timer()
     ask = made.ask()
     made.answered(ask)
-    assert made.instances.open == 0 and {attempt.end for attempt in ask.request.attempts} == {at.NOT_SENT}
+    assert made.instances.open_connections == 0 and {attempt.end for attempt in ask.request.attempts} == {
+        at.NOT_SENT
+    }
 
 
 @pytest.mark.parametrize("name", ["choose", "cost", "may_attempt", "attempt", "sheds", "overdue_at"])
@@ -516,10 +522,10 @@
     monkeypatch.setattr(made.balancer, name, fails)
     others = [made.made() for _ in range(2)]
 
-    def arrive(moment):
-        spoilt.request.deadline = moment + 100 * MS
+    def arrive(time_now):
+        spoilt.request.deadline = time_now + 100 * MS
         for ask in (spoilt, *others):
-            made.dispatcher.request_arrived(moment, ask, ask.request)
+            made.dispatcher.request_arrived(time_now, ask, ask.request)
 
     made.run_timer()
     made.dispatcher.handle(arrive)  # all three need a decision at once
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -42,7 +42,7 @@
 @contextlib.contextmanager
 def gateway(tmp_path, *servers, limits=None, entries=None, **settings):
     """Runs a gateway in this process with these instances, all on loopback. Yields `gateway_server`,
-    `dispatcher`, `log`, `thread`, `count(name)` for counters, `tell(*entries)`, which changes the list,
+    `dispatcher`, `log`, `thread`, `count(name)` for counters, `change_list(*entries)` as by discovery,
     `client()`, which connects a client and waits until it is accepted, and `ours(client)`, the gateway's
     side of that connection."""
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
@@ -89,7 +89,7 @@
     def count(name):
         return counters.read().get(name, 0)
 
-    def tell(*entries):
+    def change_list(*entries):
         whole = {"version": 2, "full": False, "servers": list(entries)}
         dispatcher.handle(discovery.listed, *discovery.parse_update(whole), False, True)
 
@@ -101,7 +101,7 @@
             count=count,
             client=client,
             ours=ours,
-            tell=tell,
+            change_list=change_list,
             thread=thread,
         )
         assert not [line for line in log.lines if line[0] == "fault"] and thread.is_alive()
@@ -275,7 +275,7 @@
     """Returns whether all requests of the client are dropped soon after its hangup and none is forwarded."""
     until(lambda: ran.count("left") == asked, 20)
     until(lambda: not ran.gateway_server.clients, 20)
-    ran.tell(entry("i0", ran.server))
+    ran.change_list(entry("i0", ran.server))
     assert ran.client().ask(b"other").read() == b"other"
     return [words[1] for words in ran.server.got] == [b"other"] and ran.count("taken") == asked + 1
 
@@ -574,8 +574,8 @@
         until(lambda: ran.ours(client).partial_since is not None)  # the part is read
         ahead.append(60_000_000_000)  # longer than the client waits
         assert client.write(COMMAND[cut:]).read() == b"key"
-        told = int(server.got[0][3].split(b"d=")[1])
-        assert 10_000 < told <= 20_000
+        forwarded_wait = int(server.got[0][3].split(b"d=")[1])
+        assert 10_000 < forwarded_wait <= 20_000
 
 
 # ---- responses that several threads write
@@ -755,11 +755,11 @@
         )
         monkeypatch.setattr(dispatcher, "handle", self.handle)
 
-    def handle(self, happened, *values):
-        if happened.__name__ == self.name:
+    def handle(self, event, *values):
+        if event.__name__ == self.name:
             self.met.set()
             assert self.go.wait(60)
-        self.real_handle(happened, *values)
+        self.real_handle(event, *values)
 
 
 def test_response_during_rejection_is_the_only_one(tmp_path, monkeypatch):
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -415,9 +415,9 @@
 def test_client_is_served_once_a_thread_is_available(monkeypatch, times, served):
     monkeypatch.setattr(clients, "MAX_COMMAND_SECONDS", 0.9 if served else 0.0)
     config = SimpleNamespace(connections=8, memory=16000, listen=("127.0.0.1", 0))
-    thread_pool, told = thread_pool_that_fails(times), []
+    thread_pool, logged = thread_pool_that_fails(times), []
     gateway_server = GatewayServer(
-        config, None, thread_pool, SimpleNamespace(info=lambda event, **what: told.append(what)), Counters()
+        config, None, thread_pool, SimpleNamespace(info=lambda event, **what: logged.append(what)), Counters()
     )
     gateway_server.open()
     threading.Thread(target=gateway_server.run, daemon=True).start()
@@ -426,8 +426,8 @@
         if served:
             assert theirs.recv(99) == b"+PONG\r\n" and not thread_pool.left
             theirs.shutdown(socket.SHUT_WR)
-        until(lambda: told)
-    assert told == [{"reason": "client closed" if served else "no thread"}]
+        until(lambda: logged)
+    assert logged == [{"reason": "client closed" if served else "no thread"}]
     gateway_server.close()
     assert gateway_server.closed.is_set()
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -57,10 +57,10 @@
     def stage_reported(self, now, *news):
         self.stages.append(news)
 
-    def handle(self, happened, *values):
-        self.gates.get(getattr(happened, "__name__", ""), lambda: None)()
-        happened(NOW, *values)
-        self.taken.append(getattr(happened, "__name__", ""))
+    def handle(self, event, *values):
+        self.gates.get(getattr(event, "__name__", ""), lambda: None)()
+        event(NOW, *values)
+        self.taken.append(getattr(event, "__name__", ""))
 
 
 @pytest.fixture
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -62,7 +62,7 @@
         attempt, pool, WORDS, now() + left
     )
     pool.unused.append(connection)
-    made.instances.open += 1
+    made.instances.open_connections += 1
     return in_flight, theirs
 
 
@@ -80,7 +80,7 @@
 
 def test_exception_in_balancer_does_not_end_the_calling_thread():
     made = dispatcher()
-    made.handle(lambda moment: 1 // 0)
+    made.handle(lambda time_now: 1 // 0)
     assert made.counters.read()["faults"] == 1
 
 
@@ -119,10 +119,10 @@
     theirs.sendall(answer)
     if end == at.RESET:
         theirs.shutdown(socket.SHUT_WR)
-    told = []
-    made.attempt_ended = lambda moment, attempt, how, value: told.append(how)
+    reported = []
+    made.attempt_ended = lambda time_now, attempt, how, value: reported.append(how)
     made.instances.run(in_flight)
-    assert told == [end] and in_flight.written and bool(in_flight.pool.unused) is reused
+    assert reported == [end] and in_flight.written and bool(in_flight.pool.unused) is reused
 
 
 def test_unanswered_attempt_times_out():
@@ -179,7 +179,7 @@
     other.sendall(GOOD)
     monkeypatch.setattr(Connection, "connect", lambda self, until: setattr(self, "sock", ours))
     assert made.instances.execute(in_flight) == (at.SUCCEEDED, b"v") and other.recv(4096)
-    assert in_flight.connection is not old and old.sock.fileno() < 0 and made.instances.open == 1
+    assert in_flight.connection is not old and old.sock.fileno() < 0 and made.instances.open_connections == 1
 
 
 def test_failure_closes_connections_unused_since_before_it():
@@ -190,9 +190,9 @@
     stale, fresh = Connection(pool), Connection(pool)
     stale.idle_since, fresh.idle_since = in_flight.attempt.sent_at - 1, in_flight.attempt.sent_at + 1
     pool.unused.extend([stale, fresh])
-    made.instances.open = 3
+    made.instances.open_connections = 3
     made.instances.finish(in_flight, at.TIMED_OUT, None)
-    assert list(pool.unused) == [fresh] and stale.sock.fileno() < 0 and made.instances.open == 1
+    assert list(pool.unused) == [fresh] and stale.sock.fileno() < 0 and made.instances.open_connections == 1
     theirs.close()
 
 
@@ -203,17 +203,19 @@
     for pool, used in zip(pools, (5, 3), strict=True):
         pool.unused.append(Connection(pool))
         pool.unused[0].idle_since = used
-    made.instances.open = made.instances.max_connections
+    made.instances.open_connections = made.instances.max_connections
     assert made.instances.make_room() and not pools[1].unused and pools[0].unused
     pools[0].unused.clear()
-    assert not made.instances.make_room() and made.instances.open == made.instances.max_connections
+    assert (
+        not made.instances.make_room() and made.instances.open_connections == made.instances.max_connections
+    )
 
 
 def test_cancel_ends_attempt_and_late_response_is_not_read():
     made = dispatcher()
     in_flight, theirs = make_in_flight(made)
     ended = []
-    made.attempt_ended = lambda moment, attempt, end, value: ended.append(end)
+    made.attempt_ended = lambda time_now, attempt, end, value: ended.append(end)
     thread = threading.Thread(target=made.instances.run, args=(in_flight,), daemon=True)
     thread.start()
     until(lambda: in_flight.written)
@@ -335,11 +337,11 @@
 @pytest.mark.parametrize("waiting, crowded", [(1, False), (2, False), (3, True)])
 def test_only_clients_with_open_requests_count_past_the_limit(waiting, crowded):
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
-    told, dispatcher = (
+    reported, dispatcher = (
         [],
         SimpleNamespace(request_turned_away="away", request_arrived="arrived", DUPLICATE_ID_ERROR=b"-"),
     )
-    dispatcher.handle = lambda happened, *_: told.append(happened)
+    dispatcher.handle = lambda event, *_: reported.append(event)
     server = Server(config, dispatcher, None, SilentLog(), Counters())
     server.parse_request = lambda *_: request()
     pairs = [socket.socketpair() for _ in range(4)]
@@ -348,7 +350,7 @@
         other.pending_requests.append(None)
     server.clients = set(clients)
     client.handle_command(WORDS)
-    assert told == ["away" if crowded else "arrived"]
+    assert reported == ["away" if crowded else "arrived"]
     server.listener.close()
 
 
@@ -389,13 +391,13 @@
         queue.append((chances.random() * 0.1, number, connection))
     heapq.heapify(queue)
     while queue and queue[0][0] < 60:
-        moment, number, connection = heapq.heappop(queue)
-        free = max(free, moment) + 0.15
-        if free - moment <= 2.0:
+        time_now, number, connection = heapq.heappop(queue)
+        free = max(free, time_now) + 0.15
+        if free - time_now <= 2.0:
             through += 1
             continue
         connection.pause_before_retry(grows)
-        heapq.heappush(queue, (moment + 2.0 + 0.6 + connection.waited, number, connection))
+        heapq.heappush(queue, (time_now + 2.0 + 0.6 + connection.waited, number, connection))
     return through
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -287,8 +287,8 @@
         ran.platform.tell("nonsense")
         until(lambda: "malformed" in ran.log())
         ran.platform.tell("1 0 released 1 9000")
-        told = ran.counters()["news_told"]
-        until(lambda: ran.counters()["news_told"] > told)
+        count_before = ran.counters()["news_told"]
+        until(lambda: ran.counters()["news_told"] > count_before)
         assert ran.client().ask().read() == b"aa"
 
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -118,7 +118,9 @@
         )
         phases = (at.ON_TRIAL, at.RELEASED)
         judged = (
-            told if (told := self.reported_build) and told.seen_on_trial and told.phase in phases else None
+            reported
+            if (reported := self.reported_build) and reported.seen_on_trial and reported.phase in phases
+            else None
         )
         if trial is not self.trial_build or judged is not self.judged_build:
             if trial is not None and trial is not self.trial_build:
@@ -258,9 +260,9 @@
         starts = [start_of(seed) for _ in range(2)]
         self.request_classes = [start.request_classes for start in starts]
         self.both = Balancer(starts[0]), ReferenceBalancer(starts[1])
-        self.tell("list_received", [self.row(id) for id in self.ids], True, True)
+        self.send_event("list_received", [self.row(id) for id in self.ids], True, True)
 
-    def tell(self, name, *values, each=None):
+    def send_event(self, name, *values, each=None):
         """`each`: separate values for the two balancers, because each changes its requests and attempts."""
         decisions = []
         for n, made in enumerate(self.both):
@@ -296,19 +298,21 @@
             self.begin()
         elif what < 0.93:
             named = [self.rng.choice(self.ids) for _ in range(self.rng.choice((0, 1, 1, 1, 2, 9)))]
-            self.tell("list_received", [self.row(id) for id in named], False, self.rng.random() < 0.9)
+            self.send_event("list_received", [self.row(id) for id in named], False, self.rng.random() < 0.9)
         elif what < 0.95:
             named = self.rng.sample(self.ids, self.rng.randrange(self.most))
-            self.tell("list_received", [self.row(id) for id in named], True, True)
+            self.send_event("list_received", [self.row(id) for id in named], True, True)
         elif what < 0.98:
             self.build += self.rng.random() < 0.3
             phase = self.rng.choice((at.ON_TRIAL, at.ON_TRIAL, at.RELEASED, at.ROLLING_BACK))
-            told = max(self.build - self.rng.choice((0, 0, 0, 1)), 1)
+            reported = max(self.build - self.rng.choice((0, 0, 0, 1)), 1)
             cap = self.rng.choice((0.1, 0.5, 1.0))
-            self.tell("stage_reported", told, self.rng.randrange(3), phase, cap, 0)
+            self.send_event("stage_reported", reported, self.rng.randrange(3), phase, cap, 0)
         else:
             wrong = "wrong_answer_reported", self.rng.choice(self.ids)
-            self.tell(*self.rng.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong)))
+            self.send_event(
+                *self.rng.choice((("list_failed", self.now), ("vote_answered", at.COUNTED), wrong))
+            )
 
     def ask(self, number):
         work = (number * 7919 % 200 + 1) * MS if number % 4 else 0
@@ -317,7 +321,7 @@
             for classes in self.request_classes
         ]
         self.open.append(both)
-        self.tell("request_arrived", each=[(request,) for request in both])
+        self.send_event("request_arrived", each=[(request,) for request in both])
 
     def attempts(self):
         """Returns an open attempt, as one object of each balancer, or None."""
@@ -331,7 +335,7 @@
         report = {"svc_ms": self.rng.uniform(5, 20)} if self.rng.random() < 0.3 else {}
         if (pair := self.attempts()) is not None:
             over = end == at.SUCCEEDED
-            self.tell("attempt_ended", each=[(attempt, end, took, over, report) for attempt in pair])
+            self.send_event("attempt_ended", each=[(attempt, end, took, over, report) for attempt in pair])
 
     def begin(self):
         if (pair := self.attempts()) is not None:
@@ -387,8 +391,8 @@
 
     def write(name, does):
         def written(gateway, *values):
-            told = [getattr(value, "id", value) for value in values if not isinstance(value, at.Attempt)]
-            calls.append((day.now, gateway.number, name, *told))
+            reported = [getattr(value, "id", value) for value in values if not isinstance(value, at.Attempt)]
+            calls.append((day.now, gateway.number, name, *reported))
             return does(gateway, *values)
 
         monkeypatch.setattr(world.Gateway, name, written)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -32,8 +32,8 @@
     until(lambda: Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
 
 
-def resume_at(process, moment):
-    while time.monotonic() < moment:
+def resume_at(process, until_time):
+    while time.monotonic() < until_time:
         time.sleep(0.01)
     process.send_signal(signal.SIGCONT)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, told",
+    "line, expected",
     [
         ("OK 42 1 trial 0.28 310", (at.COUNTED, (42, 1, at.ON_TRIAL, 0.28, 310_000_000))),
         ("OK 42 4 rolling_back 0 0.5", (at.COUNTED, (42, 4, at.ROLLING_BACK, 0.0, 500_000))),
@@ -156,8 +156,8 @@
         ("ERR", (at.VOTE_ERRED, None)),
     ],
 )
-def test_vote_response_is_parsed(line, told):
-    assert platform.parse_vote_response(line.split()) == told
+def test_vote_response_is_parsed(line, expected):
+    assert platform.parse_vote_response(line.split()) == expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -77,14 +77,14 @@
 
 def test_delay_before_write_keeps_drain_grace_and_forwarded_wait(tmp_path, monkeypatch):
     """The delay comes after the last check of the list and the clock; the drain arrives just then."""
-    write, began, told = instances.Connection.write, [], []
+    write, began, drained_at = instances.Connection.write, [], []
     servers = [InstanceServer().start() for _ in range(2)]
 
     def held_up(self, data, until_moment):
-        if not told:
-            ran.tell(entry("i0", servers[0], "draining"), entry("i1", servers[1], "draining"))
-            told.append(time.monotonic())
-            while time.monotonic() < told[0] + DELAY_SECONDS:
+        if not drained_at:
+            ran.change_list(entry("i0", servers[0], "draining"), entry("i1", servers[1], "draining"))
+            drained_at.append(time.monotonic())
+            while time.monotonic() < drained_at[0] + DELAY_SECONDS:
                 time.sleep(0.005)
         began.append(time.monotonic())
         write(self, data, until_moment)
@@ -96,8 +96,10 @@
         client.sock.settimeout(3)
         client.read()
         for words in servers[0].got + servers[1].got:
-            left = asked + 1 - told[0] - DELAY_SECONDS
+            left = asked + 1 - drained_at[0] - DELAY_SECONDS
             assert int(words[3].split(b"d=")[1]) <= (left + DELAY_SECONDS) * 1e3 + 20
         assert (
-            began and began[-1] - told[0] < DRAIN_GRACE_SECONDS and len(servers[0].got + servers[1].got) == 1
+            began
+            and began[-1] - drained_at[0] < DRAIN_GRACE_SECONDS
+            and len(servers[0].got + servers[1].got) == 1
         )
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -86,22 +86,22 @@
 
 @settings(deadline=None)
 @given(some.text(' ="\\\nab%s{}'), some.dictionaries(NAMES, VALUES), LEVELS)
-def test_log_line_equals_the_one_of_structlog(event, told, level):
+def test_log_line_equals_the_one_of_structlog(event, fields, level):
     """Members log with structlog, and the same tools read both logs."""
     stream = io.StringIO()
-    getattr(logfmt.open_log(stream, gateway="g 0"), level)(event, **told)
+    getattr(logfmt.open_log(stream, gateway="g 0"), level)(event, **fields)
     idempotency_key = re.match(r"timestamp=(\S+Z) ", stream.getvalue())[1]
     render = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])
-    told = {"gateway": "g 0", **told, "event": event, "level": level, "timestamp": idempotency_key}
-    assert stream.getvalue() == render(None, level, told) + "\n"
+    fields = {"gateway": "g 0", **fields, "event": event, "level": level, "timestamp": idempotency_key}
+    assert stream.getvalue() == render(None, level, fields) + "\n"
 
 
 def test_log_timestamp_is_utc_with_microseconds():
     stream, before = io.StringIO(), datetime.now(UTC)
     logfmt.open_log(stream).info("serving")
     text = stream.getvalue().split()[0].removeprefix("timestamp=")
-    moment = datetime.strptime(text, "%Y-%m-%dT%H:%M:%S.%f%z")
-    assert before <= moment <= datetime.now(UTC)
+    parsed = datetime.strptime(text, "%Y-%m-%dT%H:%M:%S.%f%z")
+    assert before <= parsed <= datetime.now(UTC)
     assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z", text)
 
 
@@ -115,11 +115,11 @@
     stream = Full()
     log = logfmt.open_log(stream, gateway="g0")
 
-    def tell(number):
+    def write_lines(number):
         for n in range(50):
             log.info("lost" if n == 25 else "kept", number=number, n=n)
 
-    threads = [threading.Thread(target=tell, args=(number,)) for number in range(8)]
+    threads = [threading.Thread(target=write_lines, args=(number,)) for number in range(8)]
     for thread in threads:
         thread.start()
     for thread in threads:
