--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -67,9 +67,9 @@
         self.balancer.stage_reported(now(), 1, 0, at.RELEASED, 1.0, 0)
         self.asked, self.faulty = [], False
         for number, server in enumerate(servers):
-            self.list(f"i{number}", server)
+            self.report_instance(f"i{number}", server)
 
-    def list(self, id, server, state=at.READY, since=0, build=1):
+    def report_instance(self, id, server, state=at.READY, since=0, build=1):
         """Reports one instance, as discovery does."""
         host, port = server.address.split(":")
         where = (host, int(port)) if state == at.READY else None
@@ -83,11 +83,11 @@
 
     def ask(self, **more):
         """Sends a request as a client. Returns its command, which gets the response."""
-        ask = self.made(**more)
+        ask = self.make_command(**more)
         self.dispatcher.handle(self.dispatcher.request_arrived, ask, ask.request)
         return ask
 
-    def made(self, request_class=0, body=b"BODY"):
+    def make_command(self, request_class=0, body=b"BODY"):
         id = b"%d" % len(self.asked)
         words = [b"Q.DO", id, id, b"c=x,d=20000,t=acme", body]
         ask = RecordedCommand(gateway=self, words=words, answer=None, answers=0)
@@ -100,11 +100,11 @@
     def run_timer(self):
         threading.Thread(target=self.dispatcher.run_timer, daemon=True).start()
 
-    def answered(self, ask):
+    def wait_for_answer(self, ask):
         until(lambda: ask.answers)
         return ask.answer
 
-    def ended(self):
+    def wait_until_ended(self):
         """Waits until no attempt is in flight."""
 
         def no_attempt_in_flight():
@@ -153,8 +153,8 @@
 
 def test_unsent_attempt_does_not_reset_connection_idle_time(gateway, monkeypatch):
     made = gateway(server := InstanceServer().start())
-    assert made.answered(made.ask()) == b"$1\r\n0\r\n"
-    made.ended()
+    assert made.wait_for_answer(made.ask()) == b"$1\r\n0\r\n"
+    made.wait_until_ended()
     ((connection,),) = [made.unused()]
     answered = connection.idle_since
     halt = Pause(monkeypatch, made.instances, "get_connection", after=True)
@@ -166,7 +166,7 @@
         instances, "now", lambda: late
     )  # just within its idle time, which the instance still counts
     halt.opened.set()
-    made.ended()
+    made.wait_until_ended()
     assert made.unused() == [connection] and connection.idle_since == answered
     monkeypatch.setattr(instances, "now", lambda: late + MS)
     made.ask()
@@ -184,7 +184,7 @@
     accepted = now()
     made.dispatcher.handle(made.dispatcher.client_left, [given_up.request])
     halt.opened.set()
-    made.ended()
+    made.wait_until_ended()
     (connection,) = made.unused()
     assert began < connection.idle_since < accepted and not server.got
 
@@ -201,8 +201,8 @@
 
 def test_late_second_response_is_not_taken_for_the_next_one(gateway, monkeypatch):
     made = gateway(server := InstanceServer().start())
-    made.answered(made.ask())
-    made.ended()
+    made.wait_for_answer(made.ask())
+    made.wait_until_ended()
     (connection,), write, late = made.unused(), Connection.write, []
 
     def second_answer():
@@ -218,28 +218,28 @@
     sleeps = SimpleNamespace(sleep=lambda seconds: second_answer())
     monkeypatch.setattr(instances, "time", sleeps, raising=False)
     monkeypatch.setattr(Connection, "write", written)
-    assert made.answered(made.ask()) == b"$1\r\n1\r\n" and late
-    made.ended()
+    assert made.wait_for_answer(made.ask()) == b"$1\r\n1\r\n" and late
+    made.wait_until_ended()
     assert len(server.connections) == 2 and connection.sock.fileno() < 0 and len(server.got) == 2
 
 
 @pytest.mark.parametrize("rested, wait", [(0, 10), (4, 6), (10, 0), (11, 0)])
 def test_connection_waits_for_the_rest_of_its_reuse_delay(gateway, monkeypatch, rested, wait):
     made, slept = gateway(InstanceServer().start()), []
-    made.answered(made.ask())
-    made.ended()
+    made.wait_for_answer(made.ask())
+    made.wait_until_ended()
     (connection,) = made.unused()
     monkeypatch.setattr(instances, "now", lambda: connection.idle_since + rested * MS)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
-    made.answered(made.ask())
+    made.wait_for_answer(made.ask())
     assert slept == [wait / 1e3] * (wait > 0)
 
 
 @pytest.mark.parametrize("rested, same", [(0, False), (9, False), (10, True)])
 def test_instance_without_reuse_delay_is_chosen(gateway, monkeypatch, rested, same):
     made, slept = gateway(*(InstanceServer().start() for _ in range(2))), []
-    made.answered(ask := made.ask())
-    made.ended()
+    made.wait_for_answer(ask := made.ask())
+    made.wait_until_ended()
     (first,) = ask.request.attempts
     (connection,) = made.unused(first.instance.id)
     first.instance.slowness, first.instance.group.slowness = (
@@ -249,7 +249,7 @@
     for module in (dispatcher, instances):
         monkeypatch.setattr(module, "now", lambda: connection.idle_since + rested * MS)
     monkeypatch.setattr(instances, "time", SimpleNamespace(sleep=slept.append))
-    made.answered(ask := made.ask())
+    made.wait_for_answer(ask := made.ask())
     (second,) = ask.request.attempts
     assert (second.instance is first.instance) is same and not slept
 
@@ -275,7 +275,7 @@
 
     assert [chosen(), chosen()] == ["i0", "i0"]
     open_.set()
-    made.ended()
+    made.wait_until_ended()
     open_.clear()
     rested, resting = made.unused()
     resting.idle_since = rested.idle_since + 10 * MS
@@ -285,7 +285,7 @@
     assert [chosen(), chosen()] == ["i0", "i1"]
     assert made.unused() == [resting] and not slept
     open_.set()
-    made.ended()
+    made.wait_until_ended()
     assert not slept
 
 
@@ -354,7 +354,7 @@
         for _ in range(2)
     ]
     made = gateway(*servers)
-    assert made.answered(made.ask()) == b"$1\r\n0\r\n"
+    assert made.wait_for_answer(made.ask()) == b"$1\r\n0\r\n"
     forwarded_waits = [
         int(words[3].split(b"d=")[1].split(b",")[0]) for server in servers for words in server.got
     ]
@@ -369,10 +369,10 @@
     made.request_classes[1].repeat_window = 10000 * MS
     ask = made.ask(request_class=request_class)
     until(lambda: any(in_flight.written for in_flight in made.instances.attempts_in_flight.values()))
-    made.list("i1", other := InstanceServer().start())
+    made.report_instance("i1", other := InstanceServer().start())
     killed.close()
-    answer = made.answered(ask)
-    made.ended()
+    answer = made.wait_for_answer(ask)
+    made.wait_until_ended()
     other.close()
     assert ask.request.attempts[0].end == at.RESET and len(other.got) == again
     assert answer == (b"$1\r\n0\r\n" if again else b"-ERR aborted\r\n")
@@ -396,9 +396,9 @@
     ask = stuck(made, server)
     (attempt,) = ask.request.attempts
     if by == "an answer":
-        made.list("i1", other := InstanceServer().start())
+        made.report_instance("i1", other := InstanceServer().start())
         second(made, ask)
-        assert made.answered(ask) == b"$1\r\n0\r\n"
+        assert made.wait_for_answer(ask) == b"$1\r\n0\r\n"
         other.close()
     elif by == "the client leaves":
         made.dispatcher.handle(made.dispatcher.client_left, [ask.request])
@@ -410,9 +410,9 @@
         (in_flight,) = made.instances.attempts_in_flight.values()
         in_flight.connection.sock.shutdown(socket.SHUT_RDWR)
     else:
-        made.ended()
+        made.wait_until_ended()
     assert not server.whole()
-    made.ended()
+    made.wait_until_ended()
     assert attempt.end == (at.UNCONNECTED if by in ("the deadline", "a break") else at.NOT_SENT)
     assert not made.unused() and made.instances.open_connections == (by == "an answer")
 
@@ -425,11 +425,11 @@
     ask = made.ask()
     assert halt.reached.wait(60)
     monkeypatch.undo()
-    made.list("i1", other := InstanceServer().start())
+    made.report_instance("i1", other := InstanceServer().start())
     second(made, ask)
-    assert made.answered(ask) == b"$1\r\n0\r\n"
+    assert made.wait_for_answer(ask) == b"$1\r\n0\r\n"
     halt.opened.set()
-    made.ended()
+    made.wait_until_ended()
     other.close()
     assert (
         not server.got and ask.request.attempts[0].end == at.NOT_SENT and ask.answers == 1 and ask.free == []
@@ -446,10 +446,10 @@
     monkeypatch.undo()
     new = InstanceServer().start()
     made.balancer.stage_reported(now(), 2, 0, at.RELEASED, 1.0, 0)
-    made.list("i0", new, since=since, build=build)
+    made.report_instance("i0", new, since=since, build=build)
     halt.opened.set()
-    assert made.answered(ask) == b"$1\r\n0\r\n"
-    made.ended()
+    assert made.wait_for_answer(ask) == b"$1\r\n0\r\n"
+    made.wait_until_ended()
     new.close()
     assert not old.got and len(new.got) == 1 and made.instances.open_connections == 1 == len(made.unused())
 
@@ -463,13 +463,13 @@
     ask = made.ask(request_class=1)
     assert halt.reached.wait(60)
     monkeypatch.undo()
-    made.list("i1", other := InstanceServer().start())
+    made.report_instance("i1", other := InstanceServer().start())
     again = Pause(monkeypatch, made.instances, "get_connection", after=True)
     halt.opened.set()
     assert again.reached.wait(60) and [attempt.end for attempt in ask.request.attempts] == [at.RESET, ""]
     monkeypatch.setattr(dispatcher, "now", lambda: ask.request.attempts[0].sent_at + 10000 * MS - 1)
     again.opened.set()
-    made.ended()
+    made.wait_until_ended()
     other.close()
     assert not other.got and len(first.got) == 1 and ask.request.attempts[1].end == at.NOT_SENT
     assert ask.answer.startswith(b"-BUSY") and ask.answers == 1
@@ -486,7 +486,7 @@
     monkeypatch.setattr(Connection, "write", fails)
     made.run_timer()
     ask = made.ask(request_class=2)  # a class that may run only once
-    assert made.answered(ask) == b"-ERR aborted\r\n"
+    assert made.wait_for_answer(ask) == b"-ERR aborted\r\n"
     until(lambda: server.got)
     assert [attempt.end for attempt in ask.request.attempts] == [
         at.RESET
@@ -503,7 +503,7 @@
     monkeypatch.setattr(instances, "Connection", fails)
     made.run_timer()
     ask = made.ask()
-    made.answered(ask)
+    made.wait_for_answer(ask)
     assert made.instances.open_connections == 0 and {attempt.end for attempt in ask.request.attempts} == {
         at.NOT_SENT
     }
@@ -512,7 +512,7 @@
 @pytest.mark.parametrize("name", ["choose", "cost", "may_attempt", "attempt", "sheds", "overdue_at"])
 def test_request_with_failing_decisions_is_answered_and_harms_no_other(gateway, monkeypatch, name):
     made = gateway(InstanceServer().start())
-    made.faulty, spoilt, method = True, made.made(), getattr(made.balancer, name)
+    made.faulty, spoilt, method = True, made.make_command(), getattr(made.balancer, name)
 
     def fails(*given):
         if spoilt.request in [getattr(one, "request", one) for one in given]:
@@ -520,7 +520,7 @@
         return method(*given)
 
     monkeypatch.setattr(made.balancer, name, fails)
-    others = [made.made() for _ in range(2)]
+    others = [made.make_command() for _ in range(2)]
 
     def arrive(time_now):
         spoilt.request.deadline = time_now + 100 * MS
@@ -529,9 +529,9 @@
 
     made.run_timer()
     made.dispatcher.handle(arrive)  # all three need a decision at once
-    assert [made.answered(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
-    made.answered(spoilt)
-    made.ended()
+    assert [made.wait_for_answer(other) for other in others] == [b"$1\r\n1\r\n", b"$1\r\n2\r\n"]
+    made.wait_for_answer(spoilt)
+    made.wait_until_ended()
     assert spoilt.answers == 1 and spoilt.answer[:5] == (b"$1\r\n0" if name == "overdue_at" else b"-BUSY")
 
 
@@ -549,6 +549,6 @@
 
     monkeypatch.setattr(made.balancer, name, fails)
     made.run_timer()
-    assert made.answered(made.ask()) == b"$1\r\n0\r\n"
+    assert made.wait_for_answer(made.ask()) == b"$1\r\n0\r\n"
     monkeypatch.undo()
-    assert made.answered(made.ask()) == b"$1\r\n1\r\n"
+    assert made.wait_for_answer(made.ask()) == b"$1\r\n1\r\n"
