--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -17,14 +17,14 @@
 
 from lemonlead import interface as at
 from lemonlead.matching import exact, quick
-from lemonlead.matching.declared import Asked, Declared
+from lemonlead.matching.request_fields import RequestFields, RequestLimits
 from lemonlead.matching.expression import Expression
 from lemonlead.matching.faults import Erred, Fault
 from lemonlead.matching.index import Intervals, Trie
-from lemonlead.matching.rules import SET_COST, RuleSet, Written
+from lemonlead.matching.rules import DEFAULT_SET_COST, RuleSet, RuleSource
 from lemonlead.standins import expressions
 
-DECLARED = Declared(key=1024, request_classes=("fitment", "reserve"))
+DECLARED = RequestLimits(key=1024, request_classes=("fitment", "reserve"))
 REQUEST_CLASSES = {
     "fitment": at.RequestClass(0, at.IDEMPOTENT, 1, 1, 1.0),
     "reserve": at.RequestClass(1, at.DEDUPLICATED, 1, 1, 1.0),
@@ -65,7 +65,7 @@
     for text in [*expressions.hostile(), *drawn]:
         try:
             made = Expression(text, DECLARED)
-            if made.cost > SET_COST:
+            if made.cost > DEFAULT_SET_COST:
                 raise Fault("cost", "past the ceiling of a set")
         except Fault as fault:
             refused[fault.code] += 1
@@ -98,7 +98,7 @@
 def ways():
     text = "lookup.lane == 'fitment' && lookup.key.startsWith('nor') && lookup.repeat || lookup.stamped"
     made, asked = Expression(text, DECLARED), expressions.lookups(DECLARED)[0]
-    fast, slow = quick.compiled(made.tree), exact.compiled(made.tree)
+    fast, slow = quick.compile_tree(made.tree), exact.compile_tree(made.tree)
     base = each(lambda: fast(asked))
     return {
         "code object": 1.0,
@@ -115,13 +115,13 @@
         "lookup.body_size > {1} && lookup.body_size <= {2}",
         "lookup.lane == 'fitment' && lookup.key in ['a{0}', 'b{0}']",
     )
-    return [Written(f"r{n}", kinds[n % 5].format(n, 10 * n, 10 * n + 5)) for n in range(count)]
+    return [RuleSource(f"r{n}", kinds[n % 5].format(n, 10 * n, 10 * n + 5)) for n in range(count)]
 
 
 def asked_of(rng, count):
     number = rng.randrange(count)
     key = rng.choice((f"k{number}", f"p{number}/x", f"a{number}", f"none{number}"))
-    return Asked(
+    return RequestFields(
         DECLARED, "Q.ASK", key, "fitment", f"c{number}", 2 * 10**9, 10**8, body_size=rng.randrange(10 * count)
     )
 
@@ -130,15 +130,15 @@
     rows, rng = [], random.Random(2)
     for count in (10, 100, 1000, 10_000):
         began = time.perf_counter()
-        made = RuleSet("1", written(count), REQUEST_CLASSES, None, DECLARED, set_cost=10**9)
+        made = RuleSet("1", written(count), REQUEST_CLASSES, None, DECLARED, max_set_cost=10**9)
         built = time.perf_counter() - began
         sample = [asked_of(rng, count) for _ in range(200 if count < 10_000 else 20)]
         for one in sample:
-            assert made.judge(one).rule is made.judge_plainly(one).rule
-        fast = each(lambda made=made, sample=sample: [made.judge(one) for one in sample]) / len(sample)
-        slow = each(lambda made=made, sample=sample: [made.judge_plainly(one) for one in sample]) / len(
-            sample
-        )
+            assert made.first_match(one).rule is made.first_match_unindexed(one).rule
+        fast = each(lambda made=made, sample=sample: [made.first_match(one) for one in sample]) / len(sample)
+        slow = each(
+            lambda made=made, sample=sample: [made.first_match_unindexed(one) for one in sample]
+        ) / len(sample)
         rows.append(
             {
                 "rules": count,
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -81,13 +81,13 @@
 def rules(size):
     def make(_=None):
         return matching.RuleSet(
-            "1", matching.written(size), matching.REQUEST_CLASSES, None, matching.DECLARED, set_cost=10**9
+            "1", matching.written(size), matching.REQUEST_CLASSES, None, matching.DECLARED, max_set_cost=10**9
         )
 
     load = min(spent(1, make) for _ in range(3))
     (made, memory), chance = kept(make), random.Random(2)
     sample = [matching.asked_of(chance, size) for _ in range(500)]
-    judged = min(spent(len(sample), lambda n: made.judge(sample[n])) for _ in range(5))
+    judged = min(spent(len(sample), lambda n: made.first_match(sample[n])) for _ in range(5))
     return {"rules load": load, "rules memory": memory, "rules judgement": judged * 1e6}
 
 
--- a/lemonlead/commands/given.py
+++ b/lemonlead/commands/arguments.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ..matching.declared import Asked
+from ..matching.request_fields import RequestFields
 from ..matching.kinds import BYTES, DOUBLE, DURATION
 from ..start_settings import ms_to_ns, start_from_settings
 
@@ -26,7 +26,7 @@
 FAR = 10**9  # the most of wait_ms and work_us, as on the wire
 
 
-def lookup_told(text):
+def parse_lookup(text):
     """A request's fields from JSON; a usage error that names what is wrong."""
     try:
         told = json.loads(text) if text else {}
@@ -50,10 +50,10 @@
     return told
 
 
-def asked(told, declared):
+def request_fields(told, limits):
     """The request as expressions see it."""
-    return Asked(
-        declared,
+    return RequestFields(
+        limits,
         told.get("command", "Q.ASK"),
         told.get("key", ""),
         told.get("lane", ""),
@@ -67,7 +67,7 @@
     )
 
 
-def platform(path):
+def read_platform(path):
     """Request classes by name and tenants' names from a gateway's configuration, or from its `settings`
     object alone; (None, None) without a path."""
     if path is None:
@@ -84,7 +84,7 @@
         raise click.UsageError(f"--settings {path}: {type(error).__name__}: {error}") from None
 
 
-def shown(value, kind):
+def to_json_value(value, kind):
     """A value as JSON has it: a duration as seconds with an s, bytes in base64, doubles that are no number by
     name."""
     if kind == DURATION:
@@ -96,10 +96,10 @@
     if kind == DOUBLE and not math.isfinite(value):
         return "NaN" if value != value else "Infinity" if value > 0 else "-Infinity"
     if kind.name == "list":
-        return [shown(item, kind.of) for item in value]
+        return [to_json_value(item, kind.of) for item in value]
     if kind.name == "map":
         return {
-            key if isinstance(key, str) else json.dumps(key): shown(item, kind.of)
+            key if isinstance(key, str) else json.dumps(key): to_json_value(item, kind.of)
             for key, item in value.items()
         }
     return value
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -59,9 +59,9 @@
     with tempfile.TemporaryDirectory(prefix="lemonlead-try-") as folder:
         config = Path(folder) / "classes.json"
         config.write_text(json.dumps({**SETTINGS, **settings}))
-        judge = judged_by(rules, Path(folder), config)
+        match_rule = judged_by(rules, Path(folder), config)
         with gateway(Path(folder), *machines, settings=settings, rules=rules) as ran:
-            rows = [ask(ran.client(), machines, judge, lane, key) for lane, key in REQUESTS]
+            rows = [ask(ran.client(), machines, match_rule, lane, key) for lane, key in REQUESTS]
             counts = ran.counters()
             ran.process.send_signal(signal.SIGTERM)
             code = ran.process.wait(30)
@@ -83,31 +83,31 @@
     """What the rules give a request, reckoned here beside the gateway; None where they are unfit (it then
     says so)."""
     from ..matching import load
-    from . import given
+    from . import arguments
 
     (folder / "judged.cue").write_text(rules)
-    request_classes, tenants = given.platform(config)
+    request_classes, tenants = arguments.read_platform(config)
     try:
         made = load.load(folder / "judged.cue", request_classes, tenants)
-    except load.Unfit as error:
+    except load.InvalidRulesFile as error:
         raise click.UsageError("\n".join(load.lines(error.faults))) from None
 
-    def judge(lane, key):
+    def match_rule(lane, key):
         told = {"lane": lane, "key": key, "customer": "acme", "stamped": lane == "hold"}
-        result = made.judge(given.asked(told, made.declared))
+        result = made.first_match(arguments.request_fields(told, made.limits))
         return result.rule and result.rule.name, result.lane_name or lane
 
-    return judge
+    return match_rule
 
 
-def ask(client, machines, judge, lane, key):
+def ask(client, machines, match_rule, lane, key):
     before = [len(machine.got) for machine in machines]
     began = time.monotonic()
     idempotency_key = {"k": os.urandom(4).hex()} if lane == "hold" else {}
     answer = client.ask(key.encode(), lane, **idempotency_key).read()
     took = time.monotonic() - began
     went = [f"i{n}" for n, machine in enumerate(machines) if len(machine.got) > before[n]]
-    rule, treated = judge(lane, key)
+    rule, treated = match_rule(lane, key)
     return {
         "lane": lane,
         "key": key,
--- a/lemonlead/commands/capacity.py
+++ b/lemonlead/commands/capacity.py
@@ -30,8 +30,8 @@
 def read(file, as_json, kind=fleet):
     try:
         return kind.read(file)
-    except settings.Unfit as error:
-        told = {"faults": [fault.read() for fault in error.faults]}
+    except settings.InvalidFile as error:
+        told = {"faults": [fault.as_dict() for fault in error.faults]}
         lines = [f"{fault.place}: {fault.code} {fault.message}" for fault in error.faults]
         click.echo(json.dumps(told) if as_json else "\n".join(lines))
         sys.exit(2)
--- a/lemonlead/commands/rules.py
+++ b/lemonlead/commands/rules.py
@@ -10,10 +10,10 @@
 from tabulate import tabulate
 
 from ..matching import load
-from ..matching.declared import Declared
+from ..matching.request_fields import RequestLimits
 from ..matching.expression import Expression
 from ..matching.faults import Erred, Fault
-from . import given
+from . import arguments
 
 LOOKUP = click.option(
     "--lookup", default="", metavar="JSON", help='The request, e.g. \'{"key": "north/42"}\'.'
@@ -38,13 +38,13 @@
 
 def loaded(file, settings, as_json, code=2):
     """The set, or the end of the command, by this exit code, with all that is wrong with it."""
-    request_classes, tenants = given.platform(settings)
+    request_classes, tenants = arguments.read_platform(settings)
     waiting = threading.Timer(2.0, lambda: click.echo(f"reading {file} ...", err=True))
     waiting.daemon = True
     waiting.start()
     try:
         return load.load(file, request_classes, tenants)
-    except load.Unfit as error:
+    except load.InvalidRulesFile as error:
         say(
             {
                 "faults": [
@@ -75,14 +75,14 @@
 
     Example: lemonlead rules eval "lookup.wait > duration('1s')" --lookup '{"wait_ms": 1500}' --json
     """
-    declared = Declared()
-    asked = given.asked(given.lookup_told(lookup), declared)
+    limits = RequestLimits()
+    asked = arguments.request_fields(arguments.parse_lookup(lookup), limits)
     try:
-        expression = Expression(text, declared)
-        value = given.shown(expression.value(asked), expression.kind)
+        expression = Expression(text, limits)
+        value = arguments.to_json_value(expression.value(asked), expression.kind)
     except Fault as fault:
         said = f"{fault.line}:{fault.column}: {fault.code} {fault.message}"
-        say({"error": fault.read()}, as_json, [said])
+        say({"error": fault.as_dict()}, as_json, [said])
         sys.exit(1)
     told = {"type": str(expression.kind), "cost": expression.cost, "value": value}
     say(told, as_json, [json.dumps(value), f"{expression.kind}, at most {expression.cost} steps"])
@@ -129,15 +129,15 @@
     Example: lemonlead rules explain rules.cue --settings config.json --lookup '{"lane": "look", "key": "a"}'
     """
     rules = loaded(file, settings, as_json)
-    asked = given.asked(given.lookup_told(lookup), rules.declared)
-    result = rules.judge(asked)
+    asked = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
+    result = rules.first_match(asked)
     found = set(rules.index.candidates(asked))
     looked = []
     for place, rule in enumerate(rules.rules):
         try:
             value, why = rule.when.value(asked), ""
             if value and rule is not result.rule:
-                rules.give(rule, asked)
+                rules.result_for(rule, asked)
         except Erred as fault:
             value, why = None, f"{fault.line}:{fault.column}: {fault.message}"
         ending = "erred" if value is None else "matches" if value else "does not match"
@@ -209,7 +209,7 @@
 
     Example: lemonlead rules diff old.cue new.cue --lookups sample.jsonl --settings config.json
     """
-    from ..matching.standing import what
+    from ..matching.active_rules import outcome
 
     one, other = loaded(old, settings, as_json), loaded(new, settings, as_json)
     texts = [
@@ -230,9 +230,12 @@
         try:
             with open(lookups, encoding="utf-8") as lines:
                 for count, line in enumerate(filter(str.strip, lines), 1):  # noqa: B007
-                    told = given.lookup_told(line)
-                    results = [rules.judge(given.asked(told, rules.declared)) for rules in (one, other)]
-                    if what(results[0]) != what(results[1]) and len(rows) < 1000:
+                    told = arguments.parse_lookup(line)
+                    results = [
+                        rules.first_match(arguments.request_fields(told, rules.limits))
+                        for rules in (one, other)
+                    ]
+                    if outcome(results[0]) != outcome(results[1]) and len(rows) < 1000:
                         rows.append(
                             {
                                 "lookup": told,
@@ -273,12 +276,12 @@
     Example: lemonlead rules bench rules.cue --lookup '{"key": "north/42"}'
     """
     rules = loaded(file, settings, as_json)
-    asked = given.asked(given.lookup_told(lookup), rules.declared)
+    asked = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
     times = {}
-    for name, judge in (("indexed", rules.judge), ("plain", rules.judge_plainly)):
+    for name, first_match in (("indexed", rules.first_match), ("plain", rules.first_match_unindexed)):
         began, runs, best = time.perf_counter(), 1, None
         while time.perf_counter() - began < seconds:
-            took = timeit.timeit(lambda judge=judge: judge(asked), number=runs) / runs
+            took = timeit.timeit(lambda first_match=first_match: first_match(asked), number=runs) / runs
             best = took if best is None else min(best, took)
             runs = max(1, min(10_000, int(0.02 / max(took, 1e-7))))
         times[name] = best * 1e6
--- a/lemonlead/commands/settings.py
+++ b/lemonlead/commands/settings.py
@@ -26,10 +26,10 @@
 def read(file, schema, as_json):
     try:
         return settings.read(file, settings.schema_text(schema), f"schema:{schema}")
-    except settings.Unfit as error:
+    except settings.InvalidFile as error:
         faults = error.faults
         click.echo(
-            json.dumps({"faults": [fault.read() for fault in faults]})
+            json.dumps({"faults": [fault.as_dict() for fault in faults]})
             if as_json
             else "\n".join(f"{fault.place}: {fault.code} {fault.message}" for fault in faults)
         )
--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -46,8 +46,8 @@
     try:
         file = settings.read(path, settings.schema_text("relay"), "schema:relay")
         if found := faults(file):
-            raise settings.Unfit(found)
-    except settings.Unfit as error:
+            raise settings.InvalidFile(found)
+    except settings.InvalidFile as error:
         raise Unfit(error.faults) from None
     fields = dict(file.value)
     budget, bounds = Budget(**fields.pop("budget")), Bounds(**fields.pop("bounds"))
--- a/lemonlead/gateway/request_rules.py
+++ b/lemonlead/gateway/request_rules.py
@@ -10,8 +10,8 @@
 from .. import settings
 from .. import interface as at
 from ..matching import load
-from ..matching.declared import Asked
-from ..matching.standing import Standing
+from ..matching.request_fields import RequestFields
+from ..matching.active_rules import ActiveRules
 from .clients import WORD_COUNTS
 
 COMMANDS = {name: name.decode() for name in WORD_COUNTS}
@@ -31,7 +31,7 @@
             counters,
         )
         self.names = {request_class.number: name for name, request_class in config.request_classes.items()}
-        self.max_file_bytes, self.active_rules = config.memory // MEMORY_PER_FILE_BYTE, Standing()
+        self.max_file_bytes, self.active_rules = config.memory // MEMORY_PER_FILE_BYTE, ActiveRules()
         # The settings of a ledger to follow and of relays; used only at the start.
         self.follow = self.distribution = None
 
@@ -43,7 +43,7 @@
         began = time.monotonic()
         try:
             active, shadow, share = self.read_rule_sets()
-        except (settings.Unfit, load.Unfit) as error:
+        except (settings.InvalidFile, load.InvalidRulesFile) as error:
             old = self.active_rules.active
             self.log.warning(
                 "rules unfit",
@@ -53,7 +53,7 @@
                 digest=old.digest if old else "none",
             )
             return str(error)
-        self.active_rules.put(active, shadow, share, now)
+        self.active_rules.activate(active, shadow, share, now)
         for what, rules in (("active", active), ("shadow", shadow)):
             if rules is not None:
                 self.log.info(
@@ -94,14 +94,14 @@
         request.client_class = request.request_class
         try:
             request_fields = self.request_fields(request, words, fields)
-            result = self.active_rules.judge(
+            result = self.active_rules.apply(
                 request_fields, lambda rule, fault: self.rule_failed(now, rule, fault)
             )
             self.apply_result(request, result)
-            if self.active_rules.shadow is not None and self.active_rules.wants_shadow(now):
+            if self.active_rules.shadow is not None and self.active_rules.may_try_shadow(now):
                 began = time.thread_time_ns()
                 self.active_rules.try_shadow(request_fields, result)
-                self.active_rules.spent(time.thread_time_ns() - began)
+                self.active_rules.charge_shadow(time.thread_time_ns() - began)
         except Exception:
             self.counters.add("rules faults")
             self.dispatcher.fault(traceback.format_exc())
@@ -121,7 +121,7 @@
             stamped,
             sum(map(len, words[4:])),
         )
-        return lambda declared: Asked(declared, *values)
+        return lambda limits: RequestFields(limits, *values)
 
     def apply_result(self, request, result):
         if result.rule is None:
@@ -136,7 +136,7 @@
 
     def rule_failed(self, now, rule, fault):
         self.counters.add("rules erred")
-        if count := self.active_rules.to_log(now):
+        if count := self.active_rules.errors_to_log(now):
             self.log.warning("rule erred", rule=rule.name, reason=fault.message, since_last=count)
 
     def log_counts(self):
--- a/lemonlead/matching/standing.py
+++ b/lemonlead/matching/active_rules.py
@@ -7,11 +7,11 @@
 import threading
 from collections import Counter
 
-from .rules import NOTHING
+from .rules import NO_RESULT
 
-MOST_PAIRS = 512  # pairs of rules that differences are counted for; the rest is counted together
-BURST = 10_000_000  # nanoseconds of time that a budget holds at most
-LOG_EACH = 1_000_000_000  # nanoseconds between two log lines on rules that erred
+MAX_RULE_PAIRS = 512  # pairs of rules that differences are counted for; the rest is counted together
+MAX_BUDGET_NS = 10_000_000  # nanoseconds of time that a budget holds at most
+ERROR_LOG_INTERVAL_NS = 1_000_000_000  # nanoseconds between two log lines on rules that erred
 
 
 class Budget:
@@ -20,18 +20,18 @@
     it."""
 
     def __init__(self, share, now):
-        self.share, self.left, self.at = share, BURST, now
+        self.share, self.left, self.at = share, MAX_BUDGET_NS, now
 
-    def may(self, now):
-        self.left = min(self.left + max(now - self.at, 0) * self.share, BURST)
+    def has_time(self, now):
+        self.left = min(self.left + max(now - self.at, 0) * self.share, MAX_BUDGET_NS)
         self.at = max(self.at, now)
         return self.left > 0
 
-    def spent(self, length):
+    def charge(self, length):
         self.left -= length
 
 
-class Standing:
+class ActiveRules:
     """What is in force. `judge` is called by many threads; `put` by whoever loads."""
 
     def __init__(self):
@@ -42,22 +42,22 @@
         self.differences = Counter()  # by (rule of the active set, rule of the other); None: no rule
         self.unlogged, self.logged_at = 0, None
 
-    def put(self, active, shadow, share, now):
+    def activate(self, active, shadow, share, now):
         """New sets, or None. The counts start anew with them: they are of these sets."""
         with self.lock:
             self.budget = Budget(share, now) if shadow is not None else None
             self.tally, self.differences = Counter(), Counter()
             self.active, self.shadow = active, shadow
 
-    def judge(self, seen, erred=None):
+    def apply(self, seen, erred=None):
         """What the active set gives. `seen(declared)` gives the request as a set declares it
         (`declared.Asked`), so that no set reads more than its costs were reckoned with. `erred(rule, fault)`
         is told of each that errs."""
         active = self.active
         if active is None:
-            return NOTHING
+            return NO_RESULT
         faults = []
-        given = active.judge(seen(active.declared), faults)
+        given = active.first_match(seen(active.limits), faults)
         rule = given.rule
         with self.lock:
             self.tally["matched", rule and rule.name] += 1
@@ -71,12 +71,12 @@
                 erred(rule, fault)
         return given
 
-    def wants_shadow(self, now):
+    def may_try_shadow(self, now):
         """Whether the other set is to be asked for this request too; counted where its budget is spent."""
         with self.lock:
             if self.shadow is None:
                 return False
-            may = self.budget.may(now)
+            may = self.budget.has_time(now)
             self.tally["shadow", "asked" if may else "skipped"] += 1
             return may
 
@@ -86,26 +86,26 @@
         if shadow is None:
             return
         faults = []
-        other = shadow.judge(seen(shadow.declared), faults)
+        other = shadow.first_match(seen(shadow.limits), faults)
         with self.lock:
             self.tally["shadow", "erred"] += len(faults)
-            if differs(given, other):
+            if outcomes_differ(given, other):
                 pair = tuple(one.rule.name if one.rule else None for one in (given, other))
-                known = pair in self.differences or len(self.differences) < MOST_PAIRS
+                known = pair in self.differences or len(self.differences) < MAX_RULE_PAIRS
                 self.differences[pair if known else ("others", "others")] += 1
                 self.tally["shadow", "differs"] += 1
 
-    def spent(self, length):
+    def charge_shadow(self, length):
         """So much time went into `try_shadow`."""
         with self.lock:
             if self.budget is not None:
-                self.budget.spent(length)
+                self.budget.charge(length)
 
-    def to_log(self, now):
+    def errors_to_log(self, now):
         """How many errors to tell of now, in one line; 0 while the last line is too recent."""
         with self.lock:
             self.unlogged += 1
-            if self.logged_at is not None and now - self.logged_at < LOG_EACH:
+            if self.logged_at is not None and now - self.logged_at < ERROR_LOG_INTERVAL_NS:
                 return 0
             count, self.unlogged, self.logged_at = self.unlogged, 0, now
             return count
@@ -120,12 +120,12 @@
         return kinds, [(one or "none", other or "none", count) for (one, other), count in differences]
 
 
-def differs(one, other):
+def outcomes_differ(one, other):
     """Whether two sets give a request something else. Rules' names do not count, what is given does."""
-    return what(one) != what(other)
+    return outcome(one) != outcome(other)
 
 
-def what(given):
+def outcome(given):
     return (
         given.lane_name,
         given.key,
--- a/lemonlead/matching/checker.py
+++ b/lemonlead/matching/checker.py
@@ -4,7 +4,7 @@
 larger than the declaration allows for any value is refused here, so that no value ever is."""
 
 from . import functions, tree
-from .declared import UNSURE
+from .request_fields import UNSURE
 from .faults import COST, NAME, TYPE, Fault
 from .kinds import (
     ANY,
@@ -38,9 +38,9 @@
 FAILED, ERRING = 120, 15  # steps that it takes to find no value and tell so; to absorb one error inside
 
 
-def check(node, declared):
+def check(node, limits):
     """Fills in the tree; Fault at the first thing that is wrong. The root's type is returned."""
-    Checker(declared).of(node, {})
+    Checker(limits).of(node, {})
     return node.kind
 
 
@@ -52,8 +52,8 @@
 
 
 class Checker:
-    def __init__(self, declared):
-        self.declared, self.fields = declared, declared.fields()
+    def __init__(self, limits):
+        self.limits, self.fields = limits, limits.fields()
 
     def of(self, node, names):
         """Checks a node whose comprehensions bind `names` (type and bounds by name)."""
@@ -63,9 +63,9 @@
         )
         node.raises = self.raises(node, errs)
         node.own, node.errs = errs, errs or any(child.errs for child in node.children())
-        if node.bounds.whole() > self.declared.longest and node.kind != LOOKUP:
+        if node.bounds.whole() > self.limits.longest and node.kind != LOOKUP:
             self.fault(
-                node, COST, f"a value that may hold {node.bounds.whole()}, {self.declared.longest} allowed"
+                node, COST, f"a value that may hold {node.bounds.whole()}, {self.limits.longest} allowed"
             )
         return node.kind
 
--- a/lemonlead/matching/exact.py
+++ b/lemonlead/matching/exact.py
@@ -31,7 +31,7 @@
 UNSET = object()
 
 
-def compiled(node):
+def compile_tree(node):
     """A function of a request (`declared.Asked`) that gives the value, or raises Erred."""
     run = closure(node)
 
--- a/lemonlead/matching/expression.py
+++ b/lemonlead/matching/expression.py
@@ -16,16 +16,19 @@
 
     __slots__ = ("text", "tree", "kind", "cost", "quick", "exact")
 
-    def __init__(self, text, declared, wanted=None):
+    def __init__(self, text, limits, wanted=None):
         self.text, self.tree = text, parse(text)
-        self.kind, self.cost = check(self.tree, declared), whole_cost(self.tree)
+        self.kind, self.cost = check(self.tree, limits), whole_cost(self.tree)
         if self.cost > MOST_COST:
             raise Fault(COST, f"may cost {self.cost} steps, {MOST_COST} allowed", *self.place())
         if wanted is not None and self.kind != wanted:
             raise Fault(TYPE, f"the expression is {self.kind}, {wanted} was expected", *self.place())
         if self.kind.name == "lookup":
             raise Fault(TYPE, "a lookup is no value: name one of its fields", *self.place())
-        self.quick, self.exact = quick.compiled(self.tree), None  # the exact form is made at the first error
+        self.quick, self.exact = (
+            quick.compile_tree(self.tree),
+            None,
+        )  # the exact form is made at the first error
 
     def place(self):
         first = min((node.line, node.column) for node in tree.walk(self.tree))
@@ -37,7 +40,7 @@
             return self.quick(asked)
         except exact.ERRORS:
             if self.exact is None:
-                self.exact = exact.compiled(self.tree)
+                self.exact = exact.compile_tree(self.tree)
             return self.exact(asked)
 
 
--- a/lemonlead/matching/faults.py
+++ b/lemonlead/matching/faults.py
@@ -10,7 +10,7 @@
         super().__init__(message)
         self.code, self.message, self.line, self.column = code, message, line, column
 
-    def read(self):
+    def as_dict(self):
         return {"code": self.code, "line": self.line, "column": self.column, "message": self.message}
 
 
--- a/lemonlead/matching/index.py
+++ b/lemonlead/matching/index.py
@@ -14,10 +14,10 @@
 
 from . import tree
 from .checker import constant, whole_cost
-from .exact import ERRORS, compiled
+from .exact import ERRORS, compile_tree
 from .faults import Erred
 from .kinds import BYTES, DURATION, HIGHEST, INT, LOWEST, STRING
-from .quick import compiled as quickly
+from .quick import compile_tree as quickly
 
 EQUAL, PREFIX, RANGE, PATTERN = "equality", "prefix", "range", "pattern"
 ORDER = (EQUAL, PREFIX, RANGE, PATTERN)
@@ -234,7 +234,7 @@
     """`rules` in their order, each with `number`, `when` and `cost`. `worst`: the steps that finding the
     first match may take at most, each candidate's condition included."""
 
-    def __init__(self, rules, declared):
+    def __init__(self, rules, limits):
         found = [atoms(rule.when.tree) for rule in rules]
         sizes = self.sizes(found)
         self.always, self.groups, self.places = [], {}, {}
@@ -262,7 +262,7 @@
         # inside.
         self.subjects = [
             (
-                compiled(node)
+                compile_tree(node)
                 if any(isinstance(part, tree.Logic | tree.Each) for part in tree.walk(node))
                 else quickly(node),
                 [made.find for made in makers],
--- a/lemonlead/matching/load.py
+++ b/lemonlead/matching/load.py
@@ -2,14 +2,14 @@
 place."""
 
 from .. import settings
-from .declared import Declared
-from .rules import RuleSet, Written
-from .rules import Unfit as UnfitRules
+from .request_fields import RequestLimits
+from .rules import RuleSet, RuleSource
+from .rules import InvalidRuleSet
 
 PARTS = ("when", "lane", "key", "customer", "labels")
 
 
-class Unfit(Exception):
+class InvalidRulesFile(Exception):
     """A file that gives no set: `faults` as (place, code, message), in their order."""
 
     def __init__(self, faults):
@@ -23,37 +23,37 @@
     return [f"{place}: {code} {message}" for place, code, message in faults]
 
 
-def read(path, room):
+def read(path, max_bytes):
     """The file's values and their places; Unfit."""
     try:
-        return settings.read(path, settings.schema_text("rules"), room=room)
-    except settings.Unfit as error:
-        raise Unfit([(fault.place, fault.code, fault.message) for fault in error.faults]) from None
+        return settings.read(path, settings.schema_text("rules"), max_bytes=max_bytes)
+    except settings.InvalidFile as error:
+        raise InvalidRulesFile([(fault.place, fault.code, fault.message) for fault in error.faults]) from None
 
 
-def load(path, request_classes=None, tenants=None, room=settings.LONGEST):
+def load(path, request_classes=None, tenants=None, max_bytes=settings.MAX_FILE_SIZE):
     """The set that a file gives, for these request classes (at.RequestClass by name) and tenants; without
     them names of request classes and tenants are not looked at. `room`: the most bytes of its files. Raises
     Unfit."""
-    file = read(path, room)
+    file = read(path, max_bytes)
     told = file.value
     written = [
-        Written(rule["name"], *(rule.get(part) for part in PARTS[:-1]), labels=rule.get("labels", {}))
+        RuleSource(rule["name"], *(rule.get(part) for part in PARTS[:-1]), labels=rule.get("labels", {}))
         for rule in told["rules"]
     ]
-    declared = Declared(**told["bounds"], request_classes=tuple(request_classes or ()))
+    limits = RequestLimits(**told["bounds"], request_classes=tuple(request_classes or ()))
     try:
         return RuleSet(
             told["version"],
             written,
             request_classes or {},
             tenants,
-            declared,
+            limits,
             told["ceilings"]["rule"],
             told["ceilings"]["set"],
         )
-    except UnfitRules as error:
-        raise Unfit(
+    except InvalidRuleSet as error:
+        raise InvalidRulesFile(
             [
                 (
                     file.place(f"rules[{number}].{part}", fault.line, fault.column)
--- a/lemonlead/matching/quick.py
+++ b/lemonlead/matching/quick.py
@@ -13,7 +13,7 @@
 COMPARED = {"==", "!=", "<", "<=", ">", ">="}
 
 
-def compiled(node):
+def compile_tree(node):
     """A function of a request that gives the value, or raises anything of `exact.ERRORS`."""
     return Writer().function(node)
 
--- a/lemonlead/matching/declared.py
+++ b/lemonlead/matching/request_fields.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declared:
+class RequestLimits:
     """The longest and the most of what a request brings: bytes of a key and of a tenant's name, attributes,
     bytes of one's name and value; and `longest`, code points, bytes or items of any value that is
     computed."""
@@ -49,7 +49,7 @@
 UNSURE = frozenset(("key", "customer", "attributes"))  # may be past their bounds, or not UTF-8
 
 
-class Asked:
+class RequestFields:
     """One request as expressions see it. What is not UTF-8 or past its declared bound is left unset: reading
     it is an error of the expression's, so that no cost was reckoned for less than what is read."""
 
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        declared,
+        limits,
         command,
         key,
         lane,
@@ -83,14 +83,14 @@
         """`key` in bytes as it came, or a string; `wait` and `work` in nanoseconds."""
         self.command, self.lane, self.wait, self.work = command, lane, wait, work
         self.repeat, self.stamped, self.body_size = repeat, stamped, body_size
-        if len(key) <= declared.key:
+        if len(key) <= limits.key:
             self.read_key(key)
-        if len(customer) <= declared.customer:
+        if len(customer) <= limits.customer:
             self.customer = customer
         if not attributes:
             self.attributes = NONE
-        elif len(attributes) <= declared.attributes and all(
-            len(name) <= declared.attribute_name and len(value) <= declared.attribute
+        elif len(attributes) <= limits.attributes and all(
+            len(name) <= limits.attribute_name and len(value) <= limits.attribute
             for name, value in attributes.items()
         ):
             self.attributes = attributes
--- a/lemonlead/matching/rules.py
+++ b/lemonlead/matching/rules.py
@@ -14,7 +14,7 @@
 from .. import interface as at
 from . import tree
 from .checker import constant
-from .declared import Declared
+from .request_fields import RequestLimits
 from .expression import Expression, digest
 from .faults import COST, NAME, TYPE, VALUE, Erred, Fault
 from .index import Index
@@ -23,11 +23,11 @@
 RANKS = {at.IDEMPOTENT: 0, at.DEDUPLICATED: 1, at.NON_IDEMPOTENT: 2}
 WIDTHS = {"cell": 0, "zone": 1, "all": 2}
 MOST_RULES, MOST_LABELS, LONGEST_NAME = 20_000, 8, 64
-RULE_COST, SET_COST = 2_000, 20_000  # steps; a set may name others
+DEFAULT_RULE_COST, DEFAULT_SET_COST = 2_000, 20_000  # steps; a set may name others
 
 
 @dataclass(slots=True)
-class Written:
+class RuleSource:
     """A rule as it is written: expressions in text; `places` has the place of each part, by its name."""
 
     name: str
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Given:
+class RuleResult:
     """What a request gets; None where the rule leaves it as it came. `rule` is None where none matched."""
 
     rule: Rule | None = None
@@ -60,10 +60,10 @@
     customer: str | None = None
 
 
-NOTHING = Given()
+NO_RESULT = RuleResult()
 
 
-class Unfit(Exception):
+class InvalidRuleSet(Exception):
     """A set that cannot be used: all its faults, each with the part that it is in (rule's number, part)."""
 
     def __init__(self, faults):
@@ -71,7 +71,7 @@
         self.faults = faults
 
 
-def may_become(asked, given, stamped):
+def may_replace(asked, given, stamped):
     """Whether what was asked of one request class may be treated as another's without weakening its
     effect."""
     if asked is given:
@@ -172,16 +172,16 @@
         written,
         request_classes,
         tenants,
-        declared=None,
-        rule_cost=RULE_COST,
-        set_cost=SET_COST,
+        limits=None,
+        max_rule_cost=DEFAULT_RULE_COST,
+        max_set_cost=DEFAULT_SET_COST,
     ):
         """`request_classes`: at.RequestClass by name, without any their names are not looked at; `tenants`:
         names, any collection, or None likewise. Raises Unfit with all faults at once."""
         names = tuple(request_classes)
         self.version, self.request_classes = version, request_classes
         self.tenants = frozenset(tenants) if tenants is not None else None
-        self.declared = declared or Declared(request_classes=names)
+        self.limits = limits or RequestLimits(request_classes=names)
         self.faults, self.rules, seen = [], [], {}
         if len(written) > MOST_RULES:
             self.fault(0, "", Fault(COST, f"{len(written)} rules, {MOST_RULES} allowed"))
@@ -194,15 +194,15 @@
                     Fault(NAME, f"rule {number} and rule {seen[rule.name]} are both {rule.name}"),
                 )
             seen.setdefault(rule.name, number)
-            made = self.made(number, rule, rule_cost)
+            made = self.made(number, rule, max_rule_cost)
             self.rules += [made] if made else []
         if self.faults:
-            raise Unfit(self.faults)
-        self.index = Index(self.rules, self.declared)
+            raise InvalidRuleSet(self.faults)
+        self.index = Index(self.rules, self.limits)
         self.cost = self.index.worst + max(
             (sum(e.cost for e in rule.gives.values()) for rule in self.rules), default=0
         )
-        if self.cost > set_cost:
+        if self.cost > max_set_cost:
             dear = max(self.rules, key=lambda rule: rule.cost)
             self.fault(
                 dear.number,
@@ -210,12 +210,12 @@
                 Fault(
                     COST,
                     (
-                        f"the set may cost {self.cost} steps for a lookup, {set_cost} allowed; "
+                        f"the set may cost {self.cost} steps for a lookup, {max_set_cost} allowed; "
                         f"the dearest rule is {dear.name} with {dear.cost}"
                     ),
                 ),
             )
-            raise Unfit(self.faults)
+            raise InvalidRuleSet(self.faults)
         said = [(r.name, r.when, r.lane, r.key, r.customer, sorted(r.labels.items())) for r in written]
         self.digest = digest(repr((version, said)))
 
@@ -227,7 +227,7 @@
         for part, wanted in (("when", BOOL), ("lane", STRING), ("key", STRING), ("customer", STRING)):
             if (text := getattr(rule, part)) is not None:
                 try:
-                    parts[part] = Expression(text, self.declared, wanted)
+                    parts[part] = Expression(text, self.limits, wanted)
                 except Fault as fault:
                     self.fault(number, part, fault)
         if len(rule.labels) > MOST_LABELS:
@@ -274,7 +274,7 @@
         for other in sorted(given):
             if other not in self.request_classes:
                 return NAME, f"no lane {other!r} (there is {', '.join(self.request_classes)})"
-            if reached and not may_become(lane, self.request_classes[other], stamped):
+            if reached and not may_replace(lane, self.request_classes[other], stamped):
                 mark = (
                     ""
                     if lane.effect != at.IDEMPOTENT
@@ -298,7 +298,7 @@
 
     # ---- for each request
 
-    def judge(self, asked, faults=None):
+    def first_match(self, asked, faults=None):
         """What the first rule that matches gives; NOTHING if none does. A rule that errs does not match: it
         and its fault are added to `faults`. `asked` is a `declared.Asked`; the request class must be one of
         the set's."""
@@ -307,38 +307,38 @@
             rule = rules[number]
             try:
                 if rule.when.value(asked):
-                    return self.give(rule, asked) if rule.gives else Given(rule)
+                    return self.result_for(rule, asked) if rule.gives else RuleResult(rule)
             except Erred as fault:
                 if faults is not None:
                     faults.append((rule, fault))
-        return NOTHING
+        return NO_RESULT
 
-    def judge_plainly(self, asked, faults=None):
+    def first_match_unindexed(self, asked, faults=None):
         """The same without the index: each rule in its order. What the index is held against."""
         for rule in self.rules:
             try:
                 if rule.when.value(asked):
-                    return self.give(rule, asked)
+                    return self.result_for(rule, asked)
             except Erred as fault:
                 if faults is not None:
                     faults.append((rule, fault))
-        return NOTHING
+        return NO_RESULT
 
-    def give(self, rule, asked):
+    def result_for(self, rule, asked):
         """Erred where what it gives may not be: the defence behind the one when the set is loaded."""
-        given = Given(rule)
+        given = RuleResult(rule)
         if (expression := rule.gives.get("lane")) is not None:
             name = given.lane_name = expression.value(asked)
             lane, was = self.request_classes.get(name), self.request_classes.get(asked.lane)
-            unfit = lane is None or was is None or not may_become(was, lane, asked.stamped)
+            unfit = lane is None or was is None or not may_replace(was, lane, asked.stamped)
             # a command may have no request classes to look at: the name is all it tells then
             if unfit and self.request_classes:
                 raise Erred(f"may not give lane {name[:40]!r} to a lookup of {asked.lane[:40]!r}")
             given.lane = lane
         if (expression := rule.gives.get("key")) is not None:
             key = expression.value(asked)
-            if len(data := key.encode()) > self.declared.key:
-                raise Erred(f"a key of {len(data)} bytes, {self.declared.key} allowed")
+            if len(data := key.encode()) > self.limits.key:
+                raise Erred(f"a key of {len(data)} bytes, {self.limits.key} allowed")
             given.key = data
         if (expression := rule.gives.get("customer")) is not None:
             given.customer = expression.value(asked)
--- a/lemonlead/member/told.py
+++ b/lemonlead/member/told.py
@@ -43,8 +43,8 @@
     try:
         file = settings.read(path, settings.schema_text("member"), "schema:member")
         if faults := Checked(file).faults:
-            raise settings.Unfit(faults)
-    except settings.Unfit as error:
+            raise settings.InvalidFile(faults)
+    except settings.InvalidFile as error:
         raise Unfit(error.faults) from None
     told = file.value
     return MemberTold(
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -134,7 +134,7 @@
 
 
 def read(path):
-    """A fleet from a file; settings.Unfit with all its faults."""
+    """A fleet from a file; settings.InvalidFile with all its faults."""
     file = settings.read(path, settings.schema_text("fleet"), "schema:fleet")
     told, faults = file.value, []
 
@@ -158,7 +158,7 @@
     if count > MOST_MACHINES:
         fault("sites", f"{count} instances", f"{MOST_MACHINES} at most")
     if faults:
-        raise settings.Unfit(faults)
+        raise settings.InvalidFile(faults)
     return made(told)
 
 
--- a/lemonlead/planning/targets.py
+++ b/lemonlead/planning/targets.py
@@ -104,7 +104,7 @@
 
 
 def read(path):
-    """Targets from a file; settings.Unfit with all its faults."""
+    """Targets from a file; settings.InvalidFile with all its faults."""
     file = settings.read(path, settings.schema_text("targets"), "schema:targets")
     told, faults = file.value, []
 
@@ -120,7 +120,7 @@
     if told["guesses"]["lost_machines"] >= told["control"]["machines"]:
         fault("guesses.lost_machines", told["guesses"]["lost_machines"], "less than control.machines")
     if faults:
-        raise settings.Unfit(faults)
+        raise settings.InvalidFile(faults)
     return Targets(
         **{
             **told,
--- a/lemonlead/settings/__init__.py
+++ b/lemonlead/settings/__init__.py
@@ -4,8 +4,8 @@
 place of each. All faults of a file are raised at once as `Unfit`, and nothing of an unfit file is used. What
 the platform tells stays JSON and does not come through here. No decision is made here."""
 
-from .faults import Fault, Unfit
-from .load import Read, read, schema_text
-from .parser import LONGEST
+from .faults import Fault, InvalidFile
+from .load import SettingsFile, read, schema_text
+from .parser import MAX_FILE_SIZE
 
-__all__ = ["LONGEST", "Fault", "Read", "Unfit", "read", "schema_text"]
+__all__ = ["MAX_FILE_SIZE", "Fault", "InvalidFile", "SettingsFile", "read", "schema_text"]
--- a/lemonlead/settings/faults.py
+++ b/lemonlead/settings/faults.py
@@ -34,7 +34,7 @@
         also = f" (by {self.other})" if self.other else ""
         return f"{self.path or 'the file'}: found {self.found}, allowed {self.allowed}{also}"
 
-    def read(self):
+    def as_dict(self):
         return {
             "code": self.code,
             "file": self.place.file,
@@ -47,7 +47,7 @@
         }
 
 
-class Unfit(Exception):
+class InvalidFile(Exception):
     """A file that cannot be used, with all its faults in the order of their places."""
 
     def __init__(self, faults):
--- a/lemonlead/settings/load.py
+++ b/lemonlead/settings/load.py
@@ -5,8 +5,8 @@
 from functools import lru_cache
 from pathlib import Path
 
-from .faults import Fault, Place, Unfit
-from .parser import LONGEST, inside, parse
+from .faults import Fault, Place, InvalidFile
+from .parser import MAX_FILE_SIZE, inside, parse
 from .unify import unify
 
 MOST_FILES = 64  # that one file may include, themselves with their own
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Read:
+class SettingsFile:
     """What a file says. `value`: plain dicts, lists, strings, numbers (durations in nanoseconds). `literals`:
     where each came from, by path. `digest`: of all files' bytes."""
 
@@ -42,21 +42,21 @@
     return parse(schema, name)
 
 
-def read(path, schema, name="schema", room=LONGEST):
+def read(path, schema, name="schema", max_bytes=MAX_FILE_SIZE):
     """A file with all it includes, unified with a schema (text); Unfit, with all faults, where it cannot be
     used. `room`: the most bytes of all files together. Reading takes some 260 bytes of memory for each."""
-    gathered = Gathered(schema_tree(schema, name), min(room, LONGEST))
+    gathered = Gathered(schema_tree(schema, name), min(max_bytes, MAX_FILE_SIZE))
     gathered.add(Path(path), Place(str(path), 1, 1))
     value, literals = unify(gathered.structs, str(path))
-    return Read(str(path), value, literals, gathered.digest.hexdigest()[:12], gathered.files)
+    return SettingsFile(str(path), value, literals, gathered.digest.hexdigest()[:12], gathered.files)
 
 
 class Gathered:
     """Files that were read, one after the other, into their structs."""
 
-    def __init__(self, schema, room):
+    def __init__(self, schema, max_bytes):
         self.structs, self.files, self.digest = [schema], [], hashlib.sha256()
-        self.room = self.left = room
+        self.max_bytes = self.left = max_bytes
 
     def add(self, path, place):
         """The file's struct, then those that it includes, each once. An include is found beside the file that
@@ -64,7 +64,7 @@
         if path.resolve() in self.files:
             return
         if len(self.files) >= MOST_FILES:
-            raise Unfit([Fault(place, "", "a file more", f"{MOST_FILES} files")])
+            raise InvalidFile([Fault(place, "", "a file more", f"{MOST_FILES} files")])
         self.files.append(path.resolve())
         struct = parse(self.text(path, place), str(path))
         self.structs.append(struct)
@@ -76,10 +76,12 @@
             with open(path, "rb") as file:
                 data = file.read(self.left + 1)
             if len(data) > self.left:
-                raise Unfit([Fault(place, "", "more to read", f"{self.room} bytes of all files together")])
+                raise InvalidFile(
+                    [Fault(place, "", "more to read", f"{self.max_bytes} bytes of all files together")]
+                )
             self.left -= len(data)
             self.digest.update(data)
             return data.decode()
         except (OSError, ValueError) as error:
             reason = error.strerror if isinstance(error, OSError) else "not UTF-8"
-            raise Unfit([Fault(place, "", f"{path}: {reason}", "a file of text")]) from None
+            raise InvalidFile([Fault(place, "", f"{path}: {reason}", "a file of text")]) from None
--- a/lemonlead/settings/parser.py
+++ b/lemonlead/settings/parser.py
@@ -8,9 +8,9 @@
 from lark import Lark, Token, UnexpectedInput
 
 from . import tree
-from .faults import Fault, Place, Unfit
+from .faults import Fault, Place, InvalidFile
 
-LONGEST, DEEPEST = 2 << 20, 64  # code points of a file; values within values
+MAX_FILE_SIZE, DEEPEST = 2 << 20, 64  # code points of a file; values within values
 UNITS = {"ns": 1, "us": 10**3, "ms": 10**6, "s": 10**9, "m": 60 * 10**9, "h": 3600 * 10**9}
 FACTORS = {"K": 10**3, "M": 10**6, "G": 10**9, "Ki": 2**10, "Mi": 2**20, "Gi": 2**30}
 WORDS = {"true": (True, "bool"), "false": (False, "bool"), "null": (None, "null")}
@@ -37,12 +37,14 @@
 
 def parse(text, file):
     """The tree of a file; Unfit with the place of what cannot be read."""
-    if len(text) > LONGEST:
-        raise Unfit([Fault(Place(file, 1, 1), "", f"{len(text)} characters", f"{LONGEST} at most")])
+    if len(text) > MAX_FILE_SIZE:
+        raise InvalidFile(
+            [Fault(Place(file, 1, 1), "", f"{len(text)} characters", f"{MAX_FILE_SIZE} at most")]
+        )
     try:
         made = grammar().parse(text)
     except UnexpectedInput as error:
-        raise Unfit([unexpected(error, text, file)]) from None
+        raise InvalidFile([unexpected(error, text, file)]) from None
     maker = Maker(file)
     maker.look_at_depth(made)
     return maker.struct(made, Place(file, 1, 1))
@@ -94,7 +96,9 @@
             depth += node.data in ("struct", "list", "nested", "either")
             if depth > DEEPEST:
                 place = self.first(node) or Place(self.file, 1, 1)
-                raise Unfit([Fault(place, "", "fields in fields", f"{DEEPEST} deep at most", code="syntax")])
+                raise InvalidFile(
+                    [Fault(place, "", "fields in fields", f"{DEEPEST} deep at most", code="syntax")]
+                )
             open_nodes.extend((child, depth) for child in node.children)
 
     def struct(self, node, place):
@@ -161,7 +165,7 @@
                     self.value(item.children[1], place) if item.children[1:] else None,
                 )
             elif made.open:
-                raise Unfit([Fault(self.first(item) or place, "", "an item after ...", "... last")])
+                raise InvalidFile([Fault(self.first(item) or place, "", "an item after ...", "... last")])
             else:
                 made.items.append(self.value(item.children[0], place))
         return made
@@ -180,7 +184,7 @@
             return tree.Literal(place, exactly(digits, FACTORS[factor]), "int")
         if re.fullmatch(r"-?[0-9]+", digits):
             if len(digits) > 40:
-                raise Unfit([Fault(place, "", "a number of over 40 digits", "fewer")])
+                raise InvalidFile([Fault(place, "", "a number of over 40 digits", "fewer")])
             return tree.Literal(place, int(digits), "int")
         return tree.Literal(place, float(digits), "float")
 
@@ -207,7 +211,7 @@
             and (number < 0x110000)
         ):
             return chr(number)
-        raise Unfit([Fault(place, "", f"the escape \\{code}", 'one of \\n \\t \\r \\" \\\\ \\uXXXX')])
+        raise InvalidFile([Fault(place, "", f"the escape \\{code}", 'one of \\n \\t \\r \\" \\\\ \\uXXXX')])
 
     if raw.startswith('#"'):
         return raw[2:-2]
@@ -216,9 +220,11 @@
     lines = raw[3:-3].split("\n")[1:]
     indent = lines[-1]
     if indent.strip():
-        raise Unfit([Fault(place, "", 'text before the closing """', "a line of its own")])
+        raise InvalidFile([Fault(place, "", 'text before the closing """', "a line of its own")])
     if any(line.strip() and not line.startswith(indent) for line in lines[:-1]):
-        raise Unfit([Fault(place, "", "a line indented less than the closing quotes", "the same indent")])
+        raise InvalidFile(
+            [Fault(place, "", "a line indented less than the closing quotes", "the same indent")]
+        )
     return ESCAPE.sub(escaped, "\n".join(line[len(indent) :].rstrip("\r") for line in lines[:-1]))
 
 
--- a/lemonlead/settings/unify.py
+++ b/lemonlead/settings/unify.py
@@ -7,7 +7,7 @@
 import re2
 
 from . import tree
-from .faults import Fault, Place, Unfit
+from .faults import Fault, Place, InvalidFile
 
 TYPES = {
     "int": ("int",),
@@ -69,7 +69,7 @@
         unifier.faults.append(Fault(Place(own, 1, 1), "", "more than can be unified", f"{MOST_STEPS} steps"))
         value = None
     if unifier.faults:
-        raise Unfit(unifier.faults)
+        raise InvalidFile(unifier.faults)
     return value, unifier.literals
 
 
@@ -359,5 +359,7 @@
             try:
                 self.patterns[text] = re2.compile(text, options)
             except re2.error:
-                raise Unfit([Fault(place, "", f"the pattern {text[:40]!r}", "a pattern of RE2")]) from None
+                raise InvalidFile(
+                    [Fault(place, "", f"the pattern {text[:40]!r}", "a pattern of RE2")]
+                ) from None
         return self.patterns[text]
--- a/lemonlead/standins/expressions.py
+++ b/lemonlead/standins/expressions.py
@@ -3,7 +3,7 @@
 
 For tests and benchmarks: each must be refused when it is loaded, or keep what its cost promises."""
 
-from ..matching.declared import Asked
+from ..matching.request_fields import RequestFields
 
 WORDS = ("north", "south", "big", "a", "", "x/y", "é", "日本", "0", "42", "acme", "fitment", "A-Z")
 PATTERNS = ("^n", "[0-9]+$", "(a|b)*c", "^.{0,8}$", "é+", "(?i)NORTH", "^$", "x/y")
@@ -165,22 +165,22 @@
 SORTS = tuple(MADE)
 
 
-def lookups(declared):
+def lookups(limits):
     """Requests that make matching dear or make it err: the longest of all, none of it, not UTF-8, past the
     bounds."""
-    lane = declared.request_classes[0] if declared.request_classes else "fitment"
-    full = {f"{n:0{declared.attribute_name}d}": "a" * declared.attribute for n in range(declared.attributes)}
-    longest = declared.key
+    lane = limits.request_classes[0] if limits.request_classes else "fitment"
+    full = {f"{n:0{limits.attribute_name}d}": "a" * limits.attribute for n in range(limits.attributes)}
+    longest = limits.key
     return [
-        Asked(
-            declared, "Q.ASK", b"north/42", lane, "acme", 10**9, 10**8, attributes={"zone": "here", "a": "b"}
+        RequestFields(
+            limits, "Q.ASK", b"north/42", lane, "acme", 10**9, 10**8, attributes={"zone": "here", "a": "b"}
         ),
-        Asked(
-            declared,
+        RequestFields(
+            limits,
             "Q.ASK",
             b"a" * longest,
             lane,
-            "a" * declared.customer,
+            "a" * limits.customer,
             10**9,
             10**8,
             True,
@@ -188,11 +188,11 @@
             65536,
             full,
         ),
-        Asked(declared, "Q.ASK", b"ab" * (longest // 2), lane, "acme", 1, 1, attributes=full),
-        Asked(declared, "Q.DO", "é".encode() * (longest // 2), lane, "", 0, 0, False, True, 2**62),
-        Asked(declared, "Q.DO", b"", lane),
-        Asked(declared, "Q.ASK", b"\xff\xfe", lane, "acme"),
-        Asked(declared, "Q.ASK", b"k" * 65536, lane, "c" * 1000, attributes={"n" * 5000: "v"}),
+        RequestFields(limits, "Q.ASK", b"ab" * (longest // 2), lane, "acme", 1, 1, attributes=full),
+        RequestFields(limits, "Q.DO", "é".encode() * (longest // 2), lane, "", 0, 0, False, True, 2**62),
+        RequestFields(limits, "Q.DO", b"", lane),
+        RequestFields(limits, "Q.ASK", b"\xff\xfe", lane, "acme"),
+        RequestFields(limits, "Q.ASK", b"k" * 65536, lane, "c" * 1000, attributes={"n" * 5000: "v"}),
     ]
 
 
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 
 from lemonlead.matching import exact, kinds, quick
-from lemonlead.matching.declared import Asked, Declared
+from lemonlead.matching.request_fields import RequestFields, RequestLimits
 from lemonlead.matching.expression import Expression
 from lemonlead.matching.faults import Erred, Fault
-from lemonlead.matching.rules import RULE_COST
+from lemonlead.matching.rules import DEFAULT_RULE_COST
 from lemonlead.standins import expressions
 
-DECLARED = Declared(key=1024, request_classes=("fitment", "reserve"))
-ASKED = Asked(
+DECLARED = RequestLimits(key=1024, request_classes=("fitment", "reserve"))
+ASKED = RequestFields(
     DECLARED,
     "Q.ASK",
     b"north/42",
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize("key", [b"\xff\xfe", b"k" * 1025, b"k" * 65536])
 def test_a_key_that_is_not_utf8_or_past_its_bound_has_no_value_and_the_rest_has(key):
-    asked = Asked(DECLARED, "Q.ASK", key, "fitment", "acme")
+    asked = RequestFields(DECLARED, "Q.ASK", key, "fitment", "acme")
     with pytest.raises(Erred, match="bound, or not UTF-8"):
         value("lookup.key == 'a'", asked)
     assert value("lookup.key == 'a' || lookup.lane == 'fitment'", asked)
@@ -240,7 +240,7 @@
     """The expression, if it may stand in a rule."""
     try:
         made = Expression(text, DECLARED)
-        return made if made.cost <= RULE_COST else None
+        return made if made.cost <= DEFAULT_RULE_COST else None
     except Fault as fault:
         assert (
             fault.line >= 1
@@ -276,10 +276,10 @@
     names = {"strings": "list(string)", "ints": "list(int)"}
     assert str(made.kind) in (names.get(kind, kind), "list(nothing)")
     for asked in expressions.lookups(DECLARED):
-        found, slow = ended(made.value, asked), ended(exact.compiled(made.tree), asked)
+        found, slow = ended(made.value, asked), ended(exact.compile_tree(made.tree), asked)
         assert same(found, slow), text
         try:
-            direct = quick.compiled(made.tree)(asked)
+            direct = quick.compile_tree(made.tree)(asked)
         except exact.ERRORS:
             continue
         assert same(("value", direct), found), text
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -35,7 +35,7 @@
 
 
 def unfit(read, text):
-    with pytest.raises(settings.Unfit) as raised:
+    with pytest.raises(settings.InvalidFile) as raised:
         read(text)
     return [(fault.path, fault.found) for fault in raised.value.faults]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,11 +8,17 @@
 from hypothesis import strategies as st
 
 from lemonlead import interface as at
-from lemonlead.matching.declared import Asked, Declared
+from lemonlead.matching.request_fields import RequestFields, RequestLimits
 from lemonlead.matching.faults import Erred
 from lemonlead.matching.index import Intervals, Patterns, Trie
-from lemonlead.matching.rules import NOTHING, RuleSet, Unfit, Written, may_become
-from lemonlead.matching.standing import BURST, LOG_EACH, MOST_PAIRS, Budget, Standing
+from lemonlead.matching.rules import NO_RESULT, RuleSet, InvalidRuleSet, RuleSource, may_replace
+from lemonlead.matching.active_rules import (
+    MAX_BUDGET_NS,
+    ERROR_LOG_INTERVAL_NS,
+    MAX_RULE_PAIRS,
+    Budget,
+    ActiveRules,
+)
 from lemonlead.standins import expressions
 
 S = 1_000_000_000
@@ -33,18 +39,23 @@
 }
 PLAIN = {name: REQUEST_CLASSES[name] for name in ("fitment", "stock")}
 CUSTOMERS = ["acme", "others"]
-DECLARED = Declared(request_classes=tuple(REQUEST_CLASSES))
+DECLARED = RequestLimits(request_classes=tuple(REQUEST_CLASSES))
 
 
 def rules(*written, request_classes=REQUEST_CLASSES, tenants=CUSTOMERS, version="1", **more):
-    named = [Written(**{"name": f"r{number}", **one}) for number, one in enumerate(written)]
+    named = [RuleSource(**{"name": f"r{number}", **one}) for number, one in enumerate(written)]
     return RuleSet(
-        version, named, request_classes, tenants, Declared(request_classes=tuple(request_classes)), **more
+        version,
+        named,
+        request_classes,
+        tenants,
+        RequestLimits(request_classes=tuple(request_classes)),
+        **more,
     )
 
 
 def asked(key=b"north/42", lane="fitment", **more):
-    return Asked(DECLARED, "Q.ASK", key, lane, **{"customer": "acme", "wait": S, **more})
+    return RequestFields(DECLARED, "Q.ASK", key, lane, **{"customer": "acme", "wait": S, **more})
 
 
 def test_the_first_rule_that_matches_gives_what_it_says():
@@ -60,15 +71,15 @@
         {"when": "true", "lane": "'fitment'"},
         request_classes=PLAIN,
     )
-    given = made.judge(asked())
+    given = made.first_match(asked())
     assert (given.rule.name, given.lane, given.key, given.customer) == (
         "r1",
         REQUEST_CLASSES["stock"],
         b"42",
         "others",
     )
-    assert made.judge(asked(b"x")).lane is REQUEST_CLASSES["fitment"]
-    assert rules({"when": "false"}).judge(asked()) is NOTHING
+    assert made.first_match(asked(b"x")).lane is REQUEST_CLASSES["fitment"]
+    assert rules({"when": "false"}).first_match(asked()) is NO_RESULT
 
 
 @pytest.mark.parametrize(
@@ -92,7 +103,7 @@
     ],
 )
 def test_an_effect_is_never_weakened(was, becomes, stamped, may):
-    assert may_become(REQUEST_CLASSES[was], REQUEST_CLASSES[becomes], stamped) is may
+    assert may_replace(REQUEST_CLASSES[was], REQUEST_CLASSES[becomes], stamped) is may
 
 
 @pytest.mark.parametrize(
@@ -117,7 +128,7 @@
 def test_a_rule_that_could_weaken_an_effect_or_name_no_request_class_is_refused_when_it_is_loaded(
     when, lane, words
 ):
-    with pytest.raises(Unfit) as raised:
+    with pytest.raises(InvalidRuleSet) as raised:
         rules({"when": when, "lane": lane})
     ((number, part, fault),) = raised.value.faults
     assert (number, part) == (0, "lane") and words in fault.message
@@ -145,8 +156,8 @@
     made = rules({"when": when, "lane": lane})
     for name, was in REQUEST_CLASSES.items():
         for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
-            given = made.judge(asked(lane=name, stamped=stamped))
-            assert given.rule is None or may_become(was, given.lane, stamped)
+            given = made.first_match(asked(lane=name, stamped=stamped))
+            assert given.rule is None or may_replace(was, given.lane, stamped)
 
 
 def test_what_passes_the_look_when_loaded_is_looked_at_again_for_each_request():
@@ -154,7 +165,7 @@
     made = rules({"when": "lookup.lane == 'reserve'", "lane": "'buy'"}, {"when": "true", "key": "'later'"})
     made.request_classes = {**REQUEST_CLASSES, "buy": REQUEST_CLASSES["fitment"]}
     errors = []
-    given = made.judge(asked(lane="reserve", stamped=True), errors)
+    given = made.first_match(asked(lane="reserve", stamped=True), errors)
     assert [(rule.name, fault.code) for rule, fault in errors] == [("r0", "value")] and given.key == b"later"
 
 
@@ -185,14 +196,14 @@
 
     try:
         made = rules({"when": test_of(3), "lane": lane_of(2)})
-    except Unfit:
+    except InvalidRuleSet:
         return
     for name, was in REQUEST_CLASSES.items():
         for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
             for repeat in (True, False):
-                given = made.judge(asked(lane=name, stamped=stamped, repeat=repeat), errors := [])
+                given = made.first_match(asked(lane=name, stamped=stamped, repeat=repeat), errors := [])
                 assert not errors
-                assert given.lane is None or may_become(was, given.lane, stamped)
+                assert given.lane is None or may_replace(was, given.lane, stamped)
 
 
 @pytest.mark.parametrize(
@@ -212,7 +223,7 @@
 def test_each_part_of_a_rule_is_looked_at(rule, part, code):
     try:
         rules(rule)
-    except Unfit as error:
+    except InvalidRuleSet as error:
         assert [(place, fault.code) for _, place, fault in error.faults] == [(part, code)]
     else:
         assert part is None
@@ -221,13 +232,13 @@
 def test_a_set_that_is_fit_but_for_its_900th_rule_is_refused_for_that_rule_alone():
     written = [{"when": f"lookup.key == 'k{n}'"} for n in range(1000)]
     written[899] = {"when": "lookup.key == 899"}
-    with pytest.raises(Unfit) as raised:
+    with pytest.raises(InvalidRuleSet) as raised:
         rules(*written)
     assert [(number, fault.code) for number, _, fault in raised.value.faults] == [(899, "type")]
 
 
 def test_all_faults_of_a_set_are_told_at_once_and_names_are_given_once():
-    with pytest.raises(Unfit) as raised:
+    with pytest.raises(InvalidRuleSet) as raised:
         rules({"when": "1"}, {"when": "x", "lane": "2"}, {"when": "true", "name": "r0"})
     assert [(number, part) for number, part, _ in raised.value.faults] == [
         (0, "when"),
@@ -241,7 +252,7 @@
     cheap = [{"when": f"lookup.key == 'k{n}'"} for n in range(2000)]
     dear = [{"when": f"lookup.key.contains('k{n}')"} for n in range(200)]
     assert rules(*cheap).cost < 2000
-    with pytest.raises(Unfit, match="the set may cost"):
+    with pytest.raises(InvalidRuleSet, match="the set may cost"):
         rules(*dear)
 
 
@@ -255,15 +266,15 @@
         request_classes=PLAIN,
     )
     errors = []
-    assert made.judge(asked(key), errors).lane is lane
+    assert made.first_match(asked(key), errors).lane is lane
     assert errors[0][0].name == "r0"
 
 
 def test_a_key_too_long_is_not_given():
     made = rules({"when": "true", "key": "lookup.key + lookup.key + lookup.key"})
     errors = []
-    assert made.judge(asked(b"k" * 400), errors) is NOTHING and len(errors) == 1
-    assert made.judge(asked(b"k" * 300)).key == b"k" * 900
+    assert made.first_match(asked(b"k" * 400), errors) is NO_RESULT and len(errors) == 1
+    assert made.first_match(asked(b"k" * 300)).key == b"k" * 900
 
 
 # ---- the index
@@ -309,7 +320,7 @@
         {"when": " && ".join(drawn(rng) for _ in range(rng.choice((1, 1, 2, 3)))), "key": f"'{number}'"}
         for number in range(count)
     ]
-    made = rules(*written, set_cost=10**9, rule_cost=10**9)
+    made = rules(*written, max_set_cost=10**9, max_rule_cost=10**9)
     for _ in range(40):
         one = asked(
             rng.choice((f"k{rng.randrange(14)}".encode(), b"", b"\xff", b"x" * 2000)),
@@ -320,7 +331,7 @@
             attributes=rng.choice(({}, {"zone": f"k{rng.randrange(14)}"})),
             repeat=rng.random() < 0.5,
         )
-        found, plain = made.judge(one), made.judge_plainly(one)
+        found, plain = made.first_match(one), made.first_match_unindexed(one)
         assert (found.rule and found.rule.number, found.key) == (plain.rule and plain.rule.number, plain.key)
 
 
@@ -329,7 +340,7 @@
         {"when": "lookup.key.contains('b')", "key": "'first'"},
         {"when": "lookup.key == 'abc'", "key": "'second'"},
     )
-    assert made.judge(asked(b"abc")).key == b"first"
+    assert made.first_match(asked(b"abc")).key == b"first"
 
 
 def test_the_part_that_leaves_out_most_is_chosen():
@@ -375,18 +386,18 @@
 # ---- the sets in force
 
 
-def standing(active, shadow=None, share=0.1):
-    made = Standing()
-    made.put(active, shadow, share, 0)
+def active_rules(active, shadow=None, share=0.1):
+    made = ActiveRules()
+    made.activate(active, shadow, share, 0)
     return made
 
 
 def seen(**more):
-    return lambda declared: Asked(declared, "Q.ASK", b"north/42", "fitment", **more)
+    return lambda limits: RequestFields(limits, "Q.ASK", b"north/42", "fitment", **more)
 
 
 def test_differences_of_a_set_on_trial_are_counted_by_rule():
-    made = standing(
+    made = active_rules(
         rules({"when": "true", "lane": "'stock'"}, request_classes=PLAIN),
         rules(
             {"when": "lookup.customer == 'acme'", "lane": "'stock'", "name": "alike"},
@@ -396,45 +407,45 @@
     )
     for customer in ("acme", "others"):
         one = seen(customer=customer)
-        assert made.wants_shadow(0)
-        made.try_shadow(one, made.judge(one))
+        assert made.may_try_shadow(0)
+        made.try_shadow(one, made.apply(one))
     kinds, differences = made.read()
     assert kinds["matched"] == {"r0": 2} and kinds["shadow"] == {"asked": 2, "differs": 1, "erred": 0}
     assert differences == [("r0", "r1", 1)]
 
 
 def test_a_set_on_trial_that_is_dearer_than_its_budget_is_skipped():
-    made = standing(rules({"when": "true"}), rules({"when": "true"}), share=0.01)
+    made = active_rules(rules({"when": "true"}), rules({"when": "true"}), share=0.01)
     asked_times = 0
     for now in range(0, S, S // 1000):  # a request each ms, each of which would take 2 ms
-        if made.wants_shadow(now):
+        if made.may_try_shadow(now):
             asked_times += 1
-            made.spent(2_000_000)
+            made.charge_shadow(2_000_000)
     spent = asked_times * 2_000_000
-    assert 0 < spent <= 0.01 * S + BURST + 2_000_000
+    assert 0 < spent <= 0.01 * S + MAX_BUDGET_NS + 2_000_000
     assert made.read()[0]["shadow"] == {"skipped": 1000 - asked_times, "asked": asked_times}
 
 
 def test_a_budget_does_not_grow_while_nothing_is_asked_and_never_goes_back_in_time():
     made = Budget(0.5, 0)
-    assert made.may(100 * S) and made.left == BURST
-    made.spent(BURST)
-    assert not made.may(50 * S) and not made.may(100 * S) and made.may(100 * S + 1000)
+    assert made.has_time(100 * S) and made.left == MAX_BUDGET_NS
+    made.charge(MAX_BUDGET_NS)
+    assert not made.has_time(50 * S) and not made.has_time(100 * S) and made.has_time(100 * S + 1000)
 
 
 def test_pairs_of_rules_that_differ_are_bounded():
-    written = [{"when": f"lookup.key == 'k{n}'", "key": "'x'"} for n in range(MOST_PAIRS + 10)]
-    made = standing(rules(*written), rules({"when": "true"}))
-    for number in range(MOST_PAIRS + 10):
-        one = lambda declared, number=number: Asked(declared, "Q.ASK", f"k{number}", "fitment")  # noqa: E731
-        made.try_shadow(one, made.judge(one))
-    assert len(made.differences) == MOST_PAIRS + 1 and made.differences["others", "others"] == 10
+    written = [{"when": f"lookup.key == 'k{n}'", "key": "'x'"} for n in range(MAX_RULE_PAIRS + 10)]
+    made = active_rules(rules(*written), rules({"when": "true"}))
+    for number in range(MAX_RULE_PAIRS + 10):
+        one = lambda limits, number=number: RequestFields(limits, "Q.ASK", f"k{number}", "fitment")  # noqa: E731
+        made.try_shadow(one, made.apply(one))
+    assert len(made.differences) == MAX_RULE_PAIRS + 1 and made.differences["others", "others"] == 10
 
 
 def test_errors_are_logged_at_a_bounded_rate_and_none_is_forgotten():
-    made, told = standing(rules({"when": "true"})), []
+    made, told = active_rules(rules({"when": "true"})), []
     for number in range(1000):
-        if count := made.to_log(number * LOG_EACH // 100):
+        if count := made.errors_to_log(number * ERROR_LOG_INTERVAL_NS // 100):
             told.append(count)
     assert len(told) == 10 and sum(told) + made.unlogged == 1000
 
@@ -448,12 +459,12 @@
         )
         for n in range(20)
     ]
-    made, ended, mixed = standing(sets[0]), threading.Event(), []
+    made, ended, mixed = active_rules(sets[0]), threading.Event(), []
 
     def go_on(repeat):
         one, count = seen(repeat=repeat), 0
         while not ended.is_set() or count < 100:
-            given, count = made.judge(one), count + 1
+            given, count = made.apply(one), count + 1
             if given.rule is None or given.key.decode() != given.customer:
                 mixed.append(given)
 
@@ -461,7 +472,7 @@
     for thread in threads:
         thread.start()
     for number in range(2000):
-        made.put(sets[number % 20], sets[(number + 1) % 20], 0.1, number)
+        made.activate(sets[number % 20], sets[(number + 1) % 20], 0.1, number)
     ended.set()
     for thread in threads:
         thread.join()
@@ -470,9 +481,9 @@
 
 def test_no_expression_of_a_set_reads_more_than_its_own_bounds():
     """A set put in force meanwhile may declare less than the one before it."""
-    short = RuleSet("2", [Written("all", "!(lookup.key.size() <= 4)")], {}, None, Declared(key=4))
-    made, errors = standing(short), []
-    made.judge(seen(), lambda rule, fault: errors.append(fault))
+    short = RuleSet("2", [RuleSource("all", "!(lookup.key.size() <= 4)")], {}, None, RequestLimits(key=4))
+    made, errors = active_rules(short), []
+    made.apply(seen(), lambda rule, fault: errors.append(fault))
     assert isinstance(errors[0], Erred)
 
 
@@ -484,9 +495,9 @@
             for _ in range(5)
         ]
         try:
-            made = rules(*written, set_cost=10**9, rule_cost=10**9)
-        except Unfit as error:
+            made = rules(*written, max_set_cost=10**9, max_rule_cost=10**9)
+        except InvalidRuleSet as error:
             assert {fault.code for _, _, fault in error.faults} <= {"cost", "syntax"}
             continue
         for one in expressions.lookups(DECLARED):
-            assert made.judge(one).rule is made.judge_plainly(one).rule
+            assert made.first_match(one).rule is made.first_match_unindexed(one).rule
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lemonlead import settings
-from lemonlead.settings import Unfit
+from lemonlead.settings import InvalidFile
 
 SCHEMA = """
 #Lane: {name: string & =~"^[a-z]+$", goal: duration & >0s & <=10s, effect: *"harmless" | "one-shot"}
@@ -31,7 +31,7 @@
 
 
 def faults(tmp_path, text, schema=SCHEMA, **others):
-    with pytest.raises(Unfit) as raised:
+    with pytest.raises(InvalidFile) as raised:
         read(tmp_path, text, schema, **others)
     return raised.value.faults
 
@@ -208,7 +208,7 @@
         try:
             read(tmp_path, bytes(broken), schema)
             outcomes[True] += 1
-        except Unfit as error:
+        except InvalidFile as error:
             assert error.faults and all(
                 fault.place.line >= 1 and fault.place.column >= 1 for fault in error.faults
             )
@@ -247,7 +247,7 @@
 def test_files_that_take_more_room_than_there_is_are_not_read(tmp_path):
     (tmp_path / "more.cue").write_text("// " + "x" * 500)
     (tmp_path / "file.cue").write_text('include "more.cue"\na: 1')
-    assert settings.read(tmp_path / "file.cue", "a: int", room=600).value == {"a": 1}
-    with pytest.raises(Unfit, match="more to read, allowed 400 bytes") as raised:
-        settings.read(tmp_path / "file.cue", "a: int", room=400)
+    assert settings.read(tmp_path / "file.cue", "a: int", max_bytes=600).value == {"a": 1}
+    with pytest.raises(InvalidFile, match="more to read, allowed 400 bytes") as raised:
+        settings.read(tmp_path / "file.cue", "a: int", max_bytes=400)
     assert (raised.value.faults[0].place.line, raised.value.faults[0].place.column) == (1, 9)
