--- a/benchmarks/instance_growth.py
+++ b/benchmarks/instance_growth.py
@@ -24,7 +24,7 @@
 from lemonlead.gateway import resp
 from lemonlead.standins import fleet
 from lemonlead.standins.discovery import entry
-from lemonlead.standins.instances import gives
+from lemonlead.standins.instances import value_response
 
 SPARE_DESCRIPTORS = 200
 CHANGED_A_SECOND = 0.01  # of all instances, drained; each is back a second later
@@ -51,7 +51,7 @@
     def data_received(self, data):
         self.reader.buffer.add(data)
         while (words := self.reader.next()) is not resp.MORE:
-            asyncio.get_running_loop().call_later(self.work, self.transport.write, gives(words[1]))
+            asyncio.get_running_loop().call_later(self.work, self.transport.write, value_response(words[1]))
 
 
 def instances(asked, pipe):
@@ -106,7 +106,7 @@
             numbers = [(turn * share + n) % self.count for n in range(share)]
             rows = [entry(f"i{n}", self.servers[n], "draining") for n in numbers]
             rows += [entry(f"i{n}", self.servers[n]) for n in draining]
-            self.ran.discovery.tell(*rows)
+            self.ran.discovery.publish(*rows)
             self.list_bytes += len(json.dumps(rows))
             draining, turn = numbers, turn + 1
             most = max(most, len(os.listdir(f"/proc/{self.ran.process.pid}/fd")))
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -36,7 +36,7 @@
 from lemonlead.member import assembly
 from lemonlead.member.disk import open_folder
 from lemonlead.standins.members import Cluster, until
-from lemonlead.standins.wires import Wires, spare
+from lemonlead.standins.wires import Wires, free_address
 
 TOLD = {"election": "1s", "heartbeat": "150ms"}  # the settings' own
 FAULTS = ("kill", "pause", "cut")
@@ -107,7 +107,7 @@
 
 
 def declare(cluster):
-    code, told = cluster.done(
+    code, told = cluster.run_command(
         id=f"bench/{next(NUMBERS)}", kind="node", node="n1", site="louis", units=1_000_000_000
     )
     assert code == 200, told
@@ -153,7 +153,7 @@
 
     def __init__(self, cluster):
         self.cluster, self.acknowledged, self.over = cluster, [], threading.Event()
-        self.threads = [threading.Thread(target=self.run, args=(name,)) for name in cluster.forming]
+        self.threads = [threading.Thread(target=self.run, args=(name,)) for name in cluster.initial_members]
         for thread in self.threads:
             thread.start()
 
@@ -245,7 +245,7 @@
 def plainly(way, folder):
     """The address of a server that keeps commands the plain way."""
     folder.mkdir(parents=True)
-    address = spare()
+    address = free_address()
     words = [sys.executable, "-m", "benchmarks.plain", way, address, str(folder / "kept")]
     with subprocess.Popen(words, stdout=subprocess.PIPE) as process:
         try:
@@ -303,7 +303,7 @@
     kinds = {"as of now": "/v1/state/groups", "local": "/v1/state/groups?read=local"}
     with Cluster(told.place / "reads", times=TOLD) as cluster:
         leader = cluster.start().wait_leader()
-        other = next(name for name in cluster.forming if name != leader)
+        other = next(name for name in cluster.initial_members if name != leader)
         for _ in range(rounds):
             for who, name in (("leader", leader), ("follower", other)):
                 for kind, path in kinds.items():
--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -85,7 +85,7 @@
     port = instances.address.rsplit(":", 1)[1]
     for n, server in enumerate(servers):
         server["addr"] = f"127.{1 + n // 60000}.{n // 250 % 250}.{n % 250 + 1}:{port}"
-    discovery.tell(*servers, full=True)
+    discovery.publish(*servers, full=True)
     closing = contextlib.closing
     with tempfile.TemporaryDirectory() as folder, closing(discovery), closing(instances):
         config = Path(folder) / "config.json"
@@ -117,12 +117,12 @@
 
             def change(n):
                 state = "draining" if n % 2 == 0 else "up"
-                discovery.tell({**servers[n // 2 * 7 % size], "state": state}, version=1000 + n)
+                discovery.publish({**servers[n // 2 * 7 % size], "state": state}, version=1000 + n)
 
             before = cpu(process)
             paced(CHANGES, 0.02, change)
             got["change"] = 1e3 * ((after := settled(process)) - before) / CHANGES
-            discovery.tell(*servers, full=True, version=5000)
+            discovery.publish(*servers, full=True, version=5000)
             time.sleep(0.5)
             got["whole list"] = 1e3 * (settled(process) - after)
             got["memory after"] = memory(process)
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -18,7 +18,16 @@
 
 from lemonlead.ledger import capacity
 from lemonlead.moves.steps import MAX_WAIT_NS
-from lemonlead.standins.move_faults import FAULTS, NAMES, STEPS, awaited, begin, crossed, lossy, made
+from lemonlead.standins.move_faults import (
+    FAULTS,
+    NAMES,
+    STEPS,
+    begin_move,
+    create_world,
+    create_world_with_fault,
+    disturb_messages,
+    expected_end,
+)
 from lemonlead.standins.two_clusters import MS, SECOND, World, furnish
 
 CUTS = ("cut 1 s", "cut 10 s", "cut 60 s")
@@ -41,9 +50,9 @@
         for fault in FAULTS:
             good, times = 0, []
             for seed in range(seeds):
-                world, met = crossed(step, stage, fault, seed)
+                world, met = create_world_with_fault(step, stage, fault, seed)
                 fine, at = seen_through(world)
-                good += fine and bool(met) and world.move("m").end == awaited(step, fault)
+                good += fine and bool(met) and world.move("m").end == expected_end(step, fault)
                 times.append((at - SECOND) / SECOND)
                 if fault in CUTS:
                     healed = met[0] + int(fault.split()[1]) * SECOND
@@ -67,7 +76,7 @@
         for number in range(count):
             louis.do(capacity.Reserve(reservation=f"r{number}", service=f"s{number}", units=50, site="louis"))
         for number in range(count):
-            begin(world, f"m{number}", f"s{number}", id=f"b{number}")
+            begin_move(world, f"m{number}", f"s{number}", id=f"b{number}")
         began, calls = time.thread_time(), louis.duty.counts
         fine, at = seen_through(world)
         found[count] = {
@@ -89,7 +98,7 @@
         louis.do(capacity.Reserve(reservation=f"o{number}", service="other", units=1, site="louis"))
     louis.do(capacity.Reserve(reservation="r", service="search", units=1, site="louis"))
     began = time.thread_time()
-    begin(world)
+    begin_move(world)
     return time.thread_time() - began
 
 
@@ -98,13 +107,13 @@
     bad, ends = [], {}
     for seed in range(first, first + count):
         draw = random.Random(seed)
-        world = made(seed)
-        begin(world)
+        world = create_world(seed)
+        begin_move(world)
         for _ in range(draw.randrange(7)):
             fault = draw.choice(sorted(FAULTS))
             world.at(world.now + draw.randrange(40_000) * MS, lambda w=world, f=fault: FAULTS[f](w))
         part = draw.random() * 0.4
-        lossy(world, 50 * SECOND, lose=part, twice=part, straggle=20 * SECOND)
+        disturb_messages(world, 50 * SECOND, lose=part, twice=part, straggle=20 * SECOND)
         fine, _ = seen_through(world)
         end = world.move("m").end
         holds = world.watch.holders("search-wide")
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -24,7 +24,7 @@
 from benchmarks.added_latency import DIGITS, MOST_US, arrivals, ended, process
 from lemonlead.gateway import resp
 from lemonlead.standins import fleet
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 
 SLICE = 0.5  # seconds, in which recovery is looked for
 RECOVERED = 0.9  # share of a slice's requests that are answered in time
@@ -37,7 +37,7 @@
 
     def react(words):
         time.sleep(work)
-        return gives(words[1])
+        return value_response(words[1])
 
     servers = [InstanceServer(react).start() for _ in range(count)]
     pipe.send([server.address for server in servers])
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -9,8 +9,8 @@
 import time
 from pathlib import Path
 
-from lemonlead.standins.members import Impatient, until
-from lemonlead.standins.wires import Wires, home, spare
+from lemonlead.standins.members import WaitTimeout, until
+from lemonlead.standins.wires import Wires, new_loopback_host, free_address
 
 from .world import REGIONS
 
@@ -91,14 +91,14 @@
 class Control:
     def __init__(self, folder, commits, scopes, relays=REGIONS):
         self.folder, self.wires, self.processes = Path(folder), Wires(), {}
-        self.source = spare(home())
+        self.source = free_address(new_loopback_host())
         self.source_told = {
             "listen": self.source,
             "commits": str(commits),
             "scopes": scopes,
             "cluster": "rig",
         }
-        self.relays = {f"relay-r{n}": (f"r{n}", spare(home())) for n in range(relays)}
+        self.relays = {f"relay-r{n}": (f"r{n}", free_address(new_loopback_host())) for n in range(relays)}
         self.reached = self.wired({"source": self.source})
         self.spent = {}  # processor seconds of those that ended, by name
 
@@ -151,7 +151,7 @@
 
     def status(self, name):
         if self.processes[name].poll() is not None:
-            raise Impatient(f"{name} ended with {self.processes[name].returncode}: {self.said(name)}")
+            raise WaitTimeout(f"{name} ended with {self.processes[name].returncode}: {self.said(name)}")
         code, told = ask(self.address(name), "GET", "/v1/status", patience=2.0)
         return told if code == 200 else {}
 
--- a/benchmarks/scale/members.py
+++ b/benchmarks/scale/members.py
@@ -24,7 +24,7 @@
     def __init__(self, folder, commits, entries):
         self.entries = entries
         self.cluster, self.wires, self.commits = Cluster(folder / "members"), Wires(), commits
-        self.names = list(self.cluster.forming)
+        self.names = list(self.cluster.initial_members)
         self.spent, self.number, self.at = {}, 0, 0
         self.way = "a cluster of three members; every change of the day is one command that touches a node"
         self.lock = threading.Lock()
--- a/benchmarks/slopes/control.py
+++ b/benchmarks/slopes/control.py
@@ -89,7 +89,7 @@
         cluster = ends.enter_context(Cluster(Path(folder) / "commands", times=ledger.TOLD))
         leader = cluster.start().wait_leader()
         ledger.declare(cluster)
-        other = next(name for name in cluster.forming if name != leader)
+        other = next(name for name in cluster.initial_members if name != leader)
 
         def used():
             return [ledger.cpu(cluster.processes[name]) for name in (leader, other)]
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -77,7 +77,7 @@
     """The figures of each way's starts, where lists are pushed and the first one comes at once."""
     with tempfile.TemporaryDirectory() as folder, contextlib.closing(DiscoveryServer().start()) as discovery:
         servers = known(instances)
-        discovery.tell(*servers, full=True)
+        discovery.publish(*servers, full=True)
         told = {
             "name": "g0",
             "listen": "127.0.0.1:0",
--- a/benchmarks/whole.py
+++ b/benchmarks/whole.py
@@ -21,7 +21,7 @@
 from tabulate import tabulate
 
 from lemonlead.standins.installation import Installation
-from lemonlead.standins.members import Impatient, until
+from lemonlead.standins.members import WaitTimeout, until
 
 CLUSTERS = {"louis": ("g1", "g2", "g3"), "ebene": ("h1", "h2", "h3")}
 TROUBLES = (
@@ -47,7 +47,7 @@
     def __init__(self, all_, seed, only):
         self.only = only
         self.all_, self.random, self.counts, self.gaps = all_, random.Random(seed), Counter(), {}
-        self.seated = {name: list(cluster.forming) for name, cluster in all_.clusters.items()}
+        self.seated = {name: list(cluster.initial_members) for name, cluster in all_.clusters.items()}
         self.number = 10
 
     def next(self):
@@ -86,7 +86,7 @@
         cluster.kill(victim)
         if self.random.random() < 0.5:
             cluster.wait_leader(other_than=victim)
-        cluster.start(victim, join=victim not in cluster.forming)
+        cluster.start(victim, join=victim not in cluster.initial_members)
 
     def wipe(self, name, cluster, victim):
         """A machine lost with its disk: its name comes back with an empty folder and must stay outside,
@@ -94,7 +94,7 @@
         cluster.kill(victim)
         cluster.wipe(victim)
         cluster.wait_leader(other_than=victim)
-        if victim in cluster.forming:
+        if victim in cluster.initial_members:
             cluster.start(victim)
             self.all_.wait_acknowledged(2)
             told = until(lambda: cluster.status(victim), f"{victim} answers")
@@ -118,13 +118,13 @@
     def change(self, cluster, **command):
         """A change of members, asked under a new id while another is under way."""
         for turn in range(200):
-            code, body = cluster.done(id=f"{command['kind']}/{command['member']}/{turn}", **command)
+            code, body = cluster.run_command(id=f"{command['kind']}/{command['member']}/{turn}", **command)
             if code == 200:
                 return
             if not any(says in body["error"]["says"] for says in ("still being seated", "nobody waits")):
-                raise Impatient(f"{command}: {body}")
+                raise WaitTimeout(f"{command}: {body}")
             time.sleep(0.05)
-        raise Impatient(f"{command}: {body}")
+        raise WaitTimeout(f"{command}: {body}")
 
     def pause(self, name, cluster, victim):
         cluster.pause(victim)
@@ -150,20 +150,20 @@
 
     def apart_for(self, cluster, victim, order):
         order()
-        with contextlib.suppress(Impatient):
+        with contextlib.suppress(WaitTimeout):
             cluster.wait_leader(other_than=victim, patience=3.0)
         self.all_.wires.heal()
 
     def all_at_once(self, name, cluster, victim):
         cluster.kill(*self.seated[name])
         for one in self.seated[name]:
-            cluster.start(one, join=one not in cluster.forming, ready=False)
+            cluster.start(one, join=one not in cluster.initial_members, ready=False)
         cluster.wait_leader()
 
     def rolling(self, name, cluster, victim):
         for one in list(self.seated[name]):
             cluster.stop(one)
-            cluster.start(one, join=one not in cluster.forming)
+            cluster.start(one, join=one not in cluster.initial_members)
             cluster.wait_leader()
 
 
@@ -188,7 +188,7 @@
     def drain(self, number):
         names = [node.name for node in self.all_.nodes]
         told = {"kind": "drain", "drain": f"d{number}", "nodes": names, "deadline_ms": 0}
-        code, body = self.all_.home.done(300, id=f"drain/{number}", **told)
+        code, body = self.all_.home.run_command(300, id=f"drain/{number}", **told)
         assert code == 200, body
         self.wait("drains", f"d{number}", lambda one: one["phase"] == "done")
         self.counts["drains done"] += 1
@@ -197,10 +197,10 @@
         """From the side that holds the service to the other; each third one is stopped on its way."""
         source, to = self.sides
         told = {"kind": "move", "move": f"m{number}", "service": "front", "to": to.cluster}
-        code, body = source.done(300, id=f"move/{number}", **told)
+        code, body = source.run_command(300, id=f"move/{number}", **told)
         assert code == 200, body
         if number % 3 == 0:
-            source.done(300, id=f"stop/{number}", kind="move_stop", move=f"m{number}")
+            source.run_command(300, id=f"stop/{number}", kind="move_stop", move=f"m{number}")
         one = self.wait("moves", f"m{number}", lambda one: one["end"] and one["told"], source)
         self.counts[f"moves {one['end']}"] += 1
         if one["end"] == "done":
@@ -212,7 +212,7 @@
             if one is not None and condition(one):
                 return one
             self.stopped.wait(0.2)
-        raise Impatient("stopped")
+        raise WaitTimeout("stopped")
 
 
 def played(arguments, folder):
@@ -226,7 +226,7 @@
         all_.declare("here", ebene, [node.name for node in all_.far])
         all_.group("store", ["n0", "n1", "n2"], 2)
         told = {"kind": "reserve", "reservation": "front", "service": "front", "units": 6, "site": "here"}
-        assert louis.done(id="front", **told)[0] == 200
+        assert louis.run_command(id="front", **told)[0] == 200
         all_.serve().operate(count=2).operate(count=2, cluster=ebene)
         all_.wait_requests(50)
         troubles = Troubles(all_, arguments.seed, arguments.only.split(","))
@@ -240,7 +240,7 @@
                     troubles.counts["kill"] + troubles.counts["wipe"] + 3 * troubles.counts["all at once"]
                 )
                 say(f"{time.monotonic() - began:.0f} s: {dict(troubles.counts)}, {dict(work.counts)}")
-        except (Impatient, AssertionError) as error:
+        except (WaitTimeout, AssertionError) as error:
             work.failed.append(f"{type(error).__name__}: {error}")
         all_.wires.heal()
         work.stopped.set()
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -51,11 +51,11 @@
     Example: lemonlead try
     """
     from ..standins.fleet import SETTINGS, gateway
-    from ..standins.instances import Machine
+    from ..standins.instances import WorkerInstance
 
     rules = Path(file).read_text() if file else RULES
     settings = {"Projects": [{"Name": "acme", "QuotaPerS": 10.0}, {"Name": "others", "QuotaPerS": 10.0}]}
-    machines = [Machine(work=0.005, slots=3, seed=number).start() for number in range(3)]
+    machines = [WorkerInstance(work=0.005, slots=3, seed=number).start() for number in range(3)]
     with tempfile.TemporaryDirectory(prefix="lemonlead-try-") as folder:
         config = Path(folder) / "classes.json"
         config.write_text(json.dumps({**SETTINGS, **settings}))
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -16,7 +16,7 @@
 from ..standins import fleet as running
 from ..standins.clients import Client
 from ..standins.discovery import entry
-from ..standins.instances import Machine
+from ..standins.instances import WorkerInstance
 from .fleet import S
 from .world import Counted, service
 
@@ -59,7 +59,7 @@
 
 def machine_of(kind, seed):
     """A stand-in that needs the work that a request hints at, by its speed."""
-    made = Machine(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
+    made = WorkerInstance(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
     made.needs_of = lambda said: float(said.get("h", 0)) / 1e6 / kind.speed
     return made
 
--- a/lemonlead/standins/clients.py
+++ b/lemonlead/standins/clients.py
@@ -51,7 +51,7 @@
 RESTED = 1.8  # seconds after an answer from which on a gateway may have ended the connection
 
 
-class Crowd:
+class RepeatingClients:
     """Clients that each go on asking, one request after the other, until told to stop. `ask(client, number)`
     writes the next request and returns what its answer must be, or None where any will do; `counts` has how
     many answers were as they must be ("right"), rejected, errors, or anything else ("wrong"), and lost
--- a/lemonlead/standins/discovery.py
+++ b/lemonlead/standins/discovery.py
@@ -15,7 +15,7 @@
         self.updates, self.asked = [], []
         self.indent, self.silent = None, threading.Event()
 
-    def tell(self, *servers, full=False, version=None):
+    def publish(self, *servers, full=False, version=None):
         with self.changed:
             version = version or len(self.updates) + 2
             self.updates.append({"version": version, "full": full, "servers": list(servers)})
--- a/lemonlead/standins/followed.py
+++ b/lemonlead/standins/fake_ledger.py
@@ -37,7 +37,7 @@
             self.changed.notify_all()
             return self.at
 
-    def form_anew(self):
+    def form_new_cluster(self):
         """Another cluster of the same members, which knows nothing of this one."""
         with self.changed:
             self.id, self.at, self.kept, self.events, self.ids = self.id + "+", 1, 1, [], {}
@@ -54,7 +54,7 @@
     def permit(self, name):
         return self.put("permits", name, {"drain": "d", "term": 1, "index": self.at + 1})
 
-    def forget(self):
+    def drop_changes(self):
         """The changes so far are kept no more."""
         with self.changed:
             self.events, self.kept = [], self.at
@@ -148,7 +148,7 @@
                 self.asked.append((time.monotonic(), path))
                 if self.wrong:
                     return sock.sendall(self.wrong.pop(0)(path, body) or b"")
-                sock.sendall(whole(*self.answer(path, body)))
+                sock.sendall(http_response(*self.answer(path, body)))
 
     def answer(self, path, body):
         leader = self.ledger.leader
@@ -157,7 +157,7 @@
         return self.ledger.answer(path, body)
 
 
-def whole(status, told, spoil=False):
+def http_response(status, told, spoil=False):
     """An answer's bytes. `spoil`: one bit of the body is not what its check says."""
     body = json.dumps(told).encode()
     head = f"HTTP/1.1 {status} so\r\nContent-Length: {len(body)}\r\nX-Crc32: {zlib.crc32(body):08x}\r\n\r\n"
--- a/lemonlead/standins/fleet.py
+++ b/lemonlead/standins/fleet.py
@@ -132,7 +132,7 @@
         before = ran.log().count("event=counters")
         process.send_signal(signal.SIGUSR1)
         until(lambda: ran.log().count("event=counters") > before and ran.log().endswith("\n"))
-        return counted(ran.log(), "counters")
+        return read_counters(ran.log(), "counters")
 
     def reload(text):
         (tmp_path / "config.json").write_text(text)
@@ -154,7 +154,7 @@
             one.sock.close()
 
 
-def counted(log, event):
+def read_counters(log, event):
     """The counters as last printed under this event."""
     line = [line for line in log.splitlines() if f"event={event} " in line][-1]
     pairs = (word.split("=", 1) for word in line.split() if "=" in word)
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -17,11 +17,11 @@
 from types import SimpleNamespace
 
 from . import promises
-from .clients import Crowd
+from .clients import RepeatingClients
 from .discovery import entry
 from .fleet import gateway
 from .members import Cluster, until, who
-from .nodes import Agent, Members, Node, Replicas
+from .nodes import Agent, MemberClient, Node, GroupMonitor
 from .wires import Wires
 
 GATEWAY = re.compile(rb'gateway(?:=|": ?")([A-Za-z0-9_.-]+)')
@@ -69,7 +69,7 @@
 
     def __init__(self, name, addresses, site, seed):
         self.name, self.site, self.random = name, site, random.Random(seed)
-        self.members, self.stopped = Members(*addresses), threading.Event()
+        self.members, self.stopped = MemberClient(*addresses), threading.Event()
         self.held, self.open, self.counts, self.number = {}, set(), Counter(), 0
         self.moments = deque(maxlen=MOST_MOMENTS)  # of the last acknowledgements
         self.thread = threading.Thread(target=self.run, daemon=True)
@@ -133,12 +133,12 @@
             for name, members in clusters.items()
         }
         for name, cluster in self.clusters.items():
-            for member in cluster.forming:  # who calls is told by what it says, gateways among them
-                cluster.addresses[member] = self.wires.front(member, cluster.listens[member], caller)
-            self.wires.group(name, *cluster.forming)
+            for member in cluster.initial_members:  # who calls is told by what it says, gateways among them
+                cluster.addresses[member] = self.wires.shared_wire(member, cluster.listens[member], caller)
+            self.wires.group(name, *cluster.initial_members)
         for name, cluster in self.clusters.items():
             others = {other: one for other, one in self.clusters.items() if other != name}
-            cluster.clusters = {o: [c.addresses[m] for m in c.forming] for o, c in others.items()}
+            cluster.clusters = {o: [c.addresses[m] for m in c.initial_members] for o, c in others.items()}
         self.home = next(iter(self.clusters.values()))
         self.nodes = [Shop(f"n{n}", ran=self.ran, work=work, away=0.05) for n in range(nodes)]
         self.far = [Shop(f"f{n}", ran=self.ran, work=work) for n in range(far)]
@@ -181,22 +181,22 @@
         cluster = cluster or self.home
         for name in names or [node.name for node in self.nodes]:
             told = {"kind": "node", "node": name, "site": site, "units": self.units}
-            assert cluster.done(id=f"declare/{name}", **told)[0] == 200
+            assert cluster.run_command(id=f"declare/{name}", **told)[0] == 200
 
     def group(self, name, nodes, quorum):
         told = {"kind": "group", "group": name, "nodes": nodes, "quorum": quorum}
-        assert self.home.done(id=f"group/{name}", **told)[0] == 200
-        self.groups.append(Replicas(name, [self[node] for node in nodes], quorum))
+        assert self.home.run_command(id=f"group/{name}", **told)[0] == 200
+        self.groups.append(GroupMonitor(name, [self[node] for node in nodes], quorum))
 
     def addresses(self, cluster=None):
         cluster = cluster or self.home
-        return [cluster.addresses[name] for name in cluster.forming]
+        return [cluster.addresses[name] for name in cluster.initial_members]
 
     def serve(self, crowd=4):
         """Starts the agents, the gateways that follow, and clients that go on asking at each."""
         for node in self.nodes:
-            self.agents.append(Agent(node, Members(*self.addresses())).start())
-        members = {name: self.home.addresses[name] for name in self.home.forming}
+            self.agents.append(Agent(node, MemberClient(*self.addresses())).start())
+        members = {name: self.home.addresses[name] for name in self.home.initial_members}
         for name in self.names:
             told = ", ".join(f"{one}: {json.dumps(where)}" for one, where in members.items())
             entries = []
@@ -211,10 +211,10 @@
             follow = f'follow: {{name: "{name}", wait: 10s, members: {{{told}}}{more}}}'
             zones = {"Areas": ["here", "there"]}
             ran = self.stack.enter_context(gateway(folder, entries=entries, follow=follow, settings=zones))
-            ran.discovery.tell(*entries, full=True)  # by an old list no stage is voted on
+            ran.discovery.publish(*entries, full=True)  # by an old list no stage is voted on
             self.gateways.append(ran)
         for ran in self.gateways:
-            self.crowds.append(Crowd(ran.port, crowd, self.ask).start())
+            self.crowds.append(RepeatingClients(ran.port, crowd, self.ask).start())
         return self
 
     def ask(self, client, number):
--- a/lemonlead/standins/instances.py
+++ b/lemonlead/standins/instances.py
@@ -14,7 +14,7 @@
 
     def __init__(self, react=None, **more):
         super().__init__(**more)
-        self.react = react or (lambda words: gives(words[1]))
+        self.react = react or (lambda words: value_response(words[1]))
         self.got = []
 
     def serve(self, sock):
@@ -28,11 +28,11 @@
                 sock.sendall(answer)
 
 
-def gives(value):
+def value_response(value):
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
 
 
-class Machine(InstanceServer):
+class WorkerInstance(InstanceServer):
     """An instance with worker slots and a queue. It needs `work` seconds for a request, by request class
     (None: for all others), for one slot; `queue` more may wait, what is past that is turned away unseen. From
     `start` on its speed rises from `cold` (a share) to the whole in `warm` seconds.
@@ -78,7 +78,7 @@
                 at, value = self.idempotency_keys.get(idempotency_key, (0.0, None))
                 if idempotency_key and value is not None and time.monotonic() - at < self.memory:
                     self.dropped += 1
-                    return gives(value)
+                    return value_response(value)
             time.sleep(self.needs_of(said) / self.speed() * self.slow)
             value = words[1]
             with self.lock:
@@ -95,7 +95,7 @@
                     self.idempotency_keys[idempotency_key] = time.monotonic(), value
                 if self.chance.random() < self.spoilt:
                     return b"#noise\r\n"
-        return gives(value)
+        return value_response(value)
 
     def needs_of(self, said):
         """Seconds of one slot that a request with these extras needs at full speed."""
--- a/lemonlead/standins/members.py
+++ b/lemonlead/standins/members.py
@@ -15,24 +15,24 @@
 import time
 from pathlib import Path
 
-from .wires import home, spare
+from .wires import new_loopback_host, free_address
 
 PATIENCE = 30.0  # seconds that a wait may take on a loaded machine
 TIMES = {"election": "400ms", "heartbeat": "60ms"}
 SENDER = re.compile(rb"X-Lemonlead-Member: ([A-Za-z0-9_.-]+)", re.IGNORECASE)
 
 
-class Impatient(AssertionError):
+class WaitTimeout(AssertionError):
     """What was waited for did not come."""
 
 
 def until(condition, what, patience=PATIENCE):
-    """What the condition gives once it is true; Impatient with `what` (text or function) where it stays
+    """What the condition gives once it is true; WaitTimeout with `what` (text or function) where it stays
     false."""
     end = time.monotonic() + patience
     while not (found := condition()):
         if time.monotonic() > end:
-            raise Impatient(what() if callable(what) else what)
+            raise WaitTimeout(what() if callable(what) else what)
         time.sleep(0.01)
     return found
 
@@ -49,7 +49,12 @@
     `more`: further lines of the settings. Used as a context it ends all that it started."""
 
     def __init__(self, folder, names=("g1", "g2", "g3"), cluster="louis", times=None, wires=None, more=""):
-        self.folder, self.forming, self.cluster, self.wires = Path(folder), list(names), cluster, wires
+        self.folder, self.initial_members, self.cluster, self.wires = (
+            Path(folder),
+            list(names),
+            cluster,
+            wires,
+        )
         self.times, self.more, self.clusters = {**TIMES, **(times or {})}, more, {}
         self.folder.mkdir(parents=True, exist_ok=True)
         self.listens, self.addresses = {}, {}  # where each listens; where others reach it
@@ -65,16 +70,16 @@
 
     def place(self, name):
         """Draws the addresses of a member."""
-        host = home()
-        self.listens[name] = self.addresses[name] = spare(host)
+        host = new_loopback_host()
+        self.listens[name] = self.addresses[name] = free_address(host)
         if self.wires is not None:
-            self.wires.lives(name, host)
-            self.addresses[name] = self.wires.front(name, self.listens[name], who)
+            self.wires.set_party_host(name, host)
+            self.addresses[name] = self.wires.shared_wire(name, self.listens[name], who)
 
     def settings(self, name):
         """The file that the member is started with, written anew."""
         pairs = lambda pairs: ", ".join(f"{key}: {json.dumps(value)}" for key, value in pairs)  # noqa: E731
-        members = pairs((one, self.addresses[one]) for one in self.forming)
+        members = pairs((one, self.addresses[one]) for one in self.initial_members)
         clusters = pairs(self.clusters.items())
         times = "".join(f"times: {what}: {time}\n" for what, time in self.times.items())
         reached = f'reached: "{self.addresses[name]}"\n' if self.wires is not None else ""
@@ -93,7 +98,7 @@
 
     def start(self, *names, join=False, ready=True):
         """Starts these (all that form it, where none is named) and waits until each is ready."""
-        names = names or self.forming
+        names = names or self.initial_members
         for name in names:
             if name not in self.listens:
                 self.place(name)
@@ -104,12 +109,17 @@
                     words + ["--join"] * join, stdout=log, stderr=errors, stdin=subprocess.DEVNULL
                 )
         for name in names if ready else ():
-            until(lambda name=name: self.is_ready(name), lambda name=name: f"{name} ready: {self.said(name)}")
+            until(
+                lambda name=name: self.is_ready(name),
+                lambda name=name: f"{name} ready: {self.recent_output(name)}",
+            )
         return self
 
     def is_ready(self, name):
         if self.processes[name].poll() is not None:
-            raise Impatient(f"{name} ended with {self.processes[name].returncode}: {self.said(name)}")
+            raise WaitTimeout(
+                f"{name} ended with {self.processes[name].returncode}: {self.recent_output(name)}"
+            )
         return any("event=ready" in line for line in self.lines(name))
 
     def log(self, name, end="log"):
@@ -119,7 +129,7 @@
         """What it has printed since its last start."""
         return self.log(name).read_bytes()[self.starts.get(name, 0) :].decode(errors="replace").splitlines()
 
-    def said(self, name):
+    def recent_output(self, name):
         return "\n".join([*self.lines(name)[-15:], self.log(name, "err").read_text()[-2000:]])
 
     def running(self):
@@ -182,7 +192,7 @@
     def command(self, name, **fields):
         return self.ask(name, "POST", "/v1/commands", fields)
 
-    def done(self, patience=PATIENCE, **fields):
+    def run_command(self, patience=PATIENCE, **fields):
         """The answer to a command that is asked, at one member after the other, until it is none of 503."""
         end, last = time.monotonic() + patience, None
         while time.monotonic() < end:
@@ -191,7 +201,7 @@
                 if last[0] in (200, 400, 409):
                     return last
             time.sleep(0.02)
-        raise Impatient(f"{fields}: {last}")
+        raise WaitTimeout(f"{fields}: {last}")
 
     def items(self, name, part, local=False):
         """A part of the state, by name; None where it can't be had now."""
@@ -229,11 +239,11 @@
         """All that form it run and follow one leader, whose name is given."""
         for name in list(self.paused):
             self.resume(name)
-        if missing := [name for name in self.forming if name not in self.running()]:
+        if missing := [name for name in self.initial_members if name not in self.running()]:
             self.start(*missing)
         until(
-            lambda: self.leader() and all(self.status(name).get("leader") for name in self.forming),
-            lambda: f"all follow: {[self.status(name) for name in self.forming]}",
+            lambda: self.leader() and all(self.status(name).get("leader") for name in self.initial_members),
+            lambda: f"all follow: {[self.status(name) for name in self.initial_members]}",
         )
         return self.wait_leader()
 
@@ -242,4 +252,4 @@
     return told.get("member"), told.get("term")
 
 
-__all__ = ["Cluster", "Impatient", "until"]
+__all__ = ["Cluster", "WaitTimeout", "until"]
--- a/lemonlead/standins/move_faults.py
+++ b/lemonlead/standins/move_faults.py
@@ -20,7 +20,7 @@
 NAMES = [f"{step}{'' if stage is None else stage}" for step, stage in STEPS]
 
 
-def made(seed=0, group=3, **more):
+def create_world(seed=0, group=3, **more):
     world = World(seed, **more)
     furnish(world, "louis")
     furnish(world, "ebene")
@@ -28,15 +28,15 @@
     return world
 
 
-def begin(world, name="m", service="search", cluster="louis", to="ebene", id="begin"):
+def begin_move(world, name="m", service="search", cluster="louis", to="ebene", id="begin"):
     return world.sides[cluster].do(rules.MoveCommand(id=id, move=name, service=service, to=to))
 
 
-def stop(world, name="m", cluster="louis", id="stop"):
+def stop_move(world, name="m", cluster="louis", id="stop"):
     return world.sides[cluster].do(rules.MoveStop(id=id, move=name))
 
 
-def lossy(world, time, **faults):
+def disturb_messages(world, time, **faults):
     """For so long. Where two overlap the later value holds until the last of them ends."""
     end = world.now + time
     for name, value in faults.items():
@@ -67,11 +67,11 @@
 
 FAULTS = {
     "nothing": lambda world: None,
-    "all lost 5 s": lambda world: lossy(world, 5 * SECOND, lose=1.0),
-    "half lost": lambda world: lossy(world, 20 * SECOND, lose=0.5),
-    "all twice, late": lambda world: lossy(world, 20 * SECOND, twice=1.0, straggle=50 * SECOND),
-    "out of order": lambda world: lossy(world, 20 * SECOND, late=1900 * MS, twice=0.5),
-    "answers unknown": lambda world: lossy(world, 15 * SECOND, unknown=1.0),
+    "all lost 5 s": lambda world: disturb_messages(world, 5 * SECOND, lose=1.0),
+    "half lost": lambda world: disturb_messages(world, 20 * SECOND, lose=0.5),
+    "all twice, late": lambda world: disturb_messages(world, 20 * SECOND, twice=1.0, straggle=50 * SECOND),
+    "out of order": lambda world: disturb_messages(world, 20 * SECOND, late=1900 * MS, twice=0.5),
+    "answers unknown": lambda world: disturb_messages(world, 15 * SECOND, unknown=1.0),
     "cut one way": lambda world: world.cut_for(10 * SECOND, (("ebene", "louis"),)),
     "cut 1 s": lambda world: world.cut_for(SECOND),
     "cut 10 s": lambda world: world.cut_for(10 * SECOND),
@@ -85,21 +85,21 @@
     "source node fails": lambda world: fail_node(world, "louis"),
     "destination node fails": lambda world: fail_node(world, "ebene"),
     "gateway silent": lambda world: world.cut_for(15 * SECOND, ("louis-gateway-0",)),
-    "stopped": lambda world: stop(world),
+    "stopped": lambda world: stop_move(world),
 }
 
 
-def crossed(step, stage, fault, seed):
+def create_world_with_fault(step, stage, fault, seed):
     """A move that meets this fault as it comes to this step: (world, moments at which the fault began)."""
-    world, met = made(seed), []
+    world, met = create_world(seed), []
     world.when(step, lambda: (met.append(world.now), FAULTS[fault](world)), stage=stage)
     if step in ("going back", "dropping"):
-        world.when("shifting", lambda: stop(world, id="first"), stage=1)
-    begin(world)
+        world.when("shifting", lambda: stop_move(world, id="first"), stage=1)
+    begin_move(world)
     return world, met
 
 
-def awaited(step, fault):
+def expected_end(step, fault):
     """How it is to end."""
     return "stopped" if step in BACK or fault == "stopped" and step != "settling" else "done"
 
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -11,9 +11,9 @@
 import time
 from collections import Counter, deque
 
-from .instances import InstanceServer, gives
+from .instances import InstanceServer, value_response
 from .server import Server
-from .wires import home
+from .wires import new_loopback_host
 
 SERVING, CLEARING, DRAINED, DOWN, CATCHING_UP = "serving", "clearing", "drained", "down", "catching_up"
 MOST_ATTEMPTS = 500_000  # that are kept with their moments; of older ones the counts stay
@@ -24,7 +24,9 @@
     """Where one gateway reaches a node."""
 
     def __init__(self, node, gateway):
-        super().__init__(node.taken_by(gateway), host=home())  # nobody else's: it comes back at the same one
+        super().__init__(
+            node.taken_by(gateway), host=new_loopback_host()
+        )  # nobody else's: it comes back at the same one
         host, port = self.listener.getsockname()
         self.place, self.open = (host, port), True
 
@@ -86,13 +88,13 @@
             with self.changed:
                 self.held -= 1
                 self.changed.notify_all()
-            return gives(words[1])
+            return value_response(words[1])
 
         return react
 
     # ---- what it is told and does
 
-    def told(self, permit, at):
+    def receive_permit(self, permit, at):
         """The permit out for it as the ledger has it at entry `at`, or None. Whether it is to be acted on
         now: only one that is clear, and none older than one that was seen."""
         with self.changed:
@@ -193,13 +195,13 @@
                 node.changed.notify_all()
 
 
-class Replicas:
+class GroupMonitor:
     """A group's: `least` is the fewest that ever served and were caught up, `broken` how often they came to
     be fewer than its quorum."""
 
     def __init__(self, name, nodes, quorum):
         self.name, self.nodes, self.quorum, self.broken = name, list(nodes), quorum, 0
-        self.lock, self.least, self.enough = threading.Lock(), len(self.nodes), True
+        self.lock, self.min_serving, self.enough = threading.Lock(), len(self.nodes), True
         for node in self.nodes:
             node.watchers.append(self.look)
         self.look()
@@ -207,12 +209,12 @@
     def look(self):
         with self.lock:
             serve = sum(node.state == SERVING for node in self.nodes)
-            self.least = min(self.least, serve)
+            self.min_serving = min(self.min_serving, serve)
             self.broken += self.enough and serve < self.quorum
             self.enough = serve >= self.quorum
 
 
-class Members:
+class MemberClient:
     """A cluster as whoever has its addresses sees it: asks one after the other."""
 
     def __init__(self, *addresses):
@@ -267,7 +269,7 @@
                 continue
             permit, known = told["items"].get(self.node.name), at
             at = max(at, told["at"])
-            if self.node.told(permit, told["at"]):
+            if self.node.receive_permit(permit, told["at"]):
                 self.node.go_down(self.report)
             elif permit is not None and permit["phase"] == "recalled" and at > known:
                 self.report("serving")  # that it saw this, and did not act
--- a/lemonlead/standins/platform.py
+++ b/lemonlead/standins/platform.py
@@ -8,14 +8,14 @@
 
     def __init__(self):
         super().__init__()
-        self.state, self.ballots, self.asked = "1 0 released 1 5000", [], 0
+        self.state, self.votes, self.asked = "1 0 released 1 5000", [], 0
         self.answer = lambda ballot: f"OK {self.state}"
 
     def serve(self, sock):
         lines = sock.makefile("rb")
         while line := lines.readline().decode().strip():
             if line != "NOTIFY":
-                self.ballots.append(line)
+                self.votes.append(line)
                 sock.sendall(self.answer(line).encode() + b"\r\n")
                 continue
             self.asked += 1
@@ -27,7 +27,7 @@
                     line, told = ("*" if self.state == told else f"* stage {self.state}"), self.state
                 sock.sendall(line.encode() + b"\r\n")
 
-    def tell(self, state):
+    def publish(self, state):
         with self.changed:
             self.state = state
             self.changed.notify_all()
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -17,8 +17,8 @@
 from ..distribution.subscriber import Subscriber
 from ..distribution.relay_settings import Bounds, Budget, RelaySettings
 from ..gateway.counters import Counters
-from .members import PATIENCE, Impatient, until
-from .wires import home, spare
+from .members import PATIENCE, WaitTimeout, until
+from .wires import new_loopback_host, free_address
 
 SECOND = 1_000_000_000
 LEASE = "lease: 6s\ngrace: 0s\n"
@@ -44,7 +44,7 @@
     def __init__(self, folder, cluster, regions, rate=1_000_000, burst=1_000_000, more=LEASE):
         self.folder, self.cluster, self.regions, self.more = folder, cluster, regions, more
         self.rate, self.burst = rate, burst
-        self.addresses = {name: spare(home()) for name in regions}
+        self.addresses = {name: free_address(new_loopback_host()) for name in regions}
         self.processes, self.starts = {}, {}
 
     def __enter__(self):
@@ -73,17 +73,17 @@
         with self.log(name).open("ab") as log:
             self.starts[name] = log.tell()
             self.processes[name] = subprocess.Popen(words, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
-        until(lambda: self.is_ready(name), lambda: f"{name} ready: {self.said(name)}")
+        until(lambda: self.is_ready(name), lambda: f"{name} ready: {self.recent_output(name)}")
 
     def is_ready(self, name):
         if (code := self.processes[name].poll()) is not None:
-            raise Impatient(f"{name} ended with {code}: {self.said(name)}")
-        return "event=ready" in self.said(name) and self.ask(name, "GET", "/readyz")[0] == 200
+            raise WaitTimeout(f"{name} ended with {code}: {self.recent_output(name)}")
+        return "event=ready" in self.recent_output(name) and self.ask(name, "GET", "/readyz")[0] == 200
 
     def log(self, name):
         return self.folder / f"{name}.log"
 
-    def said(self, name):
+    def recent_output(self, name):
         return self.log(name).read_bytes()[self.starts[name] :].decode(errors="replace")
 
     def kill(self, name):
@@ -98,7 +98,7 @@
     def ask(self, name, method, path, body=None):
         return ask(self.addresses[name], method, path, body)
 
-    def named(self):
+    def subscriber_arguments(self):
         """As a Subscriber is told them."""
         return [(name, region, self.addresses[name]) for name, region in self.regions.items()]
 
@@ -109,7 +109,7 @@
 
     def __init__(self, rate=100_000_000, burst=1_000_000, lease=60 * SECOND, **bounds):
         bounds = {"subscribers": 10, "scopes": 100, "waiting": 8192, "kept": 1000, **bounds}
-        self.address, self.ahead, self.is_lost = spare(home()), 0, False
+        self.address, self.ahead, self.is_lost = free_address(new_loopback_host()), 0, False
         self.told = RelaySettings(
             "r1", "north", self.address, {}, Budget(rate, burst), lease, 0, Bounds(**bounds)
         )
@@ -132,7 +132,7 @@
     def __exit__(self, *_):
         self.loop.call_soon_threadsafe(self.over.set)
 
-    def later(self, nanoseconds):
+    def advance(self, nanoseconds):
         """So much time goes by, look by look: by a leap of the clock nobody is silent."""
         for _ in range(0, nanoseconds, SECOND):
             self.ahead += SECOND
@@ -167,7 +167,7 @@
         return {}
 
 
-class Subscribing:
+class RecordingSubscriber:
     """A driver and what it put in force. `held`: while it is not set, `put` waits. `unfit`: keys that are
     refused. `faulty`: whether `put` raises."""
 
@@ -201,7 +201,7 @@
                 self.values[scope, key] = record
         return [(scope, key, f"{key}: unfit") for scope, key, _ in changes if key in self.unfit]
 
-    def has(self, scope, key, record):
+    def wait_for_record(self, scope, key, record):
         """Waits until this is in force, None where nothing is to be."""
         until(
             lambda: self.values.get((scope, key)) == record,
@@ -216,4 +216,4 @@
         self.driver.leave()
 
 
-__all__ = ["LocalRelay", "Relays", "Subscribing", "ask"]
+__all__ = ["LocalRelay", "Relays", "RecordingSubscriber", "ask"]
--- a/lemonlead/standins/server.py
+++ b/lemonlead/standins/server.py
@@ -44,7 +44,7 @@
             self.serve(sock)
         sock.close()
 
-    def cut(self):
+    def end_connections(self):
         """Ends the connections that stand."""
         for sock in self.connections:
             with contextlib.suppress(OSError):
@@ -55,4 +55,4 @@
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
-        self.cut()
+        self.end_connections()
--- a/lemonlead/standins/wires.py
+++ b/lemonlead/standins/wires.py
@@ -25,20 +25,20 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-def home():
+def new_loopback_host():
     """A loopback address that nothing else of this process has."""
     number = next(NUMBERS)
     return f"127.{64 + (number >> 16) % 128}.{(number >> 8) % 256}.{1 + number % 254}"
 
 
-def spare(host=None):
+def free_address(host=None):
     """An address, as text, at which nothing listens now."""
     with socket.socket() as sock:
-        sock.bind((host or home(), 0))
+        sock.bind((host or new_loopback_host(), 0))
         return "{}:{}".format(*sock.getsockname())
 
 
-def parts(address):
+def split_address(address):
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -108,12 +108,12 @@
         """The address at which `source` reaches `target`, which listens at `to`, now or later."""
         return self.added(Wire(source, target, to, None))
 
-    def front(self, target, to, who=None, at=None):
+    def shared_wire(self, target, to, who=None, at=None):
         """One address at which all reach `target`. Who calls is told by the address that it calls from
-        (`lives`), else by `who(first bytes)`: a name, or None where more bytes are needed."""
+        (`set_party_host`), else by `who(first bytes)`: a name, or None where more bytes are needed."""
         return self.added(Wire("", target, to, who), at)
 
-    def lives(self, party, host):
+    def set_party_host(self, party, host):
         self.homes[host] = party
 
     def group(self, name, *parties):
@@ -122,7 +122,7 @@
     def added(self, wire, at=None):
         self.party(wire.source)
         self.party(wire.target)
-        wire.address = at or spare()
+        wire.address = at or free_address()
         self.wires.append(wire)
         self.call(self.open, wire)
         return wire.address
@@ -252,7 +252,7 @@
     def open(self, wire):
         wire.listener = socket.socket()
         wire.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        wire.listener.bind(parts(wire.address))
+        wire.listener.bind(split_address(wire.address))
         wire.listener.listen(512)
         wire.listener.setblocking(False)
         wire.task = self.loop.create_task(self.accept(wire, wire.listener))
@@ -307,7 +307,7 @@
                 return self.end(connection, reset=True)
             await self.heard(there)
             await self.heard(back)
-            await self.loop.sock_connect(connection.far, parts(wire.to))
+            await self.loop.sock_connect(connection.far, split_address(wire.to))
             for sock in (connection.near, connection.far):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             near, far = connection.near, connection.far
--- a/tests/test_added_latency.py
+++ b/tests/test_added_latency.py
@@ -7,7 +7,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.added_latency import Load, arrivals
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 
 SECOND = 1_000_000  # in the histogram's microseconds
 
@@ -26,7 +26,7 @@
 
     def react(words):
         together.wait(60)
-        return gives(words[1])
+        return value_response(words[1])
 
     histogram, counts = played([0.0] * 5, react)
     assert counts["answered"] == histogram.get_total_count() == 5 <= counts["most clients"]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -16,7 +16,7 @@
 from lemonlead.gateway.instances import Connection, Instances
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.server import Server, until
 from lemonlead.start_settings import start_from_settings
 
@@ -207,7 +207,7 @@
 
     def second_answer():
         if not late:
-            late.append(server.connections[0].sendall(gives(b"0")))
+            late.append(server.connections[0].sendall(value_response(b"0")))
             arrived(connection.sock)
 
     def written(self, data, until):
@@ -261,7 +261,7 @@
 
     def react(words):
         assert open_.wait(60)
-        return gives(words[1])
+        return value_response(words[1])
 
     made = gateway(*(InstanceServer(react).start() for _ in range(2)))
     quick = made.balancer.instances["i0"]
@@ -350,7 +350,9 @@
     monkeypatch.setattr(Connection, "connect", connected)
     turned_away = waits == "for another attempt"
     servers = [
-        InstanceServer(lambda words: b"-BUSY\r\n" if turned_away and passes() else gives(words[1])).start()
+        InstanceServer(
+            lambda words: b"-BUSY\r\n" if turned_away and passes() else value_response(words[1])
+        ).start()
         for _ in range(2)
     ]
     made = gateway(*servers)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -23,7 +23,7 @@
 from lemonlead.standins.clients import Client
 from lemonlead.standins.discovery import entry
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.server import until
 
 
@@ -120,7 +120,7 @@
 
     def __init__(self):
         self.go = threading.Event()
-        super().__init__(lambda words: self.go.wait(60) and gives(words[1]))
+        super().__init__(lambda words: self.go.wait(60) and value_response(words[1]))
 
     def close(self):
         self.go.set()
@@ -618,7 +618,7 @@
 @pytest.mark.parametrize("takes", [(), (1,), (OSError,), (5, 2, 1, 7)])
 def test_responses_are_sent_whole_and_in_order(tmp_path, order, takes):
     held = {key: threading.Event() for key in (b"0", b"1", b"2")}
-    server = InstanceServer(lambda words: held[words[1]].wait(60) and gives(words[1] * 9))
+    server = InstanceServer(lambda words: held[words[1]].wait(60) and value_response(words[1] * 9))
     with gateway(tmp_path, server.start()) as ran:
         client = ran.client()
         ours = ran.ours(client)
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -22,8 +22,8 @@
 from lemonlead.gateway.counters import Counters
 from lemonlead.gateway.thread_pool import ThreadPool
 from lemonlead.standins import fleet
-from lemonlead.standins.fleet import SETTINGS, counted, gateway
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.fleet import SETTINGS, read_counters, gateway
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.server import Server, until
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -81,7 +81,7 @@
         until(lambda: silent.connections)
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
-        assert "event=serving" not in ran.log() and counted(ran.log(), "stopped")["open"] == 0
+        assert "event=serving" not in ran.log() and read_counters(ran.log(), "stopped")["open"] == 0
 
 
 # The first connection is accepted, but is among the clients only after the stop has checked them twice.
@@ -116,7 +116,7 @@
         ran.process.send_signal(signal.SIGTERM)
         assert client.read() == b"aa" and client.read() is None
         assert ran.process.wait(60) == 0
-        assert counted(ran.log(), "stopped")["succeeded"] == 1
+        assert read_counters(ran.log(), "stopped")["succeeded"] == 1
 
 
 # ---- requests on connections that stay open
@@ -159,7 +159,7 @@
 
 def test_request_during_close_is_answered_before_sigkill(tmp_path):
     hold = threading.Event()
-    answers = {b"first": lambda: hold.wait(60) and gives(b"first"), b"next": lambda: time.sleep(60)}
+    answers = {b"first": lambda: hold.wait(60) and value_response(b"first"), b"next": lambda: time.sleep(60)}
     server = InstanceServer(lambda words: answers[words[1]]()).start()
     with gateway(tmp_path, server, settings=SHORT_DEADLINES, program=NEXT_COMES_FIRST + GATEWAY) as ran:
         client = ran.client().ask(b"first")
@@ -168,7 +168,7 @@
         hold.set()
         assert client.read() == b"first"
         assert client.ask(b"next", wait=1500).read().startswith(b"BUSY") and client.read() is None
-        assert ran.process.wait(60) == 0 and counted(ran.log(), "stopped")["open"] == 0
+        assert ran.process.wait(60) == 0 and read_counters(ran.log(), "stopped")["open"] == 0
 
 
 def test_never_idle_client_gets_all_responses_at_stop(tmp_path):
@@ -180,7 +180,7 @@
         came[number].set()
         while not (came[number + 1].wait(0.1) or over.is_set()):
             pass
-        return gives(words[1])
+        return value_response(words[1])
 
     answers = []
     with gateway(tmp_path, InstanceServer(react).start(), settings=SHORT_DEADLINES) as ran:
@@ -202,14 +202,14 @@
         assert ran.process.wait(60) == 0
         thread.join(60)
         over.set()
-        said = counted(ran.log(), "stopped")
+        said = read_counters(ran.log(), "stopped")
         assert said["open"] == 0 and said.get("left", 0) == 0
         assert len(answers) == said["taken"] == said["succeeded"] + said["rejected"]
 
 
 def test_request_behind_invalid_commands_is_read_at_once_at_stop(tmp_path):
     hold = threading.Event()
-    server = InstanceServer(lambda words: hold.wait(60) and gives(words[1])).start()
+    server = InstanceServer(lambda words: hold.wait(60) and value_response(words[1])).start()
     with gateway(tmp_path, server, settings=SHORT_DEADLINES) as ran:
         client = ran.client().ask(b"first")
         until(lambda: server.got)
@@ -335,7 +335,9 @@
 
 def test_next_process_serves_while_the_earlier_one_ends(tmp_path):
     hold = threading.Event()
-    server = InstanceServer(lambda words: (words[1] != b"held" or hold.wait(60)) and gives(words[1])).start()
+    server = InstanceServer(
+        lambda words: (words[1] != b"held" or hold.wait(60)) and value_response(words[1])
+    ).start()
     folders = [tmp_path / name for name in ("old", "new")]
     for folder in folders:
         folder.mkdir()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -23,7 +23,7 @@
 from lemonlead.standins.discovery import DiscoveryServer, entry
 from lemonlead.standins import fleet
 from lemonlead.standins.fleet import SETTINGS
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.platform import PlatformServer
 from lemonlead.standins.server import Server, until
 from lemonlead.start_settings import start_from_settings
@@ -137,7 +137,7 @@
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
     made, dispatcher = make_driver(old)
     sockets.before = once(lambda: made.change_address(address(new.address)))
-    new.tell(entry("new", new), full=True)
+    new.publish(entry("new", new), full=True)
     run(made.run)
     until(lambda: dispatcher.lists == [["new"]], TIMEOUT_SECONDS)
     assert not old.asked and made.counters.read() == {"lists told": 1, "watches ended: moved": 1}
@@ -162,7 +162,7 @@
         lambda: made.change_address(address(second.address)),
     ]
     sockets.before = lambda: there_and_back.pop()() if there_and_back else None
-    first.tell(entry("a", first), full=True)
+    first.publish(entry("a", first), full=True)
     run(made.run)
     until(lambda: dispatcher.lists == [["a"]], TIMEOUT_SECONDS)
     assert not there_and_back and not second.asked and len(first.asked) == 1
@@ -190,8 +190,8 @@
 
     made.connection.condition = HookedCondition()
     sockets.after, sockets.shutting = once(move), once(shut)
-    old.tell(entry("old", old), full=True, version=41)
-    new.tell(entry("new", new), full=True, version=5)  # another service with its own versions
+    old.publish(entry("old", old), full=True, version=41)
+    new.publish(entry("new", new), full=True, version=5)  # another service with its own versions
     run(made.run)
     until(lambda: new.asked and dispatcher.lists and dispatcher.lists != [["old"]], TIMEOUT_SECONDS)
     assert dispatcher.lists[-1] == ["new"] and made.version == 5
@@ -202,9 +202,9 @@
     made, dispatcher = make_driver(old)
     read, moved = threading.Event(), threading.Event()
     dispatcher.gates["listed"] = once(lambda: (read.set(), moved.wait(TIMEOUT_SECONDS)))
-    old.tell(entry("old", old), full=True)
-    new.tell(entry("old", old), full=True)
-    new.tell(entry("new", new), full=True)  # one service at two addresses, with continuous versions
+    old.publish(entry("old", old), full=True)
+    new.publish(entry("old", old), full=True)
+    new.publish(entry("new", new), full=True)  # one service at two addresses, with continuous versions
     run(made.run)
     assert read.wait(TIMEOUT_SECONDS)
     made.change_address(address(new.address))
@@ -350,7 +350,7 @@
     until(lambda: dispatcher.stages == [trial], TIMEOUT_SECONDS)
 
     def overtake():
-        server.tell("1 1 rolling_back 0 100")
+        server.publish("1 1 rolling_back 0 100")
         until(lambda: dispatcher.stages == [trial, back], TIMEOUT_SECONDS)
 
     if overtaken:
@@ -388,8 +388,8 @@
     old, new = servers(DiscoveryServer()), servers(DiscoveryServer())
     made, dispatcher = make_driver(old)
     dispatcher.balancer = balancer(ask_for_list=True)
-    old.tell(entry("a", old), full=True)
-    new.tell(entry("a", old), full=True)
+    old.publish(entry("a", old), full=True)
+    new.publish(entry("a", old), full=True)
     run(made.run)
     until(lambda: dispatcher.taken == ["listed"], TIMEOUT_SECONDS)
 
@@ -426,9 +426,9 @@
         return started_ones[0]
 
     monkeypatch.setattr(fleet.subprocess, "Popen", start)
-    old, new = InstanceServer().start(), InstanceServer(lambda words: gives(b"new")).start()
+    old, new = InstanceServer().start(), InstanceServer(lambda words: value_response(b"new")).start()
     first, second = EndingDiscovery(), servers(DiscoveryServer())
-    second.tell(entry("i0", old, "draining"), entry("i1", new), full=True, version=5)
+    second.publish(entry("i0", old, "draining"), entry("i1", new), full=True, version=5)
 
     def then():
         config = json.loads((tmp_path / "config.json").read_text())
@@ -481,11 +481,11 @@
     """A list may be late, even the first one of a watch. It must not revive an instance that drains."""
     server = servers(DiscoveryServer())
     made, dispatcher = make_driver(server)
-    server.tell(entry("a", server), entry("b", server), full=True)
-    server.tell(entry("b", server, "draining"))
+    server.publish(entry("a", server), entry("b", server), full=True)
+    server.publish(entry("b", server, "draining"))
     run(made.run)
     until(lambda: len(dispatcher.lists) == 2, TIMEOUT_SECONDS)
-    server.cut()
+    server.end_connections()
     until(lambda: dispatcher.failures, TIMEOUT_SECONDS)
     server.updates = server.updates[:1]
     made.request_list()
@@ -550,7 +550,7 @@
         assert made.first_result.wait(TIMEOUT_SECONDS)
         until(lambda: dispatcher.failures, TIMEOUT_SECONDS)
         assert made.counters.read() == {"watches ended: refused": 1} and not dispatcher.lists
-        server.tell(entry("a", server), full=True)
+        server.publish(entry("a", server), full=True)
         server.listener = listener
         listener.listen()
         servers(server)
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -15,8 +15,8 @@
 from lemonlead.standins.fleet import gateway
 from lemonlead.standins.instances import InstanceServer
 from lemonlead.standins.members import Cluster, until
-from lemonlead.standins.relays import LocalRelay, Relays, Subscribing
-from lemonlead.standins.wires import home, spare
+from lemonlead.standins.relays import LocalRelay, Relays, RecordingSubscriber
+from lemonlead.standins.wires import new_loopback_host, free_address
 
 SIGN_OF_LIFE = b"\r\n1\r\n\n\r\n"  # an empty line as a chunk of its own
 UP, DRAINING = {"state": "up"}, {"state": "draining"}
@@ -38,7 +38,7 @@
 def put(cluster, scope, key, value):
     """Commits an entry and returns its index."""
     id = f"put/{next(cluster.numbers)}"
-    code, answer = cluster.done(id=id, kind="entry", scope=scope, key=key, value=value)
+    code, answer = cluster.run_command(id=id, kind="entry", scope=scope, key=key, value=value)
     assert code == 200, answer
     return answer["at"]
 
@@ -62,7 +62,7 @@
     put(cluster, "", "k", {"b": 2})
     put(cluster, "svc-0", "gone", {})
     put(cluster, "svc-0", "gone", None)
-    for name in cluster.forming:
+    for name in cluster.initial_members:
         rows = cluster.items(name, "entries")
         assert rows["svc-0 k"] == {"value": {"a": 1}, "since": index} and rows[" k"]["value"] == {"b": 2}
         assert "svc-0 gone" not in rows
@@ -78,22 +78,22 @@
     with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-1"]) as gateway:
         put(cluster, "svc-1", "i0", UP)
         put(cluster, "svc-2", "i0", UP)
-        gateway.has("svc-1", "i0", UP)
+        gateway.wait_for_record("svc-1", "i0", UP)
         index = put(cluster, "svc-1", "i0", DRAINING)
         put(cluster, "", "rules", {"version": 3})
-        gateway.has("svc-1", "i0", DRAINING)
-        gateway.has("", "rules", {"version": 3})
+        gateway.wait_for_record("svc-1", "i0", DRAINING)
+        gateway.wait_for_record("", "rules", {"version": 3})
         wanted = {"everywhere": True, "behind": [], "refused": [], "counted": 1, "regions": {}}
         until(lambda: in_force_report(relays, "r1", "svc-1", index) == wanted, "in force everywhere")
         put(cluster, "svc-1", "i0", None)
-        gateway.has("svc-1", "i0", None)
+        gateway.wait_for_record("svc-1", "i0", None)
         assert {scope for scope, _, _ in gateway.changes} == {"", "svc-1"}
 
 
 def test_unusable_record_is_reported_by_name(cluster, tmp_path):
     with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-3"]) as gateway:
         put(cluster, "svc-3", "route", {"to": 1})
-        gateway.has("svc-3", "route", {"to": 1})
+        gateway.wait_for_record("svc-3", "route", {"to": 1})
         gateway.unfit.add("route")
         index = put(cluster, "svc-3", "route", {"to": "nowhere"})
         refused = [["a", "route", "route: unfit"]]
@@ -110,7 +110,7 @@
         subscribing(relays, "a", ["svc-10"]) as gateway,
     ):
         put(cluster, "svc-10", "i0", UP)
-        gateway.has("svc-10", "i0", UP)
+        gateway.wait_for_record("svc-10", "i0", UP)
         gateway.faulty = True
         index = put(cluster, "svc-10", "i0", None)
         wanted = [["a", "i0", "fault ZeroDivisionError: division by zero"]]
@@ -118,7 +118,7 @@
         assert gateway.subscriber.records["svc-10"]["i0"][1] == UP
         gateway.faulty = False
         index = put(cluster, "svc-10", "i0", DRAINING)
-        gateway.has("svc-10", "i0", DRAINING)
+        gateway.wait_for_record("svc-10", "i0", DRAINING)
         wanted = {"everywhere": True, "counted": 1}
         until(lambda: in_force_report(relays, "r1", "svc-10", index).items() >= wanted.items(), "in force")
 
@@ -133,7 +133,7 @@
     with slow as relays, subscribing(relays, "a", scopes) as gateway:
         until(lambda: any(scope == "bulk" for scope, _ in gateway.values), "the first of the snapshot")
         put(cluster, "svc-4", "i0", DRAINING)
-        gateway.has("svc-4", "i0", DRAINING)
+        gateway.wait_for_record("svc-4", "i0", DRAINING)
         assert gateway.subscriber.complete["bulk"] == 0
         assert 0 < len([scope for scope, _ in gateway.values if scope == "bulk"]) < 120
 
@@ -143,13 +143,13 @@
         put(cluster, "svc-5", "i0", UP)
         put(cluster, "svc-5", "i1", UP)
         with subscribing(relays, "a", ["svc-5"]) as gateway:
-            gateway.has("svc-5", "i1", UP)
+            gateway.wait_for_record("svc-5", "i1", UP)
             assert gateway.subscriber.relay[0] == "r1"
             relays.kill("r1")
             put(cluster, "svc-5", "i0", None)
             index = put(cluster, "svc-5", "i1", DRAINING)
-            gateway.has("svc-5", "i1", DRAINING)
-            gateway.has("svc-5", "i0", None)
+            gateway.wait_for_record("svc-5", "i1", DRAINING)
+            gateway.wait_for_record("svc-5", "i0", None)
             assert gateway.subscriber.relay[0] == "r2"
             wanted = {"everywhere": True, "counted": 1}
             until(lambda: in_force_report(relays, "r2", "svc-5", index).items() >= wanted.items(), "in force")
@@ -160,30 +160,30 @@
     put(cluster, "svc-6", "i0", UP)
     put(cluster, "svc-6", "i1", UP)
     with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-6"]) as gateway:
-        gateway.has("svc-6", "i1", UP)
+        gateway.wait_for_record("svc-6", "i1", UP)
         relays.kill("r1")
         put(cluster, "svc-6", "i0", None)
         relays.start("r1")
-        gateway.has("svc-6", "i0", None)
-        gateway.has("svc-6", "i1", UP)
+        gateway.wait_for_record("svc-6", "i0", None)
+        gateway.wait_for_record("svc-6", "i1", UP)
         assert ("svc-6", "i1", None) not in gateway.changes
 
 
 def test_relay_of_a_killed_member_continues_at_another(cluster, tmp_path):
     with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-7"]) as gateway:
         put(cluster, "svc-7", "i0", UP)
-        gateway.has("svc-7", "i0", UP)
+        gateway.wait_for_record("svc-7", "i0", UP)
         leader = cluster.wait_leader()
         cluster.kill(leader)
         put(cluster, "svc-7", "i0", DRAINING)
-        gateway.has("svc-7", "i0", DRAINING)
+        gateway.wait_for_record("svc-7", "i0", DRAINING)
         cluster.start(leader)
         wanted = [UP, DRAINING]
-        for name in cluster.forming:  # one of them is the member that the relay polls
+        for name in cluster.initial_members:  # one of them is the member that the relay polls
             cluster.kill(name)
             wanted.append({"state": "up", "after": name})
             put(cluster, "svc-7", "i0", wanted[-1])
-            gateway.has("svc-7", "i0", wanted[-1])
+            gateway.wait_for_record("svc-7", "i0", wanted[-1])
             cluster.start(name)
             cluster.healthy()
         assert [record for _, key, record in gateway.changes if key == "i0"] == wanted
@@ -194,11 +194,11 @@
         until(lambda: gateway.subscriber.counts["lines"] > 0, "a stream")
         assert relays.stop("r1") == 0
         until(lambda: gateway.subscriber.counts["failures"] > 0, "the stream ended")
-        assert "event=stopped" in relays.said("r1")
+        assert "event=stopped" in relays.recent_output("r1")
 
 
 def subscribing(relays, name, scopes):
-    return Subscribing(name, "north", ["", *scopes], relays.named())
+    return RecordingSubscriber(name, "north", ["", *scopes], relays.subscriber_arguments())
 
 
 GATEWAY_SETTINGS = """distribution: {{
@@ -262,7 +262,7 @@
     ({"budget": "bounds: subscribers: 0\nbudget"}, "bounds.subscribers"),
 ])  # fmt: skip
 def test_invalid_relay_settings_end_with_2_and_one_line(tmp_path, capsys, text, says):
-    settings = RELAY_SETTINGS.format(spare(home()))
+    settings = RELAY_SETTINGS.format(free_address(new_loopback_host()))
     for old, new in text.items():
         assert old in settings
         settings = settings.replace(old, new)
@@ -273,7 +273,7 @@
 
 
 def test_address_in_use_ends_with_2(tmp_path, capsys):
-    with socket.create_server((home(), 0)) as taken:
+    with socket.create_server((new_loopback_host(), 0)) as taken:
         (tmp_path / "r.cue").write_text(RELAY_SETTINGS.format("{}:{}".format(*taken.getsockname())))
         assert relay_program.main(str(tmp_path / "r.cue")) == 2
     assert "free" in capsys.readouterr().err
@@ -300,13 +300,13 @@
     its stream has ended."""
     with LocalRelay() as relay:
         relay.replace("c1", 500, snapshot(500))
-        relay.later(60 * 10**9)  # it has run longer than lease and grace
+        relay.advance(60 * 10**9)  # it has run longer than lease and grace
         relays = [("r1", "north", relay.address)]
-        with Subscribing("g0", "north", ["svc-1"], relays, 1, False) as old:
+        with RecordingSubscriber("g0", "north", ["svc-1"], relays, 1, False) as old:
             old.held.clear()
             old.driver.start()
             until(old.entered.is_set, "the first line")
-            with Subscribing("g0", "north", ["svc-1"], relays, 2, False) as new:
+            with RecordingSubscriber("g0", "north", ["svc-1"], relays, 2, False) as new:
                 new.held.clear()
                 new.driver.start()
                 until(new.entered.is_set, "the other's first line")
@@ -330,8 +330,8 @@
     be known."""
     with LocalRelay() as relay:
         relay.replace("c1", 5, snapshot(5))
-        relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
+        relay.advance(60 * 10**9)
+        with RecordingSubscriber("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts")
             relay.do(relay.relay.acknowledgements.drop, "g0")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts again")
@@ -358,10 +358,10 @@
     with LocalRelay(waiting=8192) as relay:
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         with raw_stream(relay, "slow") as slow:
-            with Subscribing("fast", "north", ["svc-1"], [("r1", "north", relay.address)]) as fast:
+            with RecordingSubscriber("fast", "north", ["svc-1"], [("r1", "north", relay.address)]) as fast:
                 for index in range(2, 402):
                     relay.apply(index, ("svc-1", "k", {"n": index, "text": "x" * 4000}))
-                    fast.has("svc-1", "k", {"n": index, "text": "x" * 4000})
+                    fast.wait_for_record("svc-1", "k", {"n": index, "text": "x" * 4000})
                 answer = relay.relay.streams["slow"].outbox.counts["bytes"]
                 assert answer < 50_000 < 400 * 4000 < relay.relay.counts["bytes"]
             read = b""
@@ -390,12 +390,12 @@
         assert relay.ask("POST", "/v1/subscribe", subscription("g0"))[0] == 503
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         relays = [("r1", "north", relay.address)]
-        with Subscribing("g0", "north", ["svc-1"], relays) as gateway:
-            gateway.has("svc-1", "k", {"n": 1})
+        with RecordingSubscriber("g0", "north", ["svc-1"], relays) as gateway:
+            gateway.wait_for_record("svc-1", "k", {"n": 1})
             code, answer = relay.ask("POST", "/v1/subscribe", subscription("g1"))
             assert (code, answer["error"]["type"]) == (503, "TooMany") and answer["retry_ms"] > 0
-            with Subscribing("g0", "north", ["svc-1"], relays, 2) as other:
-                other.has("svc-1", "k", {"n": 1})
+            with RecordingSubscriber("g0", "north", ["svc-1"], relays, 2) as other:
+                other.wait_for_record("svc-1", "k", {"n": 1})
                 assert relay.relay.counts["superseded"] >= 1
 
 
@@ -420,7 +420,7 @@
 def test_invalid_calls_are_refused_and_change_nothing():
     with LocalRelay() as relay:
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
-        relay.later(60 * 10**9)
+        relay.advance(60 * 10**9)
         for method, path, body, wanted in INVALID_CALLS:
             code, answer = relay.ask(method, path, body)
             assert code == wanted, (path, body, answer)
@@ -434,16 +434,16 @@
         relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         code, answer = relay.ask("GET", force("svc-1", 1))
         assert (code, answer["error"]["type"]) == (503, "TooYoung")
-        relay.later(60 * 10**9)
+        relay.advance(60 * 10**9)
         assert relay.ask("GET", force("svc-1", 1))[1]["everywhere"]
 
 
 def test_index_after_the_last_change_of_a_scope_is_in_force():
     with LocalRelay() as relay:
         relay.replace("c1", 9, {"svc-1": {"k": (9, {"n": 9})}})
-        relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
-            gateway.has("svc-1", "k", {"n": 9})
+        relay.advance(60 * 10**9)
+        with RecordingSubscriber("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
+            gateway.wait_for_record("svc-1", "k", {"n": 9})
             until(lambda: relay.ask("GET", force("svc-1", 9))[1]["everywhere"], "in force")
             relay.apply(10, ("svc-2", "k", {}))
             until(lambda: gateway.subscriber.complete["svc-1"] == 10, "told that nothing changed")
@@ -459,11 +459,11 @@
         for relay in (first, second):
             relay.replace("c1", 1, {"svc-1": {"k": (1, {"n": 1})}})
         relays = [("r1", "north", first.address), ("r2", "south", second.address)]
-        with Subscribing("g0", "north", ["svc-1"], relays) as gateway:
-            gateway.has("svc-1", "k", {"n": 1})
+        with RecordingSubscriber("g0", "north", ["svc-1"], relays) as gateway:
+            gateway.wait_for_record("svc-1", "k", {"n": 1})
             first.is_lost = True
             second.apply(2, ("svc-1", "k", {"n": 2}))
-            gateway.has("svc-1", "k", {"n": 2})
+            gateway.wait_for_record("svc-1", "k", {"n": 2})
             assert first.ask("GET", "/readyz")[0] == 503
             first.is_lost = False
             until(lambda: first.ask("GET", "/readyz")[0] == 200, "back")
@@ -472,16 +472,16 @@
 def test_new_cluster_replaces_the_previous_one():
     with LocalRelay() as relay:
         relay.replace("c1", 9, {"svc-1": {"a": (1, {"n": 1}), "b": (9, {"n": 9})}})
-        relay.later(60 * 10**9)
-        with Subscribing("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
-            gateway.has("svc-1", "b", {"n": 9})
+        relay.advance(60 * 10**9)
+        with RecordingSubscriber("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
+            gateway.wait_for_record("svc-1", "b", {"n": 9})
             until(lambda: relay.ask("GET", force("svc-1", 9))[1]["everywhere"], "in force")
             gateway.held.clear()
             relay.replace("c2", 3, {"svc-1": {"a": (3, {"n": 3})}})
             assert relay.ask("GET", force("svc-1", 3))[1]["everywhere"] is False
             gateway.held.set()
-            gateway.has("svc-1", "a", {"n": 3})
-            gateway.has("svc-1", "b", None)
+            gateway.wait_for_record("svc-1", "a", {"n": 3})
+            gateway.wait_for_record("svc-1", "b", None)
             until(lambda: relay.ask("GET", force("svc-1", 3))[1]["everywhere"], "in force")
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -25,12 +25,12 @@
 from lemonlead.gateway.discovery import Discovery
 from lemonlead.gateway.instances import Instances
 from lemonlead.gateway import config as configs
-from lemonlead.standins.clients import Crowd
+from lemonlead.standins.clients import RepeatingClients
 from lemonlead.standins.fleet import SETTINGS, gateway
 from lemonlead.standins.instances import InstanceServer
-from lemonlead.standins import followed
+from lemonlead.standins import fake_ledger
 from lemonlead.standins.members import Cluster
-from lemonlead.standins.nodes import Agent, Members, Node, Replicas
+from lemonlead.standins.nodes import Agent, MemberClient, Node, GroupMonitor
 from lemonlead.standins.server import until
 from lemonlead.standins.wires import Wires
 from lemonlead.start_settings import start_from_settings as started_by
@@ -435,10 +435,10 @@
 @pytest.fixture
 def ledger():
     """A ledger of two nodes with two members, and a network between the members and the gateway."""
-    ledger = followed.Ledger()
+    ledger = fake_ledger.Ledger()
     ledger.node("i0")
     ledger.node("i1")
-    ledger.servers = [followed.MemberServer(ledger, name).start() for name in ("m1", "m2")]
+    ledger.servers = [fake_ledger.MemberServer(ledger, name).start() for name in ("m1", "m2")]
     ledger.wires = Wires()
     ledger.addresses = [ledger.wires.wire("g0", one.name, one.address) for one in ledger.servers]
     ledger.running = []
@@ -484,7 +484,7 @@
 
 def test_follow_is_sent_first_and_the_whole_state_applied(ledger):
     index = ledger.permit("i1")
-    ledger.forget()
+    ledger.drop_changes()
     running = ledger.follow(wait=20_000_000_000)
     assert running.ready() == ["i0"]
     ledger.acknowledged("g0", index)
@@ -498,9 +498,9 @@
     "half": lambda path, body: b"HTTP/1.1 200 so\r\nContent-Length: 900\r\n\r\n{",
     "no http": lambda path, body: b"#noise\r\n\r\n",
     "no json": lambda path, body: b"HTTP/1.1 200 so\r\nContent-Length: 4\r\n\r\n{]}\n",
-    "flipped": lambda path, body: followed.whole(200, {**OF, "at": 99, "events": []}, spoil=True),
-    "from the past": lambda path, body: followed.whole(200, {**OF, "at": 1, "events": []}),
-    "an error": lambda path, body: followed.whole(500, {}),
+    "flipped": lambda path, body: fake_ledger.http_response(200, {**OF, "at": 99, "events": []}, spoil=True),
+    "from the past": lambda path, body: fake_ledger.http_response(200, {**OF, "at": 1, "events": []}),
+    "an error": lambda path, body: fake_ledger.http_response(500, {}),
     "too large": lambda path, body: b"HTTP/1.1 200 so\r\nTransfer-Encoding: chunked\r\n\r\n500000\r\n",
 }
 
@@ -546,7 +546,7 @@
     ledger.put("followers", "g0", None)  # its lease ran out
     ledger.put("permits", "i0", None)
     ledger.permit("i1")
-    ledger.forget()
+    ledger.drop_changes()
     ledger.wires.heal()
     until(lambda: "g0" in ledger.parts["followers"] and running.ready() == ["i0"])
     assert (
@@ -635,7 +635,7 @@
     before = running.ready()
     for _ in range(5):
         ledger.permit("i0")
-    ledger.form_anew()
+    ledger.form_new_cluster()
     ledger.acknowledged("g0", ledger.permit("i1"))
     assert before == ["i1"] and running.ready() == ["i0"] and ledger.at < 5
     assert "g0" in ledger.parts["followers"] and running.follower.polling.counts["anew"] == 1
@@ -662,7 +662,7 @@
     """A follower without its thread and sockets: a test picks the response to each call."""
 
     def __init__(self):
-        self.ledger, self.given_responses, self.now, self.answer = followed.Ledger(), [], NOW, None
+        self.ledger, self.given_responses, self.now, self.answer = fake_ledger.Ledger(), [], NOW, None
         self.permits_by_index = {}  # (cluster, index): nodes with a permit
         where = SimpleNamespace(name="g0", start=SimpleNamespace(seed=7))
         members = {"members": {"m1": "127.0.0.1:1", "m2": "127.0.0.1:2"}}
@@ -741,10 +741,10 @@
                 threadless.ledger.put("permits", more[0], {"drain": "d"} if more[1] else None)
                 threadless.remember_permits()
             case "anew":
-                threadless.ledger.form_anew()
+                threadless.ledger.form_new_cluster()
                 threadless.remember_permits()
             case "forgets":
-                threadless.ledger.forget()
+                threadless.ledger.drop_changes()
     threadless.settle()
 
 
@@ -755,7 +755,7 @@
     servers = [InstanceServer().start() for _ in range(2)]
     addresses = ", ".join(f'm{n + 1}: "{one}"' for n, one in enumerate(ledger.addresses))
     with gateway(tmp_path, *servers, follow=f"follow: {{members: {{{addresses}}}, wait: 10s}}") as running:
-        crowd = Crowd(running.port, 4, lambda client, number: client.ask() and None).start()
+        crowd = RepeatingClients(running.port, 4, lambda client, number: client.ask() and None).start()
         ledger.acknowledged("g0", 3)
         until(lambda: all(server.got for server in servers))
         ledger.acknowledged("g0", ledger.permit("i0"))
@@ -780,14 +780,16 @@
     with Cluster(tmp_path / "cluster", names=("m1",)) as cluster:
         cluster.start()
         for node in fleet:
-            cluster.done(id=node.name, kind="node", node=node.name, site="s", units=10)
-        cluster.done(id="r", kind="group", group="r", nodes=[node.name for node in fleet], quorum=2)
-        replicas = Replicas("r", fleet, 2)
+            cluster.run_command(id=node.name, kind="node", node=node.name, site="s", units=10)
+        cluster.run_command(id="r", kind="group", group="r", nodes=[node.name for node in fleet], quorum=2)
+        replicas = GroupMonitor("r", fleet, 2)
         follow = f'follow: {{members: {{m1: "{cluster.addresses["m1"]}"}}, wait: 10s}}'
         with gateway(tmp_path, *(node.ears["g0"] for node in fleet), follow=follow) as running:
-            crowd = Crowd(running.port, 4, lambda client, number: client.ask() and None).start()
-            agents = [Agent(node, Members(cluster.addresses["m1"])).start() for node in fleet]
-            code, _ = cluster.done(id="d", kind="drain", drain="d", nodes=[node.name for node in fleet])
+            crowd = RepeatingClients(running.port, 4, lambda client, number: client.ask() and None).start()
+            agents = [Agent(node, MemberClient(cluster.addresses["m1"])).start() for node in fleet]
+            code, _ = cluster.run_command(
+                id="d", kind="drain", drain="d", nodes=[node.name for node in fleet]
+            )
             for node in fleet:
                 node.until(lambda node: node.counts["downs"] == 1 and node.state == "serving")
             until(lambda: cluster.items("m1", "drains")["d"]["phase"] == "done")
@@ -799,7 +801,7 @@
             assert running.counters()["ledger_failures"] == 0
     assert code == 200 and set(counts) <= {"right", "rejected"} and counts["right"] > 50
     assert all(node.counts["attempts"] and not node.counts["after clear"] for node in fleet)
-    assert (replicas.least, replicas.broken) == (2, 0)
+    assert (replicas.min_serving, replicas.broken) == (2, 0)
     for node in fleet:
         node.close()
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,8 +15,8 @@
 import pytest
 from lemonlead.gateway import resp
 from lemonlead.standins.discovery import DiscoveryServer, entry
-from lemonlead.standins.fleet import SETTINGS, counted, gateway
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.fleet import SETTINGS, read_counters, gateway
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.platform import PlatformServer
 from lemonlead.standins.server import until
 
@@ -47,7 +47,7 @@
             later.wait(60)
         else:
             later.set()
-        return gives(words[1])
+        return value_response(words[1])
 
     with gateway(tmp_path, InstanceServer(react).start()) as ran:
         client = ran.client().ask(b"first").ask(b"second").write(resp.command([b"PING"])).ask(b"third")
@@ -117,7 +117,7 @@
 
 def test_duplicate_id_gets_error_and_open_request_its_response(tmp_path):
     hold = threading.Event()
-    server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
+    server = InstanceServer(lambda words: hold.wait(60) and value_response(words[1]))
     with gateway(tmp_path, server.start()) as ran:
         client, other = ran.client(), ran.client()
         client.write(resp.command([b"Q.ASK", b"mine", b"id1", b"c=look,d=20000"]))
@@ -222,28 +222,28 @@
         if not silent.is_set():  # the instance that gets the first attempt
             silent.set()
             threading.Event().wait(30)
-        return gives(b"second")
+        return value_response(b"second")
 
     with gateway(tmp_path, InstanceServer(react).start(), InstanceServer(react).start()) as ran:
         assert ran.client().ask().read() == b"second"
 
 
 def send_change(ran, drained, other):
-    ran.discovery.tell(entry("i0", drained, "draining"), entry("i1", other))
+    ran.discovery.publish(entry("i0", drained, "draining"), entry("i1", other))
 
 
 def send_whole_list(ran, drained, other):
-    ran.discovery.tell(entry("i1", other), full=True)
+    ran.discovery.publish(entry("i1", other), full=True)
 
 
 def send_after_sighup(ran, drained, other):
-    ran.elsewhere.tell(entry("i0", drained, "draining"), entry("i1", other), full=True, version=1)
+    ran.elsewhere.publish(entry("i0", drained, "draining"), entry("i1", other), full=True, version=1)
     ran.reload(json.dumps({**ran.config, "discovery": ran.elsewhere.address}))
 
 
 @pytest.mark.parametrize("send_update", [send_change, send_whole_list, send_after_sighup])
 def test_drain_during_connect_prevents_the_attempt(tmp_path, send_update):
-    drained, other = InstanceServer(backlog=0), InstanceServer(lambda words: gives(b"other")).start()
+    drained, other = InstanceServer(backlog=0), InstanceServer(lambda words: value_response(b"other")).start()
     host, port = drained.address.split(":")
     plugs = [socket.socket() for _ in range(8)]  # fill the accept queue, so that no connect succeeds
     for plug in plugs:
@@ -265,16 +265,16 @@
 
 
 def test_watch_resumes_from_last_version_after_disconnect(tmp_path):
-    old = InstanceServer(lambda words: gives(b"old")).start()
-    new = InstanceServer(lambda words: gives(b"new")).start()
+    old = InstanceServer(lambda words: value_response(b"old")).start()
+    new = InstanceServer(lambda words: value_response(b"new")).start()
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
         until(lambda: ran.discovery.asked == ["/api/targets?stream=1&index=1"])
-        ran.discovery.tell(entry("i0", old, build=1))
+        ran.discovery.publish(entry("i0", old, build=1))
         until(lambda: ran.counters().get("lists_told", 0) >= 2)
-        ran.discovery.cut()
+        ran.discovery.end_connections()
         until(lambda: ran.discovery.asked[1:] == ["/api/targets?stream=1&index=2"])
-        ran.discovery.tell(entry("i0", old), version=1)  # older than the known version, so ignored
-        ran.discovery.tell(entry("i0", old, "removed"), entry("i1", new), version=3)
+        ran.discovery.publish(entry("i0", old), version=1)  # older than the known version, so ignored
+        ran.discovery.publish(entry("i0", old, "removed"), entry("i1", new), version=3)
         until(lambda: ran.counters().get("lists_told", 0) >= 4)
         assert ran.client().ask().read() == b"new" and not old.got
 
@@ -282,11 +282,11 @@
 def test_malformed_or_cut_off_news_are_requested_again(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         until(lambda: ran.platform.asked == 1)
-        ran.platform.cut()
+        ran.platform.end_connections()
         until(lambda: ran.platform.asked == 2)
-        ran.platform.tell("nonsense")
+        ran.platform.publish("nonsense")
         until(lambda: "malformed" in ran.log())
-        ran.platform.tell("1 0 released 1 9000")
+        ran.platform.publish("1 0 released 1 9000")
         count_before = ran.counters()["news_told"]
         until(lambda: ran.counters()["news_told"] > count_before)
         assert ran.client().ask().read() == b"aa"
@@ -300,10 +300,10 @@
     entries = [entry("i0", earlier), entry("i1", trial, build=2)]
     with gateway(tmp_path, earlier, trial, entries=entries) as ran:
         if answer:
-            ran.platform.answer = lambda _: answer if len(ran.platform.ballots) == 1 else "OK 2 1 trial 1 0"
+            ran.platform.answer = lambda _: answer if len(ran.platform.votes) == 1 else "OK 2 1 trial 1 0"
         else:
             ran.platform.answer = lambda _: "OK 2 1 trial 1 0"
-        ran.platform.tell("2 0 trial 0.8 0")
+        ran.platform.publish("2 0 trial 0.8 0")
         clients = [ran.client() for _ in range(4)]
 
         def voted():
@@ -311,10 +311,10 @@
                 client.ask(h=1000)
             for client in clients:
                 client.read()
-            return len(ran.platform.ballots) >= (2 if answer else 1)
+            return len(ran.platform.votes) >= (2 if answer else 1)
 
         until(voted)
-        assert set(ran.platform.ballots[: 2 if answer else 1]) == {"BALLOT 2 0 go"}
+        assert set(ran.platform.votes[: 2 if answer else 1]) == {"BALLOT 2 0 go"}
         until(lambda: f"votes_{counted_as}" in ran.counters())
 
 
@@ -324,7 +324,7 @@
     def react(words):
         if words[1] == b"held":
             hold.wait(60)
-        return gives(words[1])
+        return value_response(words[1])
 
     with gateway(tmp_path, InstanceServer(react).start()) as ran:
         held, unused = ran.client().ask(b"held"), ran.client()
@@ -335,7 +335,7 @@
         hold.set()
         assert held.read() == b"held" and held.read() is None
         assert ran.process.wait(60) == 0
-        counts = counted(ran.log(), "stopped")
+        counts = read_counters(ran.log(), "stopped")
         assert (counts["taken"], counts["succeeded"], counts["open"]) == (1, 1, 0)
 
 
@@ -356,7 +356,7 @@
         until(lambda: set(answered) == set(ran.clients))
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
-        counts = counted(ran.log(), "stopped")
+        counts = read_counters(ran.log(), "stopped")
         assert (
             counts["taken"] == counts["succeeded"]
             and counts["open"] == 0
@@ -370,7 +370,7 @@
     def react(words):
         if words[1] == b"stuck":
             gate.wait(60)
-        return {b"no": b"-ERR failed\r\n", b"full": b"-BUSY\r\n"}.get(words[1], gives(words[1]))
+        return {b"no": b"-ERR failed\r\n", b"full": b"-BUSY\r\n"}.get(words[1], value_response(words[1]))
 
     with gateway(tmp_path, InstanceServer(react).start()) as ran:
         for key in (b"a", b"no", b"full", b"b"):
@@ -387,7 +387,7 @@
 
 
 def test_client_that_reads_nothing_delays_no_other(tmp_path):
-    with gateway(tmp_path, InstanceServer(lambda words: gives(b"x" * 65536)).start()) as ran:
+    with gateway(tmp_path, InstanceServer(lambda words: value_response(b"x" * 65536)).start()) as ran:
         slow = ran.client()
         slow.sock.settimeout(5)
         with pytest.raises((TimeoutError, ConnectionError)):  # in the end the gateway stops reading it
@@ -406,12 +406,12 @@
 
 
 def test_sighup_changes_only_discovery_and_platform_addresses(tmp_path):
-    old, new = InstanceServer().start(), InstanceServer(lambda words: gives(b"new")).start()
+    old, new = InstanceServer().start(), InstanceServer(lambda words: value_response(b"new")).start()
     discovery, platform = DiscoveryServer().start(), PlatformServer().start()
-    discovery.tell(entry("i1", new), full=True, version=1)  # another service with its own versions
+    discovery.publish(entry("i1", new), full=True, version=1)  # another service with its own versions
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
         until(lambda: ran.platform.asked and ran.discovery.asked)
-        ran.discovery.tell(entry("i0", old), version=7)
+        ran.discovery.publish(entry("i0", old), version=7)
         until(lambda: ran.counters().get("lists_told", 0) >= 2)
         client = ran.client()
         for text in ("{", "{}", '{"discovery": 5}', "[" * 100000):
@@ -449,7 +449,7 @@
 
 def test_at_limit_extra_clients_are_rejected_and_idle_ones_closed(tmp_path):
     hold = threading.Event()
-    server = InstanceServer(lambda words: hold.wait(60) and gives(words[1]))
+    server = InstanceServer(lambda words: hold.wait(60) and value_response(words[1]))
     with gateway(tmp_path, server.start(), limits={"sockets": 60}) as ran:  # room for 18 clients
         busy = [ran.client().ask(request_class="buy") for _ in range(18)]
         until(lambda: ran.counters().get("taken") == 18)
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -30,14 +30,14 @@
 def declare(cluster, number, **more):
     """A command that was acknowledged, as (its fields, its answer)."""
     fields = dict(id=f"t/{number}", kind="node", node=f"n{number}", site="s", units=number, **more)
-    code, told = cluster.done(**fields)
+    code, told = cluster.run_command(**fields)
     assert code == 200, told
     return fields, told
 
 
 def alike(cluster, part):
     """Whether all members hold the same, each as it has it."""
-    states = [cluster.ask(name, "GET", f"/v1/state/{part}?read=local")[1] for name in cluster.forming]
+    states = [cluster.ask(name, "GET", f"/v1/state/{part}?read=local")[1] for name in cluster.initial_members]
     return all((state["at"], state["items"]) == (states[0]["at"], states[0]["items"]) for state in states)
 
 
@@ -60,46 +60,49 @@
 
 
 def test_it_forms_once_and_every_member_tells_the_same(trio):
-    leader, told = trio.wait_leader(), [trio.status(name) for name in trio.forming]
+    leader, told = trio.wait_leader(), [trio.status(name) for name in trio.initial_members]
     assert {one["cluster"] for one in told} == {"louis"} and len({one["term"] for one in told}) == 1
     assert sorted(one["role"] for one in told) == ["follower", "follower", "leader"]
-    roles = {name: "leader" if name == leader else "follower" for name in trio.forming}
+    roles = {name: "leader" if name == leader else "follower" for name in trio.initial_members}
     assert all(one["members"] == roles for one in told)
-    until(lambda: all(trio.status(name)["bears"] == 1 for name in trio.forming), "one loss is borne")
-    ids = {trio.ask(name, "GET", "/peer/hello")[1]["cluster"] for name in trio.forming}
+    until(lambda: all(trio.status(name)["bears"] == 1 for name in trio.initial_members), "one loss is borne")
+    ids = {trio.ask(name, "GET", "/peer/hello")[1]["cluster"] for name in trio.initial_members}
     assert len(ids) == 1
 
     def named(path):  # a member that has just lost its leader answers 503
-        return {trio.ask(name, "GET", path)[1].get("cluster_id") for name in trio.forming}
+        return {trio.ask(name, "GET", path)[1].get("cluster_id") for name in trio.initial_members}
 
     for path in ("/v1/state/nodes", "/v1/state/nodes?read=local", "/v1/events?after=0"):
         until(lambda path=path: named(path) == ids, f"{path} tells the cluster's id")
-    assert trio.done(id="of/1", kind="unfollow", gateway="nobody")[1]["cluster_id"] in ids
-    until(lambda: all(trio.ask(name, "GET", "/readyz")[0] == 200 for name in trio.forming), "all are ready")
+    assert trio.run_command(id="of/1", kind="unfollow", gateway="nobody")[1]["cluster_id"] in ids
+    until(
+        lambda: all(trio.ask(name, "GET", "/readyz")[0] == 200 for name in trio.initial_members),
+        "all are ready",
+    )
 
 
 def test_any_member_answers_and_a_repeat_elsewhere_gets_the_same(trio):
     answers = {}
-    for number, name in enumerate(trio.forming, 100):
+    for number, name in enumerate(trio.initial_members, 100):
         command = dict(id=f"any/{number}", kind="node", node=f"any{number}", site="any", units=number)
         answers[number] = trio.command(name, **command)
         assert answers[number][0] == 200
-        repeats = [trio.command(other, **command) for other in trio.forming]
+        repeats = [trio.command(other, **command) for other in trio.initial_members]
         assert repeats == [answers[number]] * 3
-        for other in trio.forming:
+        for other in trio.initial_members:
             assert trio.items(other, "nodes")[f"any{number}"]["units"] == number
     indices = [told["at"] for _, told in answers.values()]
     assert indices == sorted(set(indices))
     refused = dict(id="any/no", kind="reserve", reservation="r", service="x", units=10**6, site="any")
     code, told = trio.command("g1", **refused)
     assert code == 409 and told["outcome"] == "refused" and told["error"]["type"] == "Refused"
-    assert [trio.command(name, **refused) for name in trio.forming] == [(code, told)] * 3
+    assert [trio.command(name, **refused) for name in trio.initial_members] == [(code, told)] * 3
 
 
 def test_local_reads_tell_their_age_and_events_come_in_order(trio):
     before = trio.status("g1")["applied"]
     answers = [declare(trio, number)[1]["at"] for number in (201, 202, 203)]
-    for name in trio.forming:
+    for name in trio.initial_members:
         code, told = trio.ask(name, "GET", f"/v1/events?after={before}")
         while told["at"] < answers[-1]:  # a follower may lag a heartbeat behind
             code, more = trio.ask(name, "GET", f"/v1/events?after={told['at']}")
@@ -118,10 +121,10 @@
 
 
 def test_a_gateways_call_for_events_counts_at_the_leader_from_any_member(trio):
-    code, followed = trio.done(id="gw/1", kind="follow", gateway="gw1")
+    code, followed = trio.run_command(id="gw/1", kind="follow", gateway="gw1")
     assert code == 200
     at = trio.status(trio.wait_leader())["applied"]
-    for name in trio.forming:
+    for name in trio.initial_members:
         path = f"/v1/events?after={at - 1}&gateway=gw1&since={followed['at']}"
         code, told = trio.ask(name, "GET", path)
         assert code == 200 and told["at"] >= at and told["leader"] == trio.wait_leader()
@@ -228,7 +231,7 @@
     after = trio.wait_leader(other_than=leader)
     nodes = trio.items(after, "nodes")
     assert all(nodes[fields["node"]]["units"] == fields["units"] for fields, _ in said)
-    assert [trio.done(**fields) for fields, _ in said] == [(200, told) for _, told in said]
+    assert [trio.run_command(**fields) for fields, _ in said] == [(200, told) for _, told in said]
     until(lambda: trio.status(after)["bears"] == 0, "no further loss is borne")
     trio.start(leader)
     until(lambda: trio.status(after).get("bears") == 1, "it is back")
@@ -237,12 +240,12 @@
 
 def test_all_killed_at_once_come_back_with_all_that_was_acknowledged(trio):
     said = [declare(trio, number) for number in range(500, 505)]
-    before = {name: trio.ask(name, "GET", "/peer/hello")[1] for name in trio.forming}
-    trio.kill(*trio.forming)
+    before = {name: trio.ask(name, "GET", "/peer/hello")[1] for name in trio.initial_members}
+    trio.kill(*trio.initial_members)
     trio.start()
     trio.wait_leader()
-    assert {name: trio.ask(name, "GET", "/peer/hello")[1] for name in trio.forming} == before
-    assert [trio.done(**fields) for fields, _ in said] == [(200, told) for _, told in said]
+    assert {name: trio.ask(name, "GET", "/peer/hello")[1] for name in trio.initial_members} == before
+    assert [trio.run_command(**fields) for fields, _ in said] == [(200, told) for _, told in said]
     nodes = until(lambda: trio.items("g1", "nodes"), "g1 knows the leader as well")
     assert nodes.keys() >= {fields["node"] for fields, _ in said}
     for part in ("nodes", "sites", "members", "followers"):
@@ -260,14 +263,14 @@
     ]
     for reader in readers:
         reader.start()
-    other = next(name for name in trio.forming if name != leader)
+    other = next(name for name in trio.initial_members if name != leader)
     began = time.monotonic()
     passed = trio.command(other, id="paused/1", kind="node", node="paused", site="s", units=1)
     assert passed[0] == 200 or passed[1]["outcome"] in ("unknown", "not done")
     assert time.monotonic() - began < COMMAND_TIMEOUT_SECONDS  # as soon as the leader is known to be gone
     after = trio.wait_leader(other_than=leader)
     fields, _ = declare(trio, 600)
-    assert trio.done(id="paused/1", kind="node", node="paused", site="s", units=1)[0] == 200
+    assert trio.run_command(id="paused/1", kind="node", node="paused", site="s", units=1)[0] == 200
     trio.resume(leader)
     answers.append(trio.ask(leader, "GET", "/v1/state/nodes"))
     for reader in readers:
@@ -286,7 +289,7 @@
     after = trio.wait_leader(other_than=leader)
     until(lambda: "its disk failed" in trio.status(leader).get("reason", ""), "it says why")
     assert trio.ask(leader, "GET", "/readyz")[0] == 503
-    assert trio.done(id="full/1", kind="node", node="full", site="s", units=1)[0] == 200
+    assert trio.run_command(id="full/1", kind="node", node="full", site="s", units=1)[0] == 200
     assert trio.items(after, "nodes").keys() >= {fields["node"], "full"}
     until(lambda: trio.status(after)["bears"] == 0, "it counts as lost")
     trio.kill(leader)
@@ -302,7 +305,7 @@
     def write():
         number, last = 0, time.monotonic()
         while not done.is_set():
-            other = next(name for name in trio.forming if name != leader)
+            other = next(name for name in trio.initial_members if name != leader)
             fields = dict(kind="report", node="n670", state="serving")
             if trio.command(other, id=f"over/{number}", **fields)[0] == 200:
                 longest[0] = max(longest[0], time.monotonic() - last)
@@ -313,7 +316,7 @@
     try:
         assert trio.stop(leader) == 0
         trio.wait_leader(other_than=leader)
-        trio.done(id="over/end", kind="report", node="n670", state="serving")
+        trio.run_command(id="over/end", kind="report", node="n670", state="serving")
     finally:
         done.set()
         writer.join(30)
@@ -324,7 +327,7 @@
 
 def test_a_wiped_machine_stays_outside_and_comes_back_under_a_new_name(trio):
     leader = trio.wait_leader()
-    lost = next(name for name in trio.forming if name != leader)
+    lost = next(name for name in trio.initial_members if name != leader)
     fields, _ = declare(trio, 700)
     trio.kill(lost)
     trio.wipe(lost)
@@ -338,21 +341,21 @@
 
     trio.place("g4")
     address = trio.addresses["g4"]
-    nobody = trio.done(id="add/0", kind="add", member="g4", address=address)
+    nobody = trio.run_command(id="add/0", kind="add", member="g4", address=address)
     assert nobody[0] == 409 and "--join" in nobody[1]["error"]["do"]
     trio.start("g4", join=True)
     assert trio.status("g4")["role"] == "outside"
-    assert trio.done(id="add/1", kind="add", member="g4", address=address)[0] == 200
+    assert trio.run_command(id="add/1", kind="add", member="g4", address=address)[0] == 200
     trio.wait_status("g4", role="follower")
     assert trio.items("g4", "nodes").keys() >= {fields["node"]}
     gone = dict(kind="remove", member=lost)
-    until(lambda: trio.done(id=f"gone/{time.monotonic()}", **gone)[0] == 200, "it is removed")
+    until(lambda: trio.run_command(id=f"gone/{time.monotonic()}", **gone)[0] == 200, "it is removed")
     until(lambda: trio.status(trio.wait_leader())["bears"] == 1, "the loss is made up for")
     trio.kill(lost)
     assert trio.items("g4", "members")[lost]["gone"]
-    again = trio.done(id="add/2", kind="add", member=lost, address=trio.addresses[lost])
+    again = trio.run_command(id="add/2", kind="add", member=lost, address=trio.addresses[lost])
     assert again[0] == 409 and "was a member once" in again[1]["error"]["says"]
-    trio.forming = sorted({*trio.forming, "g4"} - {lost})
+    trio.initial_members = sorted({*trio.initial_members, "g4"} - {lost})
 
 
 def test_one_that_is_seated_after_all_the_first_are_gone_finds_those_of_now(tmp_path):
@@ -362,16 +365,20 @@
         cluster.start().wait_leader()
         for old, new in (("g1", "g4"), ("g2", "g5"), ("g3", "g6")):
             cluster.start(new, join=True)
-            code, told = cluster.done(id=f"add/{new}", kind="add", member=new, address=cluster.addresses[new])
+            code, told = cluster.run_command(
+                id=f"add/{new}", kind="add", member=new, address=cluster.addresses[new]
+            )
             assert code == 200, told
             until(lambda new=new: cluster.status(new).get("role") in ("follower", "leader"), f"{new} votes")
-            code, told = cluster.done(id=f"remove/{old}", kind="remove", member=old, address="")
+            code, told = cluster.run_command(id=f"remove/{old}", kind="remove", member=old, address="")
             assert code == 200, told
             until(lambda old=old, new=new: old not in cluster.status(new)["members"], f"{old} is gone")
             cluster.kill(old)
         declare(cluster, 7)
         cluster.start("g7", join=True)
-        code, told = cluster.done(id="add/g7", kind="add", member="g7", address=cluster.addresses["g7"])
+        code, told = cluster.run_command(
+            id="add/g7", kind="add", member="g7", address=cluster.addresses["g7"]
+        )
         assert code == 200, told
         until(lambda: cluster.status("g7").get("role") == "follower", lambda: f"{cluster.status('g7')}")
         assert "n7" in cluster.items("g7", "nodes", local=True)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -16,7 +16,18 @@
 from lemonlead.member import assembly
 from lemonlead.moves import faults, rules, steps
 from lemonlead.standins import promises, two_clusters
-from lemonlead.standins.move_faults import FAULTS, NAMES, STEPS, awaited, begin, crossed, lossy, made, stop
+
+from lemonlead.standins.move_faults import (
+    FAULTS,
+    NAMES,
+    STEPS,
+    begin_move,
+    create_world,
+    create_world_with_fault,
+    disturb_messages,
+    expected_end,
+    stop_move,
+)
 from lemonlead.standins.two_clusters import MS, SECOND, World, furnish, serve
 
 
@@ -43,8 +54,8 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS, ids=NAMES)
 def test_each_step_with_each_injected_fault(step, fault):
-    world, met = crossed(*step, fault, seed=STEPS.index(step))
-    assert run_until_ended(world) == awaited(step[0], fault)
+    world, met = create_world_with_fault(*step, fault, seed=STEPS.index(step))
+    assert run_until_ended(world) == expected_end(step[0], fault)
     assert met
     assert holders(world) == (["louis"] if world.move("m").end == "stopped" else ["ebene"])
     group = {name for name, side in world.sides.items() if "search/replicas" in side.state.part("groups")}
@@ -58,11 +69,11 @@
     st.floats(0, 0.4),
 )
 def test_random_schedules_of_faults(seed, faults, lose):
-    world = made(seed)
-    begin(world)
+    world = create_world(seed)
+    begin_move(world)
     for later, fault in faults:
         world.at(world.now + later * MS, lambda fault=fault: FAULTS[fault](world))
-    lossy(world, 50 * SECOND, lose=lose, twice=lose, straggle=20 * SECOND)
+    disturb_messages(world, 50 * SECOND, lose=lose, twice=lose, straggle=20 * SECOND)
     end = run_until_ended(world)
     assert holders(world) == (["ebene"] if end == "done" else ["louis"])
 
@@ -71,8 +82,8 @@
 
 
 def test_worse_destination_is_voted_back():
-    world = made(judge=lambda world, gateway, move: "back" if move.stage == 2 else "on")
-    begin(world)
+    world = create_world(judge=lambda world, gateway, move: "back" if move.stage == 2 else "on")
+    begin_move(world)
     assert run_until_ended(world) == "sent back"
     assert holders(world) == ["louis"]
     assert "worse at 50 %" in world.move("m").says
@@ -83,8 +94,8 @@
     for cluster, service in (("louis", "search"), ("ebene", "print")):
         furnish(world, cluster, nodes=2)
         serve(world, cluster, service, units=12, pinned=4)
-    begin(world)
-    begin(world, "n", "print", "ebene", "louis")
+    begin_move(world)
+    begin_move(world, "n", "print", "ebene", "louis")
     assert run_until_ended(world) == "refused"
     for move in (world.move("m"), world.move("n", "ebene")):
         assert move.end == "refused" and "NoRoomThere" in move.says and "free" in move.says
@@ -97,44 +108,44 @@
     for cluster, service in (("louis", "search"), ("ebene", "print")):
         furnish(world, cluster, nodes=4)
         serve(world, cluster, service, units=12, pinned=4)
-    begin(world)
-    begin(world, "n", "print", "ebene", "louis")
+    begin_move(world)
+    begin_move(world, "n", "print", "ebene", "louis")
     assert run_until_ended(world) == "done"
     assert holders(world) == ["ebene"] and world.watch.holders("print-wide") == ["louis"]
 
 
 def test_second_move_of_a_service_is_refused():
-    world = made()
-    assert begin(world)[0] == 200
-    code, body = begin(world, "n", id="other")
+    world = create_world()
+    assert begin_move(world)[0] == 200
+    code, body = begin_move(world, "n", id="other")
     assert (code, body["error"]["type"]) == (409, "MoveOpen")
-    world.when("shifting", lambda: world.answers.append(begin(world, "o", id="later")))
+    world.when("shifting", lambda: world.answers.append(begin_move(world, "o", id="later")))
     run_until_ended(world)
     assert [response[1]["error"]["type"] for response in world.answers] == ["MoveOpen"]
 
 
 @pytest.mark.parametrize("late", (0, 86_400 * SECOND, 86_400 * SECOND * 40))
 def test_repeated_move_command(late):
-    world = made(gateways=0)
-    first = begin(world)
+    world = create_world(gateways=0)
+    first = begin_move(world)
     run_until_ended(world)
     # A new service of the same name, which the repeated command must not move.
     serve(world, "louis", "search")
     world.run(world.now + late)
-    again = begin(world)
+    again = begin_move(world)
     if late:
         assert again[0] == 409 and again[1]["error"]["type"] == "MoveKnown"
     else:
         assert again == first
-    assert stop(world)[1]["error"]["type"] == "TooLate"
+    assert stop_move(world)[1]["error"]["type"] == "TooLate"
     assert world.quiet()
 
 
 def test_repeated_destination_commands_change_nothing():
-    world = made(gateways=0)
+    world = create_world(gateways=0)
     sent, taken = [], world.taken
     world.taken = lambda call: sent.append(call) or taken(call)
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) == "done"
     world.run(world.now + 86_400 * SECOND)
     before = world.sides["ebene"].state.parts
@@ -144,14 +155,14 @@
 
 
 def test_next_move_forgets_ended_holds():
-    world = made(gateways=0)
+    world = create_world(gateways=0)
     late = []
     taken = world.taken
     world.taken = lambda call: late.append(call) or taken(call)
-    begin(world)
+    begin_move(world)
     run_until_ended(world)
     serve(world, "louis", "print")
-    begin(world, "n", "print", id="second")
+    begin_move(world, "n", "print", id="second")
     run_until_ended(world)
     holds = world.sides["ebene"].state.part("holds")
     assert list(holds) == ["louis/n"]
@@ -163,8 +174,8 @@
 
 @pytest.mark.parametrize("to", ("atlantis", "louis"))
 def test_move_to_an_unknown_cluster_or_to_itself_is_refused(to):
-    world = made()
-    begin(world, to=to)
+    world = create_world()
+    begin_move(world, to=to)
     assert run_until_ended(world) == "refused"
     assert to in world.move("m").says and holders(world) == ["louis"]
 
@@ -173,7 +184,7 @@
 @pytest.mark.parametrize("clusters", (("louis",), ("ebene",), ("louis", "ebene")), ids="-".join)
 def test_move_and_drain_of_all_nodes_both_end(clusters, step):
     """Guards against a deadlock: a move and a drain must not wait for each other."""
-    world = made()
+    world = create_world()
 
     def drain():
         for cluster in clusters:
@@ -183,7 +194,7 @@
             assert side.do(drains.DrainCommand(id="d", drain="d", nodes=nodes))[0] == 200
 
     world.when(step[0], drain, stage=step[1])
-    begin(world)
+    begin_move(world)
     end = run_until_ended(world)
     assert end == "done" or "ebene" in clusters and step[0] == "reserving" and end == "refused"
     assert holders(world) == (["ebene"] if end == "done" else ["louis"])
@@ -204,9 +215,9 @@
 @pytest.mark.parametrize("left, end", ((2, "done"), (0, "refused")))
 def test_cordoned_nodes_do_not_count_as_room(left, end):
     """Cordoned nodes are not chosen. If the other nodes have no room, the move is refused at once."""
-    world = made(group=0)
+    world = create_world(group=0)
     cordon(world.sides["ebene"], [f"ebene-{number}" for number in range(4 - left)])
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world, 30 * SECOND) == end
     if left:
         pinned = world.sides["ebene"].state.part("reservations")["search-pinned"]
@@ -219,7 +230,7 @@
 
 
 def test_group_moves_member_by_member():
-    world = made(group=3)
+    world = create_world(group=3)
     sizes = []
 
     def hook(side, changes):
@@ -232,7 +243,7 @@
             )
 
     world.hooks.append(hook)
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) == "done"
     assert list(dict.fromkeys(sizes)) == [(3, 1), (2, 1), (2, 2), (1, 2), (1, 3), (0, 3)]
 
@@ -240,20 +251,20 @@
 def test_replica_that_never_serves_makes_the_move_overdue(monkeypatch):
     for module in (rules, steps):
         monkeypatch.setattr(module, "MAX_STEP_NS", 60 * SECOND)
-    world = made(group=3)
+    world = create_world(group=3)
     for number in range(4):
         world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
-    begin(world)
+    begin_move(world)
     assert world.run_till(lambda: world.move("m").step == "members")
     assert run_until_ended(world) == "overdue" and holders(world) == ["louis"]
     assert world.sides["louis"].state.part("groups")["search/replicas"].quorum == 2
 
 
 def test_service_with_a_running_gang_is_not_moved():
-    world = made()
+    world = create_world()
     gang = capacity.GangCommand(id="g", gang="search/night", nodes=("louis-3",), units=1)
     assert world.sides["louis"].do(gang)[0] == 200
-    assert begin(world)[1]["error"]["type"] == "GangRuns"
+    assert begin_move(world)[1]["error"]["type"] == "GangRuns"
 
 
 def gang_command(number, gang="search/night"):
@@ -262,10 +273,10 @@
 
 def test_move_waits_for_a_gang_and_admits_no_other():
     """Otherwise gangs that follow one another without a gap would hold the move until it is overdue."""
-    world = made()
+    world = create_world()
     louis, refused = world.sides["louis"], []
     world.when("reserving", lambda: louis.do(gang_command(0)))
-    begin(world)
+    begin_move(world)
     world.run(world.now + 120 * SECOND)
     assert world.move("m").step == "members" and all(one.over == 3 for one in world.move("m").groups)
     code, body = louis.do(gang_command(1, "search/day"))
@@ -278,16 +289,16 @@
 
 
 def test_gangs_may_start_once_a_move_rolls_back():
-    world, codes = made(), []
-    world.when("shifting", lambda: stop(world), stage=1)
+    world, codes = create_world(), []
+    world.when("shifting", lambda: stop_move(world), stage=1)
     world.when("going back", lambda: codes.append(world.sides["louis"].do(gang_command(0))[0]))
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) == "stopped" and codes == [200]
 
 
 @pytest.mark.parametrize("step, stage", [one for one in STEPS if one[0] not in ("asked", "dropping")])
 def test_group_cannot_be_redeclared_while_it_moves(step, stage):
-    world, error_types = made(), {}
+    world, error_types = create_world(), {}
 
     def declare(name, number=0):
         nodes = (f"{name}-0", f"{name}-1")
@@ -301,9 +312,9 @@
             error_types[name] = declare(name)[1].get("error", {}).get("type")
 
     if step == "going back":
-        world.when("shifting", lambda: stop(world), stage=1)
+        world.when("shifting", lambda: stop_move(world), stage=1)
     world.when(step, both, stage=stage)
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) == ("stopped" if step == "going back" else "done")
     assert error_types and set(error_types.values()) == {"BeingMoved"}
     assert [declare(name, 1)[0] for name in world.sides] == [200, 200]
@@ -358,8 +369,8 @@
 
 @pytest.mark.parametrize("fields, says", [({"moves": ()}, "under way"), ({"closed": ""}, "wait for gangs")])
 def test_checker_reports_missing_service_marks(fields, says):
-    world = made()
-    begin(world)
+    world = create_world()
+    begin_move(world)
     assert world.run_till(lambda: world.move("m").step == "warming")
     here = promises.plain(world.sides["louis"].state)
     assert promises.faults(here) == []
@@ -371,11 +382,14 @@
 
 
 def test_destination_cannot_end_a_hold_in_use():
-    world = made()
-    begin(world)
+    world = create_world()
+    begin_move(world)
     world.run_till(lambda: world.move("m").step == "shifting")
     ebene = world.sides["ebene"]
-    refused = [stop(world, "louis/m", "ebene"), ebene.do(capacity.Free(id="f", reservation="search-wide"))]
+    refused = [
+        stop_move(world, "louis/m", "ebene"),
+        ebene.do(capacity.Free(id="f", reservation="search-wide")),
+    ]
     assert [code for code, _ in refused] == [409, 409]
     assert refused[0][1]["error"]["type"] == "DecidedElsewhere"
     assert run_until_ended(world) == "done"
@@ -383,8 +397,8 @@
 
 @pytest.mark.parametrize("keep", (True, False))
 def test_operator_ends_a_hold_whose_source_is_lost(keep):
-    world = made()
-    begin(world)
+    world = create_world()
+    begin_move(world)
     world.run_till(lambda: world.move("m").step == "shifting")
     world.sides["louis"].up = False
     ebene = world.sides["ebene"]
@@ -396,19 +410,19 @@
 
 
 def test_hold_ended_by_an_operator_rolls_the_move_back():
-    world = made()
+    world = create_world()
     end = rules.HoldEnd(id="end", hold="louis/m", keep=False, because="mistaken")
     world.when("shifting", lambda: world.sides["ebene"].do(end), stage=4)
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) == "refused" and holders(world) == ["louis"]
     assert "HoldEnded" in world.move("m").says
 
 
 @pytest.mark.parametrize("step", STEPS[1:8], ids=NAMES[1:8])
 def test_operator_ends_a_move_whose_destination_is_lost(step):
-    world = made()
+    world = create_world()
     world.when(step[0], lambda: setattr(world.sides["ebene"], "up", False), stage=step[1])
-    begin(world)
+    begin_move(world)
     world.run(world.now + 60 * SECOND)
     lost = rules.MoveLost(id="lost", move="m", because="flooded")
     assert world.sides["louis"].do(lost)[0] == 200
@@ -428,22 +442,22 @@
 
 def test_number_of_open_moves_is_bounded(monkeypatch):
     monkeypatch.setattr(rules, "MAX_OPEN_MOVES", 1)
-    world = made()
+    world = create_world()
     serve(world, "louis", "print")
-    begin(world)
-    code, body = begin(world, "n", "print", id="n")
+    begin_move(world)
+    code, body = begin_move(world, "n", "print", id="n")
     assert code == 409 and "1 moves are under way" in body["error"]["says"]
 
 
 @pytest.mark.parametrize("days, fits", ((29, False), (31, True)))
 def test_old_ended_moves_are_forgotten_to_make_room(monkeypatch, days, fits):
     monkeypatch.setattr(rules, "MAX_MOVES", 1)
-    world = made(gateways=0)
-    begin(world)
+    world = create_world(gateways=0)
+    begin_move(world)
     run_until_ended(world)
     serve(world, "louis", "print")
     world.run(world.now + days * 86_400 * SECOND)
-    code, _ = begin(world, "n", "print", id="n")
+    code, _ = begin_move(world, "n", "print", id="n")
     assert (code == 200) is fits and ("m" in world.sides["louis"].state.part("moves")) is not fits
 
 
@@ -474,10 +488,10 @@
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from((0, -1, 200, 400, 409, 500, 503)), ANYTHING), max_size=6))
 def test_invalid_responses_do_no_harm(invalid_responses):
-    world, rest = made(group=1), list(invalid_responses)
+    world, rest = create_world(group=1), list(invalid_responses)
     taken = world.taken
     world.taken = lambda call: rest.pop() if rest else taken(call)
-    begin(world)
+    begin_move(world)
     assert run_until_ended(world) in ("done", "refused")
 
 
@@ -492,7 +506,7 @@
         service="s",
         pieces=(rules.ReservationPiece("r", 1, 0, "ebene"),),
     )
-    assert made().sides["ebene"].do(take)[0] == code
+    assert create_world().sides["ebene"].do(take)[0] == code
 
 
 def test_ledger_of_the_program_includes_moves():
@@ -618,7 +632,7 @@
 def test_checker_catches_a_faulty_rule(faulty_rule):
     here, there, scenario = FAULTY_RULES[faulty_rule]
     ledgers = {"louis": two_clusters.ledger(**here or {}), "ebene": two_clusters.ledger(**there or {})}
-    world = made(group=3, ledgers=ledgers)
+    world = create_world(group=3, ledgers=ledgers)
     if scenario == "full":
         world.sides["ebene"].do(
             capacity.Reserve(id="r", reservation="other", service="other", units=30, site="ebene")
@@ -629,12 +643,12 @@
     if scenario == "late take":
         calls, taken = [], world.taken
         world.taken = lambda call: calls.append(call) or taken(call)
-        world.when("shifting", lambda: stop(world))
+        world.when("shifting", lambda: stop_move(world))
     if scenario == "stop late":
-        world.when("settling", lambda: (world.cut_for(5 * SECOND), stop(world)))
+        world.when("settling", lambda: (world.cut_for(5 * SECOND), stop_move(world)))
     if scenario == "two moves":
-        world.when("shifting", lambda: begin(world, "n", id="n"))
-    begin(world)
+        world.when("shifting", lambda: begin_move(world, "n", id="n"))
+    begin_move(world)
     world.run(world.now + 60 * SECOND)
     if scenario == "late take":
         world.taken(calls[0])
@@ -643,7 +657,7 @@
 
 
 def test_checker_reports_nothing_without_a_fault():
-    world = made()
-    begin(world)
+    world = create_world()
+    begin_move(world)
     assert run_until_ended(world) == "done"
     assert world.watch.pieces and world.watch.takes == {("ebene", "louis/m", world.move("m").epoch): 1}
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -169,7 +169,7 @@
     source = DiscoveryServer().start()
     with gateway_watching(tmp_path, source, first, second) as ran:
         until(lambda: source.asked)
-        source.tell(entry("i0", first, "draining"))
+        source.publish(entry("i0", first, "draining"))
         assert held.wait(60)
         clients = [ran.client().ask() for _ in range(6)]
         until(lambda: ran.count("attempts") == 6)
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -599,7 +599,7 @@
         installation.declare()
         installation.declare("here", ebene, [node.name for node in installation.far])
         values = {"kind": "reserve", "reservation": "front", "service": "front", "units": 12, "site": "here"}
-        assert louis.done(id="reserve", **values)[0] == 200
+        assert louis.run_command(id="reserve", **values)[0] == 200
         installation.serve(crowd=3)
         until(lambda: len(installation.items("followers")) == 2, "both follow")
         installation.wait_requests(50)
@@ -607,7 +607,7 @@
 
         for node in installation.far:
             node.work = 0.3
-        assert louis.done(id="one", kind="move", move="one", service="front", to="ebene")[0] == 200
+        assert louis.run_command(id="one", kind="move", move="one", service="front", to="ebene")[0] == 200
         slow = MoveObserver(installation, "one")
         assert slow.end()["end"] == "sent back", slow.stages
         before = sum(node.counts["attempts"] for node in installation.far)
@@ -616,7 +616,7 @@
 
         for node in installation.far:
             node.work = 0.03
-        assert louis.done(id="two", kind="move", move="two", service="front", to="ebene")[0] == 200
+        assert louis.run_command(id="two", kind="move", move="two", service="front", to="ebene")[0] == 200
         good = MoveObserver(installation, "two")
         assert good.end()["end"] == "done", good.stages
         before = sum(node.counts["attempts"] for node in installation.nodes)
--- a/tests/test_sorting.py
+++ b/tests/test_sorting.py
@@ -12,9 +12,9 @@
 import pytest
 
 from lemonlead.gateway import resp
-from lemonlead.standins.clients import Crowd
-from lemonlead.standins.fleet import counted, gateway, write_rules
-from lemonlead.standins.instances import InstanceServer, Machine, gives
+from lemonlead.standins.clients import RepeatingClients
+from lemonlead.standins.fleet import read_counters, gateway, write_rules
+from lemonlead.standins.instances import InstanceServer, WorkerInstance, value_response
 from lemonlead.standins.server import until
 
 HEAD = 'version: "{version}"\nrules: [\n'
@@ -176,7 +176,7 @@
     """Each set has two rules, and exactly one of them matches any request; with half a set some requests
     would match none. Every tenth file is cut off in the middle and must change nothing."""
     swaps = int(os.environ.get("LEMONLEAD_SWAPS", "1000"))
-    machines = [Machine(slots=8).start() for _ in range(2)]
+    machines = [WorkerInstance(slots=8).start() for _ in range(2)]
 
     def ask(client, number):
         key = os.urandom(8).hex().encode()  # with 4 bytes a key repeated in one run of five
@@ -196,7 +196,7 @@
             return re.findall('event="rules (read|unfit)"', log.read())
 
         until(lambda: seen())
-        crowd = Crowd(ran.port, 6, ask).start()
+        crowd = RepeatingClients(ran.port, 6, ask).start()
         until(lambda: crowd.total() > 20)
         endings = []
         for number in range(1, swaps + 1):
@@ -215,7 +215,7 @@
         )
         ran.process.send_signal(signal.SIGTERM)
         assert ran.process.wait(60) == 0
-        ended = counted(ran.log(), "stopped")
+        ended = read_counters(ran.log(), "stopped")
         assert ended["taken"] == sum(ended.get(name, 0) for name in ("succeeded", "rejected", "aborted"))
         for machine in machines:  # no effect ran twice, with any of the rules
             assert all(count == 1 for idempotency_key, count in machine.ran.items())
@@ -240,7 +240,7 @@
 
 def test_gateway_without_rules_imports_and_logs_none(tmp_path):
     """Without rules, their modules are not imported, and nothing about them is logged."""
-    server = InstanceServer(lambda words: gives(words[1]))
+    server = InstanceServer(lambda words: value_response(words[1]))
     with gateway(tmp_path, server.start()) as ran:
         assert ran.client().write(resp.command([b"PING"])).read() == b"PONG"
         maps = Path(f"/proc/{ran.process.pid}/maps").read_text()
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -34,7 +34,7 @@
 from lemonlead.standins import clients
 from lemonlead.standins.discovery import DiscoveryServer, entry
 from lemonlead.standins.fleet import SETTINGS, gateway
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.server import Server, until
 from lemonlead.start_settings import start_from_settings
 
@@ -53,10 +53,10 @@
 
 def test_gateway_uses_an_indented_list(tmp_path):
     old = InstanceServer().start()
-    new = InstanceServer(lambda words: gives(b"new")).start()
+    new = InstanceServer(lambda words: value_response(b"new")).start()
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
         ran.discovery.indent = 2
-        ran.discovery.tell(entry("i1", new), full=True, version=5)
+        ran.discovery.publish(entry("i1", new), full=True, version=5)
         client = ran.client()
         until(lambda: client.ask().read() == b"new")
         assert "reason=malformed" not in ran.log()
@@ -64,9 +64,9 @@
 
 def test_pushed_list_replaces_the_stored_one_before_any_request(tmp_path):
     old = InstanceServer().start()
-    new = InstanceServer(lambda words: gives(b"new")).start()
+    new = InstanceServer(lambda words: value_response(b"new")).start()
     discovery = DiscoveryServer().start()
-    discovery.tell(entry("i0", old, "draining"), entry("i1", new), version=5)
+    discovery.publish(entry("i0", old, "draining"), entry("i1", new), version=5)
     settings = {"Discovery": "push", "Balancers": 200}  # this many spread their first call over 2 s
     with gateway(tmp_path, old, new, entries=[entry("i0", old)], settings=settings, source=discovery) as ran:
         assert [ran.client().ask().read() for _ in range(5)] == 5 * [b"new"] and not old.got
@@ -118,10 +118,10 @@
     monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
-    server.tell(entry("a", server), full=True, version=2)
+    server.publish(entry("a", server), full=True, version=2)
     until(lambda: lists == [["a"]])
     server.silent.set()
-    server.tell(entry("b", server), version=3)  # no watch receives this
+    server.publish(entry("b", server), version=3)  # no watch receives this
     until(lambda: failures)
     assert made.counters.read() == {"lists told": 1, "watches ended: silent": 1}
     server.silent.clear()
@@ -207,7 +207,7 @@
 def test_new_discovery_address_is_called_at_once_after_sighup():
     full, server = Full().start(), DiscoveryServer().start()
     made, lists, _ = watching(full.address)
-    server.tell(entry("a", server), full=True, version=2)
+    server.publish(entry("a", server), full=True, version=2)
     made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
     made.change_address(address(server.address))
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -7,10 +7,10 @@
 import pytest
 
 from lemonlead.gateway import resp
-from lemonlead.standins import followed
-from lemonlead.standins.nodes import DOWN, Agent, Job, Members, Node, Replicas
+from lemonlead.standins import fake_ledger
+from lemonlead.standins.nodes import DOWN, Agent, Job, MemberClient, Node, GroupMonitor
 from lemonlead.standins.server import Server
-from lemonlead.standins.wires import Wires, parts, spare
+from lemonlead.standins.wires import Wires, split_address, free_address
 
 
 class Echo(Server):
@@ -23,7 +23,7 @@
     """Reads in a thread of its own, so that a test can say that nothing has come yet."""
 
     def __init__(self, address):
-        self.sock = socket.create_connection(parts(address), 10)
+        self.sock = socket.create_connection(split_address(address), 10)
         self.got, self.ended, self.changed = b"", None, threading.Condition()
         threading.Thread(target=self.read, daemon=True).start()
 
@@ -99,7 +99,7 @@
     held.answered(b"1")
     wires.refuse("a", "b")
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(parts(address), 10)
+        socket.create_connection(split_address(address), 10)
     held.say(b"2").answered(b"12")
     wires.heal()
     Held(address).say(b"3").answered(b"3")
@@ -171,7 +171,7 @@
 
 def test_a_target_that_does_not_listen_is_a_reset():
     wires = Wires()
-    address = wires.wire("a", "b", spare())
+    address = wires.wire("a", "b", free_address())
     with contextlib.suppress(ConnectionResetError):  # it may come before the connection is known to be up
         held = Held(address)
         held.until(lambda held: held.ended in ("ConnectionResetError", "closed"))
@@ -182,15 +182,17 @@
 
 def test_a_front_tells_callers_apart_by_their_address_and_by_what_they_say():
     server, wires = Echo().start(), Wires()
-    front = wires.front("b", server.address, lambda data: data[:2].decode() if len(data) > 1 else None)
-    wires.lives("a1", "127.7.7.1")
-    Held(front).say(b"a").say(b"2x").answered(b"a2x")
-    with socket.create_connection(parts(front), 10, source_address=("127.7.7.1", 0)) as sock:
+    shared_wire = wires.shared_wire(
+        "b", server.address, lambda data: data[:2].decode() if len(data) > 1 else None
+    )
+    wires.set_party_host("a1", "127.7.7.1")
+    Held(shared_wire).say(b"a").say(b"2x").answered(b"a2x")
+    with socket.create_connection(split_address(shared_wire), 10, source_address=("127.7.7.1", 0)) as sock:
         sock.sendall(b"?")
         assert sock.recv(10) == b"?"
     assert wires.passed("a2", "b")["bytes"] == 3 and wires.passed("a1", "b")["bytes"] == 1
     wires.refuse("a2", "b")
-    held = Held(front).say(b"a2")
+    held = Held(shared_wire).say(b"a2")
     held.until(lambda held: held.ended == "ConnectionResetError")
     assert wires.passed("a2", "b")["refused"] == 1
     wires.close()
@@ -204,7 +206,7 @@
 
 
 def send(address, key=b"aa"):
-    with socket.create_connection(parts(address), 10) as sock:
+    with socket.create_connection(split_address(address), 10) as sock:
         sock.sendall(resp.command([b"Q.ASK", key, b"id", b"c=look,d=900,t=acme"]))
         reader = resp.Reader()
         while (value := reader.next()) is resp.MORE:
@@ -238,14 +240,14 @@
     ],
 )
 def test_a_node_acts_on_a_clear_permit_alone_and_refuses_older_ones(node, permit, at, acts, old):
-    node.told({**PERMIT, "phase": "given"}, 8)
-    assert (node.told(permit, at), node.counts["old permits"]) == (acts, old)
+    node.receive_permit({**PERMIT, "phase": "given"}, 8)
+    assert (node.receive_permit(permit, at), node.counts["old permits"]) == (acts, old)
 
 
 def test_a_node_that_goes_down_refuses_and_comes_back_at_its_address(node):
     address, reports = node.listen("g0"), []
     node.may_return.clear()
-    assert node.told(PERMIT, 9)
+    assert node.receive_permit(PERMIT, 9)
     send(address)
     assert node.counts["after clear"] == 1  # seen, as it had been told that none would come
     thread = threading.Thread(target=node.go_down, args=(reports.append,), daemon=True)
@@ -269,7 +271,7 @@
 def test_a_node_waits_for_the_job_it_holds_and_a_killed_one_breaks_it(node):
     other = Node("n2")
     job = Job("j", [node, other])
-    assert node.told(PERMIT, 9)
+    assert node.receive_permit(PERMIT, 9)
     thread = threading.Thread(target=node.go_down, args=(lambda state: None,), daemon=True)
     thread.start()
     other.kill()
@@ -281,12 +283,12 @@
 
 def test_replicas_count_how_often_they_fell_below_their_quorum():
     nodes = [Node(f"n{number}") for number in range(3)]
-    replicas = Replicas("r", nodes, 2)
+    replicas = GroupMonitor("r", nodes, 2)
     nodes[0].kill()
-    assert (replicas.least, replicas.broken) == (2, 0)
+    assert (replicas.min_serving, replicas.broken) == (2, 0)
     nodes[1].kill()
     nodes[2].kill()
-    assert (replicas.least, replicas.broken) == (0, 1)
+    assert (replicas.min_serving, replicas.broken) == (0, 1)
     for one in nodes:
         one.revive()
     nodes[0].kill()
@@ -295,10 +297,10 @@
 
 
 def test_an_agent_takes_its_node_through_a_drain_and_tells_the_ledger(node):
-    ledger = followed.Ledger()
-    member = followed.MemberServer(ledger).start()
-    dead = spare()
-    agent = Agent(node, Members(dead, member.address)).start()
+    ledger = fake_ledger.Ledger()
+    member = fake_ledger.MemberServer(ledger).start()
+    dead = free_address()
+    agent = Agent(node, MemberClient(dead, member.address)).start()
     ledger.put("permits", "n1", {**PERMIT, "phase": "given"})
     ledger.put("permits", "n1", PERMIT)
     with ledger.changed:
