--- a/lemonlead/standins/discovery.py
+++ b/lemonlead/standins/discovery.py
@@ -12,7 +12,8 @@
 
     def __init__(self):
         super().__init__()
-        self.updates, self.asked = [], []
+        self.updates = []
+        self.asked = []
         self.indent, self.silent = None, threading.Event()
 
     def publish(self, *servers, full=False, version=None):
--- a/lemonlead/standins/drain_checks.py
+++ b/lemonlead/standins/drain_checks.py
@@ -6,7 +6,9 @@
 
 class Watch:
     def __init__(self, lease, grace, cold_share=0.5, site_share=0.25):
-        self.patience, self.cold_share, self.site_share = lease + grace, cold_share, site_share
+        self.patience = lease + grace
+        self.cold_share = cold_share
+        self.site_share = site_share
         self.parts = {}
         self.acked = {}  # gateway: (moment last heard, index obeyed up to)
         self.office = 0
--- a/lemonlead/standins/drain_world.py
+++ b/lemonlead/standins/drain_world.py
@@ -44,14 +44,23 @@
             (*followers.INNER, *INNER),
         )
         self.state, _ = formed({}, self.terms)
-        self.now, self.wall, self.term, self.ids = 0, 1_000_000, 1, 0
-        self.office_moment, self.office_now = 0, 0
+        self.now = 0
+        self.wall = 1_000_000
+        self.term = 1
+        self.ids = 0
+        self.office_moment = 0
+        self.office_now = 0
         self.duty, self.follow = DrainTask(late), followers.Followers()
         self.slow = False  # whether a look's slices are a step apart each
         self.blocked = 0  # the duty proposes nothing before this
         self.watch = Watch(self.terms.lease, self.terms.grace, self.terms.cold_share, self.terms.site_share)
-        self.broken, self.refused, self.waves, self.wave_at = [], 0, 0, -1
-        self.pace, self.away = pace, away  # ms: of looks at the ledger; of work
+        self.broken = []
+        self.refused = 0
+        self.waves = 0
+        self.wave_at = -1
+        # ms: of looks at the ledger; of work
+        self.pace = pace
+        self.away = away
         self.nodes = {}
         self.down = set()  # nodes that are down, or back and not serving, by a permit
         self.gateways = {}  # name: [next poll, index, silent]
@@ -102,10 +111,12 @@
     def new_leader(self):
         """Another takes office: what the duty and the followers' rows kept is lost."""
         self.term += 1
-        self.office_moment, self.office_now = self.state.moment, self.now
+        self.office_moment = self.state.moment
+        self.office_now = self.now
         self.duty.became_leader(self.now)
         self.follow.became_leader(self.now)
-        self.watch.office, self.watch.acked = self.now, {}
+        self.watch.office = self.now
+        self.watch.acked = {}
         self.blocked = 0
 
     def step(self, much):
@@ -160,7 +171,8 @@
             if not clear or self.now - held.heard >= self.terms.lease:
                 held.acting = ""
             elif held.until <= self.now:
-                held.obeyed, held.acting = (permit.term, permit.index), "away"
+                held.obeyed = (permit.term, permit.index)
+                held.acting = "away"
                 held.until = self.now + self.chance.randint(*self.away) * MS
                 self.down.add(name)
                 self.ask("report", node=name, state="drained")
@@ -176,7 +188,8 @@
             self.ask("report", node=name, state="serving", seen=held.known)
 
     def fail(self, name):
-        self.nodes[name].lost, self.nodes[name].acting = True, ""
+        self.nodes[name].lost = True
+        self.nodes[name].acting = ""
         self.down.discard(name)
         self.ask("report", node=name, state="failed")
 
@@ -184,7 +197,8 @@
         held = self.nodes[name]
         held.lost, held.acting, held.until = False, "catching up", self.now + self.spread()
         self.down.add(name)
-        held.sees, held.permit = self.now, None
+        held.sees = self.now
+        held.permit = None
         self.ask("report", node=name, state="catching_up")
 
     def run(self, until, most=20_000, step=200 * MS):
--- a/lemonlead/standins/fake_ledger.py
+++ b/lemonlead/standins/fake_ledger.py
@@ -20,9 +20,14 @@
 
     def __init__(self):
         self.changed = threading.Condition()
-        self.at, self.kept, self.moment, self.id = 1, 1, 0, "c1"
+        self.at = 1
+        self.kept = 1
+        self.moment = 0
+        self.id = "c1"
         self.parts = {"nodes": {}, "permits": {}, "followers": {}, "members": {}, "moves": {}}
-        self.reports, self.votes = [], []  # (node, state); votes on moves, as they were told
+        # (node, state); votes on moves, as they were told
+        self.reports = []
+        self.votes = []
         self.events, self.ids, self.polls, self.counts = [], {}, {}, Counter()
         self.leader = None  # the server that leads; None: each of them
 
@@ -57,7 +62,8 @@
     def drop_changes(self):
         """The changes so far are kept no more."""
         with self.changed:
-            self.events, self.kept = [], self.at
+            self.events = []
+            self.kept = self.at
             self.changed.notify_all()
 
     def acknowledged(self, gateway, index, seconds=30):
@@ -132,7 +138,9 @@
 
     def __init__(self, ledger, name="m1"):
         super().__init__()
-        self.ledger, self.name, self.wrong = ledger, name, []
+        self.ledger = ledger
+        self.name = name
+        self.wrong = []
         self.asked = []  # (moment, path)
 
     def serve(self, sock):
--- a/lemonlead/standins/fleet.py
+++ b/lemonlead/standins/fleet.py
@@ -138,7 +138,10 @@
         (tmp_path / "config.json").write_text(text)
         process.send_signal(signal.SIGHUP)
 
-    ran.client, ran.counters, ran.reload, ran.config = client, counters, reload, config
+    ran.client = client
+    ran.counters = counters
+    ran.reload = reload
+    ran.config = config
     try:
         if serves:
             serving = until(lambda: [line for line in ran.log().splitlines() if "event=serving" in line])
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -143,7 +143,11 @@
         self.nodes = [Shop(f"n{n}", ran=self.ran, work=work, away=0.05) for n in range(nodes)]
         self.far = [Shop(f"f{n}", ran=self.ran, work=work) for n in range(far)]
         self.service = service
-        self.agents, self.gateways, self.crowds, self.operators, self.groups = [], [], [], [], []
+        self.agents = []
+        self.gateways = []
+        self.crowds = []
+        self.operators = []
+        self.groups = []
         self.names = [f"gw{n}" for n in range(gateways)]
         for name in self.names:
             self.wires.party(name)
@@ -311,7 +315,8 @@
         twice = [id for id, times in self.ran.items() if times > 1]
         found += [f"non-idempotent requests that ran twice: {len(twice)}"] if twice else []
         for node in self.nodes + self.far if not unheard else ():
-            after, ended = node.counts["after clear"], node.counts["ended"]
+            after = node.counts["after clear"]
+            ended = node.counts["ended"]
             if after + ended:
                 found.append(f"{node.name}: {after} attempts after it was clear, {ended} ended")
         found += [
--- a/lemonlead/standins/members.py
+++ b/lemonlead/standins/members.py
@@ -55,9 +55,13 @@
             cluster,
             wires,
         )
-        self.times, self.more, self.clusters = {**TIMES, **(times or {})}, more, {}
+        self.times = {**TIMES, **(times or {})}
+        self.more = more
+        self.clusters = {}
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.listens, self.addresses = {}, {}  # where each listens; where others reach it
+        # where each listens; where others reach it
+        self.listens = {}
+        self.addresses = {}
         self.processes, self.paused, self.starts = {}, set(), {}
         for name in names:
             self.place(name)
--- a/lemonlead/standins/move_checks.py
+++ b/lemonlead/standins/move_checks.py
@@ -31,7 +31,9 @@
         self.kept = {name: {} for name in names}  # cluster: {part: {key: record}}
         self.pieces = {}  # (cluster, move, epoch): {reservation: (service, units in all)} as it was begun
         self.groups = {}  # (cluster, move, epoch): {group: (members, quorum)}
-        self.takes, self.frees = {}, {}  # how often a move's reservations were made there, freed here
+        # how often a move's reservations were made there, freed here
+        self.takes = {}
+        self.frees = {}
         self.ended = {}  # (cluster, move, epoch): how
         self.by_hand = set()  # holds, by key, that an operator ended
         self.broken = []
@@ -82,7 +84,8 @@
 
     def capacity(self, at, cluster):
         nodes = self.part(cluster, "nodes")
-        on, there = {}, {}
+        on = {}
+        there = {}
         for held in [*self.part(cluster, "reservations").values(), *self.part(cluster, "gangs").values()]:
             for node in held["nodes"]:
                 on[node] = on.get(node, 0) + held["units"]
@@ -220,7 +223,8 @@
         """Once all is healed and quiet: each move has ended on both sides, and exactly one of them holds."""
         for cluster in self.kept:
             for name, move in self.part(cluster, "moves").items():
-                key, hold = (cluster, name, move["epoch"]), f"{cluster}/{name}"
+                key = (cluster, name, move["epoch"])
+                hold = f"{cluster}/{name}"
                 if move["step"] not in ENDS:
                     self.say(f"{at}: move {name} of {cluster} is {move['step']}")
                     continue
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -15,7 +15,11 @@
 from .server import Server
 from .wires import new_loopback_host
 
-SERVING, CLEARING, DRAINED, DOWN, CATCHING_UP = "serving", "clearing", "drained", "down", "catching_up"
+SERVING = "serving"
+CLEARING = "clearing"
+DRAINED = "drained"
+DOWN = "down"
+CATCHING_UP = "catching_up"
 MOST_ATTEMPTS = 500_000  # that are kept with their moments; of older ones the counts stay
 PATIENCE = 5.0  # seconds for one call to a member
 
@@ -28,7 +32,8 @@
             node.taken_by(gateway), host=new_loopback_host()
         )  # nobody else's: it comes back at the same one
         host, port = self.listener.getsockname()
-        self.place, self.open = (host, port), True
+        self.place = (host, port)
+        self.open = True
 
     def shut(self):
         if self.open:
@@ -52,12 +57,17 @@
     "ended" (requests cut off by going down). `states`: (moment, state), in order."""
 
     def __init__(self, name, work=0.0, away=0.0, catch_up=0.0):
-        self.name, self.work, self.away, self.catch_up = name, work, away, catch_up
+        self.name = name
+        self.work = work
+        self.away = away
+        self.catch_up = catch_up
         self.changed = threading.Condition()
         self.ears, self.attempts, self.counts = {}, deque(maxlen=MOST_ATTEMPTS), Counter()
         self.by_gateway, self.held = Counter(), 0
         self.state, self.states = SERVING, [(time.monotonic(), SERVING)]
-        self.fence, self.seen = (0, 0), 0  # the newest permit ever seen; the ledger's entry last obeyed
+        # the newest permit ever seen; the ledger's entry last obeyed
+        self.fence = (0, 0)
+        self.seen = 0
         self.jobs, self.watchers = set(), []
         self.may_return, self.may_catch_up = threading.Event(), threading.Event()
         self.may_return.set()
--- a/lemonlead/standins/platform.py
+++ b/lemonlead/standins/platform.py
@@ -8,7 +8,9 @@
 
     def __init__(self):
         super().__init__()
-        self.state, self.votes, self.asked = "1 0 released 1 5000", [], 0
+        self.state = "1 0 released 1 5000"
+        self.votes = []
+        self.asked = 0
         self.answer = lambda ballot: f"OK {self.state}"
 
     def serve(self, sock):
--- a/lemonlead/standins/promises.py
+++ b/lemonlead/standins/promises.py
@@ -20,7 +20,8 @@
 
 def promised(parts):
     """Units held on each node, and in all at each site, by its reservations and gangs."""
-    by_node, by_site = {}, {}
+    by_node = {}
+    by_site = {}
     for held in parts.get("reservations", {}).values():
         for node in held["nodes"]:
             by_node[node] = by_node.get(node, 0) + held["units"]
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -42,10 +42,15 @@
     """Programs. `regions`: name to region. Used as a context it ends all that it started."""
 
     def __init__(self, folder, cluster, regions, rate=1_000_000, burst=1_000_000, more=LEASE):
-        self.folder, self.cluster, self.regions, self.more = folder, cluster, regions, more
-        self.rate, self.burst = rate, burst
+        self.folder = folder
+        self.cluster = cluster
+        self.regions = regions
+        self.more = more
+        self.rate = rate
+        self.burst = burst
         self.addresses = {name: free_address(new_loopback_host()) for name in regions}
-        self.processes, self.starts = {}, {}
+        self.processes = {}
+        self.starts = {}
 
     def __enter__(self):
         for name in self.regions:
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -19,7 +19,8 @@
 from ..moves.steps import MoveTask
 from .move_checks import Watch
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000
+SECOND = 1_000_000_000
 TIME_OUT = 2 * SECOND  # of a call
 DEPOSED = 3 * SECOND  # for so long a deposed leader goes on calling, by its last state
 SERVICES = ("search", "print", "other")  # on whose moves each gateway votes
@@ -37,7 +38,11 @@
     """A cluster: its state, and the leader's duty while one is in office."""
 
     def __init__(self, world, name, others, ledger, duty):
-        self.world, self.name, self.others, self.ledger, self.make = world, name, others, ledger, duty
+        self.world = world
+        self.name = name
+        self.others = others
+        self.ledger = ledger
+        self.make = duty
         self.state, self.term, self.up = State(), 0, True
         self.followers, self.again, self.woken = followers.Followers(), {}, None
         self.drains, self.stirred = DrainTask(), True
@@ -47,7 +52,9 @@
     def elect(self):
         """A new leader, with a duty of its own; the one before goes on by what it last knew."""
         if self.term:
-            old, state, at = self.duty, self.state, self.world.now
+            old = self.duty
+            state = self.state
+            at = self.world.now
             for later in range(200, DEPOSED // MS, 200):
                 self.world.at(at + later * MS, lambda: self.haunt(old, state))
         self.term, self.again, self.up = self.term + 1, {}, True
@@ -68,7 +75,8 @@
         self.elect()
 
     def apply(self, data, what=COMMAND):
-        state, self.stirred = self.state, True
+        state = self.state
+        self.stirred = True
         entry = Entry(state.index + 1, self.term, what, self.world.now, self.world.now // MS, data)
         self.state, applied = self.ledger.apply(state, entry)
         if applied.code == 200 and applied.changes:
@@ -91,7 +99,8 @@
         if not self.up or not due:
             return
         self.stirred = False
-        world, duties = self.world, (self.duty, self.drains)
+        world = self.world
+        duties = (self.duty, self.drains)
         for _ in range(1000):
             if not any(self.one(duty) for duty in duties):
                 break
@@ -135,7 +144,10 @@
     def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, duty=MoveTask, ledgers=None, judge=None):
         self.rng, self.now, self.turns, self.events = random.Random(seed), SECOND, count(), []
         self.watch, self.hooks, self.cut, self.answers = Watch(names), [], set(), []
-        self.lose, self.twice, self.late, self.straggle = 0.0, 0.0, 20 * MS, 0
+        self.lose = 0.0
+        self.twice = 0.0
+        self.late = 20 * MS
+        self.straggle = 0
         self.faulty = {}  # until when messages are carried so, by what is wrong
         self.flying = 0  # messages not yet there
         self.steps = []  # moments at which a move's record changed
--- a/lemonlead/standins/wires.py
+++ b/lemonlead/standins/wires.py
@@ -19,7 +19,9 @@
 from dataclasses import dataclass, field
 
 MOST = 4000  # connections at once; one past it is reset ("turned away")
-CHUNK, QUEUED = 64 * 1024, 64  # bytes read at a time; such pieces under way on one connection and direction
+# bytes read at a time; such pieces under way on one connection and direction
+CHUNK = 64 * 1024
+QUEUED = 64
 SNIFFED = 16 * 1024  # bytes of a connection read before its party has to be known
 NUMBERS = itertools.count(random.SystemRandom().randrange(1 << 20))  # of loopback addresses, by process
 RESET = struct.pack("ii", 1, 0)
@@ -64,7 +66,10 @@
 
 class Connection:
     def __init__(self, wire, source, near, far):
-        self.wire, self.source, self.near, self.far = wire, source, near, far
+        self.wire = wire
+        self.source = source
+        self.near = near
+        self.far = far
         self.tasks = []
 
     def reset(self):
@@ -85,7 +90,10 @@
     `to`."""
 
     def __init__(self, source, target, to, who):
-        self.source, self.target, self.to, self.who = source, target, to, who
+        self.source = source
+        self.target = target
+        self.to = to
+        self.who = who
         self.listener = self.task = None
         self.address = ""
 
@@ -93,7 +101,10 @@
 class Wires:
     def __init__(self, seed=1):
         self.random = random.Random(seed)
-        self.links, self.groups, self.wires, self.homes = {}, {}, [], {}
+        self.links = {}
+        self.groups = {}
+        self.wires = []
+        self.homes = {}
         self.connections = set()
         self.changed = threading.Condition()  # guards the links
         self.loop = asyncio.new_event_loop()
@@ -295,7 +306,8 @@
 
     async def carry(self, connection, host):
         """Brings a connection up and passes both ways until both are over or one fails."""
-        wire, first = connection.wire, b""
+        wire = connection.wire
+        first = b""
         try:
             if not connection.source:
                 connection.source, first = await self.caller(connection, host)
@@ -310,7 +322,8 @@
             await self.loop.sock_connect(connection.far, split_address(wire.to))
             for sock in (connection.near, connection.far):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            near, far = connection.near, connection.far
+            near = connection.near
+            far = connection.far
             both = [
                 self.loop.create_task(self.one_way(connection, there, near, far, first)),
                 self.loop.create_task(self.one_way(connection, back, far, near, b"")),
@@ -324,7 +337,8 @@
     async def caller(self, connection, host):
         if host in self.homes:
             return self.homes[host], b""
-        data, name = b"", None
+        data = b""
+        name = None
         while name is None and connection.wire.who is not None:
             some = await self.loop.sock_recv(connection.near, CHUNK)
             if not some or len(data) > SNIFFED:
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -9,7 +9,8 @@
 
 MS = 1_000_000
 NOW = 1_000_000 * MS
-ELECTION, BEAT = 1000 * MS, 150 * MS
+ELECTION = 1000 * MS
+BEAT = 150 * MS
 
 
 def members_of(names="abc", learners=""):
@@ -52,7 +53,11 @@
     """A ReplicaHost that records its calls."""
 
     def __init__(self):
-        self.sent, self.writes, self.applied, self.results, self.chunks = [], [], [], {}, []
+        self.sent = []
+        self.writes = []
+        self.applied = []
+        self.results = {}
+        self.chunks = []
 
     def send(self, sent):
         self.sent.append(sent)
@@ -90,7 +95,8 @@
 
         With `sync`, each Write is on disk at once.
         """
-        self.sent, turns = [], 0
+        self.sent = []
+        turns = 0
         while True:
             while replica.decide(now, self):
                 turns += 1
@@ -135,15 +141,20 @@
     entries."""
 
     def __init__(self, net, name, kept, **more):
-        self.net, self.name, self.more = net, name, more
+        self.net = net
+        self.name = name
+        self.more = more
         self.disk = kept
         self.snapshots = {kept.base.index: b""}  # index to bytes
         self.start()
 
     def start(self):
         self.replica = Replica(replica_config(self.name, **self.more), self.disk_copy(), self.net.now)
-        self.writes, self.state, self.taken = [], self.snapshots[self.disk.base.index], b""
-        self.frozen, self.up = False, True
+        self.writes = []
+        self.state = self.snapshots[self.disk.base.index]
+        self.taken = b""
+        self.frozen = False
+        self.up = True
 
     def disk_copy(self):
         return r.StoredState(self.disk.term, self.disk.voted, self.disk.base, list(self.disk.entries))
@@ -200,7 +211,8 @@
 
     def to_disk(self, write):
         disk = self.disk
-        disk.term, disk.voted = write.term, write.voted
+        disk.term = write.term
+        disk.voted = write.voted
         if write.cut is not None:
             disk.entries = [one for one in disk.entries if one.index < write.cut]
         disk.entries += [one for one in write.entries if one.index > disk.base.index]
@@ -230,7 +242,8 @@
 
     def kill(self):
         """Stops the member; Writes in flight are lost."""
-        self.up, self.writes = False, []
+        self.up = False
+        self.writes = []
 
 
 class Net:
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -504,7 +504,7 @@
     assert gateway.ready() == ["i0", "i1"] and gateway.dispatcher.balancer.reported_build.number == 1
     ledger.acknowledged("g0", ledger.put("moves", "n", move_record(share=1000, epoch=40, at=41)))
     assert gateway.ready() == ["f0", "f1"]
-    ledger.forget()  # a gateway without the changes gets the whole state
+    ledger.drop_changes()  # a gateway without the changes gets the whole state
     ledger.acknowledged("g0", ledger.put("moves", "n", move_record("done", 4, 1000, epoch=40, at=41)))
     assert gateway.ready() == ["f0", "f1"]
 
@@ -538,7 +538,7 @@
     until(lambda: gateway.follower.polling.counts["failures"], "it was read")
     assert gateway.ready() == ["i0", "i1"]
     ledger.put("moves", "m", move_record(share=1000))
-    ledger.forget()
+    ledger.drop_changes()
     until(lambda: gateway.ready() == ["f0", "f1"], "it hears again")
 
 
