--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -60,7 +60,7 @@
 def machine_of(kind, seed):
     """A stand-in that needs the work that a request hints at, by its speed."""
     made = WorkerInstance(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
-    made.needs_of = lambda said: float(said.get("h", 0)) / 1e6 / kind.speed
+    made.needed_seconds = lambda fields: float(fields.get("h", 0)) / 1e6 / kind.speed
     return made
 
 
--- a/lemonlead/standins/__init__.py
+++ b/lemonlead/standins/__init__.py
@@ -1,5 +1,7 @@
-"""Stand-ins for all that a gateway meets: instances, discovery, the platform and clients, on loopback alone.
+"""Stand-ins for the programs that a gateway talks to: instances, discovery, the platform and clients, on
+loopback.
 
-Written from the published protocol, for tests, for `lemonlead try` and for what measures the gateway. Nothing
-here is imported by the gateway. Each counts what it was asked and what it did, fails on demand, and is closed
-by whoever started it; `fleet.gateway` starts a gateway among them and ends all of it."""
+They follow the published protocol and serve tests, `lemonlead try` and benchmarks. The gateway itself imports
+nothing from here. Each stand-in counts the requests it received and its actions, and fails on demand. Code
+that starts a stand-in closes it. `fleet.gateway` starts a gateway together with its stand-ins and ends them
+all."""
--- a/lemonlead/standins/clients.py
+++ b/lemonlead/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients: one connection that asks requests, and several that go on asking."""
+"""Clients: one connection that sends requests, and a group of clients that send one request after another."""
 
 import os
 import socket
@@ -9,10 +9,12 @@
 from ..gateway import resp
 
 
-CROSSED = object()
+CLOSED_WHILE_IDLE = object()  # in place of an answer: the gateway closed an idle connection
 
 
 class Client:
+    """A connection to a gateway."""
+
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port), 60)
         self.reader = resp.Reader()
@@ -22,25 +24,25 @@
         return self
 
     def ask(self, key=b"aa", request_class="look", wait=20000, body=(), **more):
-        """Writes a request."""
-        said = {
+        """Sends a request of tenant "acme". `wait`: its deadline in milliseconds; `more`: further extras."""
+        fields = {
             "c": request_class,
             "t": "acme",
             "d": wait,
             **({"k": "5c"} if request_class == "hold" else {}),
             **more,
         }
-        extras = ",".join(f"{name}={value}" for name, value in said.items()).encode()
+        extras = ",".join(f"{name}={value}" for name, value in fields.items()).encode()
         name = b"Q.ASK" if request_class == "look" else b"Q.DO"
         return self.write(resp.command([name, key, os.urandom(8).hex().encode(), extras, *body]))
 
-    def command(self, name, key, said, *body):
-        """Writes a request of these extras as they are."""
-        extras = ",".join(f"{one}={value}" for one, value in said.items()).encode()
+    def command(self, name, key, fields, *body):
+        """Sends a request with exactly these extras."""
+        extras = ",".join(f"{field}={value}" for field, value in fields.items()).encode()
         return self.write(resp.command([name, key, os.urandom(8).hex().encode(), extras, *body]))
 
     def read(self):
-        """The next answer, or None at the end of the connection."""
+        """Returns the next answer, or None at the end of the connection."""
         while (value := self.reader.next()) is resp.MORE:
             if not (data := self.sock.recv(65536)):
                 return None
@@ -48,15 +50,18 @@
         return value
 
 
-RESTED = 1.8  # seconds after an answer from which on a gateway may have ended the connection
+IDLE_SECONDS = 1.8  # after so long without a request a gateway may have closed the connection
 
 
 class RepeatingClients:
-    """Clients that each go on asking, one request after the other, until told to stop. `ask(client, number)`
-    writes the next request and returns what its answer must be, or None where any will do; `counts` has how
-    many answers were as they must be ("right"), rejected, errors, or anything else ("wrong"), and lost
-    connections. A connection that ended as it had rested for long, just as a request was written, is none of
-    these ("crossed"): the protocol has the client ask once more, on a new connection."""
+    """Clients on threads of their own that send one request after another until they are stopped.
+
+    `ask(client, number)` sends the next request of the client with this number and returns the expected
+    answer, or None if any answer is accepted. `counts` has the number of requests by ending: "right" (the
+    expected answer), "rejected", "errors", "wrong" (another answer) and "lost" (the connection ended). A
+    connection that the gateway closes after a long idle time, just as a request is written, counts as
+    "crossed": by the protocol the client then repeats the request on a new connection.
+    """
 
     def __init__(self, port, count, ask):
         self.port, self.ask, self.stopped = port, ask, threading.Event()
@@ -74,18 +79,18 @@
         client, since = Client(self.port), time.monotonic()
         try:
             while not self.stopped.is_set():
-                rested = time.monotonic() - since > RESTED
+                was_idle = time.monotonic() - since > IDLE_SECONDS
                 try:
-                    wanted = self.ask(client, number)
+                    expected = self.ask(client, number)
                     answer = client.read()
                 except OSError:
-                    if not rested:
+                    if not was_idle:
                         raise
                     answer = None
-                if answer is None and rested:
-                    self.count(CROSSED, None)
+                if answer is None and was_idle:
+                    self.count(CLOSED_WHILE_IDLE, None)
                 else:
-                    self.count(answer, wanted)
+                    self.count(answer, expected)
                 if answer is None:
                     client = Client(self.port)
                 since = time.monotonic()
@@ -94,28 +99,28 @@
         finally:
             client.sock.close()
 
-    def count(self, answer, wanted):
+    def count(self, answer, expected):
         if answer is None:
             ending = "lost"
-        elif answer is CROSSED:
+        elif answer is CLOSED_WHILE_IDLE:
             ending = "crossed"
         elif isinstance(answer, resp.Fault):
             ending = "rejected" if answer.startswith(b"BUSY") else "errors"
         else:
-            ending = "right" if wanted is None or answer == wanted else "wrong"
+            ending = "right" if expected is None or answer == expected else "wrong"
         with self.lock:
             self.counts[ending] += 1
             if ending == "wrong" and len(self.wrong) < 5:
-                self.wrong.append((answer, wanted))
+                self.wrong.append((answer, expected))
 
     def total(self):
         with self.lock:
             return sum(self.counts.values())
 
     def stop(self, within=30.0):
-        """Ends after the requests that are out; the counts."""
+        """Stops once the open requests have ended, or after `within` seconds. Returns the counts."""
         self.stopped.set()
-        until = time.monotonic() + within
+        deadline = time.monotonic() + within
         for thread in self.threads:
-            thread.join(max(until - time.monotonic(), 0.0))
+            thread.join(max(deadline - time.monotonic(), 0.0))
         return dict(self.counts)
--- a/lemonlead/standins/fleet.py
+++ b/lemonlead/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A gateway as a program among stand-ins on loopback."""
+"""Runs a gateway as a program together with stand-ins on loopback."""
 
 import contextlib
 import json
@@ -62,7 +62,7 @@
 
 
 def write_rules(folder, rules, shadow=None, shadow_share=0.01):
-    """The settings of a gateway that has these rules; the path of the file that names them."""
+    """Writes the settings of a gateway with these rules. Returns the path of the settings file."""
     (folder / "rules.cue").write_text(rules)
     more = ""
     if shadow is not None:
@@ -87,11 +87,13 @@
     serves=True,
     listen="127.0.0.1:0",
 ):
-    """A gateway that runs among these instances; all of it ends with the block. `rules`: the text of a set of
-    rules to switch on, `extra` further settings of rules, as `{"shadow": text, "shadow_share": share}`.
-    `source`: the discovery that it starts with. `follow`: the text of the settings of a ledger to follow.
-    `program`: Python text that is run in place of the module. `serves`: whether to wait until it does.
-    `listen`: its address."""
+    """Runs a gateway with these instances; gateway and stand-ins end with the block.
+
+    `rules`: the text of a set of rules to switch on. `extra`: further settings of the rules, as
+    `{"shadow": text, "shadow_share": share}`. `source`: the discovery server that it starts with. `follow`:
+    the text of the settings of a ledger to follow. `program`: Python code to run in place of the gateway's
+    module. `serves`: whether to wait until the gateway serves. `listen`: its address.
+    """
     discovery, platform = source or DiscoveryServer().start(), PlatformServer().start()
     known = entries or [entry(f"i{n}", server) for n, server in enumerate(servers)]
     config = {
@@ -158,7 +160,7 @@
 
 
 def read_counters(log, event):
-    """The counters as last printed under this event."""
+    """Returns the counters of the last log line with this event."""
     line = [line for line in log.splitlines() if f"event={event} " in line][-1]
     pairs = (word.split("=", 1) for word in line.split() if "=" in word)
     return {name: int(value) for name, value in pairs if value.isdigit()}
--- a/lemonlead/standins/instances.py
+++ b/lemonlead/standins/instances.py
@@ -1,4 +1,4 @@
-"""Instances: one that answers as a function says, and one that works as a machine does."""
+"""Stand-ins for instances: one whose answers come from a function, and one with worker slots and a queue."""
 
 import random
 import threading
@@ -10,7 +10,10 @@
 
 
 class InstanceServer(Server):
-    """Answers each command as `react(words)` says: bytes to write, or None to end the connection."""
+    """Answers each command with the bytes that `react(words)` returns; None ends the connection.
+
+    `got`: the commands received.
+    """
 
     def __init__(self, react=None, **more):
         super().__init__(**more)
@@ -29,18 +32,22 @@
 
 
 def value_response(value):
+    """Returns the bytes of a response with this value."""
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
 
 
 class WorkerInstance(InstanceServer):
-    """An instance with worker slots and a queue. It needs `work` seconds for a request, by request class
-    (None: for all others), for one slot; `queue` more may wait, what is past that is turned away unseen. From
-    `start` on its speed rises from `cold` (a share) to the whole in `warm` seconds.
+    """An instance with worker slots and a queue.
+
+    A request occupies one slot for `work` seconds, a number or a dict by request class (None: all other
+    classes). Up to `queue` requests wait for a slot; further ones get BUSY without being looked at. After its
+    start the speed rises linearly from the share `cold` to full speed within `warm` seconds.
 
     Faults on demand: `silent` (reads, never answers), `failing` (the share of requests that fail, by request
-    class), `spoilt` (the share of answers that cannot be read), `slow` (work is multiplied by it). `memory`:
-    seconds for which it drops repeats of an idempotency key. Counts: `done` by request class, `ran` by
-    idempotency key or id, `turned_away`, `dropped`."""
+    class), `spoilt` (the share of answers that cannot be parsed), `slow` (a factor on all work). `memory`:
+    seconds for which repeats of an idempotency key get the first answer without running again. Counts: `done`
+    by request class, `ran` by idempotency key or request id, `turned_away`, `dropped` (such repeats).
+    """
 
     def __init__(self, work=0.0, slots=4, queue=16, cold=1.0, warm=0.0, memory=8.0, seed=1, **more):
         super().__init__(**more)
@@ -48,43 +55,48 @@
         self.slots, self.queue = threading.Semaphore(slots), queue
         self.cold, self.warm, self.memory, self.began = cold, warm, memory, time.monotonic()
         self.silent, self.failing, self.spoilt, self.slow = threading.Event(), {}, 0.0, 1.0
-        self.chance, self.lock, self.held, self.most = random.Random(seed), threading.Lock(), 0, slots + queue
+        self.rng, self.lock, self.held, self.max_held = (
+            random.Random(seed),
+            threading.Lock(),
+            0,
+            slots + queue,
+        )
         self.done, self.ran, self.turned_away, self.dropped = Counter(), Counter(), 0, 0
-        self.idempotency_keys = {}  # when each idempotency key was last answered, and with what
+        self.idempotency_keys = {}  # idempotency key: (time of the answer, value)
         self.react = self.answer
 
     def answer(self, words):
         if words[0].upper() == b"PING":
             return b"+PONG\r\n"
-        said = dict(pair.split("=", 1) for pair in words[3].decode().split(","))
+        fields = dict(pair.split("=", 1) for pair in words[3].decode().split(","))
         if self.silent.is_set():
-            time.sleep(float(said.get("d", 1000)) / 1e3)
+            time.sleep(float(fields.get("d", 1000)) / 1e3)
             return None
         with self.lock:
-            if self.held >= self.most:
+            if self.held >= self.max_held:
                 self.turned_away += 1
                 return b"-BUSY\r\n"
             self.held += 1
         try:
-            return self.served(words, said)
+            return self.run_request(words, fields)
         finally:
             with self.lock:
                 self.held -= 1
 
-    def served(self, words, said):
-        request_class, idempotency_key = said["c"], said.get("k")
+    def run_request(self, words, fields):
+        request_class, idempotency_key = fields["c"], fields.get("k")
         with self.slots:
             with self.lock:
-                at, value = self.idempotency_keys.get(idempotency_key, (0.0, None))
-                if idempotency_key and value is not None and time.monotonic() - at < self.memory:
+                answered_at, value = self.idempotency_keys.get(idempotency_key, (0.0, None))
+                if idempotency_key and value is not None and time.monotonic() - answered_at < self.memory:
                     self.dropped += 1
                     return value_response(value)
-            time.sleep(self.needs_of(said) / self.speed() * self.slow)
+            time.sleep(self.needed_seconds(fields) / self.speed() * self.slow)
             value = words[1]
             with self.lock:
                 self.done[request_class] += 1
                 self.ran[idempotency_key or words[2]] += 1
-                if self.chance.random() < self.failing.get(request_class, 0.0):
+                if self.rng.random() < self.failing.get(request_class, 0.0):
                     return b"-ERR failed\r\n"
                 if idempotency_key:
                     self.idempotency_keys = {
@@ -93,14 +105,15 @@
                         if time.monotonic() - v[0] < self.memory
                     }
                     self.idempotency_keys[idempotency_key] = time.monotonic(), value
-                if self.chance.random() < self.spoilt:
+                if self.rng.random() < self.spoilt:
                     return b"#noise\r\n"
         return value_response(value)
 
-    def needs_of(self, said):
-        """Seconds of one slot that a request with these extras needs at full speed."""
-        return self.work.get(said["c"], self.work.get(None, 0.0))
+    def needed_seconds(self, fields):
+        """Returns the seconds that a request with these extras occupies a slot at full speed."""
+        return self.work.get(fields["c"], self.work.get(None, 0.0))
 
     def speed(self):
+        """Returns the present speed, as a share of full speed."""
         age = time.monotonic() - self.began
         return max(1.0 if age >= self.warm else self.cold + (1 - self.cold) * age / self.warm, 0.01)
--- a/lemonlead/standins/platform.py
+++ b/lemonlead/standins/platform.py
@@ -1,17 +1,20 @@
-"""The platform: the state of the newest build, told to whoever asks, and ballots."""
+"""A stand-in for the platform: it announces the state of the newest build and receives votes."""
 
 from .server import Server
 
 
 class PlatformServer(Server):
-    """Tells its state to whoever asks for news, and counts ballots, answering with `answer`."""
+    """Announces its state to each connection that sends NOTIFY, and records all other lines as votes.
+
+    `answer(vote)` returns the answer to a vote. `asked` counts the subscriptions.
+    """
 
     def __init__(self):
         super().__init__()
         self.state = "1 0 released 1 5000"
         self.votes = []
         self.asked = 0
-        self.answer = lambda ballot: f"OK {self.state}"
+        self.answer = lambda vote: f"OK {self.state}"
 
     def serve(self, sock):
         lines = sock.makefile("rb")
@@ -21,15 +24,19 @@
                 sock.sendall(self.answer(line).encode() + b"\r\n")
                 continue
             self.asked += 1
-            told = self.state  # read once: a change after this line is told below, one before it here
-            sock.sendall(f"OK\r\n* stage {told}\r\n".encode())
+            announced = self.state  # read once: a later change is announced in the loop below
+            sock.sendall(f"OK\r\n* stage {announced}\r\n".encode())
             while True:
                 with self.changed:
-                    self.changed.wait_for(lambda told=told: self.state != told, 1.0)
-                    line, told = ("*" if self.state == told else f"* stage {self.state}"), self.state
+                    self.changed.wait_for(lambda announced=announced: self.state != announced, 1.0)
+                    line, announced = (
+                        ("*" if self.state == announced else f"* stage {self.state}"),
+                        self.state,
+                    )
                 sock.sendall(line.encode() + b"\r\n")
 
     def publish(self, state):
+        """Announces a new state."""
         with self.changed:
             self.state = state
             self.changed.notify_all()
--- a/lemonlead/standins/server.py
+++ b/lemonlead/standins/server.py
@@ -1,4 +1,4 @@
-"""What all stand-ins that listen have in common."""
+"""The base class of all stand-ins that listen, and a bounded wait."""
 
 import contextlib
 import socket
@@ -7,20 +7,20 @@
 
 
 def until(condition, seconds=60):
-    """Waits for the condition; its value."""
+    """Waits until the condition is true and returns its value. AssertionError after `seconds`."""
     end = time.monotonic() + seconds
     while not (value := condition()):
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, f"the condition was not met within {seconds} s"
         time.sleep(0.01)
     return value
 
 
 class Server:
-    """A stand-in: listens on a free port and hands each connection to `serve` on a thread of its own."""
+    """Listens on a free port and calls `serve` for each connection, on a thread of its own."""
 
     def __init__(self, backlog=64, host="127.0.0.1"):
         self.listener = socket.socket()
-        # So that one that ends connections may come back at the same address at once.
+        # Lets a server that closed its connections listen at the same address again at once.
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind((host, 0))
         self.listener.listen(backlog)
@@ -37,15 +37,15 @@
             while True:
                 sock, _ = self.listener.accept()
                 self.connections.append(sock)
-                threading.Thread(target=self.guard, args=(sock,), daemon=True).start()
+                threading.Thread(target=self.serve_and_close, args=(sock,), daemon=True).start()
 
-    def guard(self, sock):
+    def serve_and_close(self, sock):
         with contextlib.suppress(OSError, ValueError):
             self.serve(sock)
         sock.close()
 
     def end_connections(self):
-        """Ends the connections that stand."""
+        """Ends all open connections."""
         for sock in self.connections:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
