--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -68,8 +68,8 @@
         self.bytes_before = self.bytes()
 
     def bytes(self):
-        passed = [self.wires.passed("real", name)["bytes"] for name in self.relays]
-        return sum(passed) + sum(self.wires.passed(name, "real")["bytes"] for name in self.relays)
+        passed = [self.wires.link_counts("real", name)["bytes"] for name in self.relays]
+        return sum(passed) + sum(self.wires.link_counts(name, "real")["bytes"] for name in self.relays)
 
     def figures(self):
         """Of what following costs: seconds of CPU since `begin`, bytes since then; bytes of memory in all."""
--- a/benchmarks/whole.py
+++ b/benchmarks/whole.py
@@ -151,7 +151,7 @@
     def apart_for(self, cluster, victim, order):
         order()
         with contextlib.suppress(WaitTimeout):
-            cluster.wait_leader(other_than=victim, patience=3.0)
+            cluster.wait_leader(other_than=victim, timeout=3.0)
         self.all_.wires.heal()
 
     def all_at_once(self, name, cluster, victim):
--- a/lemonlead/standins/installation.py
+++ b/lemonlead/standins/installation.py
@@ -20,7 +20,7 @@
 from .clients import RepeatingClients
 from .discovery import entry
 from .fleet import gateway
-from .members import Cluster, until, who
+from .members import Cluster, until, identify_member
 from .nodes import Agent, MemberClient, Node, GroupMonitor
 from .wires import Wires
 
@@ -36,7 +36,7 @@
 def caller(data):
     """Which member or gateway a call to a member is from, by its first bytes; None where more are needed."""
     head, end, body = data.partition(b"\r\n\r\n")
-    if (found := who(data)) != "client":
+    if (found := identify_member(data)) != "client":
         return found
     if head.startswith(b"POST") and end and (size := LENGTH.search(head)) and len(body) < int(size[1]):
         return None
@@ -240,15 +240,15 @@
     def answered(self):
         return sum(crowd.total() for crowd in self.crowds)
 
-    def wait_requests(self, more, patience=60):
+    def wait_requests(self, more, timeout=60):
         """Until so many more were answered."""
         upto = self.answered() + more
-        until(lambda: self.answered() >= upto, lambda: f"requests: {self.counts()}", patience)
+        until(lambda: self.answered() >= upto, lambda: f"requests: {self.counts()}", timeout)
 
-    def wait_acknowledged(self, more, patience=60):
+    def wait_acknowledged(self, more, timeout=60):
         """Until so many more commands of operators were acknowledged."""
         upto = self.acknowledged() + more
-        until(lambda: self.acknowledged() >= upto, lambda: f"commands: {self.acknowledged()}", patience)
+        until(lambda: self.acknowledged() >= upto, lambda: f"commands: {self.acknowledged()}", timeout)
 
     def acknowledged(self):
         return sum(sum(one.counts.values()) for one in self.operators)
@@ -263,19 +263,19 @@
         told = (cluster.items(name, part) for name in cluster.running() if name not in cluster.paused)
         return [found for found in told if found is not None][:1]
 
-    def wait_drain(self, name, *phases, patience=120):
+    def wait_drain(self, name, *phases, timeout=120):
         return until(
             lambda: (told := self.items("drains").get(name)) and told["phase"] in phases and told,
             lambda: f"drain {name}: {self.items('drains').get(name)}, {self.items('permits')}, "
             f"{[(node.name, node.state) for node in self.nodes]}",
-            patience,
+            timeout,
         )
 
-    def wait_move(self, name, *ends, patience=120):
+    def wait_move(self, name, *ends, timeout=120):
         return until(
             lambda: (told := self.items("moves").get(name)) and told["end"] in ends and told["told"] and told,
             lambda: f"move {name}: {self.items('moves').get(name)}",
-            patience,
+            timeout,
         )
 
     # ---- what came of it
--- a/lemonlead/standins/members.py
+++ b/lemonlead/standins/members.py
@@ -1,8 +1,8 @@
 """A cluster of members as programs on loopback, for whole-program tests and benchmarks.
 
-`Cluster` starts, kills, pauses, wipes them and asks them; every wait is for a condition and bounded. With
-`wires` (lemonlead.standins.wires.Wires) all that members say to each other passes that network, each member
-under its own name."""
+`Cluster` starts, kills, pauses and wipes members and sends them requests; every wait is for a condition and
+has a time limit. With `wires` (lemonlead.standins.wires.Wires) all messages between members pass through that
+network, where each member is a party under its own name."""
 
 import contextlib
 import http.client
@@ -17,19 +17,21 @@
 
 from .wires import new_loopback_host, free_address
 
-PATIENCE = 30.0  # seconds that a wait may take on a loaded machine
-TIMES = {"election": "400ms", "heartbeat": "60ms"}
-SENDER = re.compile(rb"X-Lemonlead-Member: ([A-Za-z0-9_.-]+)", re.IGNORECASE)
+WAIT_TIMEOUT_SECONDS = 30.0  # on a loaded machine
+DEFAULT_TIMES = {"election": "400ms", "heartbeat": "60ms"}
+SENDER_HEADER = re.compile(rb"X-Lemonlead-Member: ([A-Za-z0-9_.-]+)", re.IGNORECASE)
 
 
 class WaitTimeout(AssertionError):
-    """What was waited for did not come."""
+    """A condition was not met in time."""
 
 
-def until(condition, what, patience=PATIENCE):
-    """What the condition gives once it is true; WaitTimeout with `what` (text or function) where it stays
-    false."""
-    end = time.monotonic() + patience
+def until(condition, what, timeout=WAIT_TIMEOUT_SECONDS):
+    """Waits until the condition is true and returns its value.
+
+    Raises WaitTimeout after `timeout` seconds, with `what`: a text, or a function that returns one.
+    """
+    end = time.monotonic() + timeout
     while not (found := condition()):
         if time.monotonic() > end:
             raise WaitTimeout(what() if callable(what) else what)
@@ -37,16 +39,20 @@
     return found
 
 
-def who(data):
-    """Which member a call is from, by its first bytes; None where more are needed."""
-    if found := SENDER.search(data):
+def identify_member(data):
+    """Returns the name of the member that sent a call, "client" for others; None if more bytes are needed."""
+    if found := SENDER_HEADER.search(data):
         return found[1].decode()
     return "client" if b"\r\n\r\n" in data else None
 
 
 class Cluster:
-    """`names` form it; others may be started with `join`. `times`: fields of the settings' `times`, as text;
-    `more`: further lines of the settings. Used as a context it ends all that it started."""
+    """A cluster that the members of these names form; others are started with `join`.
+
+    `times`: fields of the settings' `times`, as text. `more`: further lines of the settings. `listens`: the
+    address at which each member listens; `addresses`: the address at which the others reach it. As a context
+    manager it ends all members at the end.
+    """
 
     def __init__(self, folder, names=("g1", "g2", "g3"), cluster="louis", times=None, wires=None, more=""):
         self.folder, self.initial_members, self.cluster, self.wires = (
@@ -55,16 +61,15 @@
             cluster,
             wires,
         )
-        self.times = {**TIMES, **(times or {})}
+        self.times = {**DEFAULT_TIMES, **(times or {})}
         self.more = more
         self.clusters = {}
         self.folder.mkdir(parents=True, exist_ok=True)
-        # where each listens; where others reach it
         self.listens = {}
         self.addresses = {}
         self.processes, self.paused, self.starts = {}, set(), {}
         for name in names:
-            self.place(name)
+            self.assign_addresses(name)
 
     def __enter__(self):
         return self
@@ -72,19 +77,19 @@
     def __exit__(self, *_):
         self.close()
 
-    def place(self, name):
-        """Draws the addresses of a member."""
+    def assign_addresses(self, name):
+        """Chooses free addresses for a member."""
         host = new_loopback_host()
         self.listens[name] = self.addresses[name] = free_address(host)
         if self.wires is not None:
             self.wires.set_party_host(name, host)
-            self.addresses[name] = self.wires.shared_wire(name, self.listens[name], who)
+            self.addresses[name] = self.wires.shared_wire(name, self.listens[name], identify_member)
 
-    def settings(self, name):
-        """The file that the member is started with, written anew."""
-        pairs = lambda pairs: ", ".join(f"{key}: {json.dumps(value)}" for key, value in pairs)  # noqa: E731
-        members = pairs((one, self.addresses[one]) for one in self.initial_members)
-        clusters = pairs(self.clusters.items())
+    def write_settings(self, name):
+        """Writes the settings file of the member and returns its path."""
+        as_text = lambda pairs: ", ".join(f"{key}: {json.dumps(value)}" for key, value in pairs)  # noqa: E731
+        members = as_text((one, self.addresses[one]) for one in self.initial_members)
+        clusters = as_text(self.clusters.items())
         times = "".join(f"times: {what}: {time}\n" for what, time in self.times.items())
         reached = f'reached: "{self.addresses[name]}"\n' if self.wires is not None else ""
         path = self.folder / f"{name}.cue"
@@ -101,16 +106,16 @@
     # ---- processes
 
     def start(self, *names, join=False, ready=True):
-        """Starts these (all that form it, where none is named) and waits until each is ready."""
+        """Starts these members, by default all initial ones, and waits until each is ready."""
         names = names or self.initial_members
         for name in names:
             if name not in self.listens:
-                self.place(name)
-            words = [sys.executable, "-m", "lemonlead", "member", str(self.settings(name))]
+                self.assign_addresses(name)
+            command = [sys.executable, "-m", "lemonlead", "member", str(self.write_settings(name))]
             with self.log(name).open("ab") as log, self.log(name, "err").open("ab") as errors:
                 self.starts[name] = log.tell()
                 self.processes[name] = subprocess.Popen(
-                    words + ["--join"] * join, stdout=log, stderr=errors, stdin=subprocess.DEVNULL
+                    command + ["--join"] * join, stdout=log, stderr=errors, stdin=subprocess.DEVNULL
                 )
         for name in names if ready else ():
             until(
@@ -130,10 +135,11 @@
         return self.folder / f"{name}.{end}"
 
     def lines(self, name):
-        """What it has printed since its last start."""
+        """Returns the lines that the member printed since its last start."""
         return self.log(name).read_bytes()[self.starts.get(name, 0) :].decode(errors="replace").splitlines()
 
     def recent_output(self, name):
+        """Returns the end of the member's log and errors, for messages."""
         return "\n".join([*self.lines(name)[-15:], self.log(name, "err").read_text()[-2000:]])
 
     def running(self):
@@ -146,10 +152,10 @@
             self.processes[name].wait()
             self.paused.discard(name)
 
-    def stop(self, name, patience=PATIENCE):
-        """Asks it to end; its exit code."""
+    def stop(self, name, timeout=WAIT_TIMEOUT_SECONDS):
+        """Terminates the member and returns its exit code."""
         self.processes[name].terminate()
-        return self.processes[name].wait(patience)
+        return self.processes[name].wait(timeout)
 
     def pause(self, name):
         self.processes[name].send_signal(signal.SIGSTOP)
@@ -160,7 +166,7 @@
         self.paused.discard(name)
 
     def wipe(self, name):
-        """A machine lost with its disk; it must not run."""
+        """Removes the data of a member that does not run, as when a machine is lost with its disk."""
         shutil.rmtree(self.data(name))
 
     def close(self):
@@ -169,12 +175,12 @@
         for process in self.processes.values():
             process.wait()
 
-    # ---- asking
+    # ---- requests
 
-    def ask(self, name, method, path, body=None, patience=15.0, headers=None):
-        """(status, what the body says as JSON, or its bytes); (0, reason) where there was no answer."""
+    def ask(self, name, method, path, body=None, timeout=15.0, headers=None):
+        """Sends a request. Returns (status, JSON or bytes of the body); without an answer (0, reason)."""
         host, _, port = self.listens[name].rpartition(":")
-        connection = http.client.HTTPConnection(host, int(port), timeout=patience)
+        connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
         try:
             data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
             connection.request(method, path, data, headers or {})
@@ -189,16 +195,16 @@
             connection.close()
 
     def status(self, name):
-        """As it tells it; empty where it does not answer."""
-        code, told = self.ask(name, "GET", "/v1/status", patience=3.0)
-        return told if code == 200 else {}
+        """Returns the member's status; empty if it does not answer."""
+        code, status = self.ask(name, "GET", "/v1/status", timeout=3.0)
+        return status if code == 200 else {}
 
     def command(self, name, **fields):
         return self.ask(name, "POST", "/v1/commands", fields)
 
-    def run_command(self, patience=PATIENCE, **fields):
-        """The answer to a command that is asked, at one member after the other, until it is none of 503."""
-        end, last = time.monotonic() + patience, None
+    def run_command(self, timeout=WAIT_TIMEOUT_SECONDS, **fields):
+        """Sends a command to one member after another until one decides it. Returns (status, body)."""
+        end, last = time.monotonic() + timeout, None
         while time.monotonic() < end:
             for name in [name for name in self.running() if name not in self.paused]:
                 last = self.command(name, **fields)
@@ -208,39 +214,42 @@
         raise WaitTimeout(f"{fields}: {last}")
 
     def items(self, name, part, local=False):
-        """A part of the state, by name; None where it can't be had now."""
-        code, told = self.ask(name, "GET", f"/v1/state/{part}{'?read=local' * local}")
-        return told["items"] if code == 200 else None
+        """Returns the items of a part of the state by name; None if the member cannot answer now."""
+        code, body = self.ask(name, "GET", f"/v1/state/{part}{'?read=local' * local}")
+        return body["items"] if code == 200 else None
 
     # ---- conditions
 
     def leader(self, among=None):
-        """The member that says that it leads and whom a majority of those that run follow; None where there
-        is none."""
-        told = [self.status(name) for name in among or self.running() if name not in self.paused]
-        for one in told:
-            led = [other for other in told if (other.get("leader"), other.get("term")) == led_by(one)]
-            if one.get("role") == "leader" and 2 * len(led) > len(told):
-                return one["member"]
+        """Returns the member that reports to lead and that most of the running members follow, or None."""
+        statuses = [self.status(name) for name in among or self.running() if name not in self.paused]
+        for status in statuses:
+            led = [
+                other
+                for other in statuses
+                if (other.get("leader"), other.get("term")) == leadership_of(status)
+            ]
+            if status.get("role") == "leader" and 2 * len(led) > len(statuses):
+                return status["member"]
         return None
 
-    def wait_leader(self, other_than="", patience=PATIENCE):
+    def wait_leader(self, other_than="", timeout=WAIT_TIMEOUT_SECONDS):
         return until(
             lambda: (name := self.leader()) != other_than and name,
             lambda: f"a leader: {[self.status(name) for name in self.running() if name not in self.paused]}",
-            patience,
+            timeout,
         )
 
-    def wait_status(self, name, patience=PATIENCE, **fields):
-        """Until its status has these."""
+    def wait_status(self, name, timeout=WAIT_TIMEOUT_SECONDS, **fields):
+        """Waits until the member's status has these fields and returns it."""
         return until(
-            lambda: (told := self.status(name)).items() >= fields.items() and told,
+            lambda: (status := self.status(name)).items() >= fields.items() and status,
             lambda: f"{name} {fields}: {self.status(name)}",
-            patience,
+            timeout,
         )
 
     def healthy(self):
-        """All that form it run and follow one leader, whose name is given."""
+        """Resumes and starts initial members as needed. Returns the name of the leader that all follow."""
         for name in list(self.paused):
             self.resume(name)
         if missing := [name for name in self.initial_members if name not in self.running()]:
@@ -252,8 +261,9 @@
         return self.wait_leader()
 
 
-def led_by(told):
-    return told.get("member"), told.get("term")
+def leadership_of(status):
+    """Returns (member, term) of a status."""
+    return status.get("member"), status.get("term")
 
 
 __all__ = ["Cluster", "WaitTimeout", "until"]
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -21,7 +21,7 @@
 DOWN = "down"
 CATCHING_UP = "catching_up"
 MOST_ATTEMPTS = 500_000  # that are kept with their moments; of older ones the counts stay
-PATIENCE = 5.0  # seconds for one call to a member
+CALL_TIMEOUT_SECONDS = 5.0  # seconds for one call to a member
 
 
 class Ear(InstanceServer):
@@ -234,7 +234,7 @@
         """(status, the object told); (0, reason) where the member did not answer. Then it is the next one's
         turn."""
         host, _, port = self.addresses[self.turn % len(self.addresses)].rpartition(":")
-        connection = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+        connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_SECONDS)
         try:
             connection.request(method, path, None if told is None else json.dumps(told))
             answer = connection.getresponse()
@@ -296,4 +296,4 @@
     def stop(self):
         self.stopped.set()
         with contextlib.suppress(RuntimeError):
-            self.thread.join(PATIENCE + 3)
+            self.thread.join(CALL_TIMEOUT_SECONDS + 3)
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -1,5 +1,8 @@
-"""Relays on loopback for tests: as programs that follow a `members.Cluster`, and one in this process that is
-told what to say; and whoever puts in force what a driver hands on, kept for a look."""
+"""Relays and subscribers on loopback for tests.
+
+`Relays` runs relays as programs that follow a `members.Cluster`. `LocalRelay` is a relay in this process that
+sends what the test puts into it. `RecordingSubscriber` is a gateway's subscriber that records the changes it
+is given."""
 
 import asyncio
 import http.client
@@ -17,17 +20,17 @@
 from ..distribution.subscriber import Subscriber
 from ..distribution.relay_settings import Bounds, Budget, RelaySettings
 from ..gateway.counters import Counters
-from .members import PATIENCE, WaitTimeout, until
+from .members import WAIT_TIMEOUT_SECONDS, WaitTimeout, until
 from .wires import new_loopback_host, free_address
 
 SECOND = 1_000_000_000
 LEASE = "lease: 6s\ngrace: 0s\n"
 
 
-def ask(address, method, path, body=None, patience=10.0):
-    """(status, what the body says); (0, reason) where there was no answer."""
+def ask(address, method, path, body=None, timeout=10.0):
+    """Sends a request. Returns (status, decoded body); without an answer (0, reason)."""
     host, _, port = address.rpartition(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=patience)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
         connection.request(method, path, body if body is None else json.dumps(body).encode())
         answer = connection.getresponse()
@@ -39,7 +42,7 @@
 
 
 class Relays:
-    """Programs. `regions`: name to region. Used as a context it ends all that it started."""
+    """Relays as programs, started and ended as a context manager. `regions`: name of a relay to its region."""
 
     def __init__(self, folder, cluster, regions, rate=1_000_000, burst=1_000_000, more=LEASE):
         self.folder = folder
@@ -63,7 +66,8 @@
                 process.kill()
             process.wait()
 
-    def settings(self, name):
+    def write_settings(self, name):
+        """Writes the settings file of the relay and returns its path."""
         members = ", ".join(f'{one}: "{where}"' for one, where in self.cluster.addresses.items())
         path = self.folder / f"{name}.cue"
         path.write_text(
@@ -73,11 +77,11 @@
         return path
 
     def start(self, name):
-        """Until it answers and has the ledger's state."""
-        words = [sys.executable, "-m", "lemonlead", "relay", str(self.settings(name))]
+        """Starts a relay and waits until it answers and has the ledger's state."""
+        command = [sys.executable, "-m", "lemonlead", "relay", str(self.write_settings(name))]
         with self.log(name).open("ab") as log:
             self.starts[name] = log.tell()
-            self.processes[name] = subprocess.Popen(words, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
+            self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
         until(lambda: self.is_ready(name), lambda: f"{name} ready: {self.recent_output(name)}")
 
     def is_ready(self, name):
@@ -89,6 +93,7 @@
         return self.folder / f"{name}.log"
 
     def recent_output(self, name):
+        """Returns what the relay printed since its last start."""
         return self.log(name).read_bytes()[self.starts[name] :].decode(errors="replace")
 
     def kill(self, name):
@@ -96,66 +101,68 @@
         self.processes[name].wait()
 
     def stop(self, name):
-        """Asks it to end; its exit code."""
+        """Terminates the relay and returns its exit code."""
         self.processes[name].terminate()
-        return self.processes[name].wait(PATIENCE)
+        return self.processes[name].wait(WAIT_TIMEOUT_SECONDS)
 
     def ask(self, name, method, path, body=None):
         return ask(self.addresses[name], method, path, body)
 
     def subscriber_arguments(self):
-        """As a Subscriber is told them."""
+        """Returns the relays as Subscriber takes them: (name, region, address)."""
         return [(name, region, self.addresses[name]) for name, region in self.regions.items()]
 
 
 class LocalRelay:
-    """A relay in this process, on a thread of its own, whose source is the test: `replace` and `apply` go to
-    it in turn. `later`: moves its clock on, whole seconds."""
+    """A relay in this process, on a thread of its own. The test is its source, by `replace` and `apply`."""
 
     def __init__(self, rate=100_000_000, burst=1_000_000, lease=60 * SECOND, **bounds):
         bounds = {"subscribers": 10, "scopes": 100, "waiting": 8192, "kept": 1000, **bounds}
-        self.address, self.ahead, self.is_lost = free_address(new_loopback_host()), 0, False
-        self.told = RelaySettings(
+        self.address, self.ahead, self.is_cut = free_address(new_loopback_host()), 0, False
+        self.settings = RelaySettings(
             "r1", "north", self.address, {}, Budget(rate, burst), lease, 0, Bounds(**bounds)
         )
-        self.loop, self.up = asyncio.new_event_loop(), threading.Event()
+        self.loop, self.started = asyncio.new_event_loop(), threading.Event()
         threading.Thread(target=self.loop.run_until_complete, args=(self.main(),), daemon=True).start()
-        assert self.up.wait(PATIENCE)
+        assert self.started.wait(WAIT_TIMEOUT_SECONDS)
 
     async def main(self):
-        self.over = asyncio.Event()
+        self.stopping = asyncio.Event()
         log = structlog.wrap_logger(structlog.PrintLogger())
-        self.relay = Relay(self.told, self, log, lambda: time.monotonic_ns() + self.ahead)
+        self.relay = Relay(self.settings, self, log, lambda: time.monotonic_ns() + self.ahead)
         await self.relay.start()
-        self.up.set()
-        await self.over.wait()
+        self.started.set()
+        await self.stopping.wait()
         await self.relay.stop()
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        self.loop.call_soon_threadsafe(self.over.set)
+        self.loop.call_soon_threadsafe(self.stopping.set)
 
     def advance(self, nanoseconds):
-        """So much time goes by, look by look: by a leap of the clock nobody is silent."""
+        """Moves the relay's clock on by whole seconds.
+
+        It checks the subscribers after each, as none counts as silent for a time that is skipped at once.
+        """
         for _ in range(0, nanoseconds, SECOND):
             self.ahead += SECOND
-            self.do(lambda: self.relay.acknowledgements.knows_all_subscribers(self.relay.clock()))
+            self.call_on_loop(lambda: self.relay.acknowledgements.knows_all_subscribers(self.relay.clock()))
 
-    def do(self, work, *values):
-        """Calls it on the relay's loop; what it gives."""
+    def call_on_loop(self, work, *values):
+        """Calls a function on the relay's loop and returns its result."""
 
         async def call():
             return work(*values)
 
-        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(PATIENCE)
+        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(WAIT_TIMEOUT_SECONDS)
 
     def replace(self, cluster, index, scopes):
-        self.do(self.relay.replace, cluster, index, scopes)
+        self.call_on_loop(self.relay.replace, cluster, index, scopes)
 
     def apply(self, index, *changes):
-        self.do(self.relay.apply, index, changes)
+        self.call_on_loop(self.relay.apply, index, changes)
 
     def ask(self, method, path, body=None):
         return ask(self.address, method, path, body)
@@ -166,48 +173,50 @@
         await asyncio.Event().wait()
 
     def is_cut_off(self, now):
-        return self.is_lost
+        return self.is_cut
 
     def figures(self):
         return {}
 
 
 class RecordingSubscriber:
-    """A driver and what it put in force. `held`: while it is not set, `put` waits. `unfit`: keys that are
-    refused. `faulty`: whether `put` raises."""
+    """A driver whose changes are recorded: `changes` in order, `values` those in force.
+
+    `put` waits while `put_allowed` is not set, rejects `rejected_keys` and raises if `put_raises` is set.
+    """
 
     def __init__(self, name, region, scopes, relays, seed=1, starts=True):
-        self.changes, self.values, self.unfit = [], {}, set()  # in force, by (scope, key)
-        self.faulty = False
-        self.held, self.entered = threading.Event(), threading.Event()
-        self.held.set()
+        self.changes, self.values, self.rejected_keys = [], {}, set()  # values by (scope, key)
+        self.put_raises = False
+        self.put_allowed, self.put_called = threading.Event(), threading.Event()
+        self.put_allowed.set()
         self.log, self.counters = [], Counters()
-        told = SimpleNamespace(**dict.fromkeys(("info", "warning", "error"), self.line))
+        log = SimpleNamespace(**dict.fromkeys(("info", "warning", "error"), self.add_log_line))
         self.subscriber = Subscriber(name, region, scopes, relays, seed)
-        self.driver = Driver(self.subscriber, self.put, told, self.counters)
+        self.driver = Driver(self.subscriber, self.put, log, self.counters)
         if starts:
             self.driver.start()
 
-    def line(self, event, **fields):
+    def add_log_line(self, event, **fields):
         self.log.append((event, fields))
 
     def put(self, changes):
-        self.entered.set()
-        if self.faulty:
+        self.put_called.set()
+        if self.put_raises:
             raise ZeroDivisionError("division by zero")
-        assert self.held.wait(PATIENCE)
+        assert self.put_allowed.wait(WAIT_TIMEOUT_SECONDS)
         for scope, key, record in changes:
-            if key in self.unfit and record is not None:
+            if key in self.rejected_keys and record is not None:
                 continue
             self.changes.append((scope, key, record))
             if record is None:
                 self.values.pop((scope, key), None)
             else:
                 self.values[scope, key] = record
-        return [(scope, key, f"{key}: unfit") for scope, key, _ in changes if key in self.unfit]
+        return [(scope, key, f"{key}: unfit") for scope, key, _ in changes if key in self.rejected_keys]
 
     def wait_for_record(self, scope, key, record):
-        """Waits until this is in force, None where nothing is to be."""
+        """Waits until this record is in force; None: until there is none."""
         until(
             lambda: self.values.get((scope, key)) == record,
             lambda: f"{scope} {key}: {self.values.get((scope, key))} {self.log[-8:]}",
@@ -217,7 +226,7 @@
         return self
 
     def __exit__(self, *_):
-        self.held.set()
+        self.put_allowed.set()
         self.driver.leave()
 
 
--- a/lemonlead/standins/wires.py
+++ b/lemonlead/standins/wires.py
@@ -1,11 +1,11 @@
-"""A network between whole programs on loopback that fails by order.
+"""A network between programs on loopback, with faults on demand.
 
-Parties have names. Each wire listens on an address of its own and passes what comes on to its target; the
-orders hold for what goes from one party to another, on whichever wire: `cut("g1", "g2", back=False)` stops
-what g1 says to g2, be it a call or an answer. A party may also be the name of a group, or "*" for all.
+Parties have names. Each wire listens at an address of its own and forwards its connections to a target. A
+fault holds for the bytes from one party to another, on any wire: `cut("g1", "g2", back=False)` stops all that
+g1 sends to g2, requests and answers. A party may also be the name of a group, or "*" for all.
 
-Seeded and bounded. One thread carries all; `until` waits for a condition on the counts, so that no test
-sleeps."""
+Random values come from a seed, and all memory is bounded. One thread forwards all bytes. `until` waits for a
+condition on the counts, so that tests need not sleep."""
 
 import asyncio
 import contextlib
@@ -18,53 +18,58 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-MOST = 4000  # connections at once; one past it is reset ("turned away")
-# bytes read at a time; such pieces under way on one connection and direction
-CHUNK = 64 * 1024
-QUEUED = 64
-SNIFFED = 16 * 1024  # bytes of a connection read before its party has to be known
-NUMBERS = itertools.count(random.SystemRandom().randrange(1 << 20))  # of loopback addresses, by process
-RESET = struct.pack("ii", 1, 0)
+MAX_CONNECTIONS = 4000  # open at once; a further one is reset and counted as "turned away"
+CHUNK_BYTES = 64 * 1024  # read at a time
+MAX_QUEUED_CHUNKS = 64  # for each connection and direction
+MAX_SNIFFED_BYTES = 16 * 1024  # read of a connection before its caller has to be known
+# Numbers of loopback addresses. Processes start at different ones.
+HOST_NUMBERS = itertools.count(random.SystemRandom().randrange(1 << 20))
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close() resets the connection
 
 
 def new_loopback_host():
-    """A loopback address that nothing else of this process has."""
-    number = next(NUMBERS)
+    """Returns a loopback address that nothing else in this process uses."""
+    number = next(HOST_NUMBERS)
     return f"127.{64 + (number >> 16) % 128}.{(number >> 8) % 256}.{1 + number % 254}"
 
 
 def free_address(host=None):
-    """An address, as text, at which nothing listens now."""
+    """Returns an address, as text, at which nothing listens now."""
     with socket.socket() as sock:
         sock.bind((host or new_loopback_host(), 0))
         return "{}:{}".format(*sock.getsockname())
 
 
 def split_address(address):
+    """Returns (host, port)."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @dataclass
 class Link:
-    """What goes from one party to another: the orders that hold, and what was counted."""
+    """The faults in force for the bytes from one party to another, and their counts."""
 
-    silent: bool = False  # nothing passes; what was under way waits
+    silent: bool = False  # nothing passes; bytes in flight wait
     refuse: bool = False  # no new connection
-    delay: float = 0.0  # seconds, and up to `spread` more
+    delay: float = 0.0  # seconds, plus a random part of `spread`
     spread: float = 0.0
-    rate: float = 0.0  # bytes a second; 0: no limit
+    rate: float = 0.0  # bytes per second; 0: no limit
     short: int | None = None  # bytes of a connection after which it is reset
-    times: int = 0  # how many more connections `short` strikes
-    garble: list = field(default_factory=list)  # bytes to pass before each byte that is flipped
-    repeat: int = 0  # how many more pieces pass twice
+    times: int = 0  # number of further connections that `short` resets
+    garble: list = field(
+        default_factory=list
+    )  # for each bit to flip, the number of bytes that pass before it
+    repeat: int = 0  # number of further chunks that pass twice
     counts: Counter = field(default_factory=Counter)
 
 
-FREE = {"silent": False, "refuse": False, "delay": 0.0, "spread": 0.0, "rate": 0.0}
+NO_FAULTS = {"silent": False, "refuse": False, "delay": 0.0, "spread": 0.0, "rate": 0.0}
 
 
 class Connection:
+    """A connection through a wire: `near` is the caller's socket, `far` the one to the target."""
+
     def __init__(self, wire, source, near, far):
         self.wire = wire
         self.source = source
@@ -75,7 +80,7 @@
     def reset(self):
         for sock in (self.near, self.far):
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.close()
 
     def close(self):
@@ -86,51 +91,59 @@
 
 
 class Wire:
-    """Listens at `address` for `source` (empty: for whoever `who` says) and passes on to `target`, at
-    `to`."""
+    """Listens at `address` for `source` and forwards to `target`, which listens at `to`.
+
+    An empty `source`: `identify(first bytes)` names the caller.
+    """
 
-    def __init__(self, source, target, to, who):
+    def __init__(self, source, target, to, identify):
         self.source = source
         self.target = target
         self.to = to
-        self.who = who
+        self.identify = identify
         self.listener = self.task = None
         self.address = ""
 
 
 class Wires:
+    """The network: its wires, parties, groups and links."""
+
     def __init__(self, seed=1):
         self.random = random.Random(seed)
         self.links = {}
         self.groups = {}
         self.wires = []
-        self.homes = {}
+        self.host_parties = {}
         self.connections = set()
-        self.changed = threading.Condition()  # guards the links
+        self.changed = threading.Condition()  # its lock protects the links and their counts
         self.loop = asyncio.new_event_loop()
-        self.news = asyncio.Event()  # set, and another put in its place, at each order
+        self.faults_changed = asyncio.Event()  # set and replaced by another one at each change of the faults
         self.counts = Counter()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
 
-    # ---- what there is
+    # ---- parties and wires
 
     def wire(self, source, target, to):
-        """The address at which `source` reaches `target`, which listens at `to`, now or later."""
-        return self.added(Wire(source, target, to, None))
+        """Returns an address at which `source` reaches `target`, which need not listen at `to` yet."""
+        return self.add(Wire(source, target, to, None))
 
-    def shared_wire(self, target, to, who=None, at=None):
-        """One address at which all reach `target`. Who calls is told by the address that it calls from
-        (`set_party_host`), else by `who(first bytes)`: a name, or None where more bytes are needed."""
-        return self.added(Wire("", target, to, who), at)
+    def shared_wire(self, target, to, identify=None, at=None):
+        """Returns an address at which all parties reach `target`.
+
+        The caller is known by the host that it calls from (`set_party_host`), else by `identify(first bytes)`,
+        which returns a name, or None if it needs more bytes.
+        """
+        return self.add(Wire("", target, to, identify), at)
 
     def set_party_host(self, party, host):
-        self.homes[host] = party
+        """Connections from this host come from this party."""
+        self.host_parties[host] = party
 
     def group(self, name, *parties):
         self.groups[name] = parties
 
-    def added(self, wire, at=None):
+    def add(self, wire, at=None):
         self.party(wire.source)
         self.party(wire.target)
         wire.address = at or free_address()
@@ -147,76 +160,76 @@
             return self.links.setdefault((source, target), Link())
 
     def pairs(self, one, other):
-        """Directed pairs of parties, from those of `one` to those of `other`."""
-        everyone = [name for name, parties in self.groups.items() if parties == (name,)]
-        ones, others = (everyone if name == "*" else self.groups[name] for name in (one, other))
-        return [(a, b) for a in ones for b in others if a != b]
+        """Returns the pairs of parties from those of `one` to those of `other`."""
+        all_parties = [name for name, parties in self.groups.items() if parties == (name,)]
+        sources, targets = (all_parties if name == "*" else self.groups[name] for name in (one, other))
+        return [(source, target) for source in sources for target in targets if source != target]
 
-    # ---- orders
+    # ---- faults
 
-    def order(self, one, other, back=True, **fields):
-        """These fields of Link hold from now on for what goes from one to the other, and `back`."""
+    def set_faults(self, one, other, back=True, **fields):
+        """Sets these fields of Link for the bytes from one to the other, with `back` also the other way."""
         pairs = self.pairs(one, other) + (self.pairs(other, one) if back else [])
         with self.changed:
             for pair in pairs:
                 link = self.links.setdefault(pair, Link())
                 for name, value in fields.items():
                     setattr(link, name, value)
-        self.call(self.ordered)
+        self.call(self.apply_refusals)
         return pairs
 
     def cut(self, one, other, back=True):
-        """Nothing passes; connections stay open, new ones come up and are silent."""
-        self.order(one, other, back, silent=True)
+        """Lets nothing pass; connections stay open, new ones are accepted and are silent."""
+        self.set_faults(one, other, back, silent=True)
 
     def refuse(self, one, other):
-        """New connections are refused; those that stand go on."""
-        self.order(one, other, refuse=True)
+        """Refuses new connections; open ones go on."""
+        self.set_faults(one, other, refuse=True)
 
     def delay(self, one, other, seconds, spread=0.0, back=True):
-        self.order(one, other, back, delay=seconds, spread=spread)
+        self.set_faults(one, other, back, delay=seconds, spread=spread)
 
     def rate(self, one, other, bytes_per_s, back=True):
-        self.order(one, other, back, rate=bytes_per_s)
+        self.set_faults(one, other, back, rate=bytes_per_s)
 
     def short(self, one, other, after, times=1, back=False):
-        """`times` connections, also such that stand, are reset once so many bytes of each passed from one to
-        the other."""
-        self.order(one, other, back, short=after, times=times)
+        """Resets `times` connections, open or new, after so many bytes from one to the other."""
+        self.set_faults(one, other, back, short=after, times=times)
 
     def garble(self, one, other, times=1, within=400, back=False):
-        """`times` bytes are flipped, each at a place drawn within the next so many bytes."""
+        """Flips a bit in each of `times` bytes, at random places within the next `within` bytes."""
         places = [self.random.randrange(within) for _ in range(times)]
-        self.order(one, other, back, garble=places)
+        self.set_faults(one, other, back, garble=places)
 
     def repeat(self, one, other, times=1, back=False):
-        """The next `times` pieces pass twice."""
-        self.order(one, other, back, repeat=times)
+        """Lets the next `times` chunks pass twice."""
+        self.set_faults(one, other, back, repeat=times)
 
     def reset(self, one, other):
-        """Connections that stand between them are reset, once."""
+        """Resets the connections that are open between them."""
         pairs = self.pairs(one, other) + self.pairs(other, one)
         self.call(self.reset_now, set(pairs))
 
     def heal(self, one="*", other="*"):
-        """No order holds any more; what was silent passes late."""
-        self.order(one, other, short=None, times=0, repeat=0, **FREE)
-        self.order(one, other, garble=[])
+        """Ends the faults; bytes that were held pass now."""
+        self.set_faults(one, other, short=None, times=0, repeat=0, **NO_FAULTS)
+        self.set_faults(one, other, garble=[])
 
-    # ---- what passed
+    # ---- counts
 
-    def passed(self, source, target):
-        """Counts of what went from one to the other: "bytes", "pieces", "calls" (connections that it made),
-        "refused", "reset", "short", "garbled", "repeated", "held" (pieces that had to wait in silence)."""
+    def link_counts(self, source, target):
+        """Returns the counts of what went from one to the other: "bytes", "pieces" (chunks), "calls" (new
+        connections), "refused", "reset", "short", "garbled", "repeated", "held" (chunks that waited during a
+        cut)."""
         with self.changed:
             link = self.links.get((source, target))
             return Counter(link.counts) if link else Counter()
 
     def until(self, condition, seconds=60):
-        """Waits until it holds; looked at with each count and each 50 ms; its value."""
+        """Waits until the condition is true, checked at each count and every 50 ms. Returns its value."""
         end = time.monotonic() + seconds
         while not (value := condition()):
-            assert time.monotonic() < end, "waited in vain"
+            assert time.monotonic() < end, f"the condition was not met within {seconds} s"
             with self.changed:
                 self.changed.wait(0.05)
         return value
@@ -224,20 +237,20 @@
     def close(self):
         async def ended():
             for wire in self.wires:
-                self.shut(wire)
+                self.stop_listening(wire)
             for connection in list(self.connections):
                 connection.close()
-            others = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
-            for task in others:
+            tasks = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
+            for task in tasks:
                 task.cancel()
-            await asyncio.gather(*others, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
 
         asyncio.run_coroutine_threadsafe(ended(), self.loop).result(10)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(10)
         self.loop.close()
 
-    # ---- on the loop's thread
+    # ---- on the loop's thread, except `call`
 
     def call(self, function, *values):
         async def called():
@@ -250,13 +263,13 @@
             link.counts[what] += number
             self.changed.notify_all()
 
-    def ordered(self):
-        self.news.set()
-        self.news = asyncio.Event()
+    def apply_refusals(self):
+        self.faults_changed.set()
+        self.faults_changed = asyncio.Event()
         for wire in self.wires:
             refused = bool(wire.source) and self.link(wire.source, wire.target).refuse
             if refused and wire.listener is not None:
-                self.shut(wire)
+                self.stop_listening(wire)
             elif not refused and wire.listener is None:
                 self.open(wire)
 
@@ -268,7 +281,7 @@
         wire.listener.setblocking(False)
         wire.task = self.loop.create_task(self.accept(wire, wire.listener))
 
-    def shut(self, wire):
+    def stop_listening(self, wire):
         if wire.listener is not None:
             wire.task.cancel()
             wire.listener.close()
@@ -290,7 +303,7 @@
         while wire.listener is listener:
             try:
                 near, (host, _) = await self.loop.sock_accept(listener)
-            except OSError:  # no descriptor to be had: the caller waits
+            except OSError:  # no descriptor is free: the caller waits
                 await asyncio.sleep(0.05)
                 continue
             near.setblocking(False)
@@ -298,35 +311,35 @@
             far.setblocking(False)
             connection = Connection(wire, wire.source, near, far)
             self.connections.add(connection)
-            if len(self.connections) > MOST:
+            if len(self.connections) > MAX_CONNECTIONS:
                 self.counts["turned away"] += 1
                 self.end(connection, reset=True)
                 continue
-            connection.tasks.append(self.loop.create_task(self.carry(connection, host)))
+            connection.tasks.append(self.loop.create_task(self.serve_connection(connection, host)))
 
-    async def carry(self, connection, host):
-        """Brings a connection up and passes both ways until both are over or one fails."""
+    async def serve_connection(self, connection, host):
+        """Connects to the target and forwards both ways until both have ended or one fails."""
         wire = connection.wire
         first = b""
         try:
             if not connection.source:
-                connection.source, first = await self.caller(connection, host)
+                connection.source, first = await self.identify_caller(connection, host)
             there = self.link(connection.source, wire.target)
             back = self.link(wire.target, connection.source)
             self.count(there, "calls")
             if there.refuse:
                 self.count(there, "refused")
                 return self.end(connection, reset=True)
-            await self.heard(there)
-            await self.heard(back)
+            await self.wait_while_silent(there)
+            await self.wait_while_silent(back)
             await self.loop.sock_connect(connection.far, split_address(wire.to))
             for sock in (connection.near, connection.far):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             near = connection.near
             far = connection.far
             both = [
-                self.loop.create_task(self.one_way(connection, there, near, far, first)),
-                self.loop.create_task(self.one_way(connection, back, far, near, b"")),
+                self.loop.create_task(self.forward(connection, there, near, far, first)),
+                self.loop.create_task(self.forward(connection, back, far, near, b"")),
             ]
             connection.tasks += both
             await asyncio.gather(*both)
@@ -334,63 +347,66 @@
         except (OSError, ValueError):
             self.end(connection, reset=True)
 
-    async def caller(self, connection, host):
-        if host in self.homes:
-            return self.homes[host], b""
+    async def identify_caller(self, connection, host):
+        if host in self.host_parties:
+            return self.host_parties[host], b""
         data = b""
         name = None
-        while name is None and connection.wire.who is not None:
-            some = await self.loop.sock_recv(connection.near, CHUNK)
-            if not some or len(data) > SNIFFED:
-                raise ValueError("nobody")
+        while name is None and connection.wire.identify is not None:
+            some = await self.loop.sock_recv(connection.near, CHUNK_BYTES)
+            if not some or len(data) > MAX_SNIFFED_BYTES:
+                raise ValueError("the caller is unknown")
             data += some
-            name = connection.wire.who(data)
+            name = connection.wire.identify(data)
         if name is None:
-            raise ValueError("nobody")
+            raise ValueError("the caller is unknown")
         self.party(name)
         return name, data
 
-    async def heard(self, link):
+    async def wait_while_silent(self, link):
         held = False
         while link.silent:
             if not held:
                 held = True
                 self.count(link, "held")
-            await self.news.wait()
+            await self.faults_changed.wait()
+
+    async def forward(self, connection, link, near, far, first):
+        """Forwards from `near` to `far`.
 
-    async def one_way(self, connection, link, near, far, first):
-        """Reads ahead, so that a delay is one of each piece and not of the pieces after it."""
-        queue = asyncio.Queue(QUEUED)
-        passing = self.loop.create_task(self.pass_on(connection, link, far, queue))
+        It reads ahead, so that the delay of a chunk does not add to that of the next.
+        """
+        queue = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        passing = self.loop.create_task(self.write_chunks(connection, link, far, queue))
         connection.tasks.append(passing)
         data = first
         try:
             while not passing.done():
-                data = data or await self.loop.sock_recv(near, CHUNK)
+                data = data or await self.loop.sock_recv(near, CHUNK_BYTES)
                 due = self.loop.time() + link.delay + link.spread * self.random.random()
                 await queue.put((due, data))
                 if not data:
                     break
                 data = b""
         except OSError:
-            await self.heard(link)  # that it failed is not heard through silence either
+            await self.wait_while_silent(link)  # a cut holds back the failure as well
             raise
         await passing
 
-    async def pass_on(self, connection, link, far, queue):
+    async def write_chunks(self, connection, link, far, queue):
         passed = 0
         try:
             while True:
                 due, data = await queue.get()
                 if (wait := due - self.loop.time()) > 0:
                     await asyncio.sleep(wait)
-                await self.heard(link)
+                await self.wait_while_silent(link)
                 if not data:
                     with contextlib.suppress(OSError):
                         far.shutdown(socket.SHUT_WR)
                     return
-                data, ends = self.spoilt(link, data, passed)
-                with self.changed:  # counted first: whoever gets it may look at once
+                data, ends = self.apply_faults(link, data, passed)
+                with self.changed:  # counted first: the receiver may look at the counts at once
                     twice = link.repeat > 0
                     link.repeat -= twice
                     link.counts["repeated"] += twice
@@ -408,8 +424,8 @@
         except OSError:
             self.end(connection, reset=True)
 
-    def spoilt(self, link, data, passed):
-        """The piece as the orders have it, and whether the connection ends after it."""
+    def apply_faults(self, link, data, passed):
+        """Returns the chunk with its faults, and whether the connection ends after it."""
         with self.changed:
             if link.garble:
                 data, still = bytearray(data), []
--- a/tests/test_distribution_programs.py
+++ b/tests/test_distribution_programs.py
@@ -94,7 +94,7 @@
     with Relays(tmp_path, cluster, {"r1": "north"}) as relays, subscribing(relays, "a", ["svc-3"]) as gateway:
         put(cluster, "svc-3", "route", {"to": 1})
         gateway.wait_for_record("svc-3", "route", {"to": 1})
-        gateway.unfit.add("route")
+        gateway.rejected_keys.add("route")
         index = put(cluster, "svc-3", "route", {"to": "nowhere"})
         refused = [["a", "route", "route: unfit"]]
         wanted = {"everywhere": False, "refused": refused, "counted": 1, "regions": {"north": 1}}
@@ -111,12 +111,12 @@
     ):
         put(cluster, "svc-10", "i0", UP)
         gateway.wait_for_record("svc-10", "i0", UP)
-        gateway.faulty = True
+        gateway.put_raises = True
         index = put(cluster, "svc-10", "i0", None)
         wanted = [["a", "i0", "fault ZeroDivisionError: division by zero"]]
         until(lambda: in_force_report(relays, "r1", "svc-10", index)["refused"] == wanted, "told by name")
         assert gateway.subscriber.records["svc-10"]["i0"][1] == UP
-        gateway.faulty = False
+        gateway.put_raises = False
         index = put(cluster, "svc-10", "i0", DRAINING)
         gateway.wait_for_record("svc-10", "i0", DRAINING)
         wanted = {"everywhere": True, "counted": 1}
@@ -303,23 +303,23 @@
         relay.advance(60 * 10**9)  # it has run longer than lease and grace
         relays = [("r1", "north", relay.address)]
         with RecordingSubscriber("g0", "north", ["svc-1"], relays, 1, False) as old:
-            old.held.clear()
+            old.put_allowed.clear()
             old.driver.start()
-            until(old.entered.is_set, "the first line")
+            until(old.put_called.is_set, "the first line")
             with RecordingSubscriber("g0", "north", ["svc-1"], relays, 2, False) as new:
-                new.held.clear()
+                new.put_allowed.clear()
                 new.driver.start()
-                until(new.entered.is_set, "the other's first line")
+                until(new.put_called.is_set, "the other's first line")
                 late = {"gateway": "g0", "cluster": "c1", "complete": {"svc-1": 500}}
                 code, answer = relay.ask(
                     "POST", "/v1/acknowledge", {**late, "stay": old.subscriber.subscription_id()}
                 )
                 assert (code, answer["error"]["type"]) == (404, "NotSubscribed")
-                old.held.set()
+                old.put_allowed.set()
                 code, answer = relay.ask("GET", force("svc-1", 500))
                 assert (code, answer["everywhere"], answer["counted"]) == (200, False, 1)
                 old.driver.leave()
-                new.held.set()
+                new.put_allowed.set()
                 until(lambda: relay.ask("GET", force("svc-1", 500))[1]["everywhere"], "in force")
                 assert len(new.values) == 500
 
@@ -333,7 +333,7 @@
         relay.advance(60 * 10**9)
         with RecordingSubscriber("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts")
-            relay.do(relay.relay.acknowledgements.drop, "g0")
+            relay.call_on_loop(relay.relay.acknowledgements.drop, "g0")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["counted"] == 1, "it counts again")
             until(lambda: relay.ask("GET", force("svc-1", 5))[1]["everywhere"], "in force")
             assert gateway.subscriber.counts["streams"] == 2
@@ -461,11 +461,11 @@
         relays = [("r1", "north", first.address), ("r2", "south", second.address)]
         with RecordingSubscriber("g0", "north", ["svc-1"], relays) as gateway:
             gateway.wait_for_record("svc-1", "k", {"n": 1})
-            first.is_lost = True
+            first.is_cut = True
             second.apply(2, ("svc-1", "k", {"n": 2}))
             gateway.wait_for_record("svc-1", "k", {"n": 2})
             assert first.ask("GET", "/readyz")[0] == 503
-            first.is_lost = False
+            first.is_cut = False
             until(lambda: first.ask("GET", "/readyz")[0] == 200, "back")
 
 
@@ -476,10 +476,10 @@
         with RecordingSubscriber("g0", "north", ["svc-1"], [("r1", "north", relay.address)]) as gateway:
             gateway.wait_for_record("svc-1", "b", {"n": 9})
             until(lambda: relay.ask("GET", force("svc-1", 9))[1]["everywhere"], "in force")
-            gateway.held.clear()
+            gateway.put_allowed.clear()
             relay.replace("c2", 3, {"svc-1": {"a": (3, {"n": 3})}})
             assert relay.ask("GET", force("svc-1", 3))[1]["everywhere"] is False
-            gateway.held.set()
+            gateway.put_allowed.set()
             gateway.wait_for_record("svc-1", "a", {"n": 3})
             gateway.wait_for_record("svc-1", "b", None)
             until(lambda: relay.ask("GET", force("svc-1", 3))[1]["everywhere"], "in force")
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -475,7 +475,7 @@
     ledger.acknowledged("g0", 3)
     with running.dispatcher.lock:
         index = ledger.permit("i0")
-        until(lambda: ledger.wires.passed(running.follower.polling.member, "g0")["pieces"] > 3)
+        until(lambda: ledger.wires.link_counts(running.follower.polling.member, "g0")["pieces"] > 3)
         polls = dict(ledger.polls)
     assert polls["g0"] < index
     ledger.acknowledged("g0", index)
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -43,7 +43,7 @@
 
 def spoiled(cluster, capsys, text):
     """How a member ends that is started with a file changed like this: (exit code, what it said)."""
-    path = cluster.settings("g1")
+    path = cluster.write_settings("g1")
     changed = path.read_text()
     for old, new in text.items():
         assert old in changed
@@ -339,7 +339,7 @@
     assert (code, told["outcome"], told["error"]["type"]) == (503, "not done", "Outside")
     until(lambda: trio.status(trio.wait_leader())["bears"] == 0, "it counts as lost")
 
-    trio.place("g4")
+    trio.assign_addresses("g4")
     address = trio.addresses["g4"]
     nobody = trio.run_command(id="add/0", kind="add", member="g4", address=address)
     assert nobody[0] == 409 and "--join" in nobody[1]["error"]["do"]
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -64,8 +64,8 @@
 def test_bytes_pass_both_ways_and_are_counted(net):
     wires, address = net
     Held(address).say(b"hello").answered(b"hello")
-    assert wires.passed("a", "b")["bytes"] == wires.passed("b", "a")["bytes"] == 5
-    assert wires.passed("a", "b")["calls"] == 1
+    assert wires.link_counts("a", "b")["bytes"] == wires.link_counts("b", "a")["bytes"] == 5
+    assert wires.link_counts("a", "b")["calls"] == 1
 
 
 @pytest.mark.parametrize("one, other", [("a", "b"), ("b", "a"), ("a", "*")])
@@ -76,9 +76,9 @@
     wires.cut(one, other, back=False)
     held.say(b"2")
     stopped = (one, "b" if other == "*" else other)
-    wires.until(lambda: wires.passed(*stopped)["held"])
-    assert wires.passed("b", "a")["bytes"] == 1 and held.ended is None
-    assert wires.passed("a", "b")["bytes"] == (2 if one == "b" else 1)
+    wires.until(lambda: wires.link_counts(*stopped)["held"])
+    assert wires.link_counts("b", "a")["bytes"] == 1 and held.ended is None
+    assert wires.link_counts("a", "b")["bytes"] == (2 if one == "b" else 1)
     wires.heal()
     held.answered(b"12")
 
@@ -87,8 +87,8 @@
     wires, address = net
     wires.cut("b", "a", back=False)
     held = Held(address).say(b"1")
-    wires.until(lambda: wires.passed("b", "a")["held"])
-    assert held.ended is None and not wires.passed("a", "b")["bytes"]
+    wires.until(lambda: wires.link_counts("b", "a")["held"])
+    assert held.ended is None and not wires.link_counts("a", "b")["bytes"]
     wires.heal("a", "b")
     held.answered(b"1")
 
@@ -119,7 +119,7 @@
     wires.short("b", "a", after=3)
     held = Held(address).say(b"12345")
     held.until(lambda held: held.ended == "ConnectionResetError")
-    assert wires.passed("b", "a")["bytes"] == 3
+    assert wires.link_counts("b", "a")["bytes"] == 3
     Held(address).say(b"12345").answered(b"12345")
 
 
@@ -137,13 +137,13 @@
     held = Held(address).say(b"1")
     held.answered(b"11")
     held.say(b"2").answered(b"112")
-    assert wires.passed("a", "b")["repeated"] == 1
+    assert wires.link_counts("a", "b")["repeated"] == 1
 
 
 @pytest.mark.parametrize("slow", [dict(delay=0.1), dict(rate=2000.0)])
 def test_delay_and_rate_slow_one_direction_and_lose_nothing(net, slow):
     wires, address = net
-    wires.order("a", "b", back=False, **slow)
+    wires.set_faults("a", "b", back=False, **slow)
     held = Held(address)
     began = wires.loop.time()
     for _ in range(2):
@@ -161,7 +161,7 @@
     wires.cut("a", "b")
     Held(to["a1", "a2"]).say(b"1").answered(b"1")
     far = Held(to["a1", "b1"]).say(b"2")
-    wires.until(lambda: wires.passed("a1", "b1")["held"])
+    wires.until(lambda: wires.link_counts("a1", "b1")["held"])
     wires.heal("b", "a")
     far.answered(b"2")
     wires.close()
@@ -176,7 +176,7 @@
         held = Held(address)
         held.until(lambda held: held.ended in ("ConnectionResetError", "closed"))
     wires.until(lambda: not wires.connections)
-    assert wires.passed("a", "b")["calls"] == 1
+    assert wires.link_counts("a", "b")["calls"] == 1
     wires.close()
 
 
@@ -190,11 +190,11 @@
     with socket.create_connection(split_address(shared_wire), 10, source_address=("127.7.7.1", 0)) as sock:
         sock.sendall(b"?")
         assert sock.recv(10) == b"?"
-    assert wires.passed("a2", "b")["bytes"] == 3 and wires.passed("a1", "b")["bytes"] == 1
+    assert wires.link_counts("a2", "b")["bytes"] == 3 and wires.link_counts("a1", "b")["bytes"] == 1
     wires.refuse("a2", "b")
     held = Held(shared_wire).say(b"a2")
     held.until(lambda held: held.ended == "ConnectionResetError")
-    assert wires.passed("a2", "b")["refused"] == 1
+    assert wires.link_counts("a2", "b")["refused"] == 1
     wires.close()
     server.close()
 
