--- a/benchmarks/whole.py
+++ b/benchmarks/whole.py
@@ -78,7 +78,7 @@
             60,
         )
         if what:
-            self.gaps.setdefault(what, []).append(max(one.worst(began) for one in mine))
+            self.gaps.setdefault(what, []).append(max(one.longest_gap(began) for one in mine))
 
     # ---- the troubles
 
@@ -222,12 +222,12 @@
         folder, CLUSTERS, nodes, gateways, seed=arguments.seed, far=nodes, service="front"
     ) as all_:
         louis, ebene = all_.clusters.values()
-        all_.declare()
-        all_.declare("here", ebene, [node.name for node in all_.far])
+        all_.declare_nodes()
+        all_.declare_nodes("here", ebene, [node.name for node in all_.far])
         all_.group("store", ["n0", "n1", "n2"], 2)
         told = {"kind": "reserve", "reservation": "front", "service": "front", "units": 6, "site": "here"}
         assert louis.run_command(id="front", **told)[0] == 200
-        all_.serve().operate(count=2).operate(count=2, cluster=ebene)
+        all_.start_serving().start_operators(count=2).start_operators(count=2, cluster=ebene)
         all_.wait_requests(50)
         troubles = Troubles(all_, arguments.seed, arguments.only.split(","))
         work, began = Work(all_), time.monotonic()
--- a/lemonlead/standins/nodes.py
+++ b/lemonlead/standins/nodes.py
@@ -1,8 +1,9 @@
-"""Nodes: instances that obey a ledger's permits, and that count by themselves what happened to them.
+"""Stand-ins for nodes: instances that obey a ledger's permits and count what happens to them.
 
-A `Node` takes requests at an address of its own for each gateway, so that it knows whose an attempt is. An
-`Agent` tells it the ledger's permits and reports what it does. `Job` (a gang's) and `Replicas` (a group's)
-look at their nodes alone, not at any ledger. No code is shared with what is checked."""
+A `Node` listens at an address of its own for each gateway, so that it knows which gateway sent an attempt.
+An `Agent` passes the ledger's permits to a node and reports the node's state to the ledger. `Job` (of a
+gang) and `GroupMonitor` (of a group) look only at their nodes, not at a ledger. No code is shared with the
+code under test."""
 
 import contextlib
 import http.client
@@ -20,41 +21,44 @@
 DRAINED = "drained"
 DOWN = "down"
 CATCHING_UP = "catching_up"
-MOST_ATTEMPTS = 500_000  # that are kept with their moments; of older ones the counts stay
-CALL_TIMEOUT_SECONDS = 5.0  # seconds for one call to a member
+MAX_ATTEMPTS = 500_000  # records kept of each node; older ones are only counted
+CALL_TIMEOUT_SECONDS = 5.0  # of one call to a member
 
 
-class Ear(InstanceServer):
-    """Where one gateway reaches a node."""
+class GatewayListener(InstanceServer):
+    """The listener of a node for one gateway."""
 
     def __init__(self, node, gateway):
         super().__init__(
-            node.taken_by(gateway), host=new_loopback_host()
-        )  # nobody else's: it comes back at the same one
+            node.handler_for(gateway), host=new_loopback_host()
+        )  # an own host: the address stays free
         host, port = self.listener.getsockname()
-        self.place = (host, port)
+        self.socket_address = (host, port)
         self.open = True
 
-    def shut(self):
+    def stop(self):
         if self.open:
             self.open = False
             self.close()
 
-    def reopen(self):
-        """At the same address as before."""
-        again = Server.__new__(type(self))  # all but the socket and its connections is as it was
+    def start_again(self):
+        """Returns a new listener at the same address, started."""
+        again = Server.__new__(type(self))  # a copy, except for the socket and its connections
         again.__dict__ |= self.__dict__ | {"connections": [], "open": True}
         again.listener = type(self.listener)()
         again.listener.setsockopt(1, 2, 1)  # SOL_SOCKET, SO_REUSEADDR
-        again.listener.bind(self.place)
+        again.listener.bind(self.socket_address)
         again.listener.listen(64)
         return again.start()
 
 
 class Node:
-    """`attempts`: (moment, gateway, state) of each request taken. `counts`: "attempts", "after clear"
-    (requests that came although every gateway was said to have stopped), "old permits" (refused), "downs",
-    "ended" (requests cut off by going down). `states`: (moment, state), in order."""
+    """An instance that goes down by permits of a ledger.
+
+    `attempts`: (time, gateway, state) of each request received. `counts`: "attempts", "after clear" (requests
+    received after all gateways had stopped sending by the ledger's state), "old permits" (ignored), "downs",
+    "ended" (requests aborted by going down). `states`: (time, state), in order.
+    """
 
     def __init__(self, name, work=0.0, away=0.0, catch_up=0.0):
         self.name = name
@@ -62,10 +66,10 @@
         self.away = away
         self.catch_up = catch_up
         self.changed = threading.Condition()
-        self.ears, self.attempts, self.counts = {}, deque(maxlen=MOST_ATTEMPTS), Counter()
+        self.listeners, self.attempts, self.counts = {}, deque(maxlen=MAX_ATTEMPTS), Counter()
         self.by_gateway, self.held = Counter(), 0
         self.state, self.states = SERVING, [(time.monotonic(), SERVING)]
-        # the newest permit ever seen; the ledger's entry last obeyed
+        # The newest permit seen, as (term, index), and the last ledger entry that was acted on.
         self.fence = (0, 0)
         self.seen = 0
         self.jobs, self.watchers = set(), []
@@ -77,13 +81,13 @@
     # ---- requests
 
     def listen(self, gateway):
-        """The address at which this gateway reaches it."""
+        """Returns the address at which this gateway reaches the node."""
         with self.changed:
-            if gateway not in self.ears:
-                self.ears[gateway] = Ear(self, gateway).start()
-            return self.ears[gateway].address
+            if gateway not in self.listeners:
+                self.listeners[gateway] = GatewayListener(self, gateway).start()
+            return self.listeners[gateway].address
 
-    def taken_by(self, gateway):
+    def handler_for(self, gateway):
         def react(words):
             if words[0].upper() == b"PING":
                 return b"+PONG\r\n"
@@ -102,11 +106,13 @@
 
         return react
 
-    # ---- what it is told and does
+    # ---- permits and states
 
     def receive_permit(self, permit, at):
-        """The permit out for it as the ledger has it at entry `at`, or None. Whether it is to be acted on
-        now: only one that is clear, and none older than one that was seen."""
+        """Takes the permit (or None) that the ledger has for the node at entry `at`.
+
+        Returns whether to act on it now: only if it is clear and not older than one seen before.
+        """
         with self.changed:
             if at < self.seen:
                 self.counts["old permits"] += permit is not None
@@ -119,10 +125,10 @@
             self.seen = at
             if permit is None or permit["phase"] != "clear" or self.state != SERVING:
                 return False
-            self.become(CLEARING)
+            self.set_state(CLEARING)
             return True
 
-    def become(self, state):
+    def set_state(self, state):
         with self.changed:
             self.state = state
             self.states.append((time.monotonic(), state))
@@ -131,10 +137,10 @@
             watcher()
 
     def go_down(self, report):
-        """Ends what it holds, goes down, comes back cold. `report(state)`: brings it to the ledger."""
+        """Waits for its requests and jobs, goes down and comes back. `report(state)` reports each state."""
         with self.changed:
             self.changed.wait_for(lambda: not self.held and not self.jobs or self.killed.is_set(), 600)
-        self.become(DRAINED)
+        self.set_state(DRAINED)
         report("drained")
         self.down()
         time.sleep(self.away)
@@ -143,34 +149,34 @@
         report("catching_up")
         time.sleep(self.catch_up)
         self.may_catch_up.wait(600)
-        self.become(SERVING)
+        self.set_state(SERVING)
         report("serving")
 
     def down(self):
         with self.changed:
             self.counts["downs"] += 1
             self.counts["ended"] += self.held
-            jobs, ears = list(self.jobs), list(self.ears.values())
-        for ear in ears:
-            ear.shut()
+            jobs, listeners = list(self.jobs), list(self.listeners.values())
+        for listener in listeners:
+            listener.stop()
         for job in jobs:
             job.lost(self)
-        self.become(DOWN)
+        self.set_state(DOWN)
 
     def up(self):
         with self.changed:
-            self.ears = {gateway: ear.reopen() for gateway, ear in self.ears.items()}
-        self.become(CATCHING_UP)
+            self.listeners = {gateway: listener.start_again() for gateway, listener in self.listeners.items()}
+        self.set_state(CATCHING_UP)
 
     def kill(self):
-        """It fails on its own, and reports nothing."""
+        """Fails without a permit and reports nothing."""
         self.killed.set()
         self.down()
 
     def revive(self):
         self.killed.clear()
         self.up()
-        self.become(SERVING)
+        self.set_state(SERVING)
 
     def until(self, condition, seconds=60):
         with self.changed:
@@ -178,12 +184,12 @@
 
     def close(self):
         self.killed.set()
-        for ear in self.ears.values():
-            ear.shut()
+        for listener in self.listeners.values():
+            listener.stop()
 
 
 class Job:
-    """A gang's: it needs all its nodes until `end`. `broken`: by which node."""
+    """The work of a gang: it needs all its nodes until `end`. `broken`: the node that broke it, or None."""
 
     def __init__(self, name, nodes):
         self.name, self.nodes, self.broken, self.running = name, list(nodes), None, True
@@ -206,17 +212,20 @@
 
 
 class GroupMonitor:
-    """A group's: `least` is the fewest that ever served and were caught up, `broken` how often they came to
-    be fewer than its quorum."""
+    """Watches the nodes of a group.
+
+    `min_serving`: the smallest number of nodes that served, caught up, at any time. `broken`: how often the
+    number fell below the quorum.
+    """
 
     def __init__(self, name, nodes, quorum):
         self.name, self.nodes, self.quorum, self.broken = name, list(nodes), quorum, 0
         self.lock, self.min_serving, self.enough = threading.Lock(), len(self.nodes), True
         for node in self.nodes:
-            node.watchers.append(self.look)
-        self.look()
+            node.watchers.append(self.update)
+        self.update()
 
-    def look(self):
+    def update(self):
         with self.lock:
             serve = sum(node.state == SERVING for node in self.nodes)
             self.min_serving = min(self.min_serving, serve)
@@ -225,32 +234,34 @@
 
 
 class MemberClient:
-    """A cluster as whoever has its addresses sees it: asks one after the other."""
+    """A client of a cluster that calls one member after another."""
 
     def __init__(self, *addresses):
-        self.addresses, self.turn, self.counts = list(addresses), 0, Counter()
+        self.addresses, self.current, self.counts = list(addresses), 0, Counter()
+
+    def ask(self, method, path, body=None):
+        """Calls the current member. Returns (status, decoded body); without an answer (0, reason).
 
-    def ask(self, method, path, told=None):
-        """(status, the object told); (0, reason) where the member did not answer. Then it is the next one's
-        turn."""
-        host, _, port = self.addresses[self.turn % len(self.addresses)].rpartition(":")
+        After status 0 or 503 the next member is current.
+        """
+        host, _, port = self.addresses[self.current % len(self.addresses)].rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_SECONDS)
         try:
-            connection.request(method, path, None if told is None else json.dumps(told))
+            connection.request(method, path, None if body is None else json.dumps(body))
             answer = connection.getresponse()
-            status, told = answer.status, json.loads(answer.read())
+            status, body = answer.status, json.loads(answer.read())
         except (OSError, ValueError, http.client.HTTPException) as error:
-            status, told = 0, type(error).__name__
+            status, body = 0, type(error).__name__
         finally:
             connection.close()
         self.counts[status] += 1
-        self.turn += status in (0, 503)
-        return status, told
+        self.current += status in (0, 503)
+        return status, body
 
-    def command(self, stopped, **told):
-        """The answer of a command, asked under one id until it is none of 503; None once `stopped` is set."""
+    def command(self, stopped, **fields):
+        """Sends a command, under one id, until it is decided. Returns (status, body), or None if stopped."""
         while not stopped.is_set():
-            status, answer = self.ask("POST", "/v1/commands", told)
+            status, answer = self.ask("POST", "/v1/commands", fields)
             if status in (200, 400, 409):
                 return status, answer
             stopped.wait(0.05)
@@ -258,11 +269,11 @@
 
 
 class Agent:
-    """Tells one node its permits and the ledger what the node does, on a thread of its own."""
+    """Passes permits to a node and reports its states to the ledger, on a thread of its own."""
 
     def __init__(self, node, members):
         self.node, self.members, self.stopped, self.number = node, members, threading.Event(), 0
-        self.refused = []  # reports that the ledger did not take
+        self.refused = []  # (state, answer) of reports that the ledger refused
         self.boot = f"{time.monotonic_ns():x}"
         self.thread = threading.Thread(target=self.run, daemon=True)
 
@@ -273,23 +284,23 @@
     def run(self):
         at = 0
         while not self.stopped.is_set():
-            status, told = self.members.ask("GET", "/v1/state/permits")
+            status, body = self.members.ask("GET", "/v1/state/permits")
             if status != 200:
                 self.stopped.wait(0.05)
                 continue
-            permit, known = told["items"].get(self.node.name), at
-            at = max(at, told["at"])
-            if self.node.receive_permit(permit, told["at"]):
+            permit, known = body["items"].get(self.node.name), at
+            at = max(at, body["at"])
+            if self.node.receive_permit(permit, body["at"]):
                 self.node.go_down(self.report)
             elif permit is not None and permit["phase"] == "recalled" and at > known:
-                self.report("serving")  # that it saw this, and did not act
+                self.report("serving")  # the node saw the recall and did not act
             self.members.ask("GET", f"/v1/events?after={at}")
 
     def report(self, state):
         self.number += 1
-        told = {"kind": "report", "node": self.node.name, "state": state, "seen": self.node.seen}
+        fields = {"kind": "report", "node": self.node.name, "state": state, "seen": self.node.seen}
         id = f"{self.node.name}/{self.boot}/{self.number}"
-        answer = self.members.command(self.stopped, id=id, **told)
+        answer = self.members.command(self.stopped, id=id, **fields)
         if answer is not None and answer[0] != 200:
             self.refused.append((state, answer))
 
--- a/lemonlead/standins/relays.py
+++ b/lemonlead/standins/relays.py
@@ -42,7 +42,7 @@
 
 
 class Relays:
-    """Relays as programs, started and ended as a context manager. `regions`: name of a relay to its region."""
+    """Relays as programs, started and ended as a context manager. `regions`: relay name to region."""
 
     def __init__(self, folder, cluster, regions, rate=1_000_000, burst=1_000_000, more=LEASE):
         self.folder = folder
--- a/lemonlead/standins/wires.py
+++ b/lemonlead/standins/wires.py
@@ -57,9 +57,7 @@
     rate: float = 0.0  # bytes per second; 0: no limit
     short: int | None = None  # bytes of a connection after which it is reset
     times: int = 0  # number of further connections that `short` resets
-    garble: list = field(
-        default_factory=list
-    )  # for each bit to flip, the number of bytes that pass before it
+    garble: list = field(default_factory=list)  # bytes that pass before each bit flip
     repeat: int = 0  # number of further chunks that pass twice
     counts: Counter = field(default_factory=Counter)
 
@@ -125,14 +123,14 @@
     # ---- parties and wires
 
     def wire(self, source, target, to):
-        """Returns an address at which `source` reaches `target`, which need not listen at `to` yet."""
+        """Returns the address at which `source` reaches `target`, which listens at `to` now or later."""
         return self.add(Wire(source, target, to, None))
 
     def shared_wire(self, target, to, identify=None, at=None):
         """Returns an address at which all parties reach `target`.
 
-        The caller is known by the host that it calls from (`set_party_host`), else by `identify(first bytes)`,
-        which returns a name, or None if it needs more bytes.
+        The caller is known by the host that it calls from (`set_party_host`), else by `identify(first
+        bytes)`, which returns a name, or None if it needs more bytes.
         """
         return self.add(Wire("", target, to, identify), at)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -784,7 +784,7 @@
         cluster.run_command(id="r", kind="group", group="r", nodes=[node.name for node in fleet], quorum=2)
         replicas = GroupMonitor("r", fleet, 2)
         follow = f'follow: {{members: {{m1: "{cluster.addresses["m1"]}"}}, wait: 10s}}'
-        with gateway(tmp_path, *(node.ears["g0"] for node in fleet), follow=follow) as running:
+        with gateway(tmp_path, *(node.listeners["g0"] for node in fleet), follow=follow) as running:
             crowd = RepeatingClients(running.port, 4, lambda client, number: client.ask() and None).start()
             agents = [Agent(node, MemberClient(cluster.addresses["m1"])).start() for node in fleet]
             code, _ = cluster.run_command(
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -1,4 +1,4 @@
-"""Whole programs together on loopback: clusters, gateways, nodes, requests and commands under way; faults."""
+"""Tests of whole programs together on loopback, with faults while requests and commands are sent."""
 
 import time
 
@@ -10,95 +10,102 @@
 BOTH = {**LOUIS, "ebene": ("h1", "h2", "h3")}
 
 
-def whole(faults):
+def assert_none(faults):
     assert not faults, "\n".join(faults)
 
 
-def test_all_nodes_are_drained_in_turn_while_leaders_die_and_no_request_is_lost(tmp_path):
-    with Installation(tmp_path, LOUIS) as all_:
-        all_.declare()
-        all_.group("store", ["n0", "n1", "n2"], 2)
-        all_.serve().operate()
-        all_.wait_requests(50)
-        job = Job("sort", [all_["n3"], all_["n4"]])
+def test_drain_of_all_nodes_with_a_killed_leader_loses_no_request(tmp_path):
+    with Installation(tmp_path, LOUIS) as installation:
+        installation.declare_nodes()
+        installation.group("store", ["n0", "n1", "n2"], 2)
+        installation.start_serving().start_operators()
+        installation.wait_requests(50)
+        job = Job("sort", [installation["n3"], installation["n4"]])
         gang = {"kind": "gang", "gang": "sort", "nodes": ["n3", "n4"], "units": 2}
-        assert all_.home.run_command(id="gang", **gang)[0] == 200
-        names = [node.name for node in all_.nodes]
+        assert installation.home.run_command(id="gang", **gang)[0] == 200
+        names = [node.name for node in installation.nodes]
         assert (
-            all_.home.run_command(id="drain", kind="drain", drain="kernel", nodes=names, deadline_ms=0)[0]
+            installation.home.run_command(
+                id="drain", kind="drain", drain="kernel", nodes=names, deadline_ms=0
+            )[0]
             == 200
         )
-        until(lambda: any(node.counts["downs"] for node in all_.nodes), "a first node goes")
-        leader = all_.home.wait_leader()
-        all_.home.kill(leader)
-        all_.wait_acknowledged(20)
-        all_.home.start(leader)
-        until(lambda: sum(node.counts["downs"] for node in all_.nodes) >= 3, "more go")
-        assert all_.items("drains")["kernel"]["phase"] == "running"
-        assert not all_["n3"].counts["downs"] and not all_["n4"].counts["downs"]
+        until(lambda: any(node.counts["downs"] for node in installation.nodes), "a first node goes down")
+        leader = installation.home.wait_leader()
+        installation.home.kill(leader)
+        installation.wait_acknowledged(20)
+        installation.home.start(leader)
+        until(lambda: sum(node.counts["downs"] for node in installation.nodes) >= 3, "more nodes go down")
+        assert installation.items("drains")["kernel"]["phase"] == "running"
+        assert not installation["n3"].counts["downs"] and not installation["n4"].counts["downs"]
         job.end()
-        assert all_.home.run_command(id="end", kind="gang_end", gang="sort")[0] == 200
-        all_.wait_drain("kernel", "done")
-        assert [node.counts["downs"] for node in all_.nodes] == [1] * 6 and job.broken is None
-        all_.wait_requests(100)
-        for one in all_.operators + all_.crowds:
+        assert installation.home.run_command(id="end", kind="gang_end", gang="sort")[0] == 200
+        installation.wait_drain("kernel", "done")
+        assert [node.counts["downs"] for node in installation.nodes] == [1] * 6 and job.broken is None
+        installation.wait_requests(100)
+        for one in installation.operators + installation.crowds:
             one.stop()
-        whole(all_.faults())
-        assert all_.counts()["right"] > 200
+        assert_none(installation.faults())
+        assert installation.counts()["right"] > 200
 
 
-def test_a_drain_waits_for_a_gateway_that_hears_nothing_until_its_lease_ran_out(tmp_path):
-    with Installation(tmp_path, LOUIS, nodes=3) as all_:
-        all_.declare()
-        all_.serve().operate(count=1)
-        all_.wait_requests(30)
-        all_.wires.cut("gw0", "louis")
+def test_drain_waits_for_the_lease_of_a_gateway_that_is_cut_off(tmp_path):
+    with Installation(tmp_path, LOUIS, nodes=3) as installation:
+        installation.declare_nodes()
+        installation.start_serving().start_operators(count=1)
+        installation.wait_requests(30)
+        installation.wires.cut("gw0", "louis")
         began = time.monotonic()
         assert (
-            all_.home.run_command(id="drain", kind="drain", drain="bad", nodes=["n0"], deadline_ms=0)[0]
+            installation.home.run_command(id="drain", kind="drain", drain="bad", nodes=["n0"], deadline_ms=0)[
+                0
+            ]
             == 200
         )
-        all_["n0"].until(lambda node: node.counts["downs"])
-        assert time.monotonic() - began > 3.9  # the lease told is 4 s; the poll before the cut renewed it
-        all_.wait_drain("bad", "done")
-        before = all_.counts()["right"]
-        all_.wait_requests(60)
-        assert all_.counts()["right"] > before
-        all_.wires.heal()
-        until(lambda: set(all_.items("followers")) == {"gw0", "gw1"}, "the one cut off follows again")
-        for one in all_.operators + all_.crowds:
+        installation["n0"].until(lambda node: node.counts["downs"])
+        assert time.monotonic() - began > 3.9  # the lease is 4 s; the last poll before the cut renewed it
+        installation.wait_drain("bad", "done")
+        before = installation.counts()["right"]
+        installation.wait_requests(60)
+        assert installation.counts()["right"] > before
+        installation.wires.heal()
+        until(lambda: set(installation.items("followers")) == {"gw0", "gw1"}, "the one cut off follows again")
+        for one in installation.operators + installation.crowds:
             one.stop()
-        whole(all_.faults(unheard=["gw0"]))
+        assert_none(installation.faults(cut_off=["gw0"]))
 
 
-def test_a_service_moves_while_the_clusters_are_cut_off_and_lose_their_leaders(tmp_path):
-    with Installation(tmp_path, BOTH, nodes=0, gateways=0) as all_:
-        louis, ebene = all_.clusters.values()
+def test_service_moves_in_spite_of_a_cut_and_lost_leaders(tmp_path):
+    with Installation(tmp_path, BOTH, nodes=0, gateways=0) as installation:
+        louis, ebene = installation.clusters.values()
         for cluster, names in ((louis, ("a", "b")), (ebene, ("x", "y"))):
-            all_.declare("here", cluster, names)
-            all_.operate(cluster=cluster, count=1)
+            installation.declare_nodes("here", cluster, names)
+            installation.start_operators(cluster=cluster, count=1)
         for name in ("front", "back"):
-            told = {"kind": "reserve", "reservation": name, "service": name, "units": 6, "site": "here"}
-            assert louis.run_command(id=f"reserve/{name}", **told)[0] == 200
+            command = {"kind": "reserve", "reservation": name, "service": name, "units": 6, "site": "here"}
+            assert louis.run_command(id=f"reserve/{name}", **command)[0] == 200
         begin = {"kind": "move", "move": "one", "service": "front", "to": "ebene"}
         assert louis.run_command(id="one", **begin)[0] == 200
-        until(lambda: all_.items("moves")["one"]["step"] not in ("asked", "reserving"), "it is held there")
-        all_.wires.cut("louis", "ebene")
+        until(
+            lambda: installation.items("moves")["one"]["step"] not in ("asked", "reserving"),
+            "the destination holds the service",
+        )
+        installation.wires.cut("louis", "ebene")
         louis.kill(source := louis.wait_leader())
         assert louis.run_command(id="two", **{**begin, "move": "two", "service": "back"})[0] == 200
-        all_.wait_acknowledged(20)
+        installation.wait_acknowledged(20)
         louis.start(source)
-        all_.wires.heal()
-        until(lambda: all_.items("moves")["one"]["step"] == "shifting", "the shift begins", 60)
+        installation.wires.heal()
+        until(lambda: installation.items("moves")["one"]["step"] == "shifting", "the shift begins", 60)
         ebene.pause(far := ebene.wait_leader())
         ebene.wait_leader(other_than=far)
         assert louis.run_command(id="stop", kind="move_stop", move="two")[0] == 200
         ebene.resume(far)
-        assert all_.wait_move("one", "done")["service"] == "front"
-        all_.wait_move("two", "stopped", "refused")
-        for one in all_.operators:
+        assert installation.wait_move("one", "done")["service"] == "front"
+        installation.wait_move("two", "stopped", "refused")
+        for one in installation.operators:
             one.stop()
-        whole(all_.faults())
-        here, there = all_.items("reservations", louis), all_.items("reservations", ebene)
+        assert_none(installation.faults())
+        here, there = installation.items("reservations", louis), installation.items("reservations", ebene)
         assert "front" not in here and there["front"]["units"] == 6 and not there["front"]["move"]
         assert here["back"]["units"] == 6 and not here["back"]["move"] and "back" not in there
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -1,4 +1,4 @@
-"""The stand-in network and the stand-in nodes: each fault does what it says, and no more."""
+"""Tests of the stand-in network and the stand-in nodes: each fault has its effect and no other."""
 
 import contextlib
 import socket
@@ -19,8 +19,8 @@
             sock.sendall(data)
 
 
-class Held:
-    """Reads in a thread of its own, so that a test can say that nothing has come yet."""
+class ReadingClient:
+    """A connection read on a thread of its own, so that a test can check that nothing has arrived."""
 
     def __init__(self, address):
         self.sock = socket.create_connection(split_address(address), 10)
@@ -40,7 +40,7 @@
             self.got, self.ended = self.got + data, ended
             self.changed.notify_all()
 
-    def say(self, data):
+    def send(self, data):
         self.sock.sendall(data)
         return self
 
@@ -48,8 +48,8 @@
         with self.changed:
             assert self.changed.wait_for(lambda: condition(self), 20), (self.got, self.ended)
 
-    def answered(self, data):
-        self.until(lambda held: held.got == data)
+    def wait_received(self, data):
+        self.until(lambda client: client.got == data)
 
 
 @pytest.fixture
@@ -63,137 +63,137 @@
 
 def test_bytes_pass_both_ways_and_are_counted(net):
     wires, address = net
-    Held(address).say(b"hello").answered(b"hello")
+    ReadingClient(address).send(b"hello").wait_received(b"hello")
     assert wires.link_counts("a", "b")["bytes"] == wires.link_counts("b", "a")["bytes"] == 5
     assert wires.link_counts("a", "b")["calls"] == 1
 
 
 @pytest.mark.parametrize("one, other", [("a", "b"), ("b", "a"), ("a", "*")])
-def test_a_cut_holds_one_direction_until_healed(net, one, other):
+def test_cut_stops_one_direction_until_healed(net, one, other):
     wires, address = net
-    held = Held(address).say(b"1")
-    held.answered(b"1")
+    client = ReadingClient(address).send(b"1")
+    client.wait_received(b"1")
     wires.cut(one, other, back=False)
-    held.say(b"2")
+    client.send(b"2")
     stopped = (one, "b" if other == "*" else other)
     wires.until(lambda: wires.link_counts(*stopped)["held"])
-    assert wires.link_counts("b", "a")["bytes"] == 1 and held.ended is None
+    assert wires.link_counts("b", "a")["bytes"] == 1 and client.ended is None
     assert wires.link_counts("a", "b")["bytes"] == (2 if one == "b" else 1)
     wires.heal()
-    held.answered(b"12")
+    client.wait_received(b"12")
 
 
-def test_a_new_connection_through_a_cut_comes_up_silent(net):
+def test_new_connection_through_a_cut_is_accepted_and_silent(net):
     wires, address = net
     wires.cut("b", "a", back=False)
-    held = Held(address).say(b"1")
+    client = ReadingClient(address).send(b"1")
     wires.until(lambda: wires.link_counts("b", "a")["held"])
-    assert held.ended is None and not wires.link_counts("a", "b")["bytes"]
+    assert client.ended is None and not wires.link_counts("a", "b")["bytes"]
     wires.heal("a", "b")
-    held.answered(b"1")
+    client.wait_received(b"1")
 
 
-def test_refused_connections_do_not_come_up_and_standing_ones_go_on(net):
+def test_new_connections_are_refused_and_open_ones_go_on(net):
     wires, address = net
-    held = Held(address).say(b"1")
-    held.answered(b"1")
+    client = ReadingClient(address).send(b"1")
+    client.wait_received(b"1")
     wires.refuse("a", "b")
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(split_address(address), 10)
-    held.say(b"2").answered(b"12")
+    client.send(b"2").wait_received(b"12")
     wires.heal()
-    Held(address).say(b"3").answered(b"3")
+    ReadingClient(address).send(b"3").wait_received(b"3")
 
 
-def test_a_reset_ends_what_stands_and_nothing_after(net):
+def test_reset_ends_only_open_connections(net):
     wires, address = net
-    held = Held(address).say(b"1")
-    held.answered(b"1")
+    client = ReadingClient(address).send(b"1")
+    client.wait_received(b"1")
     wires.reset("a", "b")
-    held.until(lambda held: held.ended == "ConnectionResetError")
-    Held(address).say(b"2").answered(b"2")
+    client.until(lambda client: client.ended == "ConnectionResetError")
+    ReadingClient(address).send(b"2").wait_received(b"2")
 
 
-def test_a_connection_is_cut_short_after_so_many_bytes_once(net):
+def test_short_resets_one_connection_after_a_number_of_bytes(net):
     wires, address = net
     wires.short("b", "a", after=3)
-    held = Held(address).say(b"12345")
-    held.until(lambda held: held.ended == "ConnectionResetError")
+    client = ReadingClient(address).send(b"12345")
+    client.until(lambda client: client.ended == "ConnectionResetError")
     assert wires.link_counts("b", "a")["bytes"] == 3
-    Held(address).say(b"12345").answered(b"12345")
+    ReadingClient(address).send(b"12345").wait_received(b"12345")
 
 
-def test_garbling_flips_one_bit_in_the_bytes_told_of(net):
+def test_garble_flips_one_bit_within_the_given_bytes(net):
     wires, address = net
     wires.garble("a", "b", within=100)
-    held = Held(address).say(bytes(300))
-    held.until(lambda held: len(held.got) == 300)
-    assert [byte.bit_count() for byte in held.got if byte] == [1] and any(held.got[:100])
+    client = ReadingClient(address).send(bytes(300))
+    client.until(lambda client: len(client.got) == 300)
+    assert [byte.bit_count() for byte in client.got if byte] == [1] and any(client.got[:100])
 
 
-def test_a_piece_may_pass_twice(net):
+def test_repeat_passes_one_chunk_twice(net):
     wires, address = net
     wires.repeat("a", "b")
-    held = Held(address).say(b"1")
-    held.answered(b"11")
-    held.say(b"2").answered(b"112")
+    client = ReadingClient(address).send(b"1")
+    client.wait_received(b"11")
+    client.send(b"2").wait_received(b"112")
     assert wires.link_counts("a", "b")["repeated"] == 1
 
 
 @pytest.mark.parametrize("slow", [dict(delay=0.1), dict(rate=2000.0)])
-def test_delay_and_rate_slow_one_direction_and_lose_nothing(net, slow):
+def test_delay_and_rate_slow_one_direction_without_loss(net, slow):
     wires, address = net
     wires.set_faults("a", "b", back=False, **slow)
-    held = Held(address)
+    client = ReadingClient(address)
     began = wires.loop.time()
     for _ in range(2):
-        held.say(bytes(200))
-        held.until(lambda held: len(held.got) % 200 == 0 and held.got)
-    held.until(lambda held: len(held.got) == 400)
+        client.send(bytes(200))
+        client.until(lambda client: len(client.got) % 200 == 0 and client.got)
+    client.until(lambda client: len(client.got) == 400)
     assert wires.loop.time() - began >= 0.1
 
 
-def test_groups_are_cut_from_groups_and_heal():
+def test_groups_are_cut_from_each_other_and_healed():
     servers, wires = {name: Echo().start() for name in ("a1", "a2", "b1")}, Wires()
     to = {pair: wires.wire(*pair, servers[pair[1]].address) for pair in (("a1", "a2"), ("a1", "b1"))}
     wires.group("a", "a1", "a2")
     wires.group("b", "b1")
     wires.cut("a", "b")
-    Held(to["a1", "a2"]).say(b"1").answered(b"1")
-    far = Held(to["a1", "b1"]).say(b"2")
+    ReadingClient(to["a1", "a2"]).send(b"1").wait_received(b"1")
+    far = ReadingClient(to["a1", "b1"]).send(b"2")
     wires.until(lambda: wires.link_counts("a1", "b1")["held"])
     wires.heal("b", "a")
-    far.answered(b"2")
+    far.wait_received(b"2")
     wires.close()
     for server in servers.values():
         server.close()
 
 
-def test_a_target_that_does_not_listen_is_a_reset():
+def test_connection_to_a_target_that_does_not_listen_is_reset():
     wires = Wires()
     address = wires.wire("a", "b", free_address())
-    with contextlib.suppress(ConnectionResetError):  # it may come before the connection is known to be up
-        held = Held(address)
-        held.until(lambda held: held.ended in ("ConnectionResetError", "closed"))
+    with contextlib.suppress(ConnectionResetError):  # the reset may come before connect() returns
+        client = ReadingClient(address)
+        client.until(lambda client: client.ended in ("ConnectionResetError", "closed"))
     wires.until(lambda: not wires.connections)
     assert wires.link_counts("a", "b")["calls"] == 1
     wires.close()
 
 
-def test_a_front_tells_callers_apart_by_their_address_and_by_what_they_say():
+def test_shared_wire_identifies_callers_by_host_and_by_first_bytes():
     server, wires = Echo().start(), Wires()
     shared_wire = wires.shared_wire(
         "b", server.address, lambda data: data[:2].decode() if len(data) > 1 else None
     )
     wires.set_party_host("a1", "127.7.7.1")
-    Held(shared_wire).say(b"a").say(b"2x").answered(b"a2x")
+    ReadingClient(shared_wire).send(b"a").send(b"2x").wait_received(b"a2x")
     with socket.create_connection(split_address(shared_wire), 10, source_address=("127.7.7.1", 0)) as sock:
         sock.sendall(b"?")
         assert sock.recv(10) == b"?"
     assert wires.link_counts("a2", "b")["bytes"] == 3 and wires.link_counts("a1", "b")["bytes"] == 1
     wires.refuse("a2", "b")
-    held = Held(shared_wire).say(b"a2")
-    held.until(lambda held: held.ended == "ConnectionResetError")
+    client = ReadingClient(shared_wire).send(b"a2")
+    client.until(lambda client: client.ended == "ConnectionResetError")
     assert wires.link_counts("a2", "b")["refused"] == 1
     wires.close()
     server.close()
@@ -221,14 +221,14 @@
     node.close()
 
 
-def test_a_node_counts_sends_by_gateway(node):
+def test_node_counts_attempts_by_gateway(node):
     one, two = node.listen("g0"), node.listen("g1")
     assert [send(one), send(two), send(one)] == [[b"aa", None, None]] * 3
     assert node.by_gateway == {"g0": 2, "g1": 1} and not node.counts["after clear"]
 
 
 @pytest.mark.parametrize(
-    "permit, at, acts, old",
+    "permit, at, acts, ignored",
     [
         (PERMIT, 9, True, 0),
         ({**PERMIT, "phase": "given"}, 9, False, 0),
@@ -239,17 +239,17 @@
         (None, 9, False, 0),
     ],
 )
-def test_a_node_acts_on_a_clear_permit_alone_and_refuses_older_ones(node, permit, at, acts, old):
+def test_node_acts_only_on_clear_permits_and_ignores_older_ones(node, permit, at, acts, ignored):
     node.receive_permit({**PERMIT, "phase": "given"}, 8)
-    assert (node.receive_permit(permit, at), node.counts["old permits"]) == (acts, old)
+    assert (node.receive_permit(permit, at), node.counts["ignored permits"]) == (acts, ignored)
 
 
-def test_a_node_that_goes_down_refuses_and_comes_back_at_its_address(node):
+def test_node_goes_down_and_comes_back_at_its_address(node):
     address, reports = node.listen("g0"), []
     node.may_return.clear()
     assert node.receive_permit(PERMIT, 9)
     send(address)
-    assert node.counts["after clear"] == 1  # seen, as it had been told that none would come
+    assert node.counts["after clear"] == 1  # counted, as all gateways were said to have stopped
     thread = threading.Thread(target=node.go_down, args=(reports.append,), daemon=True)
     thread.start()
     node.until(lambda node: node.state == DOWN)
@@ -268,7 +268,7 @@
     ]
 
 
-def test_a_node_waits_for_the_job_it_holds_and_a_killed_one_breaks_it(node):
+def test_node_waits_for_its_job_and_a_killed_node_breaks_it(node):
     other = Node("n2")
     job = Job("j", [node, other])
     assert node.receive_permit(PERMIT, 9)
@@ -281,22 +281,22 @@
     assert node.counts["downs"] == 1 and node.state == "serving"
 
 
-def test_replicas_count_how_often_they_fell_below_their_quorum():
+def test_group_monitor_counts_falls_below_the_quorum():
     nodes = [Node(f"n{number}") for number in range(3)]
-    replicas = GroupMonitor("r", nodes, 2)
+    monitor = GroupMonitor("r", nodes, 2)
     nodes[0].kill()
-    assert (replicas.min_serving, replicas.broken) == (2, 0)
+    assert (monitor.min_serving, monitor.broken) == (2, 0)
     nodes[1].kill()
     nodes[2].kill()
-    assert (replicas.min_serving, replicas.broken) == (0, 1)
+    assert (monitor.min_serving, monitor.broken) == (0, 1)
     for one in nodes:
         one.revive()
     nodes[0].kill()
     nodes[1].up()  # not caught up
-    assert replicas.broken == 2
+    assert monitor.broken == 2
 
 
-def test_an_agent_takes_its_node_through_a_drain_and_tells_the_ledger(node):
+def test_agent_takes_its_node_through_a_drain_and_reports_it(node):
     ledger = fake_ledger.Ledger()
     member = fake_ledger.MemberServer(ledger).start()
     dead = free_address()
