--- a/lemonlead/standins/fake_ledger.py
+++ b/lemonlead/standins/fake_ledger.py
@@ -1,5 +1,7 @@
-"""A cluster's members as gateways see them: HTTP calls, a state, changes. No consensus and no rule: what it
-holds is what a test puts there. Several servers may share one `Ledger`."""
+"""A stand-in for a cluster's members as gateways see them: HTTP calls, a state and its changes.
+
+It has no consensus and no rules: the state is what a test puts into it. Several servers may share a
+`Ledger`."""
 
 import json
 import re
@@ -10,26 +12,28 @@
 
 from .server import Server
 
-POLL = 2.0  # seconds that a call for events waits at most
+MAX_POLL_SECONDS = 2.0  # that a call for events waits
 CALL = re.compile(rb"(GET|POST) (\S+) HTTP/1\.1\r\n(.*?)\r\n\r\n", re.DOTALL)
 
 
 class Ledger:
-    """`put` makes one entry of one change. `kept`: entries from which on changes are kept; `polls`: what each
-    gateway last asked for events after, which is what it has acknowledged."""
+    """The state and its changes. `put` makes an entry of one change.
+
+    `at`: the last entry. `first_kept`: the entry after which changes are kept. `polls`: for each gateway the
+    index after which it last asked for events, which it has thereby acknowledged.
+    """
 
     def __init__(self):
         self.changed = threading.Condition()
         self.at = 1
-        self.kept = 1
+        self.first_kept = 1
         self.moment = 0
         self.id = "c1"
         self.parts = {"nodes": {}, "permits": {}, "followers": {}, "members": {}, "moves": {}}
-        # (node, state); votes on moves, as they were told
-        self.reports = []
-        self.votes = []
+        self.reports = []  # (node, state)
+        self.votes = []  # commands of votes on moves, as received
         self.events, self.ids, self.polls, self.counts = [], {}, {}, Counter()
-        self.leader = None  # the server that leads; None: each of them
+        self.leader = None  # the name of the server that leads; None: all of them
 
     def put(self, part, key, record):
         with self.changed:
@@ -43,9 +47,9 @@
             return self.at
 
     def form_new_cluster(self):
-        """Another cluster of the same members, which knows nothing of this one."""
+        """Replaces the cluster by a new one of the same members, with an empty state."""
         with self.changed:
-            self.id, self.at, self.kept, self.events, self.ids = self.id + "+", 1, 1, [], {}
+            self.id, self.at, self.first_kept, self.events, self.ids = self.id + "+", 1, 1, [], {}
             for part in self.parts.values():
                 part.clear()
             self.polls.clear()
@@ -60,63 +64,65 @@
         return self.put("permits", name, {"drain": "d", "term": 1, "index": self.at + 1})
 
     def drop_changes(self):
-        """The changes so far are kept no more."""
+        """Drops the changes so far."""
         with self.changed:
             self.events = []
-            self.kept = self.at
+            self.first_kept = self.at
             self.changed.notify_all()
 
     def acknowledged(self, gateway, index, seconds=30):
-        """Waits until this gateway has asked for what comes after it, or an entry past it."""
+        """Waits until this gateway has asked for events after this index or a later one."""
         with self.changed:
             assert self.changed.wait_for(lambda: self.polls.get(gateway, -1) >= index, seconds), self.polls
 
-    def command(self, told):
+    def command(self, command):
         with self.changed:
-            self.counts[f"commands {told['kind']}"] += 1
-            if told["id"] in self.ids:
+            self.counts[f"commands {command['kind']}"] += 1
+            if command["id"] in self.ids:
                 self.counts["repeats"] += 1
-                return self.ids[told["id"]]
-            if told["kind"] == "report":
-                self.reports.append((told["node"], told["state"]))
+                return self.ids[command["id"]]
+            if command["kind"] == "report":
+                self.reports.append((command["node"], command["state"]))
                 self.changed.notify_all()
-                answer = self.ids[told["id"]] = 200, {"cluster_id": self.id, "at": self.at}
+                answer = self.ids[command["id"]] = 200, {"cluster_id": self.id, "at": self.at}
                 return answer
-            if told["kind"] == "move_vote":
-                self.votes.append(told)
+            if command["kind"] == "move_vote":
+                self.votes.append(command)
                 self.changed.notify_all()
-                status = 200 if told["gateway"] in self.parts["followers"] else 409
-                answer = self.ids[told["id"]] = status, {"cluster_id": self.id, "at": self.at}
+                status = 200 if command["gateway"] in self.parts["followers"] else 409
+                answer = self.ids[command["id"]] = status, {"cluster_id": self.id, "at": self.at}
                 return answer
-            record = {"since": self.at + 1} if told["kind"] == "follow" else None
-            body = {"cluster_id": self.id, "at": self.put("followers", told["gateway"], record)}
-            answer = self.ids[told["id"]] = 200, body
+            record = {"since": self.at + 1} if command["kind"] == "follow" else None
+            body = {"cluster_id": self.id, "at": self.put("followers", command["gateway"], record)}
+            answer = self.ids[command["id"]] = 200, body
             return answer
 
     def state(self, part):
         with self.changed:
             if part not in self.parts:
                 return 404, {}
-            told = {"cluster_id": self.id, "at": self.at, "moment": self.moment}
-            return 200, {**told, "items": dict(self.parts[part])}
+            head = {"cluster_id": self.id, "at": self.at, "moment": self.moment}
+            return 200, {**head, "items": dict(self.parts[part])}
 
-    def answer(self, path, body, wait=POLL):
+    def answer(self, path, body, wait=MAX_POLL_SECONDS):
         if path == "/v1/commands":
             return self.command(json.loads(body))
         if path.startswith("/v1/state/"):
             return self.state(path.rsplit("/", 1)[1])
-        told = dict(pair.split("=") for pair in path.partition("?")[2].split("&"))
-        parts = told["parts"].split(",") if "parts" in told else ()
-        return self.news(int(told["after"]), told.get("gateway", ""), int(told.get("since", 0)), parts, wait)
+        query = dict(pair.split("=") for pair in path.partition("?")[2].split("&"))
+        parts = query["parts"].split(",") if "parts" in query else ()
+        return self.events_after(
+            int(query["after"]), query.get("gateway", ""), int(query.get("since", 0)), parts, wait
+        )
 
-    def news(self, after, gateway, since, parts=(), wait=POLL):
+    def events_after(self, after, gateway, since, parts=(), wait=MAX_POLL_SECONDS):
         with self.changed:
             if self.parts["followers"].get(gateway, {}).get("since") == since:
                 self.polls[gateway] = max(after, self.polls.get(gateway, -1))
             self.counts["polls"] += 1
             self.changed.notify_all()
 
-            def some():
+            def new_events():
                 return [
                     {"index": index, "changes": [{"part": part, "key": key, "record": record}]}
                     for index, part, key, record in self.events
@@ -125,23 +131,26 @@
 
             id = self.id
             self.changed.wait_for(
-                lambda: self.at > after and (after < self.kept or some()) or self.id != id, wait
+                lambda: self.at > after and (after < self.first_kept or new_events()) or self.id != id, wait
             )
-            if after < self.kept:
+            if after < self.first_kept:
                 return 200, {"cluster_id": self.id, "at": self.at, "whole": True}
-            return 200, {"cluster_id": self.id, "at": self.at, "events": some(), "moment": self.moment}
+            return 200, {"cluster_id": self.id, "at": self.at, "events": new_events(), "moment": self.moment}
 
 
 class MemberServer(Server):
-    """One member. `wrong`: functions of (path, body bytes) that give the bytes of the next answers in place
-    of the right ones; the connection ends after each."""
+    """One member of the cluster.
+
+    `wrong`: functions of (path, body bytes) that return the bytes of the next responses, in place of the
+    right ones; the connection ends after each. `asked`: the calls received.
+    """
 
     def __init__(self, ledger, name="m1"):
         super().__init__()
         self.ledger = ledger
         self.name = name
         self.wrong = []
-        self.asked = []  # (moment, path)
+        self.asked = []  # (time, path)
 
     def serve(self, sock):
         data = b""
@@ -165,8 +174,8 @@
         return self.ledger.answer(path, body)
 
 
-def http_response(status, told, spoil=False):
-    """An answer's bytes. `spoil`: one bit of the body is not what its check says."""
-    body = json.dumps(told).encode()
+def http_response(status, value, spoil=False):
+    """Returns the bytes of a response. `spoil`: one bit of the body differs from its checksum."""
+    body = json.dumps(value).encode()
     head = f"HTTP/1.1 {status} so\r\nContent-Length: {len(body)}\r\nX-Crc32: {zlib.crc32(body):08x}\r\n\r\n"
     return head.encode() + (bytes([body[0]]) + bytes([body[1] ^ 1]) + body[2:] if spoil else body)
--- a/lemonlead/standins/move_checks.py
+++ b/lemonlead/standins/move_checks.py
@@ -1,9 +1,9 @@
-"""Watches both ledgers of moves, entry by entry, and says what breaks a promise. Shares no code with them.
+"""An invariant checker for the ledgers of two clusters with moves. It shares no code with them.
 
-It is given what each entry changed, as plain dicts and lists, in the order in which the entries were applied
-on either side, and keeps its own copies and its own sums. What it calls broken is listed in `broken`."""
+It receives the changes of each entry, as plain dicts and lists, in the order in which each cluster applied
+them, and keeps its own copies and sums. `broken` lists the violations."""
 
-AHEAD = {
+NEXT_STEPS = {
     None: {"asked"},
     "asked": {"reserving", "refused", "stopped", "overdue", "lost"},
     "reserving": {"warming", "going back", "lost"},
@@ -15,7 +15,7 @@
     "dropping": {"refused", "stopped", "sent back", "overdue", "lost"},
 }
 ENDS = {"done", "refused", "stopped", "sent back", "overdue", "lost"}
-HOLD_AHEAD = {
+NEXT_HOLD_STATES = {
     None: {"held", "dropped"},
     "held": {"warm", "kept", "dropped"},
     "warm": {"kept", "dropped"},
@@ -25,28 +25,29 @@
 
 
 class Watch:
-    """`names`: the clusters. `saw` is called for each entry, `settled` once all is quiet."""
+    """`names`: the clusters. `saw` is called for each entry, `settled` once no move is open."""
 
     def __init__(self, names):
         self.kept = {name: {} for name in names}  # cluster: {part: {key: record}}
-        self.pieces = {}  # (cluster, move, epoch): {reservation: (service, units in all)} as it was begun
+        self.pieces = {}  # (cluster, move, epoch): {reservation: (service, total units)} at its begin
         self.groups = {}  # (cluster, move, epoch): {group: (members, quorum)}
-        # how often a move's reservations were made there, freed here
+        # How often a move's reservations were made at the destination and freed at the source.
         self.takes = {}
         self.frees = {}
-        self.ended = {}  # (cluster, move, epoch): how
-        self.by_hand = set()  # holds, by key, that an operator ended
+        self.ended = {}  # (cluster, move, epoch): its last step
+        self.by_hand = set()  # (cluster, hold, epoch) of holds that an operator ended
         self.broken = []
 
     def part(self, cluster, part):
         return self.kept[cluster].setdefault(part, {})
 
     def say(self, text):
+        """Adds a violation, up to 100."""
         if len(self.broken) < 100:
             self.broken.append(text)
 
     def saw(self, cluster, index, changes):
-        """`changes`: list of (part, key, record as builtins or None), as one entry made them."""
+        """Checks one entry. `changes`: list of (part, key, record as builtins or None)."""
         before = {(part, key): self.part(cluster, part).get(key) for part, key, _ in changes}
         for part, key, record in changes:
             if record is None:
@@ -80,7 +81,7 @@
                 for move, record in self.part(name, "moves").items():
                     self.both_sides(at, name, move, record, "groups" in touched and not failing)
 
-    # ---- 1. no cluster promises more than it has
+    # ---- 1. no cluster promises more units than it has
 
     def capacity(self, at, cluster):
         nodes = self.part(cluster, "nodes")
@@ -103,18 +104,18 @@
             if units > bears.get(site, 0):
                 self.say(f"{at}: site {site} of {cluster} promises {units} of {bears.get(site, 0)}")
 
-    # ---- 2. one way only, an end stands, nothing twice
+    # ---- 2. steps go forward only, an ended move stays ended, nothing is done twice
 
     def stepped(self, at, cluster, name, was, move):
         key = (cluster, name, move["epoch"])
         if was is not None and was["epoch"] != move["epoch"]:
             if was["step"] not in ENDS:
-                self.say(f"{at}: move {name} begun anew while {was['step']}")
+                self.say(f"{at}: move {name} begun again while {was['step']}")
             was = None
         if was is None:
             standing = self.part(cluster, "reservations")
             self.pieces[key] = {
-                one: (standing[one]["service"], whole(standing[one])) for one in move["reservations"]
+                one: (standing[one]["service"], total_units(standing[one])) for one in move["reservations"]
             }
             self.groups[key] = {
                 group["group"]: (tuple(group["nodes"]), group["quorum"]) for group in move["groups"]
@@ -124,7 +125,7 @@
                 if both and row["step"] not in ENDS | {"dropping"}:
                     self.say(f"{at}: {name} and {other} move the same service")
         step = was["step"] if was else None
-        if move["step"] != step and move["step"] not in AHEAD.get(step, ()):
+        if move["step"] != step and move["step"] not in NEXT_STEPS.get(step, ()):
             self.say(f"{at}: move {name} went from {step} to {move['step']}")
         if key in self.ended and move["step"] != self.ended[key]:
             self.say(f"{at}: move {name} ended as {self.ended[key]}, now {move['step']}")
@@ -145,7 +146,7 @@
                 self.say(f"{at}: hold {key} of epoch {hold['epoch']} after {was['epoch']}, {was['state']}")
             was = None
         state = was["state"] if was else None
-        if hold["state"] != state and hold["state"] not in HOLD_AHEAD[state]:
+        if hold["state"] != state and hold["state"] not in NEXT_HOLD_STATES[state]:
             self.say(f"{at}: hold {key} went from {state} to {hold['state']}")
         move = self.part(hold["source"], "moves").get(hold["move"])
         step = move["step"] if move and move["epoch"] == hold["epoch"] else None
@@ -164,7 +165,7 @@
                 self.say(f"{at}: {key} taken {times} times")
 
     def freed(self, at, cluster, name, was):
-        """A reservation that stood is gone: by its own client, or by a move that may."""
+        """Checks a freed reservation: its client may free it, or a move that is done."""
         by = was["move"]
         if not by:
             return
@@ -179,14 +180,14 @@
             if times > 1 and self.ended.get((cluster, by, move["epoch"])) == "done":
                 self.say(f"{at}: {name} freed {times} times by {by}")
 
-    # ---- 3. the whole capacity on a side, for what goes there
+    # ---- 3. a cluster that gets requests of the service holds all its capacity
 
     def stands(self, cluster, key, marks):
-        """Whether each piece of the move stands there at its size, marked as one of these."""
+        """Returns whether the cluster has each reservation of the move in full, with one of these marks."""
         standing = self.part(cluster, "reservations")
         return all(
             one in standing
-            and (standing[one]["service"], whole(standing[one])) == piece
+            and (standing[one]["service"], total_units(standing[one])) == piece
             and standing[one]["move"] in marks
             for one, piece in self.pieces[key].items()
         )
@@ -217,10 +218,10 @@
         nodes, record = self.part(cluster, "nodes"), self.part(cluster, "groups").get(group)
         return sum(nodes[one]["state"] == "serving" for one in record["nodes"]) if record else 0
 
-    # ---- 4. in the end the same on both sides
+    # ---- 4. at the end both clusters agree
 
     def settled(self, at="in the end"):
-        """Once all is healed and quiet: each move has ended on both sides, and exactly one of them holds."""
+        """Checks, once all is healed and quiet, that each move has ended alike at both clusters."""
         for cluster in self.kept:
             for name, move in self.part(cluster, "moves").items():
                 key = (cluster, name, move["epoch"])
@@ -244,8 +245,10 @@
                     self.say(f"{at}: {one} of {cluster} is still marked {held['move']}")
 
     def holders(self, reservation):
+        """Returns the names of the clusters that have this reservation."""
         return sorted(name for name in self.kept if reservation in self.part(name, "reservations"))
 
 
-def whole(held):
+def total_units(held):
+    """Returns the units of a reservation over all its nodes."""
     return held["units"] * max(len(held["nodes"]), 1)
--- a/lemonlead/standins/move_faults.py
+++ b/lemonlead/standins/move_faults.py
@@ -1,10 +1,10 @@
-"""What goes wrong in the simulated world of moves: each step of a move, each fault, and how both meet."""
+"""The steps of a move and the faults of the simulated world of moves, and worlds in which the two meet."""
 
 from ..ledger import capacity
 from ..moves import rules
 from .two_clusters import MS, SECOND, World, furnish, serve
 
-# A step of the source's record and the stage, where it has one.
+# (step of the source's record, stage if the step has stages)
 STEPS = [
     ("asked", None),
     ("reserving", None),
@@ -37,18 +37,20 @@
 
 
 def disturb_messages(world, time, **faults):
-    """For so long. Where two overlap the later value holds until the last of them ends."""
+    """Sets message faults for a time. Where two overlap, the later value holds until the last one ends."""
     end = world.now + time
     for name, value in faults.items():
         setattr(world, name, value)
         world.faulty[name] = max(end, world.faulty.get(name, 0))
-    world.at(end, lambda: [setattr(world, n, CALM[n]) for n in faults if world.faulty[n] <= world.now])
+    world.at(
+        end, lambda: [setattr(world, n, NO_FAULT_VALUES[n]) for n in faults if world.faulty[n] <= world.now]
+    )
 
 
-CALM = {"lose": 0.0, "twice": 0.0, "late": 20 * MS, "straggle": 0, "unknown": 0.0}
+NO_FAULT_VALUES = {"lose": 0.0, "twice": 0.0, "late": 20 * MS, "straggle": 0, "unknown": 0.0}
 
 
-def leaderless(world, cluster, time):
+def take_leader_away(world, cluster, time):
     side = world.sides[cluster]
     side.up = False
     world.at(world.now + time, side.elect)
@@ -60,7 +62,7 @@
     world.at(world.now + 20 * SECOND, lambda: side.do(capacity.Report(node=f"{cluster}-1", state="serving")))
 
 
-def change_again(world, cluster):
+def change_leader_repeatedly(world, cluster):
     for later in (0, 10, 300, 700, 5000):
         world.at(world.now + later * MS, world.sides[cluster].elect)
 
@@ -76,10 +78,10 @@
     "cut 1 s": lambda world: world.cut_for(SECOND),
     "cut 10 s": lambda world: world.cut_for(10 * SECOND),
     "cut 60 s": lambda world: world.cut_for(60 * SECOND),
-    "source leader changes": lambda world: change_again(world, "louis"),
-    "source leaderless": lambda world: leaderless(world, "louis", 30 * SECOND),
-    "destination leader changes": lambda world: change_again(world, "ebene"),
-    "destination leaderless": lambda world: leaderless(world, "ebene", 30 * SECOND),
+    "source leader changes": lambda world: change_leader_repeatedly(world, "louis"),
+    "source leaderless": lambda world: take_leader_away(world, "louis", 30 * SECOND),
+    "destination leader changes": lambda world: change_leader_repeatedly(world, "ebene"),
+    "destination leaderless": lambda world: take_leader_away(world, "ebene", 30 * SECOND),
     "source restarts": lambda world: world.sides["louis"].restore(),
     "destination restarts": lambda world: world.sides["ebene"].restore(),
     "source node fails": lambda world: fail_node(world, "louis"),
@@ -90,18 +92,21 @@
 
 
 def create_world_with_fault(step, stage, fault, seed):
-    """A move that meets this fault as it comes to this step: (world, moments at which the fault began)."""
-    world, met = create_world(seed), []
-    world.when(step, lambda: (met.append(world.now), FAULTS[fault](world)), stage=stage)
+    """Begins a move that meets this fault when it reaches this step.
+
+    Returns (world, times at which the fault began).
+    """
+    world, fault_times = create_world(seed), []
+    world.when(step, lambda: (fault_times.append(world.now), FAULTS[fault](world)), stage=stage)
     if step in ("going back", "dropping"):
         world.when("shifting", lambda: stop_move(world, id="first"), stage=1)
     begin_move(world)
-    return world, met
+    return world, fault_times
 
 
 def expected_end(step, fault):
-    """How it is to end."""
-    return "stopped" if step in BACK or fault == "stopped" and step != "settling" else "done"
+    """Returns how a move ends that meets this fault at this step."""
+    return "stopped" if step in ROLL_BACK_STEPS or fault == "stopped" and step != "settling" else "done"
 
 
-BACK = ("going back", "dropping")
+ROLL_BACK_STEPS = ("going back", "dropping")
--- a/lemonlead/standins/promises.py
+++ b/lemonlead/standins/promises.py
@@ -1,8 +1,6 @@
-"""Counts anew, from the plain records of a state alone, what is promised where; shares no code with the
-rules.
+"""Checks a ledger's state: recomputes the promised capacity from its records, without code of the rules.
 
-`faults(parts)` takes the parts as plain dicts (as the state reads tell them) and says what does not add
-up."""
+`faults(parts)` takes the parts as plain dicts, as state reads return them, and returns inconsistencies."""
 
 from collections import Counter
 
@@ -10,7 +8,7 @@
 
 
 def plain(state):
-    """The parts of a ledger's state as dicts of dicts."""
+    """Returns the parts of a ledger's state as dicts of dicts."""
     from msgspec import to_builtins
 
     return {
@@ -19,7 +17,7 @@
 
 
 def promised(parts):
-    """Units held on each node, and in all at each site, by its reservations and gangs."""
+    """Returns the units that reservations and gangs hold, by node and by site."""
     by_node = {}
     by_site = {}
     for held in parts.get("reservations", {}).values():
@@ -34,16 +32,17 @@
 
 
 def borne(node):
-    """Whether what is held on it counts at its site: where it is up, and where a drain has it out."""
+    """Returns whether the units held on the node count at its site: it is up, or a drain has taken it out."""
     return node["state"] in SERVES or bool(node["out"]) and node["state"] != "failed"
 
 
 def usable(node):
+    """Returns the units of the node that new promises may use."""
     return node["units"] if node["state"] in SERVES and not node["out"] else 0
 
 
 def faults(parts):
-    """What is wrong with a state by itself: sums that differ from a fresh count, names that lead nowhere."""
+    """Returns inconsistencies within a state, as texts: wrong sums and names of missing records."""
     by_node, by_site = promised(parts)
     nodes, found = parts.get("nodes", {}), []
     sums = {}
@@ -62,7 +61,7 @@
     loads = parts.get("loads", {})
     for name in {*loads, *by_node}:
         if name not in nodes:
-            found.append(f"something is held on node {name}, which there is not")
+            found.append(f"something is held on node {name}, which does not exist")
         if loads.get(name, {}).get("units", 0) != by_node.get(name, 0):
             found.append(f"node {name}: kept {loads.get(name)}, counted {by_node.get(name, 0)}")
     for part, field in (("gangs", "gangs"), ("groups", "groups")):
@@ -78,7 +77,7 @@
 
 
 def by_service(parts):
-    """Where the index by service differs from what the records themselves say."""
+    """Returns differences between the index by service and the records."""
     found, named = [], set()
     for name, held in parts.get("reservations", {}).items():
         named.add((held["service"], "reservations", name))
@@ -107,7 +106,7 @@
 
 
 def marks(parts):
-    """Where the marks on services differ from what the records of moves and holds say."""
+    """Returns differences between the marks on services and the records of moves and holds."""
     moves = {name: parts["moves"][name] for name in parts.get("moving", {})}
     under_way = {(row["service"], name) for name, row in moves.items() if row["step"] != "dropping"}
     for name, hold in parts.get("holds", {}).items():
@@ -127,7 +126,7 @@
 
 
 def over(parts):
-    """Sites and nodes that are promised more than they have, as texts."""
+    """Returns sites and nodes with more promised units than they have, as texts."""
     by_node, by_site = promised(parts)
     nodes, found, room = parts.get("nodes", {}), [], {}
     for name, node in nodes.items():
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -1,8 +1,9 @@
-"""Two clusters as moves see them, in one process and simulated time: each a ledger, a leader and its duty.
+"""Two clusters with moves between them, in one process and simulated time.
 
-No replicas: a ledger's entries are applied as they are proposed. What can go wrong is between the clusters
-(calls and answers lost, late, twice, out of order, cut) and at the leaders (changed at any moment, a deposed
-one that goes on calling for a while, none at all, a state restored from its snapshot)."""
+Each has a ledger and a leader with its leader tasks, but no replicas: entries are applied when they are
+proposed. Faults happen between the clusters (calls and responses lost, late, repeated, out of order, cut) and
+at the leaders (replaced at any time, a deposed leader that goes on calling for a while, no leader, a state
+restored from its snapshot)."""
 
 import heapq
 import random
@@ -21,13 +22,13 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-TIME_OUT = 2 * SECOND  # of a call
-DEPOSED = 3 * SECOND  # for so long a deposed leader goes on calling, by its last state
+CALL_TIMEOUT_NS = 2 * SECOND
+DEPOSED_CALLS_NS = 3 * SECOND  # for so long a deposed leader goes on calling, by its last state
 SERVICES = ("search", "print", "other")  # on whose moves each gateway votes
 
 
 def ledger(**changed):
-    """The ledger with all rules that matter here; `changed`: rules in place of others, by command's name."""
+    """Returns a ledger with the rules of moves and drains. `changed`: rules to replace, by command class."""
     all_rules = {**capacity.RULES, **followers.RULES, **drains.RULES, **rules.RULES}
     all_rules |= {kind: changed[kind.__name__] for kind in all_rules if kind.__name__ in changed}
     kinds = {**capacity.KINDS, **followers.KINDS, **drains.KINDS, **rules.KINDS}
@@ -35,7 +36,7 @@
 
 
 class Side:
-    """A cluster: its state, and the leader's duty while one is in office."""
+    """A cluster: its state, and the tasks of its leader."""
 
     def __init__(self, world, name, others, ledger, duty):
         self.world = world
@@ -44,39 +45,39 @@
         self.ledger = ledger
         self.make = duty
         self.state, self.term, self.up = State(), 0, True
-        self.followers, self.again, self.woken = followers.Followers(), {}, None
-        self.drains, self.stirred = DrainTask(), True
+        self.followers, self.retry_at, self.next_wakeup = followers.Followers(), {}, None
+        self.drains, self.state_changed = DrainTask(), True
         self.gateways = []
         self.elect()
 
     def elect(self):
-        """A new leader, with a duty of its own; the one before goes on by what it last knew."""
+        """Makes a new leader. The previous one goes on calling for a while by its last state."""
         if self.term:
             old = self.duty
             state = self.state
             at = self.world.now
-            for later in range(200, DEPOSED // MS, 200):
-                self.world.at(at + later * MS, lambda: self.haunt(old, state))
-        self.term, self.again, self.up = self.term + 1, {}, True
+            for later in range(200, DEPOSED_CALLS_NS // MS, 200):
+                self.world.at(at + later * MS, lambda: self.call_as_deposed(old, state))
+        self.term, self.retry_at, self.up = self.term + 1, {}, True
         self.duty = self.make(self.name, self.others, self.world.rng.random())
         self.followers.became_leader(self.world.now)
         self.apply(b"", 0)
         for duty in (self.duty, self.drains):
             duty.became_leader(self.world.now)
 
-    def haunt(self, duty, state):
+    def call_as_deposed(self, duty, state):
         wanted = duty.next(self.world.now, 0, state, followers.Followers())
         if wanted is not None and not isinstance(wanted, Command):
             self.world.call(self, duty, wanted)
 
     def restore(self):
-        """All restart at once: the state comes from its snapshot."""
+        """Restarts all members at once: the state is read from its snapshot."""
         self.state = self.ledger.whole(b"".join(self.ledger.pieces(self.state)))
         self.elect()
 
     def apply(self, data, what=COMMAND):
         state = self.state
-        self.stirred = True
+        self.state_changed = True
         entry = Entry(state.index + 1, self.term, what, self.world.now, self.world.now // MS, data)
         self.state, applied = self.ledger.apply(state, entry)
         if applied.code == 200 and applied.changes:
@@ -89,44 +90,44 @@
         return applied.code, applied.body
 
     def do(self, command):
-        """A client's or operator's."""
+        """Applies a command of a client or operator. Returns (code, body)."""
         self.world.at(self.world.now, lambda: None)
         return self.apply(msgspec.json.encode(command))
 
-    def pump(self):
-        """What the leader's duties do now; then they are asked again at their moment."""
-        due = self.stirred or self.woken is not None and self.woken <= self.world.now
+    def run_tasks(self):
+        """Runs the leader's tasks until they have nothing to do, and schedules their next wakeup."""
+        due = self.state_changed or self.next_wakeup is not None and self.next_wakeup <= self.world.now
         if not self.up or not due:
             return
-        self.stirred = False
+        self.state_changed = False
         world = self.world
         duties = (self.duty, self.drains)
         for _ in range(1000):
-            if not any(self.one(duty) for duty in duties):
+            if not any(self.run_task_once(duty) for duty in duties):
                 break
         else:
-            raise AssertionError("a duty that never rests")
-        wake = min(max(duty.wake_at(), self.again.get(duty, 0), world.now + MS) for duty in duties)
-        if self.woken is None or not world.now < self.woken <= wake:
-            self.woken = wake
+            raise AssertionError("a leader task never comes to rest")
+        wake = min(max(duty.wake_at(), self.retry_at.get(duty, 0), world.now + MS) for duty in duties)
+        if self.next_wakeup is None or not world.now < self.next_wakeup <= wake:
+            self.next_wakeup = wake
             if wake < 1 << 60:
                 world.at(wake, lambda: None)
 
-    def one(self, duty):
+    def run_task_once(self, duty):
         world = self.world
-        if world.now < self.again.get(duty, 0):
+        if world.now < self.retry_at.get(duty, 0):
             return False
         wanted = duty.next(world.now, world.now // MS, self.state, self.followers)
         if isinstance(wanted, Command):
             code, _ = self.apply(msgspec.json.encode(wanted))
             if code != 200:
-                self.again[duty] = world.now + SECOND
+                self.retry_at[duty] = world.now + SECOND
         elif wanted is not None:
             world.call(self, duty, wanted)
         return wanted is not None
 
     def obey(self, took=2 * SECOND):
-        """Its nodes, from now on: one whose permit is clear goes down, and serves again after a while."""
+        """Lets nodes obey permits from now on: one with a clear permit goes down and serves again later."""
         self.world.at(self.world.now + SECOND, lambda: self.obey(took))
         for node, permit in list(self.state.part("permits").items()):
             if permit.phase == drains.CLEAR:
@@ -138,8 +139,12 @@
 
 
 class World:
-    """`lose`, `twice`: shares of messages; `late`: the longest delay; `cut`: (from, to) pairs that nothing
-    passes. `judge`: what a gateway votes, function(world, gateway, move record)."""
+    """The simulated world.
+
+    `lose`, `twice`: shares of messages that are lost or repeated. `late`: the longest delay. `straggle`: the
+    longest further delay of a repeat. `cut`: pairs (from, to) between which nothing passes, and names of
+    gateways that are cut off. `judge(world, gateway, move record)` returns a gateway's vote, or None.
+    """
 
     def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, duty=MoveTask, ledgers=None, judge=None):
         self.rng, self.now, self.turns, self.events = random.Random(seed), SECOND, count(), []
@@ -148,10 +153,10 @@
         self.twice = 0.0
         self.late = 20 * MS
         self.straggle = 0
-        self.faulty = {}  # until when messages are carried so, by what is wrong
-        self.flying = 0  # messages not yet there
-        self.steps = []  # moments at which a move's record changed
-        self.unknown = 0.0  # share of commands that are done and answered as unknown
+        self.faulty = {}  # name of a message fault to the time at which it ends
+        self.flying = 0  # messages in flight
+        self.steps = []  # times at which the record of a move changed
+        self.unknown = 0.0  # share of commands that are applied and get no response
         self.judge = judge or (lambda world, gateway, move: "on")
         self.sides = {}
         for name in names:
@@ -167,7 +172,7 @@
     def at(self, moment, action):
         heapq.heappush(self.events, (moment, next(self.turns), action))
 
-    # ---- gateways: they obey what they read, and vote
+    # ---- gateways: they follow the ledger and vote
 
     def poll(self, side, gateway):
         self.at(self.now + 250 * MS, lambda: self.poll(side, gateway))
@@ -189,14 +194,14 @@
     # ---- calls from cluster to cluster
 
     def call(self, side, duty, call):
-        """One `called` for each: what came back, or 0 once it took too long."""
+        """Makes a call. The task gets one `called` for it: the response or, after the timeout, code 0."""
         state = {"open": True}
 
         def end(code, body):
             if state["open"]:
                 state["open"] = False
                 duty.called(self.now, call, code, body)
-                side.stirred = True
+                side.state_changed = True
 
         def arrive():
             code, body = self.taken(call)
@@ -204,7 +209,7 @@
                 self.carry(call.cluster, side.name, lambda: end(code, body))
 
         self.carry(side.name, call.cluster, arrive)
-        self.at(self.now + TIME_OUT, lambda: end(0, {}))
+        self.at(self.now + CALL_TIMEOUT_NS, lambda: end(0, {}))
 
     def carry(self, source, to, arrive):
         for copy in range(1 + (self.rng.random() < self.twice)):
@@ -214,9 +219,9 @@
             if copy and self.straggle:
                 delay += self.rng.randrange(self.straggle)
             self.flying += 1
-            self.at(self.now + delay, lambda: self.landed(arrive))
+            self.at(self.now + delay, lambda: self.deliver(arrive))
 
-    def landed(self, arrive):
+    def deliver(self, arrive):
         self.flying -= 1
         arrive()
 
@@ -229,16 +234,16 @@
     # ---- running
 
     def run(self, until):
-        """To this moment."""
+        """Runs until this time."""
         while self.events and self.events[0][0] <= until:
             self.now, _, action = heapq.heappop(self.events)
             action()
             for side in self.sides.values():
-                side.pump()
+                side.run_tasks()
         self.now = max(self.now, until)
 
     def run_till(self, fits, most=900 * SECOND):
-        """Until this holds; whether it came to hold within `most`."""
+        """Runs until the condition is true, for at most `most` ns. Returns whether it is true."""
         end = self.now + most
         while not fits() and self.now < end:
             if not self.events or self.events[0][0] > end:
@@ -247,14 +252,14 @@
         return fits()
 
     def quiet(self):
-        """Whether no move is open on any side."""
+        """Returns whether no move is open at any cluster."""
         return not any(side.state.part("moving") for side in self.sides.values())
 
     def move(self, name, cluster="louis"):
         return self.sides[cluster].state.part("moves").get(name)
 
     def when(self, step, action, cluster="louis", stage=None):
-        """Once, as a move's record of this cluster comes to this step (and stage)."""
+        """Calls `action` once, when a move's record at this cluster reaches this step (and stage)."""
 
         def hook(side, changes):
             for (part, _), row in changes.items():
@@ -271,7 +276,7 @@
 
 
 def furnish(world, cluster, nodes=4, units=10, site=None):
-    """Nodes for a cluster, all at one site."""
+    """Declares nodes of a cluster, all at one site."""
     for number in range(nodes):
         world.sides[cluster].do(
             capacity.NodeCommand(node=f"{cluster}-{number}", site=site or cluster, units=units)
@@ -279,7 +284,7 @@
 
 
 def serve(world, cluster, service, units=8, pinned=4, group=0):
-    """A service: one reservation by site, one by node, and a group of so many members."""
+    """Creates a service: a reservation by site, one by node, and a group of `group` nodes, if any."""
     side = world.sides[cluster]
     reserve = capacity.Reserve
     made = [
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -241,7 +241,7 @@
 )
 def test_node_acts_only_on_clear_permits_and_ignores_older_ones(node, permit, at, acts, ignored):
     node.receive_permit({**PERMIT, "phase": "given"}, 8)
-    assert (node.receive_permit(permit, at), node.counts["ignored permits"]) == (acts, ignored)
+    assert (node.receive_permit(permit, at), node.counts["old permits"]) == (acts, ignored)
 
 
 def test_node_goes_down_and_comes_back_at_its_address(node):
