--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -180,7 +180,7 @@
             going = sorted(made.state.part("permits"))
             for some in (going, nodes):
                 name = chance.choice(some or nodes)
-                if not made.nodes[name].lost:
+                if not made.nodes[name].has_failed:
                     made.fail(name)
                     ill.append((made.now + 10 * S, name))
         while ill and ill[0][0] <= made.now:
@@ -263,7 +263,7 @@
     took, wanted = 0, True
     while wanted is not None:
         began = time.process_time()
-        wanted = made.duty.next(made.now, made.wall, made.state, made.follow)
+        wanted = made.drain_task.next(made.now, made.wall, made.state, made.follow)
         took += time.process_time() - began
         if wanted is not None:
             made.apply(wanted)
--- a/benchmarks/matching.py
+++ b/benchmarks/matching.py
@@ -60,7 +60,7 @@
 def costs():
     """Measured time by promised cost, over all that is admitted."""
     rng, unit = random.Random(1), step()
-    drawn = [expressions.draw(rng, rng.choice(expressions.SORTS), rng.randrange(2, 7)) for _ in range(800)]
+    drawn = [expressions.draw(rng, rng.choice(expressions.TYPES), rng.randrange(2, 7)) for _ in range(800)]
     ratios, refused, by_function = [], defaultdict(int), defaultdict(list)
     for text in [*expressions.hostile(), *drawn]:
         try:
--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -39,8 +39,8 @@
     at = world.now
     ended = ended and world.run_till(lambda: not world.flying)
     world.run(world.now + 5 * SECOND)
-    world.watch.settled()
-    return ended and not world.watch.broken, at
+    world.checker.settled()
+    return ended and not world.checker.broken, at
 
 
 def table(seeds):
@@ -77,7 +77,7 @@
             louis.do(capacity.Reserve(reservation=f"r{number}", service=f"s{number}", units=50, site="louis"))
         for number in range(count):
             begin_move(world, f"m{number}", f"s{number}", id=f"b{number}")
-        began, calls = time.thread_time(), louis.duty.counts
+        began, calls = time.thread_time(), louis.move_task.counts
         fine, at = seen_through(world)
         found[count] = {
             "calls a move": calls["calls"] / count,
@@ -91,7 +91,9 @@
 def among(count):
     """CPU seconds of a move's first command where so many reservations of others stand."""
     world = World(1, gateways=0)
-    world.watch.saw = lambda cluster, index, changes: None  # its own sums anew at each entry would take long
+    world.checker.saw = (
+        lambda cluster, index, changes: None
+    )  # its own sums anew at each entry would take long
     furnish(world, "louis", nodes=4, units=10**8)
     louis = world.sides["louis"]
     for number in range(count):
@@ -116,7 +118,7 @@
         disturb_messages(world, 50 * SECOND, lose=part, twice=part, straggle=20 * SECOND)
         fine, _ = seen_through(world)
         end = world.move("m").end
-        holds = world.watch.holders("search-wide")
+        holds = world.checker.holders("search-wide")
         if not fine or holds != (["ebene"] if end == "done" else ["louis"]):
             bad.append(seed)
         ends[end] = ends.get(end, 0) + 1
--- a/lemonlead/standins/drain_checks.py
+++ b/lemonlead/standins/drain_checks.py
@@ -1,29 +1,29 @@
-"""Counts on its own, from a ledger's changes, whether a drain broke anything. Shares no code with drains.
+"""An invariant checker for drains, from a ledger's changes. It shares no code with the drains.
 
-`entry` is given each entry that was applied; it keeps records of its own and returns what was broken, in
-words. `heard` and `follows` tell what gateways really obeyed."""
+`entry` takes each applied entry, updates records of its own and returns violations as texts. `record_poll`
+takes the index that a gateway has really acknowledged."""
 
 
-class Watch:
+class DrainChecker:
     def __init__(self, lease, grace, cold_share=0.5, site_share=0.25):
         self.patience = lease + grace
         self.cold_share = cold_share
         self.site_share = site_share
         self.parts = {}
-        self.acked = {}  # gateway: (moment last heard, index obeyed up to)
-        self.office = 0
-        self.last = {}  # node: (term, index) of its newest permit
+        self.polls = {}  # gateway: (time of its last poll, index acknowledged by it)
+        self.leader_start = 0
+        self.newest_permits = {}  # node: (term, index) of its newest permit
         self.permits_given = 0
 
     def part(self, name):
         return self.parts.setdefault(name, {})
 
-    def heard(self, now, gateway, index):
-        _, before = self.acked.get(gateway, (now, 0))
-        self.acked[gateway] = now, max(before, index)
+    def record_poll(self, now, gateway, index):
+        _, before = self.polls.get(gateway, (now, 0))
+        self.polls[gateway] = now, max(before, index)
 
     def entry(self, now, index, term, moment, changes, kind="", about=None):
-        """`kind`: the command's; `about`: the command as a dict."""
+        """Checks one entry and returns violations. `kind`: that of the command; `about`: it as a dict."""
         permits = {key: self.part("permits").get(key) for part, key in changes if part == "permits"}
         before = {key: self.part("nodes").get(key) for part, key in changes if part == "nodes"}
         for (part, key), record in changes.items():
@@ -32,42 +32,46 @@
             else:
                 self.part(part)[key] = record
         nodes = self.part("nodes")
-        gone = [
+        taken_out = [
             name
             for name, old in before.items()
             if old is not None and old.state in ("serving", "catching_up") and not old.out and nodes[name].out
         ]
         broken = []
-        if gone:
-            self.permits_given += len(gone)
-            broken += self.no_gang(gone) + self.quorums(gone) + self.sites(gone, moment)
-        broken += self.phases(now, index, term, permits, kind, about or {}, moment)
+        if taken_out:
+            self.permits_given += len(taken_out)
+            broken += (
+                self.check_gangs(taken_out)
+                + self.check_quorums(taken_out)
+                + self.check_sites(taken_out, moment)
+            )
+        broken += self.check_phases(now, index, term, permits, kind, about or {}, moment)
         if kind == "gang" and changes:
             for name in about["nodes"]:
                 if nodes[name].out or nodes[name].state != "serving":
-                    broken.append(f"gang {about['gang']} began on {name}, which is away")
+                    broken.append(f"gang {about['gang']} began on {name}, which is out")
         return broken
 
-    def no_gang(self, gone):
+    def check_gangs(self, taken_out):
         return [
-            f"gang {name} runs on {node}, which was let go"
+            f"gang {name} runs on {node}, which was taken out"
             for name, gang in self.part("gangs").items()
             for node in gang.nodes
-            if node in gone
+            if node in taken_out
         ]
 
-    def quorums(self, gone):
+    def check_quorums(self, taken_out):
         nodes, broken = self.part("nodes"), []
         for name, group in self.part("groups").items():
-            if set(group.nodes) & set(gone):
+            if set(group.nodes) & set(taken_out):
                 good = [n for n in group.nodes if nodes[n].state == "serving" and nodes[n].out == ""]
                 if len(good) < group.quorum:
                     broken.append(f"group {name} was left with {len(good)} of {group.quorum}")
         return broken
 
-    def sites(self, gone, moment):
+    def check_sites(self, taken_out, moment):
         nodes, broken = self.part("nodes"), []
-        for site in {nodes[name].site for name in gone}:
+        for site in {nodes[name].site for name in taken_out}:
             here = {name: node for name, node in nodes.items() if node.site == site}
             live = {
                 n for n, node in here.items() if node.state in ("serving", "catching_up") and not node.out
@@ -91,7 +95,7 @@
                 broken.append(f"site {site} had {away} of {len(here)} away")
         return broken
 
-    def phases(self, now, index, term, before, kind, about, moment):
+    def check_phases(self, now, index, term, before, kind, about, moment):
         broken, permits = [], self.part("permits")
         for name, old in before.items():
             new = permits.get(name)
@@ -99,29 +103,36 @@
                 continue
             if new is not None and (new.term, new.index) == (old.term, old.index):
                 if old.phase == "given" and new.phase == "clear":
-                    broken += self.acknowledged(now, name, new)
+                    broken += self.check_acknowledged(now, name, new)
                 if (old.phase, new.phase) in (("clear", "given"), ("down", "clear"), ("recalled", "clear")):
                     broken.append(f"permit of {name} went from {old.phase} to {new.phase}")
             elif old.phase != "given":
-                word = kind == "report" and about.get("node") == name and about.get("state") == "serving"
-                if new is None and not word:
-                    broken.append(f"{name} was counted as back from {old.phase} without its word")
+                reports_serving = (
+                    kind == "report" and about.get("node") == name and about.get("state") == "serving"
+                )
+                if new is None and not reports_serving:
+                    broken.append(f"{name} was counted as back from {old.phase} without its report")
                 ran_out = moment - old.moment >= self.patience
-                if word and old.phase == "recalled" and about.get("seen", 0) < old.at and not ran_out:
+                if (
+                    reports_serving
+                    and old.phase == "recalled"
+                    and about.get("seen", 0) < old.at
+                    and not ran_out
+                ):
                     broken.append(f"{name} was counted as back while it could still act")
         for name, old in before.items():
             new = permits.get(name)
             if new is not None and new is not old:
                 mark = (new.term, new.index)
-                if mark < self.last.get(name, (0, 0)):
+                if mark < self.newest_permits.get(name, (0, 0)):
                     broken.append(f"permit of {name} is older than the one before")
-                self.last[name] = mark
+                self.newest_permits[name] = mark
         return broken
 
-    def acknowledged(self, now, node, permit):
+    def check_acknowledged(self, now, node, permit):
         late = []
         for gateway in self.part("followers"):
-            heard, index = self.acked.get(gateway, (self.office, 0))
-            if index < permit.index and now - max(heard, self.office) < self.patience:
+            polled_at, index = self.polls.get(gateway, (self.leader_start, 0))
+            if index < permit.index and now - max(polled_at, self.leader_start) < self.patience:
                 late.append(f"{node} was cleared before {gateway} had acknowledged entry {permit.index}")
         return late
--- a/lemonlead/standins/drain_world.py
+++ b/lemonlead/standins/drain_world.py
@@ -1,8 +1,8 @@
-"""A ledger, a leader's duty, gateways and nodes that obey permits, in simulated time: no replica, no I/O.
+"""A ledger, the leader's drain task, gateways and nodes that obey permits, in simulated time.
 
-Nodes and gateways know the ledger late. A node acts on a permit only while what it knows of it is younger
-than the lease; it reports `drained` before it goes down, comes back catching up, then serves. Each entry
-goes through `drain_checks.Watch`; what it finds is in `broken`."""
+There are no replicas and no I/O. Nodes and gateways read the ledger with a delay. A node acts on a permit
+only if it read it within the lease. It reports `drained` before it goes down, comes back catching up, then
+serves. `drain_checks.DrainChecker` checks each entry; `broken` lists the violations."""
 
 import random
 
@@ -15,28 +15,30 @@
 from ..ledger.membership import formed
 from ..ledger.records import COMMAND, Entry
 from ..ledger.state import Ledger, LedgerSettings
-from .drain_checks import Watch
+from .drain_checks import DrainChecker
 
 MS = 1_000_000
 S = 1000 * MS
 
 
-class Held:
-    """A node as it really is."""
+class NodeState:
+    """The real state of a node."""
 
     def __init__(self):
-        self.known = 0  # index of the state that it knows
-        self.sees = self.until = 0  # when it looks at the ledger next; when its present work ends
-        self.heard = 0  # when it last looked
-        self.permit = None  # as it knows it
-        self.acting = ""  # "ending" what it holds, "away", "catching up"
-        self.lost = False  # it failed on its own
-        self.obeyed = (0, 0)
+        self.known_index = 0  # index of the state that it last read
+        self.next_read = self.until = (
+            0  # time of its next read of the ledger; time at which its present work ends
+        )
+        self.last_read = 0  # time of its last read
+        self.permit = None  # as of its last read
+        self.acting = ""  # "ending" (its requests), "away", "catching up", or empty
+        self.has_failed = False  # it failed without a permit
+        self.last_permit = (0, 0)
 
 
 class World:
     def __init__(self, seed=1, terms=None, late=60 * S, gateways=2, pace=(1, 400), away=(500, 3000)):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.terms = terms or LedgerSettings(lease=2 * S, grace=S // 2, cold=3 * S)
         self.ledger = Ledger(
             {**capacity.RULES, **followers.RULES, **RULES},
@@ -48,19 +50,20 @@
         self.wall = 1_000_000
         self.term = 1
         self.ids = 0
-        self.office_moment = 0
-        self.office_now = 0
-        self.duty, self.follow = DrainTask(late), followers.Followers()
-        self.slow = False  # whether a look's slices are a step apart each
-        self.blocked = 0  # the duty proposes nothing before this
-        self.watch = Watch(self.terms.lease, self.terms.grace, self.terms.cold_share, self.terms.site_share)
+        self.leader_start_ledger_time = 0
+        self.leader_start = 0
+        self.drain_task, self.follow = DrainTask(late), followers.Followers()
+        self.slow = False  # whether the drain task plans one slice a step
+        self.blocked = 0  # the leader proposes nothing before this time
+        self.checker = DrainChecker(
+            self.terms.lease, self.terms.grace, self.terms.cold_share, self.terms.site_share
+        )
         self.broken = []
         self.refused = 0
         self.waves = 0
         self.wave_at = -1
-        # ms: of looks at the ledger; of work
-        self.pace = pace
-        self.away = away
+        self.pace = pace  # ms between reads of the ledger, as (least, most)
+        self.away = away  # ms that a node is down, as (least, most)
         self.nodes = {}
         self.down = set()  # nodes that are down, or back and not serving, by a permit
         self.gateways = {}  # name: [next poll, index, silent]
@@ -73,28 +76,28 @@
 
     def apply(self, command):
         data = msgspec.json.encode(command)
-        moment = self.office_moment + self.now - self.office_now
+        moment = self.leader_start_ledger_time + self.now - self.leader_start
         entry = Entry(self.state.index + 1, self.term, COMMAND, moment, self.wall, data)
         self.state, applied = self.ledger.apply(self.state, entry)
         about = msgspec.json.decode(data)
         changes = applied.changes if applied.code == 200 else {}
-        self.broken += self.watch.entry(
+        self.broken += self.checker.entry(
             self.now, entry.index, self.term, self.state.moment, changes, about["kind"], about
         )
-        self.broken += self.truth(changes)
+        self.broken += self.check_nodes_down(changes)
         return applied
 
     def ask(self, kind, **fields):
-        """A client's command; its code and body."""
+        """Applies a client's command. Returns (code, body)."""
         self.ids += 1
         data = msgspec.json.encode({"id": f"test/{self.ids}", "kind": kind, **fields})
         applied = self.apply(self.ledger.read(data, outside=True))
         if kind == "node" and applied.code == 200:
-            self.nodes.setdefault(fields["node"], Held())
+            self.nodes.setdefault(fields["node"], NodeState())
         return applied.code, applied.body
 
-    def truth(self, changes):
-        """A node that is really down by a permit is never counted on."""
+    def check_nodes_down(self, changes):
+        """Returns nodes that are really down by a permit while the ledger counts on them, as texts."""
         found = []
         for name in [key for part, key in changes if part == "nodes" and key in self.down]:
             record = self.state.part("nodes")[name]
@@ -109,24 +112,24 @@
     # ---- time
 
     def new_leader(self):
-        """Another takes office: what the duty and the followers' rows kept is lost."""
+        """Makes a new leader: the memory of the drain task and of the followers is lost."""
         self.term += 1
-        self.office_moment = self.state.moment
-        self.office_now = self.now
-        self.duty.became_leader(self.now)
+        self.leader_start_ledger_time = self.state.moment
+        self.leader_start = self.now
+        self.drain_task.became_leader(self.now)
         self.follow.became_leader(self.now)
-        self.watch.office = self.now
-        self.watch.acked = {}
+        self.checker.leader_start = self.now
+        self.checker.polls = {}
         self.blocked = 0
 
-    def step(self, much):
-        """Time moves on, everyone acts, the leader proposes until it has nothing more to say."""
-        self.now += much
-        self.wall += much // MS
+    def step(self, duration):
+        """Advances time; gateways poll, nodes act, and the leader proposes until it has nothing to do."""
+        self.now += duration
+        self.wall += duration // MS
         for name, row in self.gateways.items():
             if row[0] <= self.now and not row[2] and name in self.state.part("followers"):
                 self.follow.polled(self.now, name, row[1])
-                self.watch.heard(self.now, name, row[1])
+                self.checker.record_poll(self.now, name, row[1])
                 row[0], row[1] = self.now + self.spread(), self.state.index
         for name in sorted(self.nodes):
             self.node_acts(name, self.nodes[name])
@@ -137,8 +140,8 @@
             if self.now < self.blocked:
                 return
             wanted = self.follow.next(self.now, self.state)
-            wanted = wanted or self.duty.next(self.now, self.wall, self.state, self.follow)
-            if wanted is None and self.duty.planning and not self.slow:
+            wanted = wanted or self.drain_task.next(self.now, self.wall, self.state, self.follow)
+            if wanted is None and self.drain_task.planning and not self.slow:
                 continue
             if wanted is None:
                 return
@@ -148,61 +151,68 @@
             if code != 200:
                 self.refused += 1
                 self.blocked = self.now + S
-            elif wave and self.wave_at != self.now:  # a long wave is several entries
+            elif wave and self.wave_at != self.now:  # a long wave takes several entries
                 self.waves, self.wave_at = self.waves + 1, self.now
-        raise AssertionError(f"the duty does not come to rest: {wanted}")
+        raise AssertionError(f"the drain task does not come to rest: {wanted}")
 
     def spread(self):
-        return self.chance.randint(*self.pace) * MS
+        return self.rng.randint(*self.pace) * MS
 
-    def node_acts(self, name, held):
-        if held.lost:
+    def node_acts(self, name, node):
+        if node.has_failed:
             return
-        if held.sees <= self.now:
-            held.sees, held.heard, held.known = self.now + self.spread(), self.now, self.state.index
-            held.permit = self.state.part("permits").get(name)
-        permit = held.permit
-        if held.acting == "" and permit is not None and permit.phase == "clear":
-            fresh = self.now - held.heard < self.terms.lease and (permit.term, permit.index) > held.obeyed
+        if node.next_read <= self.now:
+            node.next_read, node.last_read, node.known_index = (
+                self.now + self.spread(),
+                self.now,
+                self.state.index,
+            )
+            node.permit = self.state.part("permits").get(name)
+        permit = node.permit
+        if node.acting == "" and permit is not None and permit.phase == "clear":
+            fresh = (
+                self.now - node.last_read < self.terms.lease
+                and (permit.term, permit.index) > node.last_permit
+            )
             if fresh:
-                held.acting, held.until = "ending", self.now + self.spread()
-        elif held.acting == "ending":
+                node.acting, node.until = "ending", self.now + self.spread()
+        elif node.acting == "ending":
             clear = permit is not None and permit.phase == "clear"
-            if not clear or self.now - held.heard >= self.terms.lease:
-                held.acting = ""
-            elif held.until <= self.now:
-                held.obeyed = (permit.term, permit.index)
-                held.acting = "away"
-                held.until = self.now + self.chance.randint(*self.away) * MS
+            if not clear or self.now - node.last_read >= self.terms.lease:
+                node.acting = ""
+            elif node.until <= self.now:
+                node.last_permit = (permit.term, permit.index)
+                node.acting = "away"
+                node.until = self.now + self.rng.randint(*self.away) * MS
                 self.down.add(name)
                 self.ask("report", node=name, state="drained")
-        elif held.acting == "away" and held.until <= self.now and name not in self.no_return:
-            held.acting, held.until = "catching up", self.now + self.spread()
+        elif node.acting == "away" and node.until <= self.now and name not in self.no_return:
+            node.acting, node.until = "catching up", self.now + self.spread()
             self.ask("report", node=name, state="catching_up")
-        elif held.acting == "catching up" and held.until <= self.now and name not in self.no_catching_up:
-            held.acting = ""
+        elif node.acting == "catching up" and node.until <= self.now and name not in self.no_catching_up:
+            node.acting = ""
             self.down.discard(name)
             self.ask("report", node=name, state="serving")
-        elif held.acting == "" and permit is not None and permit.phase == "recalled":
-            held.permit = None
-            self.ask("report", node=name, state="serving", seen=held.known)
+        elif node.acting == "" and permit is not None and permit.phase == "recalled":
+            node.permit = None
+            self.ask("report", node=name, state="serving", seen=node.known_index)
 
     def fail(self, name):
-        self.nodes[name].lost = True
+        self.nodes[name].has_failed = True
         self.nodes[name].acting = ""
         self.down.discard(name)
         self.ask("report", node=name, state="failed")
 
     def heal(self, name):
-        held = self.nodes[name]
-        held.lost, held.acting, held.until = False, "catching up", self.now + self.spread()
+        node = self.nodes[name]
+        node.has_failed, node.acting, node.until = False, "catching up", self.now + self.spread()
         self.down.add(name)
-        held.sees = self.now
-        held.permit = None
+        node.next_read = self.now
+        node.permit = None
         self.ask("report", node=name, state="catching_up")
 
     def run(self, until, most=20_000, step=200 * MS):
-        """Steps until this holds; whether it came to hold."""
+        """Steps until the condition is true, at most `most` times. Returns whether it is true."""
         for _ in range(most):
             if until(self):
                 return True
--- a/lemonlead/standins/expressions.py
+++ b/lemonlead/standins/expressions.py
@@ -1,7 +1,6 @@
-"""Expressions that mean harm, and expressions drawn at random by the grammar and the types; and requests to
-match.
+"""Hostile expressions, random well-typed expressions, and requests to match them against.
 
-For tests and benchmarks: each must be refused when it is loaded, or keep what its cost promises."""
+For tests and benchmarks: each expression must be refused when it is loaded, or stay within its cost limit."""
 
 from ..matching.request_fields import RequestFields
 
@@ -11,14 +10,14 @@
 
 
 def draw(rng, kind="bool", depth=4, names=()):
-    """The text of an expression of this type (names: those bound around it, with their types)."""
+    """Returns the text of a random expression of this type. `names`: (name, type) of the names in scope."""
     known = [name for name, of in names if of == kind]
     if known and rng.random() < 0.4:
         return rng.choice(known)
     if depth <= 0 or rng.random() < 0.15:
         return leaf(rng, kind)
-    make = rng.choice(MADE[kind])
-    return make(lambda of, names=names: draw(rng, of, depth - 1, names), rng, names)
+    form = rng.choice(FORMS_BY_TYPE[kind])
+    return form(lambda of, names=names: draw(rng, of, depth - 1, names), rng, names)
 
 
 def leaf(rng, kind):
@@ -26,8 +25,8 @@
         case "bool":
             return rng.choice(("true", "false", "lookup.repeat", "lookup.stamped", "has(lookup.key)"))
         case "int":
-            few = (0, 1, -1, 2, 7, 100, 2**31, 2**63 - 1, -(2**63), rng.randrange(-50, 50))
-            return rng.choice((str(rng.choice(few)), "lookup.body_size"))
+            values = (0, 1, -1, 2, 7, 100, 2**31, 2**63 - 1, -(2**63), rng.randrange(-50, 50))
+            return rng.choice((str(rng.choice(values)), "lookup.body_size"))
         case "double":
             return rng.choice(("0.0", "1.5", "-2.5", "1e300", "0.1"))
         case "string":
@@ -36,8 +35,14 @@
         case "bytes":
             return rng.choice(("b'north'", "b''", "b'\\xff\\x00'", "bytes(lookup.lane)"))
         case "duration":
-            few = ("duration('1.5s')", "duration('250ms')", "duration('-1h')", "lookup.wait", "lookup.work")
-            return rng.choice(few)
+            values = (
+                "duration('1.5s')",
+                "duration('250ms')",
+                "duration('-1h')",
+                "lookup.wait",
+                "lookup.work",
+            )
+            return rng.choice(values)
         case "strings":
             return rng.choice(("['a', 'north']", "lookup.lane.split('-', 3)", "[lookup.key]"))
         case "ints":
@@ -50,105 +55,105 @@
 
 
 def compare(of):
-    return lambda new, rng, names: f"({new(of)} {rng.choice(('<', '<=', '>', '>=', '==', '!='))} {new(of)})"
+    return lambda sub, rng, names: f"({sub(of)} {rng.choice(('<', '<=', '>', '>=', '==', '!='))} {sub(of)})"
 
 
 def binary(of, signs):
-    return lambda new, rng, names: f"({new(of)} {rng.choice(signs)} {new(of)})"
+    return lambda sub, rng, names: f"({sub(of)} {rng.choice(signs)} {sub(of)})"
 
 
 def choice(of):
-    return lambda new, rng, names: f"({new('bool')} ? {new(of)} : {new(of)})"
+    return lambda sub, rng, names: f"({sub('bool')} ? {sub(of)} : {sub(of)})"
 
 
 def each(macro, over, of):
-    """A comprehension; its name is new, so that none hides another."""
+    """Returns a function that makes a comprehension. Its variable has a new name, to shadow none."""
 
-    def make(new, rng, names):
+    def form(sub, rng, names):
         name = f"v{len(names)}"
         inner = (*names, (name, of))
-        return f"{new(over)}.{macro}({name}, {new('bool', inner)})"
+        return f"{sub(over)}.{macro}({name}, {sub('bool', inner)})"
 
-    return make
+    return form
 
 
 def mapped(over, of, to):
-    def make(new, rng, names):
+    def form(sub, rng, names):
         name = f"v{len(names)}"
-        return f"{new(over)}.map({name}, {new(to, (*names, (name, of)))})"
+        return f"{sub(over)}.map({name}, {sub(to, (*names, (name, of)))})"
 
-    return make
+    return form
 
 
-def attributes(new, rng, names):
+def attributes(sub, rng, names):
     name = f"v{len(names)}"
     macro = rng.choice(("exists", "all", "exists_one"))
-    return f"lookup.attributes.{macro}({name}, {new('bool', (*names, (name, 'string')))})"
+    return f"lookup.attributes.{macro}({name}, {sub('bool', (*names, (name, 'string')))})"
 
 
-MADE = {
+FORMS_BY_TYPE = {
     "bool": [
         *map(compare, ("int", "double", "string", "duration", "bytes")),
         binary("bool", ("&&", "||", "==")),
-        lambda new, rng, names: f"({new('bool')} && {new('bool')} && {new('bool')})",
-        lambda new, rng, names: f"({new('bool')} || {new('bool')} || {new('bool')})",
-        lambda new, rng, names: f"!{new('bool')}",
+        lambda sub, rng, names: f"({sub('bool')} && {sub('bool')} && {sub('bool')})",
+        lambda sub, rng, names: f"({sub('bool')} || {sub('bool')} || {sub('bool')})",
+        lambda sub, rng, names: f"!{sub('bool')}",
         choice("bool"),
-        lambda new,
+        lambda sub,
         rng,
-        names: f"{new('string')}.{rng.choice(('startsWith', 'endsWith', 'contains'))}({new('string')})",
-        lambda new, rng, names: f"{new('string')}.matches({quoted(rng.choice(PATTERNS))})",
-        lambda new, rng, names: f"({new('string')} in {new('strings')})",
-        lambda new, rng, names: f"({new('int')} in {new('ints')})",
-        lambda new, rng, names: f"({new('string')} in lookup.attributes)",
-        lambda new, rng, names: f"({new('string')} in ['a', 'north', 'fitment'])",
-        lambda new, rng, names: f"has(lookup.attributes.{rng.choice(('zone', 'none'))})",
+        names: f"{sub('string')}.{rng.choice(('startsWith', 'endsWith', 'contains'))}({sub('string')})",
+        lambda sub, rng, names: f"{sub('string')}.matches({quoted(rng.choice(PATTERNS))})",
+        lambda sub, rng, names: f"({sub('string')} in {sub('strings')})",
+        lambda sub, rng, names: f"({sub('int')} in {sub('ints')})",
+        lambda sub, rng, names: f"({sub('string')} in lookup.attributes)",
+        lambda sub, rng, names: f"({sub('string')} in ['a', 'north', 'fitment'])",
+        lambda sub, rng, names: f"has(lookup.attributes.{rng.choice(('zone', 'none'))})",
         *(each(macro, "strings", "string") for macro in ("exists", "all", "exists_one")),
         each("exists", "ints", "int"),
         attributes,
     ],
     "int": [
         binary("int", ("+", "-", "*", "/", "%")),
-        lambda new, rng, names: f"size({new(rng.choice(('string', 'bytes', 'strings', 'ints')))})",
-        lambda new, rng, names: f"hash({new('string')})",
-        lambda new, rng, names: f"int({new(rng.choice(('string', 'double')))})",
-        lambda new, rng, names: f"{new('ints')}[{rng.choice((0, 1, 5))}]",
-        lambda new, rng, names: f"-({new('int')})",
-        lambda new, rng, names: f"{{'a': {new('int')}, 'b': 2}}[{new('string')}]",
+        lambda sub, rng, names: f"size({sub(rng.choice(('string', 'bytes', 'strings', 'ints')))})",
+        lambda sub, rng, names: f"hash({sub('string')})",
+        lambda sub, rng, names: f"int({sub(rng.choice(('string', 'double')))})",
+        lambda sub, rng, names: f"{sub('ints')}[{rng.choice((0, 1, 5))}]",
+        lambda sub, rng, names: f"-({sub('int')})",
+        lambda sub, rng, names: f"{{'a': {sub('int')}, 'b': 2}}[{sub('string')}]",
         choice("int"),
     ],
     "double": [
         binary("double", ("+", "-", "*", "/")),
-        lambda new, rng, names: f"double({new('int')})",
-        lambda new, rng, names: f"-({new('double')})",
+        lambda sub, rng, names: f"double({sub('int')})",
+        lambda sub, rng, names: f"-({sub('double')})",
         choice("double"),
     ],
     "string": [
         binary("string", ("+",)),
-        lambda new, rng, names: f"{new('string')}.{rng.choice(('lower', 'upper'))}()",
-        lambda new, rng, names: f"{new('string')}.substring({rng.choice((0, 1, 3))})",
-        lambda new, rng, names: f"{new('string')}.substring(0, {new('int')})",
-        lambda new, rng, names: f"{new('strings')}.join({quoted(rng.choice(SEPARATORS))})",
-        lambda new, rng, names: f"{new('strings')}[{new('int')}]",
-        lambda new, rng, names: f"lookup.attributes[{new('string')}]",
-        lambda new, rng, names: f"string({new(rng.choice(('int', 'bytes')))})",
+        lambda sub, rng, names: f"{sub('string')}.{rng.choice(('lower', 'upper'))}()",
+        lambda sub, rng, names: f"{sub('string')}.substring({rng.choice((0, 1, 3))})",
+        lambda sub, rng, names: f"{sub('string')}.substring(0, {sub('int')})",
+        lambda sub, rng, names: f"{sub('strings')}.join({quoted(rng.choice(SEPARATORS))})",
+        lambda sub, rng, names: f"{sub('strings')}[{sub('int')}]",
+        lambda sub, rng, names: f"lookup.attributes[{sub('string')}]",
+        lambda sub, rng, names: f"string({sub(rng.choice(('int', 'bytes')))})",
         choice("string"),
     ],
     "bytes": [
         binary("bytes", ("+",)),
-        lambda new, rng, names: f"bytes({new('string')})",
+        lambda sub, rng, names: f"bytes({sub('string')})",
         choice("bytes"),
     ],
     "duration": [
         binary("duration", ("+", "-")),
         choice("duration"),
-        lambda new, rng, names: f"-({new('duration')})",
+        lambda sub, rng, names: f"-({sub('duration')})",
     ],
     "strings": [
-        lambda new,
+        lambda sub,
         rng,
-        names: f"{new('string')}.split({quoted(rng.choice(SEPARATORS))}, {rng.choice((1, 4))})",
-        lambda new, rng, names: f"[{new('string')}, {new('string')}]",
+        names: f"{sub('string')}.split({quoted(rng.choice(SEPARATORS))}, {rng.choice((1, 4))})",
+        lambda sub, rng, names: f"[{sub('string')}, {sub('string')}]",
         each("filter", "strings", "string"),
         mapped("strings", "string", "string"),
         mapped("ints", "int", "string"),
@@ -156,18 +161,18 @@
         choice("strings"),
     ],
     "ints": [
-        lambda new, rng, names: f"[{new('int')}, {new('int')}]",
+        lambda sub, rng, names: f"[{sub('int')}, {sub('int')}]",
         each("filter", "ints", "int"),
         mapped("strings", "string", "int"),
         binary("ints", ("+",)),
     ],
 }
-SORTS = tuple(MADE)
+TYPES = tuple(FORMS_BY_TYPE)
 
 
 def lookups(limits):
-    """Requests that make matching dear or make it err: the longest of all, none of it, not UTF-8, past the
-    bounds."""
+    """Returns requests that make matching expensive or make it fail: fields of the maximum length, empty, not
+    UTF-8, and over the limits."""
     lane = limits.request_classes[0] if limits.request_classes else "fitment"
     full = {f"{n:0{limits.attribute_name}d}": "a" * limits.attribute for n in range(limits.attributes)}
     longest = limits.key
@@ -197,7 +202,7 @@
 
 
 def hostile():
-    """Texts that were made to be dear, deep, large or ill-typed; over two hundred."""
+    """Yields over two hundred expressions that are expensive, deeply nested, large or ill-typed."""
     a = "lookup.key"
     yield from (sign * 100_000 for sign in ("(", "[", "{", "!", "-", "a.", "((", "[[", "1+", "f("))
     yield from ("(" * n + "1" + ")" * n for n in (20, 39, 41, 60, 200, 2000))
@@ -364,7 +369,7 @@
 
 
 def nest(macro, depth, body, over="[1, 2, 3, 4, 5, 6, 7, 8, 9, 10]"):
-    """Comprehensions within comprehensions."""
+    """Returns comprehensions nested to this depth."""
     for number in range(depth):
         body = f"{over}.{macro}(x{number}, {body})"
         if macro == "filter":
--- a/lemonlead/standins/move_checks.py
+++ b/lemonlead/standins/move_checks.py
@@ -24,7 +24,7 @@
 }
 
 
-class Watch:
+class MoveChecker:
     """`names`: the clusters. `saw` is called for each entry, `settled` once no move is open."""
 
     def __init__(self, names):
--- a/lemonlead/standins/simulated/whole_checks.py
+++ b/lemonlead/standins/simulated/whole_checks.py
@@ -21,7 +21,7 @@
 
     def __init__(self, names, terms, quorum):
         self.names, self.terms, self.quorum = names, terms, quorum
-        self.moves = move_checks.Watch(names)
+        self.moves = move_checks.MoveChecker(names)
         self.entries, self.gateways, self.nodes = {}, {name: [] for name in names}, {}
         self.services = {}  # service to its reservations, once all of them stood
 
@@ -90,21 +90,23 @@
     def formed(self, cluster, state, base):
         terms = state.settings
         self.state, self.term, self.answers, self.waits = state, state.term, {}, []
-        self.drains = drain_checks.Watch(terms.lease, terms.grace * RATES, terms.cold_share, terms.site_share)
+        self.drains = drain_checks.DrainChecker(
+            terms.lease, terms.grace * RATES, terms.cold_share, terms.site_share
+        )
         self.between.entries[cluster.id] = self
 
     def polled(self, gateway, host, after):
         """A poll of a gateway as it is comes to a member."""
         leader = self.cluster.leader()
         if leader is host:
-            self.drains.heard(self.cluster.world.now, gateway.name, after)
+            self.drains.record_poll(self.cluster.world.now, gateway.name, after)
 
     def committed(self, entry):
         now, between = self.cluster.world.now, self.between
         self.state, applied = self.ledger.apply(self.state, entry)
         if entry.term != self.term:
             self.term = entry.term
-            self.drains.office, self.drains.acked = now, {}
+            self.drains.leader_start, self.drains.polls = now, {}
         about = json.loads(entry.data) if entry.what == COMMAND else {}
         if about.get("id"):
             self.answers.setdefault(about["id"], (applied.code, applied.body))
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -18,7 +18,7 @@
 from ..ledger.state import Command, Ledger, State
 from ..moves import rules
 from ..moves.steps import MoveTask
-from .move_checks import Watch
+from .move_checks import MoveChecker
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -38,12 +38,12 @@
 class Side:
     """A cluster: its state, and the tasks of its leader."""
 
-    def __init__(self, world, name, others, ledger, duty):
+    def __init__(self, world, name, others, ledger, task):
         self.world = world
         self.name = name
         self.others = others
         self.ledger = ledger
-        self.make = duty
+        self.make = task
         self.state, self.term, self.up = State(), 0, True
         self.followers, self.retry_at, self.next_wakeup = followers.Followers(), {}, None
         self.drains, self.state_changed = DrainTask(), True
@@ -53,22 +53,22 @@
     def elect(self):
         """Makes a new leader. The previous one goes on calling for a while by its last state."""
         if self.term:
-            old = self.duty
+            old = self.move_task
             state = self.state
             at = self.world.now
             for later in range(200, DEPOSED_CALLS_NS // MS, 200):
                 self.world.at(at + later * MS, lambda: self.call_as_deposed(old, state))
         self.term, self.retry_at, self.up = self.term + 1, {}, True
-        self.duty = self.make(self.name, self.others, self.world.rng.random())
+        self.move_task = self.make(self.name, self.others, self.world.rng.random())
         self.followers.became_leader(self.world.now)
         self.apply(b"", 0)
-        for duty in (self.duty, self.drains):
-            duty.became_leader(self.world.now)
+        for task in (self.move_task, self.drains):
+            task.became_leader(self.world.now)
 
-    def call_as_deposed(self, duty, state):
-        wanted = duty.next(self.world.now, 0, state, followers.Followers())
+    def call_as_deposed(self, task, state):
+        wanted = task.next(self.world.now, 0, state, followers.Followers())
         if wanted is not None and not isinstance(wanted, Command):
-            self.world.call(self, duty, wanted)
+            self.world.call(self, task, wanted)
 
     def restore(self):
         """Restarts all members at once: the state is read from its snapshot."""
@@ -82,7 +82,7 @@
         self.state, applied = self.ledger.apply(state, entry)
         if applied.code == 200 and applied.changes:
             changes = [(part, key, msgspec.to_builtins(row)) for (part, key), row in applied.changes.items()]
-            self.world.watch.saw(self.name, entry.index, changes)
+            self.world.checker.saw(self.name, entry.index, changes)
             if any(part == "moves" for part, *_ in changes):
                 self.world.steps.append(self.world.now)
             for hook in list(self.world.hooks):
@@ -101,29 +101,29 @@
             return
         self.state_changed = False
         world = self.world
-        duties = (self.duty, self.drains)
+        tasks = (self.move_task, self.drains)
         for _ in range(1000):
-            if not any(self.run_task_once(duty) for duty in duties):
+            if not any(self.run_task_once(task) for task in tasks):
                 break
         else:
             raise AssertionError("a leader task never comes to rest")
-        wake = min(max(duty.wake_at(), self.retry_at.get(duty, 0), world.now + MS) for duty in duties)
+        wake = min(max(task.wake_at(), self.retry_at.get(task, 0), world.now + MS) for task in tasks)
         if self.next_wakeup is None or not world.now < self.next_wakeup <= wake:
             self.next_wakeup = wake
             if wake < 1 << 60:
                 world.at(wake, lambda: None)
 
-    def run_task_once(self, duty):
+    def run_task_once(self, task):
         world = self.world
-        if world.now < self.retry_at.get(duty, 0):
+        if world.now < self.retry_at.get(task, 0):
             return False
-        wanted = duty.next(world.now, world.now // MS, self.state, self.followers)
+        wanted = task.next(world.now, world.now // MS, self.state, self.followers)
         if isinstance(wanted, Command):
             code, _ = self.apply(msgspec.json.encode(wanted))
             if code != 200:
-                self.retry_at[duty] = world.now + SECOND
+                self.retry_at[task] = world.now + SECOND
         elif wanted is not None:
-            world.call(self, duty, wanted)
+            world.call(self, task, wanted)
         return wanted is not None
 
     def obey(self, took=2 * SECOND):
@@ -146,9 +146,9 @@
     gateways that are cut off. `judge(world, gateway, move record)` returns a gateway's vote, or None.
     """
 
-    def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, duty=MoveTask, ledgers=None, judge=None):
+    def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, task=MoveTask, ledgers=None, judge=None):
         self.rng, self.now, self.turns, self.events = random.Random(seed), SECOND, count(), []
-        self.watch, self.hooks, self.cut, self.answers = Watch(names), [], set(), []
+        self.checker, self.hooks, self.cut, self.answers = MoveChecker(names), [], set(), []
         self.lose = 0.0
         self.twice = 0.0
         self.late = 20 * MS
@@ -161,7 +161,7 @@
         self.sides = {}
         for name in names:
             rest = [other for other in names if other != name]
-            self.sides[name] = Side(self, name, rest, (ledgers or {}).get(name) or ledger(), duty)
+            self.sides[name] = Side(self, name, rest, (ledgers or {}).get(name) or ledger(), task)
         for name, side in self.sides.items():
             for number in range(gateways):
                 gateway = f"{name}-gateway-{number}"
@@ -193,14 +193,14 @@
 
     # ---- calls from cluster to cluster
 
-    def call(self, side, duty, call):
+    def call(self, side, task, call):
         """Makes a call. The task gets one `called` for it: the response or, after the timeout, code 0."""
         state = {"open": True}
 
         def end(code, body):
             if state["open"]:
                 state["open"] = False
-                duty.called(self.now, call, code, body)
+                task.called(self.now, call, code, body)
                 side.state_changed = True
 
         def arrive():
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -18,7 +18,7 @@
 from lemonlead.ledger.records import Entry
 from lemonlead.ledger.state import Transaction
 from lemonlead.moves.rules import remove_group
-from lemonlead.standins.drain_checks import Watch
+from lemonlead.standins.drain_checks import DrainChecker
 from lemonlead.standins.drain_world import MS, S, World
 
 HOUR = 3_600_000
@@ -66,7 +66,7 @@
     assert world.ask("reserve", reservation="r", service="s", units=100, site="a")[0] == 200
     assert start_drain(world, node_names(30))[0] == 200
     run_until(world, all_ended)
-    assert world.waves == 5 and world.watch.permits_given == 30  # a quarter of each site at once
+    assert world.waves == 5 and world.checker.permits_given == 30  # a quarter of each site at once
     assert not permitted_nodes(world) and not world.state.part("wants")
     assert all(not node.cordon_ms and not node.out for node in world.state.part("nodes").values())
     described = rules.describe_drains(world.state)["kernel"]
@@ -269,7 +269,7 @@
     world.ask("group", group="g", nodes=node_names(3), quorum=2)
     start_drain(world, ["n0"])
     world.run(lambda w: permitted_nodes(w, "clear"), 100, 10 * MS)
-    world.nodes["n0"].sees = world.now + 900 * MS  # it does not see the recall yet
+    world.nodes["n0"].next_read = world.now + 900 * MS  # it does not see the recall yet
     world.ask("report", node="n1", state="catching_up")
     world.step(10 * MS)
     assert permitted_nodes(world, "recalled") == {"n0"} and world.state.part("nodes")["n0"].out == "kernel"
@@ -375,7 +375,7 @@
     assert (world.state.part("nodes")["n1"].cordon_ms > cordon) == (code == 200)
     world.ask("gang_end", gang="j")
     run_until(world, all_ended)
-    assert world.watch.permits_given == 8  # no node went twice
+    assert world.checker.permits_given == 8  # no node went twice
 
 
 def test_drain_given_other_nodes_releases_the_omitted_ones():
@@ -393,7 +393,7 @@
     start_drain(world, node_names(6), "kernel", 2)
     start_drain(world, node_names(6, 2), "disks", 1)
     run_until(world, all_ended)
-    assert world.watch.permits_given == 8
+    assert world.checker.permits_given == 8
     assert {one.phase for one in world.state.part("drains").values()} == {"done"}
 
 
@@ -403,7 +403,7 @@
     world.run(lambda w: permitted_nodes(w, "down"))
     start_drain(world, ["n0"], "disks")
     run_until(world, all_ended)
-    assert world.watch.permits_given == 2
+    assert world.checker.permits_given == 2
 
 
 @pytest.mark.parametrize("phase", ["given", "clear", "down", "returning"])
@@ -427,7 +427,7 @@
     world.ask("drain_stop", drain="kernel")
     assert permitted_nodes(world, "given") == {"n0"} and world.state.part("nodes")["n0"].out == "disks"
     run_until(world, all_ended)
-    assert world.watch.permits_given == 1 and world.phase("disks") == "done"
+    assert world.checker.permits_given == 1 and world.phase("disks") == "done"
 
 
 # ---- further cases
@@ -441,7 +441,7 @@
     assert world.waves <= 2 and permitted_nodes(world, "down") == {"n0"}
     world.heal("n0")
     run_until(world, all_ended)
-    assert world.watch.permits_given == 1
+    assert world.checker.permits_given == 1
 
 
 def test_drain_continues_through_leader_changes():
@@ -451,7 +451,7 @@
         world.step(300 * MS)
         world.new_leader()
     world.run(all_ended)  # with a leader that stays, so that the leases of silent gateways run out
-    assert all_ended(world) and world.broken == [] and world.watch.permits_given == 12
+    assert all_ended(world) and world.broken == [] and world.checker.permits_given == 12
 
 
 def test_commands_planned_by_a_deposed_leader_are_refused():
@@ -495,7 +495,7 @@
     world.run(lambda w: "NotBack" in stuck_types(w), 30)
     world.heal("n0")
     run_until(world, all_ended)
-    assert world.watch.permits_given == 1
+    assert world.checker.permits_given == 1
 
 
 def test_oldest_ended_drains_are_forgotten_first(monkeypatch):
@@ -654,9 +654,9 @@
 
 
 def report_of(world, change, **entry):
-    """Returns what the Watch of this world reports for one more change."""
+    """Returns what the checker of this world reports for one more change."""
     fields = {"now": world.now, "index": world.state.index + 1, "term": 1, "moment": world.state.moment}
-    return world.watch.entry(**{**fields, **entry}, changes=change)
+    return world.checker.entry(**{**fields, **entry}, changes=change)
 
 
 def test_checker_reports_each_kind_of_violation():
@@ -672,7 +672,7 @@
     assert report_of(world, {("permits", "n0"): given}) == []
     clear = rules.replace(given, phase="clear")
     assert any("gw0" in found for found in report_of(world, {("permits", "n0"): clear}))
-    assert any("without its word" in found for found in report_of(world, {("permits", "n0"): None}))
+    assert any("without its report" in found for found in report_of(world, {("permits", "n0"): None}))
     older = rules.replace(given, index=7)
     assert any("older" in found for found in report_of(world, {("permits", "n0"): older}))
     recalled = rules.replace(given, index=120, at=120, phase="recalled")
@@ -680,7 +680,7 @@
     report = {"node": "n1", "state": "serving"}
     found = report_of(world, {("permits", "n1"): None}, kind="report", about=report)
     assert any("could still act" in one for one in found)
-    assert isinstance(world.watch, Watch)
+    assert isinstance(world.checker, DrainChecker)
 
 
 @pytest.mark.parametrize("broken", ["quorum", "acknowledged", "recalled", "cold", "gang"])
@@ -775,7 +775,7 @@
 
     def heal(self):
         for name, node in self.world.nodes.items():
-            if node.lost:
+            if node.has_failed:
                 self.world.heal(name)
 
     def repair_all(self):
@@ -826,8 +826,12 @@
         )
         found, before = None, 0
         while found is None and calls < 1000:
-            found = world.duty.next(world.now, world.wall, world.state, world.follow)
-            assert (found is None) is world.duty.planning and world.duty.wake_at() <= world.now + 1 or found
+            found = world.drain_task.next(world.now, world.wall, world.state, world.follow)
+            assert (
+                (found is None) is world.drain_task.planning
+                and world.drain_task.wake_at() <= world.now + 1
+                or found
+            )
             most, before, calls = max(most, placed[0] - before), placed[0], calls + 1
     assert len(found.nodes) == 620 and placed[0] >= 2500  # a quarter of each site
     assert most <= leader_task.SLICE + planner.NODES_PER_PIECE
@@ -839,12 +843,12 @@
     start_drain(world, node_names(2))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leader_task, "SLICE", 1)
-        while not world.duty.plan.wave_of:
-            assert world.duty.next(world.now, world.wall, world.state, world.follow) is None
-        assert world.duty.planning
+        while not world.drain_task.plan.wave_of:
+            assert world.drain_task.next(world.now, world.wall, world.state, world.follow) is None
+        assert world.drain_task.planning
         world.fail("n2")
-        while (found := world.duty.next(world.now, world.wall, world.state, world.follow)) is None:
-            assert world.duty.wake_at() <= world.now + 1
+        while (found := world.drain_task.next(world.now, world.wall, world.state, world.follow)) is None:
+            assert world.drain_task.wake_at() <= world.now + 1
     assert isinstance(found, rules.DrainPlanReport) and found.stuck[0].type == "GroupShort"
 
 
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -263,7 +263,7 @@
 
 
 @settings(max_examples=400, deadline=None, derandomize=True, database=None)
-@given(st.integers(0, 2**32), st.sampled_from(expressions.SORTS), st.integers(1, 6))
+@given(st.integers(0, 2**32), st.sampled_from(expressions.TYPES), st.integers(1, 6))
 def test_expressions_drawn_by_type_are_admitted_or_too_dear_and_both_ways_to_run_them_agree(
     seed, kind, depth
 ):
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -33,19 +33,19 @@
 
 def run_until_ended(world, most=900 * SECOND):
     """Runs until no move is open, checks that nothing was violated, and returns how move `m` ended."""
-    assert world.run_till(world.quiet, most), [world.move("m"), world.watch.broken]
+    assert world.run_till(world.quiet, most), [world.move("m"), world.checker.broken]
     assert world.run_till(lambda: not world.flying)
     world.run(world.now + 5 * SECOND)
-    world.watch.settled()
-    assert world.watch.broken == []
+    world.checker.settled()
+    assert world.checker.broken == []
     for side in world.sides.values():
         assert promises.faults(promises.plain(side.state)) == []
     return world.move("m").end
 
 
 def holders(world):
-    assert world.watch.holders("search-wide") == world.watch.holders("search-pinned")
-    return world.watch.holders("search-wide")
+    assert world.checker.holders("search-wide") == world.checker.holders("search-pinned")
+    return world.checker.holders("search-wide")
 
 
 # ---- every step with every fault
@@ -100,7 +100,7 @@
     for move in (world.move("m"), world.move("n", "ebene")):
         assert move.end == "refused" and "NoRoomThere" in move.says and "free" in move.says
     assert holders(world) == ["louis"]
-    assert world.watch.holders("print-wide") == ["ebene"]
+    assert world.checker.holders("print-wide") == ["ebene"]
 
 
 def test_swap_with_enough_free_capacity():
@@ -111,7 +111,7 @@
     begin_move(world)
     begin_move(world, "n", "print", "ebene", "louis")
     assert run_until_ended(world) == "done"
-    assert holders(world) == ["ebene"] and world.watch.holders("print-wide") == ["louis"]
+    assert holders(world) == ["ebene"] and world.checker.holders("print-wide") == ["louis"]
 
 
 def test_second_move_of_a_service_is_refused():
@@ -201,7 +201,7 @@
     assert world.run_till(
         lambda: all(world.sides[cluster].state.part("drains")["d"].phase == "done" for cluster in clusters)
     )
-    assert world.watch.broken == []
+    assert world.checker.broken == []
 
 
 def cordon(side, names):
@@ -434,7 +434,7 @@
         r.move for r in reservations.values()
     )
     assert len(world.sides["louis"].state.part("groups")["search/replicas"].nodes) == 3
-    assert world.watch.broken == []
+    assert world.checker.broken == []
 
 
 # ---- bounds
@@ -652,12 +652,12 @@
     world.run(world.now + 60 * SECOND)
     if scenario == "late take":
         world.taken(calls[0])
-    world.watch.settled()
-    assert world.watch.broken
+    world.checker.settled()
+    assert world.checker.broken
 
 
 def test_checker_reports_nothing_without_a_fault():
     world = create_world()
     begin_move(world)
     assert run_until_ended(world) == "done"
-    assert world.watch.pieces and world.watch.takes == {("ebene", "louis/m", world.move("m").epoch): 1}
+    assert world.checker.pieces and world.checker.takes == {("ebene", "louis/m", world.move("m").epoch): 1}
