--- a/tests/test_member_told.py
+++ b/tests/test_member_told.py
@@ -1,4 +1,4 @@
-"""A member's settings file: what it tells, and where each fault of it stands."""
+"""The settings file of a member: its values, and the place of each fault."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 from lemonlead.member import member_settings
 from lemonlead.member.faults import Unfit
 
-PAGE = """cluster: "louis"
+SETTINGS = """cluster: "louis"
 member:  "g1"                                  // a new name for a machine that lost its disk
 data:    "var/g1"                              // its folder; one process at a time
 listen:  "127.0.0.1:7101"
@@ -24,8 +24,8 @@
     return member_settings.read(str(tmp_path / "g1.cue"))
 
 
-def test_the_outside_pages_own_file_is_read(tmp_path):
-    found = read(tmp_path, PAGE)
+def test_documented_example_is_read(tmp_path):
+    found = read(tmp_path, SETTINGS)
     assert (found.cluster, found.member, found.listen) == ("louis", "g1", "127.0.0.1:7101")
     assert found.data == tmp_path / "var" / "g1"
     assert found.members == {f"g{n}": f"127.0.0.1:710{n}" for n in (1, 2, 3)}
@@ -36,15 +36,15 @@
     assert found.bounds == {name: getattr(wanted, name) for name in found.bounds} and found.bounds
 
 
-def test_times_and_terms_are_taken(tmp_path):
+def test_times_terms_and_bounds_are_read(tmp_path):
     more = "times: {election: 400ms, heartbeat: 50ms}\nterms: remember: 20m\nbounds: keep: 7\n"
-    found = read(tmp_path, PAGE + more)
+    found = read(tmp_path, SETTINGS + more)
     assert found.times == member_settings.Times(400_000_000, 50_000_000, 3_000_000_000)
     assert found.terms.remember == 1_200_000_000_000 and found.bounds["keep"] == 7
 
 
-def test_one_that_joins_need_not_be_listed(tmp_path):
-    text = PAGE.replace('member:  "g1"', 'member: "g4"').replace(
+def test_joining_member_need_not_be_listed(tmp_path):
+    text = SETTINGS.replace('member:  "g1"', 'member: "g4"').replace(
         'listen:  "127.0.0.1:7101"', 'listen: "127.0.0.1:7104"'
     )
     assert read(tmp_path, text).member == "g4"
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("name", ["g1", "g2", "g3"])
-def test_the_examples_can_be_used(name):
+def test_example_files_are_valid(name):
     found = member_settings.read(f"deploy/cluster/{name}.cue")
     assert found.member == name and found.members[name] == found.listen and len(found.members) == 3
 
@@ -91,19 +91,20 @@
 
 
 @pytest.mark.parametrize("old, new, line, path, found", FAULTS)
-def test_a_file_that_is_wrong_is_refused_with_the_place(tmp_path, old, new, line, path, found):
-    assert old in PAGE
+def test_invalid_file_is_refused_with_the_place(tmp_path, old, new, line, path, found):
+    assert old in SETTINGS
     with pytest.raises(Unfit) as caught:
-        read(tmp_path, PAGE.replace(old, new, 1))
+        read(tmp_path, SETTINGS.replace(old, new, 1))
     fault = caught.value.faults[0]
     assert (fault.place.line, fault.path) == (line, path) and found in fault.found
     assert fault.place.column >= 1 and fault.allowed
     assert isinstance(caught.value, Unusable) and f"g1.cue:{line}:" in caught.value.says
 
 
-def test_all_faults_come_at_once(tmp_path):
+def test_all_faults_are_reported_at_once(tmp_path):
     text = (
-        PAGE.replace("127.0.0.1:7101", "a:1").replace("127.0.0.1:7203", "b:1") + "times: heartbeat: 900ms\n"
+        SETTINGS.replace("127.0.0.1:7101", "a:1").replace("127.0.0.1:7203", "b:1")
+        + "times: heartbeat: 900ms\n"
     )
     with pytest.raises(Unfit) as caught:
         read(tmp_path, text)
@@ -112,19 +113,19 @@
     assert "and 3 more" in caught.value.says
 
 
-@pytest.mark.parametrize("many, allowed", [(9, True), (10, False)])
-def test_members_are_bounded(tmp_path, many, allowed):
-    listed = ", ".join(f'g{n}: "127.0.0.1:{7100 + n}"' for n in range(1, many + 1))
-    text = PAGE.replace(PAGE.splitlines()[4], "members: {" + listed + "}")
+@pytest.mark.parametrize("count, allowed", [(9, True), (10, False)])
+def test_number_of_members_is_bounded(tmp_path, count, allowed):
+    listed = ", ".join(f'g{n}: "127.0.0.1:{7100 + n}"' for n in range(1, count + 1))
+    text = SETTINGS.replace(SETTINGS.splitlines()[4], "members: {" + listed + "}")
     if allowed:
-        assert len(read(tmp_path, text).members) == many
+        assert len(read(tmp_path, text).members) == count
     else:
         with pytest.raises(Unfit, match="9 at most"):
             read(tmp_path, text)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xfe", b"cluster: ", b'include "none.cue"\n', b"{" * 5000])
-def test_bytes_that_are_no_settings_are_refused(tmp_path, data):
+def test_unreadable_bytes_are_refused(tmp_path, data):
     (tmp_path / "g1.cue").write_bytes(data)
     with pytest.raises(Unfit):
         member_settings.read(str(tmp_path / "g1.cue"))
