--- a/lemonlead/member/assembly.py
+++ b/lemonlead/member/assembly.py
@@ -36,7 +36,7 @@
     names of those that it can call."""
     return [
         membership.Membership(dispatcher),
-        followers.Forgetting(dispatcher),
+        followers.FollowerExpiry(dispatcher),
         DrainTask(),
         MoveTask(cluster, clusters, seed),
     ]
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -655,7 +655,7 @@
 def test_invalid_far_settings_are_refused(far, more):
     config = SimpleNamespace(zones=ZONES, start=SimpleNamespace(release=release(**more)))
     with pytest.raises(Unusable) as error:
-        services.checked({"service": "search", "far": far}, config)
+        services.check_settings({"service": "search", "far": far}, config)
     assert "follow" in error.value.do
 
 
