--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -440,7 +440,7 @@
     """Starts the next stage, or settling once all requests go to the destination: then the move can no longer
     be stopped."""
     if transaction.moment - move.since < MIN_STAGE_NS:
-        raise NotAwaited(f"stage {move.stage} has lasted less than {MIN_STAGE_NS // 10**9} s")
+        raise NotAwaited(f"stage {move.stage} stands since less than {MIN_STAGE_NS // 10**9} s")
     if move.share < STAGES[-1]:
         if len(move.on) < on_votes_needed(count_voters(transaction, move.service)):
             raise NotAwaited(f"{len(move.on)} gateways voted for more")
