--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -64,7 +64,7 @@
         if nothing := [point for point in points if point[1] <= 0]:
             unfit[slope.name] = nothing
             points = [point for point in points if point[1] > 0]
-        if len(points) <= slopes.FEWEST:
+        if len(points) <= slopes.MIN_POINTS:
             continue
         made[slope.name] = slopes.Slope(
             name=slope.name,
@@ -74,7 +74,7 @@
             points=tuple(slopes.Point(*point) for point in points[:-1]),
             held_out=slopes.Point(*points[-1]),
             source=of,
-            **slopes.fitted(points),
+            **slopes.fit_and_check(points),
         )
     return made, unfit
 
--- a/lemonlead/commands/capacity.py
+++ b/lemonlead/commands/capacity.py
@@ -54,8 +54,8 @@
 
     Example: lemonlead capacity breaks deploy/capacity/fleet.cue
     """
-    rows = answers.breaks(read(file, as_json))
-    first = rows[0] if rows else {"what": "nothing", "growth": answers.MOST_GROWTH}
+    rows = answers.breaking_points(read(file, as_json))
+    first = rows[0] if rows else {"what": "nothing", "growth": answers.MAX_GROWTH}
     show({"breaks": rows}, as_json, rows, f"\nfirst: {first['what']} at {first['growth']:.2f} times the load")
 
 
@@ -69,7 +69,7 @@
 
     Example: lemonlead capacity size deploy/capacity/fleet.cue --lost 1 --work 2.5
     """
-    found, why = answers.size(read(file, as_json), lost, work)
+    found, why = answers.smallest_size(read(file, as_json), lost, work)
     rows = [{"site": site, **counts} for site, counts in (found or {}).items()]
     show({"instances": found, "why": why}, as_json, rows, "", why)
     sys.exit(found is None)
@@ -89,7 +89,7 @@
     given = read(file, as_json)
     if site not in given.sites:
         raise click.UsageError(f"no site {site!r} (there is {', '.join(given.sites)})")
-    rows, _ = answers.lose(given.grown(growth), site, seed)
+    rows, _ = answers.play_site_loss(given.with_load_factor(growth), site, seed)
     show({"parts": rows}, as_json, rows)
 
 
@@ -110,7 +110,7 @@
 
     Example: lemonlead capacity release deploy/capacity/fleet.cue --work 2.5
     """
-    rows, _ = answers.release(read(file, as_json).grown(growth), work, seed)
+    rows, _ = answers.play_release(read(file, as_json).with_load_factor(growth), work, seed)
     show({"parts": rows}, as_json, rows)
 
 
@@ -124,7 +124,7 @@
 
     Example: lemonlead capacity predict deploy/capacity/fleet.cue --growth 1.5
     """
-    told = predicted(read(file, as_json).grown(growth), seeds)
+    told = predicted(read(file, as_json).with_load_factor(growth), seeds)
     show(
         told,
         as_json,
@@ -134,9 +134,11 @@
 
 
 def predicted(given, seeds):
-    """As `answers.predict`, the days in processes of their own."""
+    """As `answers.predict_service`, the days in processes of their own."""
     with ProcessPoolExecutor() as pool:
-        each = list(pool.map(answers.predict, [given] * seeds, [(seed,) for seed in range(1, seeds + 1)]))
+        each = list(
+            pool.map(answers.predict_service, [given] * seeds, [(seed,) for seed in range(1, seeds + 1)])
+        )
     played = [one["played"][0] for one in each]
     return {**each[0], "played": played, "mean": round(sum(played) / seeds, 4)}
 
@@ -153,7 +155,7 @@
     rows = []
     for file in (one, other):
         given = read(file, as_json)
-        first = (answers.breaks(given) or [{"what": "nothing", "growth": answers.MOST_GROWTH}])[0]
+        first = (answers.breaking_points(given) or [{"what": "nothing", "growth": answers.MAX_GROWTH}])[0]
         told = predicted(given, 3)
         rows.append(
             {
@@ -161,7 +163,7 @@
                 "service": told["mean"],
                 "first to break": first["what"],
                 "at growth": round(first["growth"], 2),
-                "instances": sum(count for _, _, count in given.machines()),
+                "instances": sum(count for _, _, count in given.machine_counts()),
             }
         )
     show({"fleets": rows}, as_json, rows)
@@ -181,7 +183,7 @@
     """
     from ..planning import loopback
 
-    given = read(file, as_json).grown(growth)
+    given = read(file, as_json).with_load_factor(growth)
     click.echo(f"playing {seconds} s on loopback ...", err=True)
     measured = loopback.measure(given, seed, seconds)
     told = predicted(given, 3)
@@ -205,13 +207,13 @@
     Example: lemonlead capacity report deploy/capacity/fleet.cue report.html
     """
     given, parts = read(file, False), []
-    parts.append(section("What breaks first", answers.breaks(given)))
+    parts.append(section("What breaks first", answers.breaking_points(given)))
     for site in given.sites if len(given.sites) > 1 else ():
         click.echo(f"playing the loss of {site} ...", err=True)
-        rows, seconds = answers.lose(given, site, seed)
+        rows, seconds = answers.play_site_loss(given, site, seed)
         parts.append(section(f"Site {site} is lost", rows, chart(seconds)))
     click.echo("playing a bad build ...", err=True)
-    rows, seconds = answers.release(given, 2.5, seed)
+    rows, seconds = answers.play_release(given, 2.5, seed)
     parts.append(section("A build that needs 2.5 times the work", rows, chart(seconds)))
     Path(page).write_text(PAGE.format(file=html.escape(file), body="\n".join(parts)))
     click.echo(page)
@@ -254,9 +256,9 @@
     wanted = read(file, as_json, targets)
     try:
         found = slopes.read(Path(measured).read_bytes())
-    except slopes.Unfit as error:
+    except slopes.InvalidSlopes as error:
         unfit(measured, error.path, str(error.found), error.expected, as_json)
-    text = page.page(wanted, found)
+    text = page.render(wanted, found)
     try:
         Path(to).write_text(text)
     except OSError as error:
@@ -267,7 +269,7 @@
         json.dumps(
             {
                 "page": to,
-                "wanted": page.wanted(wanted, found),
+                "wanted": page.target_rows(wanted, found),
                 "roles": page.size_rows(wanted, found),
             }
         )
@@ -290,7 +292,7 @@
 
 def chart(seconds, width=720, height=160):
     """Service by second, as a line from 0 (below) to 1."""
-    shares = [second.answered / second.worth if second.worth else 1.0 for second in seconds]
+    shares = [second.answered_revenue / second.revenue if second.revenue else 1.0 for second in seconds]
     step = width / max(len(shares) - 1, 1)
     line = " ".join(
         f"{n * step:.1f},{height - 10 - share * (height - 20):.1f}" for n, share in enumerate(shares)
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -5,13 +5,13 @@
 from .. import interface as at
 from .. import settings
 
-MOST_MACHINES = 20_000  # of all sites; past it a file is refused
-S = 1_000_000_000
+MAX_MACHINES = 20_000  # of all sites; past it a file is refused
+NS_PER_SECOND = 1_000_000_000
 EFFECTS = {"harmless": at.IDEMPOTENT, "stamped": at.DEDUPLICATED, "one-shot": at.NON_IDEMPOTENT}
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class MachineKind:
     name: str
     cores: int
     speed: float
@@ -43,31 +43,31 @@
     kinds: dict
     request_classes: dict
     sites: dict
-    within: int
-    across: int
+    same_site_delay: int
+    cross_site_delay: int
     retries: int
-    pause: int
+    retry_pause: int
     patience: float
     lookup_cpu: int
     gateway_cores: float
     descriptors: int
     cold_share: float
-    warm: int
+    warm_up_time: int
     cold_multiple: float
     cold_window: int
-    notice: int
+    list_delay: int
     drain_grace: int
-    steps: tuple
-    caps: tuple
-    bake: int
+    stage_shares: tuple
+    traffic_caps: tuple
+    bake_time: int
     window: int
-    free: int
-    on: float
-    back: float
-    boot: int
-    service: float  # the share of revenue that is to be answered within the latency objective
+    free_attempts: int
+    promote_share: float
+    roll_back_share: float
+    boot_time: int
+    service_goal: float  # the share of revenue that is to be answered within the latency objective
 
-    def without(self, names):
+    def without_sites(self, names):
         """The fleet after these sites are lost: their clients are served at the others."""
         kept = {name: site for name, site in self.sites.items() if name not in names}
         lost = [site for name, site in self.sites.items() if name in names]
@@ -89,7 +89,7 @@
         }
         return replace(self, sites=moved)
 
-    def grown(self, factor):
+    def with_load_factor(self, factor):
         """The same with so many times the load."""
         sites = {
             name: replace(
@@ -99,7 +99,7 @@
         }
         return replace(self, sites=sites)
 
-    def heavier(self, factor):
+    def with_work_factor(self, factor):
         """The same with so many times the work a request, as under a bad build everywhere."""
         request_classes = {
             name: replace(request_class, work=round(request_class.work * factor))
@@ -107,7 +107,7 @@
         }
         return replace(self, request_classes=request_classes)
 
-    def scaled(self, factor):
+    def with_instance_factor(self, factor):
         """The same with so many times the instances, rounded up, by site and kind."""
         sites = {
             name: replace(
@@ -117,7 +117,7 @@
         }
         return replace(self, sites=sites)
 
-    def machines(self):
+    def machine_counts(self):
         """(site, kind, how many) of each that there are."""
         return [
             (site, self.kinds[kind], count)
@@ -126,7 +126,7 @@
             if count
         ]
 
-    def rate(self, request_class):
+    def request_rate(self, request_class):
         return sum(site.load.get(request_class, 0.0) for site in self.sites.values())
 
     def gateway_count(self):
@@ -155,8 +155,8 @@
     if not faults and not (told["sites"] and told["lanes"]):
         fault("sites", "no site or no request class", "one at least of each")
     count = sum(sum(site["instances"].values()) for site in told["sites"].values())
-    if count > MOST_MACHINES:
-        fault("sites", f"{count} instances", f"{MOST_MACHINES} at most")
+    if count > MAX_MACHINES:
+        fault("sites", f"{count} instances", f"{MAX_MACHINES} at most")
     if faults:
         raise settings.Unfit(faults)
     return made(told)
@@ -164,33 +164,33 @@
 
 def made(told):
     return Fleet(
-        kinds={name: Kind(name, **kind) for name, kind in told["kinds"].items()},
+        kinds={name: MachineKind(name, **kind) for name, kind in told["kinds"].items()},
         request_classes={
             name: RequestClass(name, **{**request_class, "effect": EFFECTS[request_class["effect"]]})
             for name, request_class in told["lanes"].items()
         },
         sites={name: Site(name, **site) for name, site in told["sites"].items()},
-        within=told["delay"]["within"],
-        across=told["delay"]["across"],
+        same_site_delay=told["delay"]["within"],
+        cross_site_delay=told["delay"]["across"],
         retries=told["clients"]["retries"],
-        pause=told["clients"]["pause"],
+        retry_pause=told["clients"]["pause"],
         patience=told["clients"]["patience"],
         lookup_cpu=told["gateways"]["lookup_cpu"],
         gateway_cores=told["gateways"]["cores"],
         descriptors=told["gateways"]["descriptors"],
         cold_share=told["cold"]["share"],
-        warm=told["cold"]["warm"],
+        warm_up_time=told["cold"]["warm"],
         cold_multiple=told["cold"]["multiple"],
         cold_window=told["cold"]["window"],
-        notice=told["notice"],
+        list_delay=told["notice"],
         drain_grace=told["drain_grace"],
-        service=told["goal"]["service"],
-        steps=tuple(told["release"]["steps"]),
-        caps=tuple(told["release"]["caps"]),
-        bake=told["release"]["bake"],
+        service_goal=told["goal"]["service"],
+        stage_shares=tuple(told["release"]["steps"]),
+        traffic_caps=tuple(told["release"]["caps"]),
+        bake_time=told["release"]["bake"],
         window=told["release"]["window"],
-        free=told["release"]["free"],
-        on=told["release"]["on"],
-        back=told["release"]["back"],
-        boot=told["release"]["boot"],
+        free_attempts=told["release"]["free"],
+        promote_share=told["release"]["on"],
+        roll_back_share=told["release"]["back"],
+        boot_time=told["release"]["boot"],
     )
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -17,8 +17,8 @@
 from ..standins.clients import Client
 from ..standins.discovery import entry
 from ..standins.instances import Machine
-from .fleet import S
-from .world import Counted, service
+from .fleet import NS_PER_SECOND
+from .world import SecondCounts, service_share
 
 MOST_AT_ONCE = 512  # tries of clients under way; one past them is counted as lost
 EFFECTS = {at.IDEMPOTENT: "idempotent", at.DEDUPLICATED: "deduplicated", at.NON_IDEMPOTENT: "at_most_once"}
@@ -38,7 +38,7 @@
         for request_class in fleet.request_classes.values()
     ]
     rules = {
-        "Cold": fleet.warm / 1e6,
+        "Cold": fleet.warm_up_time / 1e6,
         "ColdFrom": fleet.cold_share,
         "DrainGrace": fleet.drain_grace / 1e6,
         "Fall": fleet.cold_window / 1e6,
@@ -68,7 +68,7 @@
     def __init__(self, fleet, seed):
         self.fleet, self.random, self.lock = fleet, random.Random(seed), threading.Lock()
         self.machines, self.ports, self.spare = [], {}, {}
-        for site, kind, count in fleet.machines():
+        for site, kind, count in fleet.machine_counts():
             self.machines += [(site, kind, machine_of(kind, seed + n)) for n in range(count)]
 
     def play(self, seconds):
@@ -79,7 +79,7 @@
             {**entry(f"i{n}", machine), "zone": site.name, "kind": kind.name}
             for n, (site, kind, machine) in enumerate(self.machines)
         ]
-        counts = [Counted() for _ in range(seconds)]
+        counts = [SecondCounts() for _ in range(seconds)]
         with contextlib.ExitStack() as stack:
             for _, _, machine in self.machines:
                 stack.callback(machine.close)
@@ -109,9 +109,12 @@
             work = round(request_class.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1000
             time.sleep(max(began + at - time.monotonic(), 0.0))
             second = counts[int(at)]
-            second.asked, second.worth = second.asked + 1, second.worth + request_class.revenue * work
+            second.requests, second.revenue = (
+                second.requests + 1,
+                second.revenue + request_class.revenue * work,
+            )
             if pool._work_queue.qsize() > MOST_AT_ONCE:
-                second.lost += 1
+                second.failed += 1
             else:
                 pool.submit(self.want, site, request_class, work, second, time.monotonic())
 
@@ -121,18 +124,18 @@
         for left in range(self.fleet.retries, -1, -1):
             ending = self.attempt(site, request_class, work, key, idempotency_key)
             if ending == "succeeded":
-                if (time.monotonic() - first) * S <= request_class.goal:
+                if (time.monotonic() - first) * NS_PER_SECOND <= request_class.goal:
                     with self.lock:
-                        second.answered += request_class.revenue * work
+                        second.answered_revenue += request_class.revenue * work
                 return
             if not left or ending != "rejected" and request_class.effect == at.NON_IDEMPOTENT:
                 break
-            time.sleep(self.fleet.pause / S)
+            time.sleep(self.fleet.retry_pause / NS_PER_SECOND)
         with self.lock:
             if ending == "rejected":
                 second.rejected += 1
             else:
-                second.lost += 1
+                second.failed += 1
 
     def attempt(self, site, request_class, work, key, idempotency_key):
         port = self.random.choice(self.ports[site])
@@ -164,4 +167,4 @@
 
 def measure(fleet, seed=1, seconds=25):
     """Service as real gateways give it, without the first seconds."""
-    return round(service(Run(fleet, seed).play(seconds)[5:]), 4)
+    return round(service_share(Run(fleet, seed).play(seconds)[5:]), 4)
--- a/lemonlead/planning/page.py
+++ b/lemonlead/planning/page.py
@@ -3,14 +3,14 @@
 import textwrap
 
 from . import sizing
+from .number_format import format_number, markdown_table
 from .sizing import CALM, CONDITIONS, MEMORY, ROLES
-from .targets import S
-from .wanted import NONE, said, wanted
-from .words import number, table
+from .target_table import NOT_MEASURED, format_cost, target_rows
+from .targets import NS_PER_SECOND
 
 WIDTH = 120
 FAR = 0.2  # off by more at the point kept out, and a line is named as one that does not hold
-HEADS = {
+CONDITION_HEADINGS = {
     "calm": "calm",
     "rack": "a rack lost",
     "zone": "a zone lost",
@@ -20,20 +20,20 @@
 }
 
 
-def page(targets, slopes):
-    rows = wanted(targets, slopes)
+def render(targets, slopes):
+    rows = target_rows(targets, slopes)
     parts = [
         HEAD,
         in_short(rows),
         "## The operators' figures",
         ABOUT_WANTED,
-        table(rows),
+        markdown_table(rows),
         "## What each role costs: slopes",
         ABOUT_SLOPES,
-        table(slope_rows(targets, slopes)),
+        markdown_table(slope_rows(targets, slopes)),
         "## What each role needs at that size",
         about_sizes(targets),
-        table(size_rows(targets, slopes)),
+        markdown_table(size_rows(targets, slopes)),
         "## Measured, worked out, guessed",
         *honest(targets, slopes),
         runs(slopes),
@@ -84,8 +84,10 @@
         "In calm: shares of a core, bytes and messages a second. Else: seconds of a core, and all of them, "
         "of one of that role, at a rack's loss, at a zone's, when all gateways start at once, once a region "
         "is back "
-        f"that was cut off for {number(guesses.cut / S)} s, and for one change of configuration, which is to "
-        f"be in force within {number(targets.in_force / S)} s. What is paid each second stays a share. "
+        f"that was cut off for {format_number(guesses.cut / NS_PER_SECOND)} s, and for one change of "
+        f"configuration, which is to "
+        f"be in force within {format_number(targets.in_force / NS_PER_SECOND)} s. What is paid each second "
+        f"stays a share. "
         f"`(g)`: a guess goes in. *Its services*: a gateway that routes to {guesses.services_a_gateway} of "
         f"{targets.services:,}; *all services*: one that routes to all."
     )
@@ -103,23 +105,25 @@
                 "what": slope.name,
                 "unit": slope.unit,
                 "fixed + slope": formula(slope),
-                "points": ", ".join(f"{number(one.size)}: {number(one.figure)}" for one in slope.points),
+                "points": ", ".join(
+                    f"{format_number(one.size)}: {format_number(one.figure)}" for one in slope.points
+                ),
                 "error of the fit": f"{100 * slope.error:.1f} %",
-                "kept out": f"{number(slope.held_out.size)}: {number(slope.held_out.figure)}",
+                "kept out": f"{format_number(slope.held_out.size)}: {format_number(slope.held_out.figure)}",
                 "fit there off by": f"{100 * slope.held_out_error:+.1f} %",
             }
         )
-    used = [row for row in sizing.rows(targets) if row.slope != sizing.ONE]
+    used = [row for row in sizing.rows(targets) if row.slope != sizing.NO_SLOPE]
     missing = {row.slope: row.role for row in used if slopes.get(row.slope) is None}
     empty = dict.fromkeys(("points", "error of the fit", "kept out", "fit there off by"), "")
     for name, role in missing.items():
-        rows.append({"role": ROLES[role], "what": name, "unit": "", "fixed + slope": NONE, **empty})
+        rows.append({"role": ROLES[role], "what": name, "unit": "", "fixed + slope": NOT_MEASURED, **empty})
     return rows
 
 
 def formula(slope):
     sign = "-" if slope.slope < 0 else "+"
-    return f"{number(slope.fixed)} {sign} {number(abs(slope.slope))} x {slope.by}"
+    return f"{format_number(slope.fixed)} {sign} {format_number(abs(slope.slope))} x {slope.by}"
 
 
 def size_rows(targets, slopes):
@@ -129,14 +133,14 @@
             "role": ROLES[row.role],
             "what": row.what + " (g)" * row.guessed,
             "of": row.kind,
-            "at": "each" if row.each or row.slope == sizing.ONE else number(row.size),
+            "at": "each" if row.each or row.slope == sizing.NO_SLOPE else format_number(row.size),
         }
         for condition in CONDITIONS:
-            worth = said(row.kind, row.at(slopes, condition), condition == CALM or row.steady)
-            same = row.kind == MEMORY and condition != CALM and worth != NONE
-            told[HEADS[condition]] = "as in calm" if same else worth
+            worth = format_cost(row.kind, row.at(slopes, condition), condition == CALM or row.steady)
+            same = row.kind == MEMORY and condition != CALM and worth != NOT_MEASURED
+            told[CONDITION_HEADINGS[condition]] = "as in calm" if same else worth
         rows.append(told)
-    nothing = dict.fromkeys(HEADS.values(), NONE)
+    nothing = dict.fromkeys(CONDITION_HEADINGS.values(), NOT_MEASURED)
     rows.append({"role": ROLES["platform"], "what": "news and votes", "of": "all", "at": "-", **nothing})
     return rows
 
@@ -158,13 +162,16 @@
         "subscription. So processor time of relays, without HTTP, is a lower bound.",
         "- **Worked out**: all else. A gateway's part of a rack or a zone is the mean; by chance it may "
         "get far more.",
-        f"- **Lines that do not hold**: off by over {number(100 * FAR)} % at the point kept out: {told}. "
+        f"- **Lines that do not hold**: off by over {format_number(100 * FAR)} % at the point kept out: "
+        f"{told}. "
         f"What rests on "
         "these at other sizes than those measured is no better than that.",
         f"- **Guessed**, as the operators' file says: {guesses.services_a_gateway} services a gateway, "
-        f"{guesses.rack_instances} instances a rack, {number(guesses.changes_a_restart)} changes of the "
+        f"{guesses.rack_instances} instances a rack, {format_number(guesses.changes_a_restart)} changes of "
+        f"the "
         f"list a restart "
-        f"or loss, {number(guesses.cuts_a_year)} cuts a year of {number(guesses.cut / S)} s, "
+        f"or loss, {format_number(guesses.cuts_a_year)} cuts a year of "
+        f"{format_number(guesses.cut / NS_PER_SECOND)} s, "
         f"{guesses.clients_a_gateway} clients' connections a gateway, {guesses.lost_machines} control "
         f"machine lost. And "
         "here: instances, routes and tenants are spread evenly over services, gateways restart as often as "
@@ -180,13 +187,13 @@
     """The runs that gave the figures, each once."""
     sources = dict.fromkeys(one.source for one in (*slopes.slopes, *slopes.latencies, *slopes.runs))
     return (
-        table(
+        markdown_table(
             [
                 {
                     "run": f"`{source.command}`",
                     "date": source.date,
                     "commit": source.commit,
-                    "load beside it": f"{number(source.beside)} on {source.cores} cores",
+                    "load beside it": f"{format_number(source.beside)} on {source.cores} cores",
                 }
                 for source in sources
             ]
@@ -198,21 +205,25 @@
 
 def stampede(told):
     if told is None:
-        return [NONE]
+        return [NOT_MEASURED]
     (least, most), (first, last) = told.calls_a_second, told.none_served
     return [
         f"Gateways that start together call the same few machines. Seen ({told.source}): {told.gateways} "
         f"gateways, one "
-        f"discovery that works off {number(least)} to {number(most)} calls a second, one after the other. "
+        f"discovery that works off {format_number(least)} to {format_number(most)} calls a second, one "
+        f"after the other. "
         f"A call that "
-        f"waited {number(told.fails_after)} s fails, but its work is done all the same. {told.callers} "
+        f"waited {format_number(told.fails_after)} s fails, but its work is done all the same. "
+        f"{told.callers} "
         f"callers within "
-        f"{number(told.within)} s kept it over that for good: none was served from {number(first)} to "
-        f"{number(last)} s, "
+        f"{format_number(told.within)} s kept it over that for good: none was served from "
+        f"{format_number(first)} to "
+        f"{format_number(last)} s, "
         "as each call made again queues up behind work for callers that have gone. Spread over "
-        f"{number(told.spread)} s all were served in {number(told.served_after)} s. After failures the "
+        f"{format_number(told.spread)} s all were served in {format_number(told.served_after)} s. After "
+        f"failures the "
         f"pauses are "
-        f"{', '.join(map(number, told.pauses))} s.",
+        f"{', '.join(map(format_number, told.pauses))} s.",
         "For the design: whoever starts or loses its relay comes back spread; no call is made again sooner "
         "than the "
         "work before it can be done; and who can't serve in time says so before it has done the work.",
--- a/lemonlead/planning/queues.py
+++ b/lemonlead/planning/queues.py
@@ -6,8 +6,8 @@
 import math
 from statistics import NormalDist
 
-POINTS = 64  # quantiles by which work is summed over
-NORMAL = [NormalDist().inv_cdf((number + 0.5) / POINTS) for number in range(POINTS)]
+QUANTILE_COUNT = 64  # quantiles by which work is summed over
+NORMAL_QUANTILES = [NormalDist().inv_cdf((number + 0.5) / QUANTILE_COUNT) for number in range(QUANTILE_COUNT)]
 
 
 def erlang_c(servers, offered):
@@ -21,7 +21,7 @@
     return blocked / (1 - offered / servers * (1 - blocked))
 
 
-def waiting(servers, rate, work, cv):
+def waiting_time(servers, rate, work, cv):
     """(share that waits, mean wait of those that do) in M/G/c; an endless mean at or past saturation."""
     offered = rate * work
     if offered >= servers:
@@ -29,18 +29,18 @@
     return erlang_c(servers, offered), (1 + cv * cv) / 2 * work / (servers - offered)
 
 
-def works(work, cv):
+def work_quantiles(work, cv):
     """Quantiles of work of this mean, lognormal."""
     spread = math.sqrt(math.log1p(cv * cv))
-    return [work * math.exp(spread * z - spread * spread / 2) for z in NORMAL]
+    return [work * math.exp(spread * z - spread * spread / 2) for z in NORMAL_QUANTILES]
 
 
-def within(limit, servers, rate, work, cv, own=None):
+def share_within(limit, servers, rate, work, cv, own=None):
     """The share of requests that wait and are served within the limit. `work`, `cv`: of all that is served
     there; `own`: (work, cv) of those asked about, if they are of one kind among others."""
-    share, mean = waiting(servers, rate, work, cv)
+    share, mean = waiting_time(servers, rate, work, cv)
     found = 0.0
-    for taken in works(*(own or (work, cv))):
+    for taken in work_quantiles(*(own or (work, cv))):
         if taken <= limit:
             found += 1 - (share * math.exp(-(limit - taken) / mean) if mean < math.inf else 1.0)
-    return found / POINTS
+    return found / QUANTILE_COUNT
--- a/lemonlead/planning/sizing.py
+++ b/lemonlead/planning/sizing.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 from ..ledger.dispatcher import MAX_SNAPSHOT_INTERVAL
-from .targets import S
+from .targets import NS_PER_SECOND
 
 CALM, RACK, ZONE, RESTART, CUT, CHANGE = CONDITIONS = ("calm", "rack", "zone", "restart", "cut", "change")
 MEMORY, CPU, BYTES, MESSAGES = "memory", "CPU", "bytes", "messages"
-ONE = ""  # in place of a slope: one message each time, by the protocol
+NO_SLOPE = ""  # in place of a slope: one message each time, by the protocol
 SECONDS = {"s": 1.0, "ms": 1e-3, "us": 1e-6}
 
 ROLES = {
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Worth:
+class Cost:
     """A figure: in MB, seconds of a core, bytes or messages, or each a second in calm. `measured`: at that
     very size; `outside`: past the points of its slope, whose line may be below 0 there."""
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class CostRow:
     """`times`: by condition, how often it is paid; a second in calm. `each`: it is the slope alone that is
     paid each time, not a whole of that size. `steady`: it is paid each second, whatever happens. `guessed`:
     a guess of the operators' file goes in."""
@@ -55,34 +55,34 @@
     guessed: bool = False
 
     def cost(self, slopes):
-        """What is paid once, a Worth, or None where it is not measured."""
-        if self.slope == ONE:
-            return Worth(1.0)
+        """What is paid once, a Cost, or None where it is not measured."""
+        if self.slope == NO_SLOPE:
+            return Cost(1.0)
         slope = slopes.get(self.slope)
         if slope is None:
             return None
         unit = SECONDS.get(slope.unit, 1.0)
         if self.each:
-            return Worth(slope.slope * unit)
+            return Cost(slope.slope * unit)
         measured = slope.measured(self.size)
         if measured is not None:
-            return Worth(measured * unit, True)
+            return Cost(measured * unit, True)
         sizes = [point.size for point in (*slope.points, slope.held_out)]
-        return Worth(slope.at(self.size) * unit, False, not min(sizes) <= self.size <= max(sizes))
+        return Cost(slope.at(self.size) * unit, False, not min(sizes) <= self.size <= max(sizes))
 
     def at(self, slopes, condition):
-        """A Worth, or None: not measured. Memory is as in calm whatever happens."""
+        """A Cost, or None: not measured. Memory is as in calm whatever happens."""
         cost = self.cost(slopes)
         if cost is None or self.kind == MEMORY:
             return cost
         times = self.times.get(condition, 0.0)
-        return Worth(cost.figure * times, cost.measured, cost.outside)
+        return Cost(cost.figure * times, cost.measured, cost.outside)
 
 
-def happens(targets, share=1.0):
+def change_counts(targets, share=1.0):
     """How many changes of the list and of configuration reach a gateway that has this share of the
     services, by condition; a second in calm. After a cut come those of its length together."""
-    cut = targets.guesses.cut / S
+    cut = targets.guesses.cut / NS_PER_SECOND
     lists = {
         CALM: targets.instance_changes,
         RACK: targets.guesses.rack_instances,
@@ -118,7 +118,7 @@
     ]
 
 
-def whose(share):
+def services_label(share):
     return "all services" if share == 1.0 else "its services"
 
 
@@ -127,7 +127,7 @@
     busy = dict.fromkeys(CONDITIONS, targets.requests)
     busy[ZONE] *= zones / (zones - 1) if zones > 1 else 1.0
     clients = targets.guesses.clients_a_gateway
-    yield Row(
+    yield CostRow(
         "front", "the whole gateway with clients' connections", MEMORY, "front memory", clients, guessed=True
     )
     both = times(busy, 2.0)  # a request's from its client and its answer's from an instance, one attempt each
@@ -141,26 +141,28 @@
     for role, what, name in costs:
         for share in (targets.share, 1.0):
             size = targets.instances * share
-            what_of = f"{what} ({whose(share)})"
-            yield Row(role, what_of, CPU, name, size, busy, steady=True, guessed=share != 1.0)
+            what_of = f"{what} ({services_label(share)})"
+            yield CostRow(role, what_of, CPU, name, size, busy, steady=True, guessed=share != 1.0)
 
 
 def messages(role, what, counts, **more):
-    return Row(role, what, MESSAGES, ONE, 1, counts, **more)
+    return CostRow(role, what, MESSAGES, NO_SLOPE, 1, counts, **more)
 
 
 def lists(targets):
     for share in (targets.share, 1.0):
-        size, of, guessed = targets.instances * share, whose(share), share != 1.0
-        changes, _ = happens(targets, share)
+        size, of, guessed = targets.instances * share, services_label(share), share != 1.0
+        changes, _ = change_counts(targets, share)
         start = {RESTART: 1.0}
-        yield Row("list", f"the whole gateway ({of})", MEMORY, "gateway memory", size, guessed=guessed)
+        yield CostRow("list", f"the whole gateway ({of})", MEMORY, "gateway memory", size, guessed=guessed)
         what = f"the whole gateway, after a whole list ({of})"
-        yield Row("list", what, MEMORY, "gateway memory after a list", size, guessed=guessed)
-        yield Row("list", f"changes of an entry ({of})", CPU, "gateway change", size, changes, guessed=True)
-        yield Row("list", f"a whole list ({of})", CPU, "gateway whole list", size, start, guessed=guessed)
-        yield Row("list", f"a start ({of})", CPU, "gateway start CPU", size, start, guessed=guessed)
-        yield Row(
+        yield CostRow("list", what, MEMORY, "gateway memory after a list", size, guessed=guessed)
+        yield CostRow(
+            "list", f"changes of an entry ({of})", CPU, "gateway change", size, changes, guessed=True
+        )
+        yield CostRow("list", f"a whole list ({of})", CPU, "gateway whole list", size, start, guessed=guessed)
+        yield CostRow("list", f"a start ({of})", CPU, "gateway start CPU", size, start, guessed=guessed)
+        yield CostRow(
             "list",
             f"a whole list from discovery ({of})",
             BYTES,
@@ -173,11 +175,13 @@
 
 def rules(targets):
     for share in (targets.share, 1.0):
-        of, guessed = whose(share), share != 1.0
-        _, changes = happens(targets, share)
+        of, guessed = services_label(share), share != 1.0
+        _, changes = change_counts(targets, share)
         loads = {**changes, RESTART: 1.0}
-        yield Row("rules", f"routes ({of})", MEMORY, "rules memory", targets.routes * share, guessed=guessed)
-        yield Row(
+        yield CostRow(
+            "rules", f"routes ({of})", MEMORY, "rules memory", targets.routes * share, guessed=guessed
+        )
+        yield CostRow(
             "rules",
             f"loaded whole for each change ({of})",
             CPU,
@@ -186,7 +190,7 @@
             loads,
             guessed=guessed,
         )
-        yield Row(
+        yield CostRow(
             "rules",
             f"tenants that it heard of ({of})",
             MEMORY,
@@ -196,20 +200,20 @@
         )
     busy = dict.fromkeys(CONDITIONS, targets.requests)
     what = "judging requests (all services)"
-    yield Row("rules", what, CPU, "rules judgement", targets.routes, busy, steady=True)
+    yield CostRow("rules", what, CPU, "rules judgement", targets.routes, busy, steady=True)
     what = "a look at each request where a tenant alone waits (all services)"
-    yield Row("rules", what, CPU, "tenants waiting request", targets.tenants, busy, steady=True)
+    yield CostRow("rules", what, CPU, "tenants waiting request", targets.tenants, busy, steady=True)
 
 
 def following(targets):
-    changes, _ = happens(targets)
+    changes, _ = change_counts(targets)
     start = {RESTART: 1.0}
-    yield Row("following", "words on all nodes", MEMORY, "following memory", targets.instances)
-    yield Row(
+    yield CostRow("following", "words on all nodes", MEMORY, "following memory", targets.instances)
+    yield CostRow(
         "following", "changes of a node", CPU, "following change", targets.instances, changes, guessed=True
     )
-    yield Row("following", "the whole state", CPU, "following whole", targets.instances, start)
-    yield Row(
+    yield CostRow("following", "the whole state", CPU, "following whole", targets.instances, start)
+    yield CostRow(
         "following",
         "changes of a node, in",
         BYTES,
@@ -219,16 +223,20 @@
         guessed=True,
     )
     yield messages("following", "changes of a node, in; calls for more, out", changes, guessed=True)
-    yield Row("following", "the whole state, in", BYTES, "following whole bytes", targets.instances, start)
+    yield CostRow(
+        "following", "the whole state, in", BYTES, "following whole bytes", targets.instances, start
+    )
 
 
 def subscription(targets):
     for share in (targets.share, 1.0):
-        of, guessed = whose(share), share != 1.0
-        records, changes = targets.records * share, joined(*happens(targets, share))
+        of, guessed = services_label(share), share != 1.0
+        records, changes = targets.records * share, joined(*change_counts(targets, share))
         start = {RESTART: 1.0}
-        yield Row("distribution", f"records ({of})", MEMORY, "subscriber memory", records, guessed=guessed)
-        yield Row(
+        yield CostRow(
+            "distribution", f"records ({of})", MEMORY, "subscriber memory", records, guessed=guessed
+        )
+        yield CostRow(
             "distribution",
             f"changes ({of})",
             CPU,
@@ -237,7 +245,7 @@
             times=changes,
             guessed=True,
         )
-        yield Row(
+        yield CostRow(
             "distribution",
             f"snapshots ({of})",
             CPU,
@@ -246,7 +254,7 @@
             start,
             guessed=guessed,
         )
-        yield Row(
+        yield CostRow(
             "distribution",
             f"changes, in ({of})",
             BYTES,
@@ -258,19 +266,21 @@
         yield messages("distribution", f"changes, in, a line each at most ({of})", changes, guessed=True)
         what = f"acknowledgements, out, as many at most ({of})"
         yield messages("distribution", what, changes, guessed=True)
-        yield Row(
+        yield CostRow(
             "distribution", f"snapshots, in ({of})", BYTES, "relay snapshot", records, start, guessed=guessed
         )
 
 
 def leader(targets):
-    changes = joined(*happens(targets))
+    changes = joined(*change_counts(targets))
     idle = dict.fromkeys(CONDITIONS, 0.01)  # it is measured as a percentage
-    yield Row("leader", "gateways that follow (today)", MEMORY, "leader followers memory", targets.gateways)
-    yield Row("leader", "nodes", MEMORY, "leader nodes memory", targets.instances)
+    yield CostRow(
+        "leader", "gateways that follow (today)", MEMORY, "leader followers memory", targets.gateways
+    )
+    yield CostRow("leader", "nodes", MEMORY, "leader nodes memory", targets.instances)
     what = "gateways that wait (today)"
-    yield Row("leader", what, CPU, "leader idle", targets.gateways, idle, steady=True)
-    yield Row(
+    yield CostRow("leader", what, CPU, "leader idle", targets.gateways, idle, steady=True)
+    yield CostRow(
         "leader",
         "changes told to all gateways over HTTP (today)",
         CPU,
@@ -279,7 +289,7 @@
         changes,
         guessed=True,
     )
-    yield Row(
+    yield CostRow(
         "leader",
         "changes told to all gateways, deciding alone (today)",
         CPU,
@@ -288,7 +298,7 @@
         changes,
         guessed=True,
     )
-    yield Row(
+    yield CostRow(
         "leader",
         "changes told to all gateways, out (today)",
         BYTES,
@@ -302,8 +312,8 @@
     what = "changes told to relays, out; calls for more, in (design)"
     yield messages("leader", what, times(changes, targets.control.machines), guessed=True)
     what = "relays that wait (design)"
-    yield Row("leader", what, CPU, "leader idle", targets.control.machines, idle, steady=True)
-    yield Row(
+    yield CostRow("leader", what, CPU, "leader idle", targets.control.machines, idle, steady=True)
+    yield CostRow(
         "leader",
         "changes told to relays over HTTP (design)",
         CPU,
@@ -312,31 +322,33 @@
         changes,
         guessed=True,
     )
-    yield Row("leader", "commands", CPU, "leader commands", each=True, times=changes, guessed=True)
+    yield CostRow("leader", "commands", CPU, "leader commands", each=True, times=changes, guessed=True)
 
 
 def follower(targets):
     """A snapshot comes after MAX_SNAPSHOT_INTERVAL entries, where there are as many records."""
-    changes = joined(*happens(targets))
+    changes = joined(*change_counts(targets))
     snapshots = times(changes, 1 / min(MAX_SNAPSHOT_INTERVAL, targets.records))
-    yield Row("follower", "records: instances, routes, tenants", MEMORY, "member memory", targets.records)
-    yield Row("follower", "commands", CPU, "member commands", each=True, times=changes, guessed=True)
+    yield CostRow("follower", "records: instances, routes, tenants", MEMORY, "member memory", targets.records)
+    yield CostRow("follower", "commands", CPU, "member commands", each=True, times=changes, guessed=True)
     what = "entries, in, a message each at most; acknowledgements, out"
     yield messages("follower", what, changes, guessed=True)
-    yield Row("follower", "snapshots", CPU, "member snapshot CPU", targets.records, snapshots, guessed=True)
-    yield Row(
+    yield CostRow(
+        "follower", "snapshots", CPU, "member snapshot CPU", targets.records, snapshots, guessed=True
+    )
+    yield CostRow(
         "follower", "snapshots, to disk", BYTES, "member snapshot", targets.records, snapshots, guessed=True
     )
 
 
 def relay(targets):
     """While some machines are lost; subscribers of a scope are those that route to its service."""
-    subscribers, changes = targets.subscribers, joined(*happens(targets))
-    yield Row("relay", "records of all scopes", MEMORY, "relay memory", targets.records)
-    yield Row("relay", "subscribers", MEMORY, "relay subscribers memory", subscribers, guessed=True)
-    yield Row("relay", "taking in changes", CPU, "relay apply", targets.records, changes, guessed=True)
+    subscribers, changes = targets.subscribers, joined(*change_counts(targets))
+    yield CostRow("relay", "records of all scopes", MEMORY, "relay memory", targets.records)
+    yield CostRow("relay", "subscribers", MEMORY, "relay subscribers memory", subscribers, guessed=True)
+    yield CostRow("relay", "taking in changes", CPU, "relay apply", targets.records, changes, guessed=True)
     for share in (targets.share, 1.0):
-        of, told = whose(share), subscribers * share
+        of, told = services_label(share), subscribers * share
         records = targets.records * share
         starts = {
             CALM: targets.gateway_starts / targets.machines_left,
@@ -344,21 +356,21 @@
             RESTART: subscribers,
         }
         what = f"changes told, deciding alone ({of})"
-        yield Row("relay", what, CPU, "relay change", told, changes, guessed=True)
+        yield CostRow("relay", what, CPU, "relay change", told, changes, guessed=True)
         what = f"changes told, out ({of})"
-        yield Row("relay", what, BYTES, "relay change bytes", told, changes, guessed=True)
+        yield CostRow("relay", what, BYTES, "relay change bytes", told, changes, guessed=True)
         what = f"lines out, acknowledgements in, one a change at most ({of})"
         yield messages("relay", what, times(changes, told), guessed=True)
         what = f"snapshots, deciding alone ({of})"
-        yield Row("relay", what, CPU, "relay snapshot CPU", records, starts, guessed=True)
+        yield CostRow("relay", what, CPU, "relay snapshot CPU", records, starts, guessed=True)
         what = f"snapshots, out ({of})"
-        yield Row("relay", what, BYTES, "relay snapshot", records, starts, guessed=True)
+        yield CostRow("relay", what, BYTES, "relay snapshot", records, starts, guessed=True)
 
 
 def discovery(targets):
-    changes, _ = happens(targets)
+    changes, _ = change_counts(targets)
     starts = {CALM: targets.gateway_starts, RESTART: targets.gateways}
-    yield Row(
+    yield CostRow(
         "discovery",
         "whole lists to gateways that start, out (today)",
         BYTES,
@@ -369,7 +381,7 @@
     yield messages(
         "discovery", "changes to all gateways, out (today)", times(changes, targets.gateways), guessed=True
     )
-    yield Row(
+    yield CostRow(
         "discovery",
         "changes to all gateways, out (today)",
         BYTES,
@@ -380,12 +392,12 @@
     )
 
 
-def total(slopes, several, condition):
+def total_cost(slopes, several, condition):
     """Sum of rows of one kind, or None where one of them is not known."""
     found = [row.at(slopes, condition) for row in several]
     if any(one is None or one.figure < 0 for one in found):
         return None
-    return Worth(sum(one.figure for one in found), False, any(one.outside for one in found))
+    return Cost(sum(one.figure for one in found), False, any(one.outside for one in found))
 
 
 def control_rows(targets, of):
--- a/lemonlead/planning/slopes.py
+++ b/lemonlead/planning/slopes.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-FEWEST = 3  # points of a fit
-AGREES = 1e-6  # by which a fit as written may be off, relatively: it is written in decimals
+MIN_POINTS = 3  # points of a fit
+FIT_TOLERANCE = 1e-6  # by which a fit as written may be off, relatively: it is written in decimals
 
 Text = Annotated[str, Meta(min_length=1, max_length=500)]
 Date = Annotated[str, Meta(pattern=r"^\d{4}-\d\d-\d\d$")]
@@ -18,7 +18,7 @@
 Figure = Annotated[float, Meta(gt=0)]
 
 
-class Unfit(Exception):
+class InvalidSlopes(Exception):
     """A file of slopes that can't be used: `path` in it, what was found, what was expected."""
 
     def __init__(self, path, found, expected):
@@ -49,7 +49,7 @@
     role: Text
     by: Text
     unit: Text
-    points: Annotated[tuple[Point, ...], Meta(min_length=FEWEST, max_length=100)]
+    points: Annotated[tuple[Point, ...], Meta(min_length=MIN_POINTS, max_length=100)]
     held_out: Point
     fixed: float
     slope: float
@@ -136,7 +136,7 @@
     return (fixed + slope * size) / figure - 1
 
 
-def fitted(points):
+def fit_and_check(points):
     """The fit of all points but the last, and its error there, as a slope has them by name."""
     *inside, last = points
     fixed, slope, error = fit(inside)
@@ -145,14 +145,18 @@
 
 
 def read(data):
-    """Slopes from the bytes of a file, or Unfit."""
+    """Slopes from the bytes of a file, or InvalidSlopes."""
     try:
         told = msgspec.json.decode(data, type=Slopes)
     except msgspec.ValidationError as error:
         says, _, path = str(error).partition(" - at ")
-        raise Unfit(path.strip("`").removeprefix("$.") or "the file", *found_and_expected(says)) from None
+        raise InvalidSlopes(
+            path.strip("`").removeprefix("$.") or "the file", *found_and_expected(says)
+        ) from None
     except msgspec.DecodeError as error:
-        raise Unfit("the file", f"no JSON ({error})", "slopes as benchmarks.slopes writes them") from None
+        raise InvalidSlopes(
+            "the file", f"no JSON ({error})", "slopes as benchmarks.slopes writes them"
+        ) from None
     for at, slope in enumerate(told.slopes):
         check(told, at, slope)
     return told
@@ -171,12 +175,14 @@
 def check(told, at, slope):
     path = f"slopes[{at}]"
     if told.get(slope.name) is not slope:
-        raise Unfit(f"{path}.name", repr(slope.name), "a name that no slope before it has")
+        raise InvalidSlopes(f"{path}.name", repr(slope.name), "a name that no slope before it has")
     points = [(point.size, point.figure) for point in (*slope.points, slope.held_out)]
     sizes = [size for size, _ in points]
     if len(set(sizes)) < len(sizes):
-        raise Unfit(f"{path}.points", f"sizes {sizes}", "each size once, that held out as well")
-    for name, expected in fitted(points).items():
+        raise InvalidSlopes(f"{path}.points", f"sizes {sizes}", "each size once, that held out as well")
+    for name, expected in fit_and_check(points).items():
         found = getattr(slope, name)
-        if not math.isclose(found, expected, rel_tol=AGREES, abs_tol=AGREES * abs(slope.held_out.figure)):
-            raise Unfit(f"{path}.{name}", found, f"{expected:.9g}, which its points give")
+        if not math.isclose(
+            found, expected, rel_tol=FIT_TOLERANCE, abs_tol=FIT_TOLERANCE * abs(slope.held_out.figure)
+        ):
+            raise InvalidSlopes(f"{path}.{name}", found, f"{expected:.9g}, which its points give")
--- a/lemonlead/planning/steady.py
+++ b/lemonlead/planning/steady.py
@@ -26,16 +26,16 @@
     request_classes: dict = field(default_factory=dict)
     used: dict = field(default_factory=dict)
     rejected: float = 0.0
-    asked: float = 0.0  # requests a second with their retries
+    requests_per_second: float = 0.0  # requests a second with their retries
 
 
-def reckon(fleet, pooled=False, flooded=False):
+def solve(fleet, pooled=False, flooded=False):
     """The fleet under its load, as it is or after a flood."""
     stations = [
         (1 if pooled else count, kind, kind.cores * (count if pooled else 1)) for kind, count in merged(fleet)
     ]
     capacity = sum(times * servers * kind.speed for times, kind, servers in stations) or 1e-9
-    first = {name: fleet.rate(name) for name in fleet.request_classes}
+    first = {name: fleet.request_rate(name) for name in fleet.request_classes}
     asked = {name: rate * (1 + fleet.retries if flooded else 1) for name, rate in first.items()}
     for _ in range(ROUNDS):
         answered, room = serve(fleet, stations, capacity, asked)
@@ -54,7 +54,7 @@
 def merged(fleet):
     """Machines by kind over all sites: balancers send to any."""
     counts = {}
-    for _, kind, count in fleet.machines():
+    for _, kind, count in fleet.machine_counts():
         counts[kind.name] = counts.get(kind.name, 0) + count
     return [(fleet.kinds[name], count) for name, count in counts.items()]
 
@@ -74,7 +74,7 @@
     cv = max(second / work**2 - 1, 0.0) ** 0.5
     room = min(1.0, FULL * capacity / (total * work))
     found = {name: {"goal": 0.0, "stop": 0.0} for name in asked}
-    trip = 2 * (fleet.within if len(fleet.sites) == 1 else fleet.across) / 1e9
+    trip = 2 * (fleet.same_site_delay if len(fleet.sites) == 1 else fleet.cross_site_delay) / 1e9
     for times, kind, servers in stations:
         share = times * servers * kind.speed / capacity
         rate = total * room * share / times
@@ -84,7 +84,7 @@
             for limit, until in (("goal", request_class.goal), ("stop", request_class.stop * fleet.patience)):
                 left = until / 1e9 - trip
                 found[name][limit] += (
-                    share * room * queues.within(left, servers, rate, work / kind.speed, cv, own)
+                    share * room * queues.share_within(left, servers, rate, work / kind.speed, cv, own)
                 )
     return found, room
 
@@ -113,7 +113,7 @@
 def used(fleet, asked, total, load, capacity):
     """Each resource by what there is of it."""
     busiest = max(sum(site.load.values()) / site.gateways for site in fleet.sites.values())
-    growth = total / max(sum(fleet.rate(name) for name in fleet.request_classes), 1e-9)
+    growth = total / max(sum(fleet.request_rate(name) for name in fleet.request_classes), 1e-9)
     each = busiest * growth  # requests a second of the busiest gateway
     held = (
         sum(rate / max(total, 1e-9) * fleet.request_classes[name].work for name, rate in asked.items()) / 1e9
--- a/lemonlead/planning/wanted.py
+++ b/lemonlead/planning/target_table.py
@@ -7,31 +7,31 @@
 from ..ledger.capacity import MAX_RECORDS_PER_PART
 from ..ledger.followers import MAX_FOLLOWERS
 from . import sizing
-from .sizing import BYTES, CALM, CPU, MEMORY, RESTART, SECONDS, whose
-from .targets import S
-from .words import number, seconds, share, size
+from .number_format import format_bytes, format_number, format_seconds, format_share
+from .sizing import BYTES, CALM, CPU, MEMORY, RESTART, SECONDS, services_label
+from .targets import NS_PER_SECOND
 
-NONE = "not measured"
-NO_LINE = "not known: its line is below 0 there"
+NOT_MEASURED = "not measured"
+BELOW_ZERO = "not known: its line is below 0 there"
 MET, NOT_MET, NOT_KNOWN = "met", "**not met**", "not known"
 NOT_TODAY = f"{NOT_MET} today; design {NOT_KNOWN}"
 NO_RUN = "none yet"
 
 
-def said(kind, worth, a_second=True):
-    """A Worth as words: `m` measured at that size, `x` past the points of its slope."""
+def format_cost(kind, worth, a_second=True):
+    """A Cost as words: `m` measured at that size, `x` past the points of its slope."""
     if worth is None:
-        return NONE
+        return NOT_MEASURED
     if worth.figure < 0:
-        return NO_LINE
+        return BELOW_ZERO
     if kind == MEMORY:
-        text = f"{number(worth.figure)} MB"
+        text = f"{format_number(worth.figure)} MB"
     elif worth.figure == 0:
         return "-"
     elif kind == CPU:
-        text = share(worth.figure) if a_second else seconds(worth.figure)
+        text = format_share(worth.figure) if a_second else format_seconds(worth.figure)
     else:
-        text = (size if kind == BYTES else number)(worth.figure) + "/s" * a_second
+        text = (format_bytes if kind == BYTES else format_number)(worth.figure) + "/s" * a_second
     return text + marks(worth)
 
 
@@ -39,7 +39,7 @@
     return " m" * worth.measured + " x" * worth.outside
 
 
-class Wanted:
+class TargetTable:
     def __init__(self, targets, slopes):
         self.targets, self.slopes, self.rows = targets, slopes, []
 
@@ -48,20 +48,24 @@
         slope = self.slopes.get(name)
         if slope is None:
             return None
-        worth = sizing.Row("", "", MEMORY, name, at).cost(self.slopes)
+        worth = sizing.CostRow("", "", MEMORY, name, at).cost(self.slopes)
         return worth.figure / SECONDS.get(slope.unit, 1.0)
 
     def cost(self, name, at):
         """The same as words."""
         slope = self.slopes.get(name)
         if slope is None:
-            return NONE
-        worth = sizing.Row("", "", MEMORY, name, at).cost(self.slopes)
+            return NOT_MEASURED
+        worth = sizing.CostRow("", "", MEMORY, name, at).cost(self.slopes)
         if worth.figure < 0:
-            return NO_LINE
+            return BELOW_ZERO
         if slope.unit in SECONDS:
-            return seconds(worth.figure) + marks(worth)
-        text = size(worth.figure) if slope.unit == "bytes" else f"{number(worth.figure)} {slope.unit}"
+            return format_seconds(worth.figure) + marks(worth)
+        text = (
+            format_bytes(worth.figure)
+            if slope.unit == "bytes"
+            else f"{format_number(worth.figure)} {slope.unit}"
+        )
         return text + marks(worth)
 
     def each(self, name):
@@ -72,12 +76,16 @@
     def takes(self, count, name="subscriber changes bytes"):
         """The time that so many changes take at a gateway's share of bytes, as words."""
         each = self.each(name)
-        return NONE if each is None else seconds(count * each / self.targets.control.bytes_a_second)
+        return (
+            NOT_MEASURED
+            if each is None
+            else format_seconds(count * each / self.targets.control.bytes_a_second)
+        )
 
     def sum(self, of, kind, condition=CALM):
         """Of a gateway's control; None where a part of it is not measured."""
         rows = [row for row in sizing.control_rows(self.targets, of) if row.kind == kind]
-        return sizing.total(self.slopes, rows, condition)
+        return sizing.total_cost(self.slopes, rows, condition)
 
     def memory(self, of):
         """Megabytes of a gateway for control: above one at rest."""
@@ -109,12 +117,12 @@
 def shown(run):
     size_of = "" if run.whole else ", not at full size"
     how = ", simulated" if run.simulated else ""
-    return f"{run.what}: {number(run.found)} {run.unit}{size_of}{how} (`{run.source.command}`)"
+    return f"{run.what}: {format_number(run.found)} {run.unit}{size_of}{how} (`{run.source.command}`)"
 
 
-def wanted(targets, slopes):
+def target_rows(targets, slopes):
     """The rows of the table, in the letter's order."""
-    it = Wanted(targets, slopes)
+    it = TargetTable(targets, slopes)
     for part in (fleet, services, load, latency, regions, changes, budget, machines, losses):
         part(it, targets)
     return it.rows
@@ -126,7 +134,7 @@
         f"{t.gateways:,}",
         f"{MAX_FOLLOWERS:,} follow a ledger at most (a bound of its state); the leader spends "
         f"{it.cost('leader told over HTTP', MAX_FOLLOWERS)} on a change told to as many",
-        f"{number(t.subscribers)} at each of {t.machines_left} machines: "
+        f"{format_number(t.subscribers)} at each of {t.machines_left} machines: "
         f"{it.cost('relay subscribers memory', t.subscribers)} there",
         "relay subscribers memory",
         "relays between members and gateways",
@@ -139,7 +147,7 @@
         f"a gateway that knows all: {it.cost('gateway memory', t.instances)}; a change of one "
         f"{it.cost('gateway change', t.instances)}, a start {it.cost('gateway start CPU', t.instances)} "
         "of a core",
-        f"a gateway that knows {number(few)}: {it.cost('gateway memory', few)}; a change "
+        f"a gateway that knows {format_number(few)}: {it.cost('gateway memory', few)}; a change "
         f"{it.cost('gateway change', few)}, a start {it.cost('gateway start CPU', few)}",
         "gateway memory, change, start CPU",
         "scoped state; a list that costs what changes",
@@ -152,8 +160,8 @@
         "services",
         f"{t.services:,}",
         "a gateway knows one list and no services",
-        f"{t.guesses.services_a_gateway} a gateway (a guess): {number(few)} records, "
-        f"{it.cost('subscriber memory', few)}; all: {number(t.records)}, "
+        f"{t.guesses.services_a_gateway} a gateway (a guess): {format_number(few)} records, "
+        f"{it.cost('subscriber memory', few)}; all: {format_number(t.records)}, "
         f"{it.cost('subscriber memory', t.records)}",
         "subscriber memory",
         "scopes that a gateway names",
@@ -163,14 +171,15 @@
 
 def load(it, t):
     cost = it.figure("gateway request", t.instances)
-    busy = NONE if cost is None else share(cost / 1e3 * t.requests)
+    busy = NOT_MEASURED if cost is None else format_share(cost / 1e3 * t.requests)
     few = it.figure("gateway request", t.instances * t.share)
     it.row(
         "requests a second",
-        f"{number(t.requests_a_second)}: {number(t.requests)} a gateway",
+        f"{format_number(t.requests_a_second)}: {format_number(t.requests)} a gateway",
         f"a request takes {it.cost('gateway request', t.instances)} of a core where all instances are known: "
         f"{busy} of a core",
-        f"where its services' are: {NONE if few is None else share(few / 1e3 * t.requests)} of a core",
+        f"where its services' are: {NOT_MEASURED if few is None else format_share(few / 1e3 * t.requests)} "
+        f"of a core",
         "gateway request",
         "each gateway by itself, as today",
     )
@@ -180,7 +189,7 @@
         f"{t.routes:,}",
         f"loaded whole in {it.cost('rules load', t.routes)} of a core, {it.cost('rules memory', t.routes)}; "
         f"a judgement {it.cost('rules judgement', t.routes)}",
-        f"{number(few)} of its services: loaded whole in {it.cost('rules load', few)}, "
+        f"{format_number(few)} of its services: loaded whole in {it.cost('rules load', few)}, "
         f"{it.cost('rules memory', few)}",
         "rules load, memory",
         "scoped state; rules are loaded whole still",
@@ -192,7 +201,7 @@
         f"a gateway that heard of all: {it.cost('tenants memory', t.tenants)}, and each look at a request of "
         f"one that alone waits {it.cost('tenants waiting request', t.tenants)} of a core; a part of the "
         f"ledger holds {MAX_RECORDS_PER_PART:,}",
-        f"{number(few)} of its services: {it.cost('tenants memory', few)}, "
+        f"{format_number(few)} of its services: {it.cost('tenants memory', few)}, "
         f"{it.cost('tenants waiting request', few)}",
         "tenants memory, waiting request",
         "scoped state; a part of the ledger that holds more",
@@ -205,23 +214,25 @@
     the bare relay alone takes longer than what is wanted, the run says nothing on 99 in 100."""
     limit, found = t.added / 1e6, sorted(it.slopes.latencies, key=lambda one: one.rate)
     told = "; ".join(
-        f"{number(one.gateway - one.relay)} ms at {number(one.rate)} a second ({number(one.gateway)} beside "
-        f"{number(one.relay)} at a bare relay; in the median {number(one.gateway_median)} beside "
-        f"{number(one.relay_median)})"
+        f"{format_number(one.gateway - one.relay)} ms at {format_number(one.rate)} a second "
+        f"({format_number(one.gateway)} beside "
+        f"{format_number(one.relay)} at a bare relay; in the median {format_number(one.gateway_median)} "
+        f"beside "
+        f"{format_number(one.relay_median)})"
         for one in found
     )
     verdict, run = NOT_KNOWN, NO_RUN
     if found:
         nearest = min(found, key=lambda one: abs(one.rate - t.requests))
-        run = f"`{nearest.source.command}`, beside a load of {number(nearest.source.beside)}"
+        run = f"`{nearest.source.command}`, beside a load of {format_number(nearest.source.beside)}"
         if nearest.relay > limit:
             run += ": the bare relay alone takes longer than what is wanted, so it shows nothing"
         else:
             verdict = MET if nearest.gateway - nearest.relay <= limit else NOT_MET
     it.row(
         "added to a request",
-        f"{number(limit)} ms for {share(t.added_share)}",
-        told or NONE,
+        f"{format_number(limit)} ms for {format_share(t.added_share)}",
+        told or NOT_MEASURED,
         "as today: a gateway decides alone",
         "none: measured at a gateway's rate",
         "a choice that knows which connections have rested",
@@ -235,7 +246,7 @@
         "regions and zones",
         f"{t.regions} and {t.zones}",
         "not played at that size",
-        f"{number(t.zone_instances)} instances and {number(t.zone_gateways)} gateways a zone",
+        f"{format_number(t.zone_instances)} instances and {format_number(t.zone_gateways)} gateways a zone",
         "division alone",
         "relays in each region; a gateway goes to another's when its own is gone",
     )
@@ -243,10 +254,11 @@
 
 def changes(it, t):
     cost = it.figure("rules load", t.routes)
-    busy = NONE if cost is None else share(cost * t.configurations)
+    busy = NOT_MEASURED if cost is None else format_share(cost * t.configurations)
     it.row(
         "changes of configuration",
-        f"{number(t.changes_a_day)} a day, each in force everywhere within {number(t.in_force / S)} s",
+        f"{format_number(t.changes_a_day)} a day, each in force everywhere within "
+        f"{format_number(t.in_force / NS_PER_SECOND)} s",
         f"a file and SIGHUP a gateway; nothing tells where it is in force; all routes loaded for each: "
         f"{busy} of a "
         "core",
@@ -254,13 +266,13 @@
         f"{it.cost('rules load', t.routes * t.share)}",
         "subscriber changes bytes, rules load",
         "incremental, paced, acknowledged",
-        limit=t.in_force / S,
+        limit=t.in_force / NS_PER_SECOND,
         otherwise=NOT_TODAY,
     )
 
 
 def budget(it, t):
-    for of in (whose(t.share), whose(1.0)):
+    for of in (services_label(t.share), services_label(1.0)):
         processor_time(it, t, of)
         memory(it, t, of)
         bytes_in(it, t, of)
@@ -276,9 +288,9 @@
     today = f"rules loaded whole for each change: {it.cost('rules load', t.routes)} each"
     it.row(
         f"control's processor time, {of}",
-        f"{share(most)} of a core a gateway",
-        today if of == whose(1.0) else SEE,
-        f"{said(CPU, worth)} of a core in calm",
+        f"{format_share(most)} of a core a gateway",
+        today if of == services_label(1.0) else SEE,
+        f"{format_cost(CPU, worth)} of a core in calm",
         PARTS,
         "scoped, incremental",
         limit=100 * most,
@@ -294,9 +306,9 @@
     )
     it.row(
         f"control's memory, {of}",
-        f"{number(most)} MB a gateway",
-        today if of == whose(1.0) else SEE,
-        NONE if found is None else f"{number(found)} MB above a gateway at rest",
+        f"{format_number(most)} MB a gateway",
+        today if of == services_label(1.0) else SEE,
+        NOT_MEASURED if found is None else f"{format_number(found)} MB above a gateway at rest",
         PARTS,
         "scoped",
         limit=most,
@@ -306,13 +318,13 @@
 
 def bytes_in(it, t, of):
     calm, start, most = it.sum(of, BYTES), it.sum(of, BYTES, RESTART), t.control.bytes_a_second
-    takes = NONE if start is None else seconds(start.figure / most)
+    takes = NOT_MEASURED if start is None else format_seconds(start.figure / most)
     today = f"a whole list has {it.cost('discovery list', t.instances)}"
     it.row(
         f"control's bytes, {of}",
-        f"{size(most)}/s a gateway",
-        today if of == whose(1.0) else SEE,
-        f"{said(BYTES, calm)} in calm; what a start asks for takes {takes} at that rate",
+        f"{format_bytes(most)}/s a gateway",
+        today if of == services_label(1.0) else SEE,
+        f"{format_cost(BYTES, calm)} in calm; what a start asks for takes {takes} at that rate",
         "subscriber changes bytes, relay snapshot",
         "scoped, paced",
         limit=most,
@@ -337,11 +349,12 @@
 def machines(it, t):
     it.row(
         "failures and restarts",
-        f"{number(t.failures_a_day)} and {number(t.restarts_a_day)} a day",
-        f"{number(t.instance_changes)} changes a second, each {it.cost('gateway change', t.instances)} at "
+        f"{format_number(t.failures_a_day)} and {format_number(t.restarts_a_day)} a day",
+        f"{format_number(t.instance_changes)} changes a second, each "
+        f"{it.cost('gateway change', t.instances)} at "
         f"a gateway "
         "that knows all",
-        f"{number(t.instance_changes * t.share)} a second reach a gateway",
+        f"{format_number(t.instance_changes * t.share)} a second reach a gateway",
         "gateway change",
         "scoped; later news take the place of earlier",
     )
@@ -350,28 +363,30 @@
 def losses(it, t):
     each = it.figure("gateway change", t.instances)
     for name, count, wanted_of, guess in (
-        ("a rack", t.guesses.rack_instances, f"{number(t.racks_a_week)} a week", " (a guess)"),
-        ("a zone", t.zone_instances, f"{number(t.zones_a_month)} a month", ""),
+        ("a rack", t.guesses.rack_instances, f"{format_number(t.racks_a_week)} a week", " (a guess)"),
+        ("a zone", t.zone_instances, f"{format_number(t.zones_a_month)} a month", ""),
     ):
         it.row(
             name,
             wanted_of,
-            f"{number(count)} changes{guess}: {NONE if each is None else seconds(count * each / 1e3)} of a "
+            f"{format_number(count)} changes{guess}: "
+            f"{NOT_MEASURED if each is None else format_seconds(count * each / 1e3)} of a "
             f"core at a "
             "gateway that knows all",
-            f"{number(count * t.share)} reach a gateway in the mean, in {it.takes(count * t.share)} at its "
+            f"{format_number(count * t.share)} reach a gateway in the mean, in {it.takes(count * t.share)} "
+            f"at its "
             f"bytes; "
             f"one that routes to all services: {it.takes(count)}",
             "gateway change, subscriber changes bytes",
             "drains and removals go first, within the budget",
         )
-    cut = t.guesses.cut / S
+    cut = t.guesses.cut / NS_PER_SECOND
     missed = (t.instance_changes + t.configurations) * cut
     it.row(
         "a region cut off",
-        f"for minutes ({number(t.guesses.cuts_a_year)} a year of {number(cut)} s are guesses)",
+        f"for minutes ({format_number(t.guesses.cuts_a_year)} a year of {format_number(cut)} s are guesses)",
         "serves on from what it has and is told all that it missed (`docs/cluster.md`)",
-        f"{number(missed)} changes missed, {number(missed * t.share)} of a gateway's services: "
+        f"{format_number(missed)} changes missed, {format_number(missed * t.share)} of a gateway's services: "
         f"{it.takes(missed * t.share)} at its bytes",
         "subscriber changes bytes",
         "versions of each scope: it resumes from the one that it has",
--- a/lemonlead/planning/targets.py
+++ b/lemonlead/planning/targets.py
@@ -4,7 +4,7 @@
 
 from .. import settings
 
-S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 DAY = 86_400
 
 
--- a/tests/days.py
+++ b/tests/days.py
@@ -96,7 +96,7 @@
         if self.late:
             for gateway in self.gateways:
                 gateway.balancer = DelayedStatePolicy(self, gateway.number)
-            self.at(0, self.record_states)
+            self.schedule(0, self.record_states)
 
     def run_to_end(self):
         self.play(self.length)
@@ -112,10 +112,10 @@
 
         return noted
 
-    def gap(self, rate):
+    def arrival_gap(self, rate):
         third = self.length * S // 3
         part = 1.0 if self.burst is None else 0.6 if self.now % third < 0.4 * third else self.burst
-        return super().gap(rate * part)
+        return super().arrival_gap(rate * part)
 
     # ---- the states that the reference policy sees
 
@@ -124,7 +124,7 @@
         while len(self.states) > 2:
             self.states.popleft()
         if self.now < self.length * S:
-            self.at(self.now + STATE_DELAY, self.record_states)
+            self.schedule(self.now + STATE_DELAY, self.record_states)
 
     def waits(self, machine):
         """Returns how long a request that arrives now waits there (ns)."""
@@ -135,7 +135,7 @@
 
     def mean_work(self):
         request_classes = self.fleet.request_classes.items()
-        rates = {name: self.fleet.rate(name) for name, _ in request_classes}
+        rates = {name: self.fleet.request_rate(name) for name, _ in request_classes}
         return sum(rates[name] * request_class.work for name, request_class in request_classes) / sum(
             rates.values()
         )
@@ -145,15 +145,15 @@
     def kill(self, numbers):
         for number in numbers:
             gateway = self.gateways[number]
-            gateway.up, wants, gateway.wants = False, list(gateway.wants.values()), {}
-            for want in wants:
-                self.answered(want, "lost", 0)
+            gateway.up, open_requests, gateway.open_requests = False, list(gateway.open_requests.values()), {}
+            for client_request in open_requests:
+                self.request_ended(client_request, "lost", 0)
 
     def revive(self, numbers):
-        lines = [self.line(machine) for machine in self.machines if machine.up]
+        lines = [self.list_entry(machine) for machine in self.machines if machine.up]
         for number in numbers:
             site = self.gateways[number].site
-            gateway = self.gateways[number] = Gateway(self, site, number, self.start(site, number))
+            gateway = self.gateways[number] = Gateway(self, site, number, self.start_settings(site, number))
             gateway.balancer.list_received(self.now, lines, True, True)
             gateway.balancer.stage_reported(self.now, 1, 0, at.RELEASED, 1.0, 0)
 
@@ -162,22 +162,28 @@
     def attempt(self, gateway, attempt, number, time_out):
         self.decided.setdefault(gateway.number, []).append((self.now, False))
         machine = self.machines[number]
-        if machine.started and self.now < machine.started + self.fleet.warm:
+        if machine.started and self.now < machine.started + self.fleet.warm_up_time:
             self.sent.setdefault(number, []).append((self.now, attempt.request.work))
         super().attempt(gateway, attempt, number, time_out)
 
-    def ask(self, want):
-        if want not in self.kept:
+    def send_request(self, client_request):
+        if client_request not in self.kept:
             tenant = self.random.choices(range(len(self.weights)), self.weights)[0]
-            third = min(want.first * 3 // (self.length * S), 2)
-            self.kept[want] = ("class", want.request_class.number, third), ("tenant", tenant, third)
-            self.asked.update(self.kept[want])
-        super().ask(want)
-
-    def answered(self, want, ending, retry_after):
-        if ending == "succeeded" and self.now - want.first <= want.request_class.latency_objective:
-            self.served.update(self.kept[want])
-        super().answered(want, ending, retry_after)
+            third = min(client_request.first_sent_at * 3 // (self.length * S), 2)
+            self.kept[client_request] = (
+                ("class", client_request.request_class.number, third),
+                ("tenant", tenant, third),
+            )
+            self.asked.update(self.kept[client_request])
+        super().send_request(client_request)
+
+    def request_ended(self, client_request, ending, retry_after):
+        if (
+            ending == "succeeded"
+            and self.now - client_request.first_sent_at <= client_request.request_class.latency_objective
+        ):
+            self.served.update(self.kept[client_request])
+        super().request_ended(client_request, ending, retry_after)
 
     def rejects_all(self, seconds=4, least=15):
         """Returns how many gateways rejected at least this many requests in a row, over this many seconds."""
@@ -209,7 +215,7 @@
             machine, times = self.machines[number], [time for time, _ in attempts]
             for first, time in enumerate(times):
                 last = bisect.bisect_left(times, time + fleet.cold_window)
-                age = (time - machine.started) / fleet.warm
+                age = (time - machine.started) / fleet.warm_up_time
                 warm = fleet.cold_share + (1 - fleet.cold_share) * min(age, 1.0)
                 can = machine.kind.cores * machine.kind.speed * warm * fleet.cold_window / mean
                 bears = fleet.cold_multiple * can
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -10,9 +10,21 @@
 from benchmarks.slopes import __main__ as written
 from benchmarks.slopes.measures import PARTS, Named, Part
 from lemonlead.commands import main
-from lemonlead.planning import page, sizing, slopes, targets, wanted
-from lemonlead.planning.sizing import BYTES, CALM, CHANGE, CPU, CUT, MEMORY, RACK, RESTART, ZONE, Row, Worth
-from lemonlead.planning.words import number, seconds, share, size
+from lemonlead.planning import page, sizing, slopes, target_table, targets
+from lemonlead.planning.number_format import format_bytes, format_number, format_seconds, format_share
+from lemonlead.planning.sizing import (
+    BYTES,
+    CALM,
+    CHANGE,
+    CPU,
+    CUT,
+    MEMORY,
+    RACK,
+    RESTART,
+    ZONE,
+    Cost,
+    CostRow,
+)
 
 ROOT = Path(__file__).parents[1]
 FILE, MEASURED = ROOT / "deploy/capacity/fleet-2028.cue", ROOT / "docs/capacity/slopes.json"
@@ -47,7 +59,7 @@
         points=tuple(made[:-1]),
         held_out=made[-1],
         source=SOURCE,
-        **slopes.fitted(points),
+        **slopes.fit_and_check(points),
     )
 
 
@@ -65,9 +77,9 @@
 
 
 def test_the_last_point_is_kept_out_of_the_fit_and_tests_it():
-    told = slopes.fitted([(1, 3), (2, 5), (4, 9), (10, 20)])
+    told = slopes.fit_and_check([(1, 3), (2, 5), (4, 9), (10, 20)])
     assert told == pytest.approx({"fixed": 1, "slope": 2, "error": 0, "held_out_error": 0.05})
-    assert slopes.fitted([(1, 3), (2, 5), (4, 9), (10, 42)])["held_out_error"] == pytest.approx(-0.5)
+    assert slopes.fit_and_check([(1, 3), (2, 5), (4, 9), (10, 42)])["held_out_error"] == pytest.approx(-0.5)
 
 
 # ---- what follows
@@ -83,32 +95,32 @@
 
 
 def test_how_often_a_gateway_hears_of_changes(small):
-    lists, configurations = sizing.happens(small, small.share)
+    lists, configurations = sizing.change_counts(small, small.share)
     assert lists == {CALM: 0.0025, RACK: 2, ZONE: 25, CUT: 0.25}
     assert configurations == {CALM: 0.0025, CUT: 0.25, CHANGE: 1.0}
-    lists, configurations = sizing.happens(small)
+    lists, configurations = sizing.change_counts(small)
     assert (lists[ZONE], configurations[CUT], configurations[CHANGE]) == (100, 1.0, 1.0)
 
 
 def test_a_cost_is_what_was_measured_at_that_size_else_worked_out():
     told = measured(line("change", 10, 2), line("load", 1, 3, unit="s"))
-    assert Row("list", "", CPU, "change", 4).cost(told) == Worth(pytest.approx(0.018), True)
-    assert Row("list", "", CPU, "change", 8).cost(told) == Worth(pytest.approx(0.026), True)
-    assert Row("list", "", CPU, "change", 3).cost(told) == Worth(pytest.approx(0.016))
-    assert Row("list", "", CPU, "change", 9).cost(told) == Worth(pytest.approx(0.028), False, True)
-    assert Row("list", "", CPU, "change", 0.5).cost(told).outside
-    assert Row("list", "", CPU, "load", each=True).cost(told) == Worth(pytest.approx(3.0))
-    assert Row("list", "", CPU, "none", 4).cost(told) is None
+    assert CostRow("list", "", CPU, "change", 4).cost(told) == Cost(pytest.approx(0.018), True)
+    assert CostRow("list", "", CPU, "change", 8).cost(told) == Cost(pytest.approx(0.026), True)
+    assert CostRow("list", "", CPU, "change", 3).cost(told) == Cost(pytest.approx(0.016))
+    assert CostRow("list", "", CPU, "change", 9).cost(told) == Cost(pytest.approx(0.028), False, True)
+    assert CostRow("list", "", CPU, "change", 0.5).cost(told).outside
+    assert CostRow("list", "", CPU, "load", each=True).cost(told) == Cost(pytest.approx(3.0))
+    assert CostRow("list", "", CPU, "none", 4).cost(told) is None
 
 
 def test_a_row_is_paid_as_often_as_its_condition_says():
     told = measured(line("change", 10, 2), line("memory", 10, 2, unit="MB"))
-    row = Row("list", "", CPU, "change", 4, {CALM: 5.0, ZONE: 100.0})
+    row = CostRow("list", "", CPU, "change", 4, {CALM: 5.0, ZONE: 100.0})
     assert row.at(told, CALM).figure == pytest.approx(0.09)  # 9 % of a core
     assert row.at(told, ZONE).figure == pytest.approx(1.8)
     assert row.at(told, RESTART).figure == 0
-    kept = Row("list", "", MEMORY, "memory", 4)
-    assert kept.at(told, CALM) == kept.at(told, RESTART) == Worth(18, True)
+    kept = CostRow("list", "", MEMORY, "memory", 4)
+    assert kept.at(told, CALM) == kept.at(told, RESTART) == Cost(18, True)
 
 
 def test_a_zone_lost_leaves_its_requests_to_the_others(small):
@@ -142,9 +154,9 @@
     rows = [row for row in sizing.control_rows(small, "all services") if row.kind == CPU]
     names = {row.slope for row in rows}
     told = [line(name, 10, 2) for name in sorted(names)]
-    assert sizing.total(measured(*told), rows, CALM).figure > 0
+    assert sizing.total_cost(measured(*told), rows, CALM).figure > 0
     for left_out in range(len(told)):
-        assert sizing.total(measured(*told[:left_out], *told[left_out + 1 :]), rows, CALM) is None
+        assert sizing.total_cost(measured(*told[:left_out], *told[left_out + 1 :]), rows, CALM) is None
 
 
 def test_control_counts_nothing_twice(small):
@@ -162,14 +174,14 @@
     of_list = line("gateway memory", 10, 0.1, unit="MB")
     names = "rules memory", "tenants memory", "subscriber memory"
     others = [line(name, 1, 0.01, unit="MB") for name in names]
-    it = wanted.Wanted(small, measured(of_list, *others))
+    it = target_table.TargetTable(small, measured(of_list, *others))
     # all: 400 instances; 100 routes, 1,000 tenants, 1,500 records
     assert it.memory("all services") == pytest.approx(400 * 0.1 + 3 + 26)
     assert it.memory("its services") == pytest.approx(100 * 0.1 + 3 + 26 / 4)
 
 
 def verdict(told, name, small):
-    return next(row for row in wanted.wanted(small, told) if row["figure"] == name)["verdict"]
+    return next(row for row in target_table.target_rows(small, told) if row["figure"] == name)["verdict"]
 
 
 def run(found, whole=True, of="changes of configuration"):
@@ -210,7 +222,7 @@
 
 
 def test_figures_as_words():
-    assert [number(one) for one in (0, 0.0000012, 0.012345, 10.789, 999.6, 1234.5, 247_900, -0.5)] == [
+    assert [format_number(one) for one in (0, 0.0000012, 0.012345, 10.789, 999.6, 1234.5, 247_900, -0.5)] == [
         "0",
         "0.0000012",
         "0.0123",
@@ -220,9 +232,9 @@
         "248,000",
         "-0.5",
     ]
-    assert [seconds(one) for one in (16.4, 0.0123, 0.0000042)] == ["16.4 s", "12.3 ms", "4.2 us"]
-    assert [size(one) for one in (12, 8000, 3_500_000, 2.5e9)] == ["12 B", "8 KB", "3.5 MB", "2.5 GB"]
-    assert share(0.044) == "4.4 %"
+    assert [format_seconds(one) for one in (16.4, 0.0123, 0.0000042)] == ["16.4 s", "12.3 ms", "4.2 us"]
+    assert [format_bytes(one) for one in (12, 8000, 3_500_000, 2.5e9)] == ["12 B", "8 KB", "3.5 MB", "2.5 GB"]
+    assert format_share(0.044) == "4.4 %"
 
 
 def test_what_is_not_measured_is_never_a_number(small):
@@ -230,15 +242,15 @@
     for row in page.size_rows(small, empty):
         if row["of"] == sizing.MESSAGES:
             continue  # these follow from the targets alone
-        assert {row[head] for head in page.HEADS.values()} == {"not measured"}, row
+        assert {row[head] for head in page.CONDITION_HEADINGS.values()} == {"not measured"}, row
     assert {row["fixed + slope"] for row in page.slope_rows(small, empty)} == {"not measured"}
-    text = page.page(small, empty)
+    text = page.render(small, empty)
     assert text.rstrip().endswith("## The stampede in small\n\nnot measured")
 
 
 def test_each_cost_that_a_role_has_is_one_that_the_benchmark_measures(small):
     named = {slope.name: slope.role for part in PARTS.values() for slope in part.slopes}
-    assert {row.slope for row in sizing.rows(small)} <= {*named, sizing.ONE}
+    assert {row.slope for row in sizing.rows(small)} <= {*named, sizing.NO_SLOPE}
     assert set(named.values()) <= set(sizing.ROLES)
 
 
@@ -439,9 +451,9 @@
 
 def test_bytes_of_a_row_in_calm_are_those_of_a_second():
     told = measured(line("sent", 10, 2, unit="bytes"))
-    row = Row("list", "", BYTES, "sent", 4, {CALM: 0.5, RACK: 10})
-    assert wanted.said(BYTES, row.at(told, CALM)) == "9 B/s m"
-    assert wanted.said(BYTES, row.at(told, RACK), False) == "180 B m"
+    row = CostRow("list", "", BYTES, "sent", 4, {CALM: 0.5, RACK: 10})
+    assert target_table.format_cost(BYTES, row.at(told, CALM)) == "9 B/s m"
+    assert target_table.format_cost(BYTES, row.at(told, RACK), False) == "180 B m"
 
 
 def test_a_line_that_falls_is_written_so():
@@ -451,6 +463,6 @@
 
 def test_a_line_that_is_below_nothing_gives_no_figure():
     told = measured(line("cost", -5, 10))
-    row = Row("list", "", CPU, "cost", 0.4, {CALM: 1.0})
-    assert wanted.said(CPU, row.at(told, CALM)) == wanted.NO_LINE
-    assert sizing.total(told, [row], CALM) is None
+    row = CostRow("list", "", CPU, "cost", 0.4, {CALM: 1.0})
+    assert target_table.format_cost(CPU, row.at(told, CALM)) == target_table.BELOW_ZERO
+    assert sizing.total_cost(told, [row], CALM) is None
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -394,8 +394,8 @@
 
     for name in ("attempt", "cancel", "reject", "abort", "vote", "log"):
         write(name, getattr(world.Gateway, name))
-    day.offer(S, factor)
-    day.lose("two", 9 * S, 11 * S)
+    day.start_release(S, factor)
+    day.lose_site("two", 9 * S, 11 * S)
     day.run_to_end()
     monkeypatch.undo()
     return calls
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -62,20 +62,20 @@
 @pytest.mark.parametrize("cv, factor", [(0.0, 0.5), (1.0, 1.0), (2.0, 2.5)])
 @pytest.mark.parametrize("rho", [0.3, 0.7, 0.95])
 def test_one_server_waits_as_pollaczek_and_khinchine_say(rho, cv, factor):
-    share, mean = queues.waiting(1, rho, 1.0, cv)
+    share, mean = queues.waiting_time(1, rho, 1.0, cv)
     assert share * mean == pytest.approx(factor * rho / (1 - rho))
 
 
 def test_service_falls_with_load_and_grows_with_time_allowed():
-    found = [queues.within(1.0, 4, rate, 0.5, 1.0) for rate in (1, 3, 5, 7, 7.9, 8, 20)]
+    found = [queues.share_within(1.0, 4, rate, 0.5, 1.0) for rate in (1, 3, 5, 7, 7.9, 8, 20)]
     assert found == sorted(found, reverse=True) and found[-1] == 0.0
-    found = [queues.within(limit, 4, 6, 0.5, 1.0) for limit in (0.1, 0.5, 1, 2, 10, 100)]
+    found = [queues.share_within(limit, 4, 6, 0.5, 1.0) for limit in (0.1, 0.5, 1, 2, 10, 100)]
     assert found == sorted(found) and found[-1] > 0.999
 
 
 def test_quantiles_of_work_keep_its_mean():
     for cv in (0.0, 0.5, 1.0):
-        assert sum(queues.works(2.0, cv)) / queues.POINTS == pytest.approx(2.0, rel=0.05)
+        assert sum(queues.work_quantiles(2.0, cv)) / queues.QUANTILE_COUNT == pytest.approx(2.0, rel=0.05)
 
 
 class Sink:
@@ -86,7 +86,7 @@
     def __init__(self, day):
         self.day, self.waits = day, []
 
-    def ended(self, attempt, end):
+    def attempt_ended(self, attempt, end):
         self.waits.append(self.day.now - attempt.sent_at - attempt.request.work)
 
 
@@ -102,12 +102,14 @@
     )
     sink, rng, moment = Sink(day), random.Random(6), 0
     for number in range(20_000):
-        moment += round(rng.expovariate(32.0) * world.S)
-        asked = at.Request(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.S))
-        day.at(moment, day.reach, sink, at.Attempt(asked, 0, None, moment), day.machines[0], 0)
-    day.play(moment // world.S + 1)
-    waits = [wait / world.S for wait in sink.waits]
-    share, mean = queues.waiting(4, 32.0, 0.1, 1.0)
+        moment += round(rng.expovariate(32.0) * world.NS_PER_SECOND)
+        asked = at.Request(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.NS_PER_SECOND))
+        day.schedule(
+            moment, day.attempt_arrives, sink, at.Attempt(asked, 0, None, moment), day.machines[0], 0
+        )
+    day.play(moment // world.NS_PER_SECOND + 1)
+    waits = [wait / world.NS_PER_SECOND for wait in sink.waits]
+    share, mean = queues.waiting_time(4, 32.0, 0.1, 1.0)
     assert len(waits) == 20_000
     assert sum(wait > 1e-6 for wait in waits) / len(waits) == pytest.approx(share, abs=0.04)
     assert sum(waits) / len(waits) == pytest.approx(share * mean, rel=0.15)
@@ -138,16 +140,16 @@
 
 
 def test_a_lost_sites_clients_are_served_at_the_others(read):
-    left = read().without(["one"])
-    assert list(left.sites) == ["two"] and left.rate("look") == read().rate("look")
-    assert not read().without(["one", "two"]).sites
+    left = read().without_sites(["one"])
+    assert list(left.sites) == ["two"] and left.request_rate("look") == read().request_rate("look")
+    assert not read().without_sites(["one", "two"]).sites
 
 
 # ---- answers
 
 
 def test_growth_breaks_the_goal_before_the_cores_and_evidence_is_given(read):
-    rows = answers.breaks(read())
+    rows = answers.breaking_points(read())
     assert [row["growth"] for row in rows] == sorted(row["growth"] for row in rows)
     found = {row["what"]: row["growth"] for row in rows}
     capacity = 3 * (5 * 1.0 + 3 * 0.6) / (40 * 0.18 + 40 * 0.11)
@@ -162,19 +164,19 @@
         counts = []
         for goal in goals:
             text = FLEET + f"goal: service: {goal:.4f}\n"
-            found, _ = answers.size(read(text), 0, 1.0)
+            found, _ = answers.smallest_size(read(text), 0, 1.0)
             counts.append(sum(sum(site.values()) for site in found.values()))
         assert counts == sorted(counts), goals
-    more, _ = answers.size(given, 1)
+    more, _ = answers.smallest_size(given, 1)
     assert sum(sum(site.values()) for site in more.values()) >= sum(
-        sum(site.values()) for site in answers.size(given)[0].values()
+        sum(site.values()) for site in answers.smallest_size(given)[0].values()
     )
 
 
 def test_a_goal_that_no_size_meets_is_said_to_be_one_and_why(read):
-    found, why = answers.size(read(FLEET.replace("goal: 1200ms", "goal: 50ms")))
+    found, why = answers.smallest_size(read(FLEET.replace("goal: 1200ms", "goal: 50ms")))
     assert found is None and "request class look" in why
-    assert answers.size(read(), 2) == (None, "no site is left")
+    assert answers.smallest_size(read(), 2) == (None, "no site is left")
 
 
 def test_clients_who_ask_again_keep_a_fleet_down_and_the_planner_says_so(read):
@@ -183,29 +185,31 @@
         FLEET.replace("look: 20.0, hold: 20.0", "look: 26.0, hold: 26.0")
         + "clients: {retries: 6, patience: 0.25}\n"
     )
-    calm, flooded = steady.reckon(read(text)), steady.reckon(read(text), flooded=True)
-    assert flooded.service < calm.service - 0.5 and flooded.asked > 2 * calm.asked
+    calm, flooded = steady.solve(read(text)), steady.solve(read(text), flooded=True)
+    assert flooded.service < calm.service - 0.5 and flooded.requests_per_second > 2 * calm.requests_per_second
 
 
 def test_the_same_seed_gives_the_same_day_and_another_one_another(read):
     days = [
-        [(second.asked, second.answered) for second in world.World(read(), seed).play(10)]
+        [(second.requests, second.answered_revenue) for second in world.World(read(), seed).play(10)]
         for seed in (1, 1, 2)
     ]
     assert days[0] == days[1] != days[2]
 
 
 def test_every_request_of_a_day_has_one_ending(read):
-    day = world.World(read().grown(2.5), 5)
-    day.lose("two", 4 * world.S, 8 * world.S, silent=True)
+    day = world.World(read().with_load_factor(2.5), 5)
+    day.lose_site("two", 4 * world.NS_PER_SECOND, 8 * world.NS_PER_SECOND, silent=True)
     seconds = day.play(15)
-    assert all(not gateway.wants for gateway in day.gateways)
-    assert sum(second.rejected + second.lost for second in seconds) < sum(second.asked for second in seconds)
-    assert 0 < world.service(seconds) < 1
+    assert all(not gateway.open_requests for gateway in day.gateways)
+    assert sum(second.rejected + second.failed for second in seconds) < sum(
+        second.requests for second in seconds
+    )
+    assert 0 < world.service_share(seconds) < 1
 
 
 def test_losing_a_site_near_the_edge_costs_service_until_it_is_warm_again(read):
-    rows, _ = answers.lose(read().grown(1.3), "one", length=60, out=15)
+    rows, _ = answers.play_site_loss(read().with_load_factor(1.3), "one", length=60, out=15)
     found = {row["part"]: row["service"] for row in rows}
     assert (
         found["while it is gone"] < found["before"] - 0.1 and found["after"] > found["while it is gone"] + 0.1
@@ -214,7 +218,7 @@
 
 @pytest.mark.parametrize("factor, ending", [(1.0, "released"), (3.0, "back")])
 def test_a_good_build_is_released_and_one_that_needs_thrice_the_work_goes_back(read, factor, ending):
-    rows, _ = answers.release(read(), factor)
+    rows, _ = answers.play_release(read(), factor)
     assert rows[-1]["part"].endswith(ending)
 
 
@@ -222,7 +226,7 @@
     text = FLEET.replace("{cores: 3}", "{cores: 3, slots: 3}").replace(
         "cores: 3, speed", "cores: 3, slots: 3, speed"
     )
-    day = world.World(read(text).grown(3.0), 2)
+    day = world.World(read(text).with_load_factor(3.0), 2)
     seconds = day.play(10)
     assert sum(second.rejected for second in seconds) > 0
 
@@ -231,7 +235,7 @@
     text = FLEET.replace("fast: 3, slow: 1", "fast: 6000, slow: 1000").replace(
         "fast: 2, slow: 2", "fast: 2000, slow: 1000"
     )
-    told = steady.reckon(read(text), pooled=True)
+    told = steady.solve(read(text), pooled=True)
     assert told.service == pytest.approx(1.0, abs=0.01) and not math.isnan(told.used["cores of instances"])
 
 
@@ -255,15 +259,17 @@
 
 def test_sixty_gateways_serve_on_while_a_seventh_of_the_machines_says_nothing(read):
     day = world.World(read(CROWD), 3)
-    day.pause(random.Random(3).sample(range(60), 9), 2 * world.S, 8 * world.S)
-    assert world.service(day.play(9)[2:8]) > 0.94
+    day.pause_machines(
+        random.Random(3).sample(range(60), 9), 2 * world.NS_PER_SECOND, 8 * world.NS_PER_SECOND
+    )
+    assert world.service_share(day.play(9)[2:8]) > 0.94
 
 
 def test_overload_of_sixty_gateways_turns_away_the_least_worth_and_serves_the_rest_in_time(read):
-    day = world.World(read(CROWD).grown(2.6), 3)
+    day = world.World(read(CROWD).with_load_factor(2.6), 3)
     seconds = day.play(9)
-    assert world.service(seconds[4:]) > 0.58
-    assert all(not gateway.wants for gateway in day.gateways)
+    assert world.service_share(seconds[4:]) > 0.58
+    assert all(not gateway.open_requests for gateway in day.gateways)
 
 
 # ---- the command
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -340,11 +340,11 @@
 def test_cold_instances_get_no_more_than_they_can_bear(died, came_back, fleet_of):
     """A third of the instances come back cold after 3 s; seven in ten of 150 gateways die and come back."""
     day = Day(fleet_of(), 5, length=6)
-    day.lose("two", S, 3 * S, gateways=False)
+    day.lose_site("two", S, 3 * S, gateways=False)
     if died:
         dead = day.random.sample(range(150), 105)
-        day.at(int(died * S), day.kill, dead)
-        day.at(int(came_back * S), day.revive, dead)
+        day.schedule(int(died * S), day.kill, dead)
+        day.schedule(int(came_back * S), day.revive, dead)
     day.run_to_end()
     assert len(day.sent) == 7 and sum(map(len, day.sent.values())) > 70  # they do get requests
     assert day.cold_overload() < 1
