--- a/lemonlead/distribution/relay_settings.py
+++ b/lemonlead/distribution/relay_settings.py
@@ -4,7 +4,7 @@
 
 from .. import settings
 from ..ledger.membership import MAX_MEMBERS
-from ..member.told import ALLOWED, address_fault, inside
+from ..member.member_settings import ADDRESS_REQUIREMENT, find_address_fault, is_loopback
 from .faults import Unfit
 
 
@@ -46,8 +46,8 @@
     try:
         file = settings.read(path, settings.schema_text("relay"), "schema:relay")
         if found := faults(file):
-            raise settings.Unfit(found)
-    except settings.Unfit as error:
+            raise settings.InvalidFile(found)
+    except settings.InvalidFile as error:
         raise Unfit(error.faults) from None
     fields = dict(file.value)
     budget, bounds = Budget(**fields.pop("budget")), Bounds(**fields.pop("bounds"))
@@ -66,11 +66,15 @@
     addresses = {"listen": own_address}
     addresses |= {f"members.{name}": address for name, address in fields["members"].items()}
     for path, address in addresses.items():
-        if wrong := address_fault(address):
-            fault(path, wrong, ALLOWED)
+        if wrong := find_address_fault(address):
+            fault(path, wrong, ADDRESS_REQUIREMENT)
         elif address in seen:
             fault(path, address, "an address once", seen[address])
-        elif path != "listen" and not address_fault(own_address) and inside(address) != inside(own_address):
+        elif (
+            path != "listen"
+            and not find_address_fault(own_address)
+            and is_loopback(address) != is_loopback(own_address)
+        ):
             fault(path, address, "all of loopback or none: they reach each other", "listen")
         seen.setdefault(address, path)
     if not 0 < len(fields["members"]) <= MAX_MEMBERS:
