--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,7 +36,7 @@
     def audit(self, event, _):
         if self.on and event in OUTSIDE:
             self.found.append(event)
-            raise RuntimeError(f"{event} in a test that runs beside others: mark it `serial`")
+            raise RuntimeError(f"{event} in a parallel test: mark it `serial`")
 
 
 audit_guard = AuditGuard()
@@ -57,7 +57,7 @@
     found, audit_guard.found = audit_guard.found, []
     yield
     if found:
-        pytest.fail(f"{found} in a test that runs beside others: mark it `serial`", pytrace=False)
+        pytest.fail(f"{found} in a parallel test: mark it `serial`", pytrace=False)
 
 
 # ---- tests that are known to fail
@@ -86,7 +86,9 @@
 
 def pytest_configure(config):
     config.addinivalue_line("markers", "parallel: opens no socket and starts no program (by its file)")
-    config.addinivalue_line("markers", "serial: does, in a file whose other tests do not")
+    config.addinivalue_line(
+        "markers", "serial: opens a socket or starts a program, in a file of parallel tests"
+    )
     path = Path(config.rootpath) / "KNOWN-RED.txt"
     config.stash[KNOWN_RED] = parse_known_red(path.read_text() if path.exists() else "")
 
