--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -31,14 +31,14 @@
 def declare_node(cluster, number, **more):
     """Sends a command that is acknowledged, and returns (its fields, its answer)."""
     fields = dict(id=f"t/{number}", kind="node", node=f"n{number}", site="s", units=number, **more)
-    code, answer = cluster.done(**fields)
+    code, answer = cluster.run_command(**fields)
     assert code == 200, answer
     return fields, answer
 
 
 def all_hold_the_same(cluster, part):
     """Whether all members hold the same records of this part, by their local state."""
-    states = [cluster.ask(name, "GET", f"/v1/state/{part}?read=local")[1] for name in cluster.forming]
+    states = [cluster.ask(name, "GET", f"/v1/state/{part}?read=local")[1] for name in cluster.initial_members]
     return all((state["at"], state["items"]) == (states[0]["at"], states[0]["items"]) for state in states)
 
 
@@ -62,52 +62,52 @@
 
 
 def test_cluster_forms_once_and_members_agree(cluster):
-    leader, statuses = cluster.wait_leader(), [cluster.status(name) for name in cluster.forming]
+    leader, statuses = cluster.wait_leader(), [cluster.status(name) for name in cluster.initial_members]
     assert {one["cluster"] for one in statuses} == {"louis"} and len({one["term"] for one in statuses}) == 1
     assert sorted(one["role"] for one in statuses) == ["follower", "follower", "leader"]
-    roles = {name: "leader" if name == leader else "follower" for name in cluster.forming}
+    roles = {name: "leader" if name == leader else "follower" for name in cluster.initial_members}
     assert all(one["members"] == roles for one in statuses)
     until(
-        lambda: all(cluster.status(name)["bears"] == 1 for name in cluster.forming),
+        lambda: all(cluster.status(name)["bears"] == 1 for name in cluster.initial_members),
         "the cluster tolerates one loss",
     )
-    ids = {cluster.ask(name, "GET", "/peer/hello")[1]["cluster"] for name in cluster.forming}
+    ids = {cluster.ask(name, "GET", "/peer/hello")[1]["cluster"] for name in cluster.initial_members}
     assert len(ids) == 1
 
     def cluster_ids(path):  # a member that has just lost its leader answers 503
-        return {cluster.ask(name, "GET", path)[1].get("cluster_id") for name in cluster.forming}
+        return {cluster.ask(name, "GET", path)[1].get("cluster_id") for name in cluster.initial_members}
 
     for path in ("/v1/state/nodes", "/v1/state/nodes?read=local", "/v1/events?after=0"):
         until(lambda path=path: cluster_ids(path) == ids, f"{path} has the cluster's id")
-    assert cluster.done(id="of/1", kind="unfollow", gateway="nobody")[1]["cluster_id"] in ids
+    assert cluster.run_command(id="of/1", kind="unfollow", gateway="nobody")[1]["cluster_id"] in ids
     until(
-        lambda: all(cluster.ask(name, "GET", "/readyz")[0] == 200 for name in cluster.forming),
+        lambda: all(cluster.ask(name, "GET", "/readyz")[0] == 200 for name in cluster.initial_members),
         "all are ready",
     )
 
 
 def test_repeated_command_gets_the_same_answer_from_any_member(cluster):
     answers = {}
-    for number, name in enumerate(cluster.forming, 100):
+    for number, name in enumerate(cluster.initial_members, 100):
         command = dict(id=f"any/{number}", kind="node", node=f"any{number}", site="any", units=number)
         answers[number] = cluster.command(name, **command)
         assert answers[number][0] == 200
-        repeats = [cluster.command(other, **command) for other in cluster.forming]
+        repeats = [cluster.command(other, **command) for other in cluster.initial_members]
         assert repeats == [answers[number]] * 3
-        for other in cluster.forming:
+        for other in cluster.initial_members:
             assert cluster.items(other, "nodes")[f"any{number}"]["units"] == number
     indices = [answer["at"] for _, answer in answers.values()]
     assert indices == sorted(set(indices))
     refused = dict(id="any/no", kind="reserve", reservation="r", service="x", units=10**6, site="any")
     code, answer = cluster.command("g1", **refused)
     assert code == 409 and answer["outcome"] == "refused" and answer["error"]["type"] == "Refused"
-    assert [cluster.command(name, **refused) for name in cluster.forming] == [(code, answer)] * 3
+    assert [cluster.command(name, **refused) for name in cluster.initial_members] == [(code, answer)] * 3
 
 
 def test_local_reads_have_an_age_and_events_are_in_order(cluster):
     before = cluster.status("g1")["applied"]
     answers = [declare_node(cluster, number)[1]["at"] for number in (201, 202, 203)]
-    for name in cluster.forming:
+    for name in cluster.initial_members:
         code, answer = cluster.ask(name, "GET", f"/v1/events?after={before}")
         while answer["at"] < answers[-1]:  # a follower may lag a heartbeat behind
             code, more = cluster.ask(name, "GET", f"/v1/events?after={answer['at']}")
@@ -128,10 +128,10 @@
 
 
 def test_gateway_can_poll_events_at_any_member(cluster):
-    code, followed = cluster.done(id="gw/1", kind="follow", gateway="gw1")
+    code, followed = cluster.run_command(id="gw/1", kind="follow", gateway="gw1")
     assert code == 200
     at = cluster.status(cluster.wait_leader())["applied"]
-    for name in cluster.forming:
+    for name in cluster.initial_members:
         path = f"/v1/events?after={at - 1}&gateway=gw1&since={followed['at']}"
         code, answer = cluster.ask(name, "GET", path)
         assert code == 200 and answer["at"] >= at and answer["leader"] == cluster.wait_leader()
@@ -241,7 +241,7 @@
     after = cluster.wait_leader(other_than=leader)
     nodes = cluster.items(after, "nodes")
     assert all(nodes[fields["node"]]["units"] == fields["units"] for fields, _ in declared)
-    assert [cluster.done(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
+    assert [cluster.run_command(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
     until(lambda: cluster.status(after)["bears"] == 0, "the cluster tolerates no further loss")
     cluster.start(leader)
     until(lambda: cluster.status(after).get("bears") == 1, "the member is back")
@@ -252,12 +252,12 @@
 
 def test_acknowledged_commands_survive_a_kill_of_all_members(cluster):
     declared = [declare_node(cluster, number) for number in range(500, 505)]
-    before = {name: cluster.ask(name, "GET", "/peer/hello")[1] for name in cluster.forming}
-    cluster.kill(*cluster.forming)
+    before = {name: cluster.ask(name, "GET", "/peer/hello")[1] for name in cluster.initial_members}
+    cluster.kill(*cluster.initial_members)
     cluster.start()
     cluster.wait_leader()
-    assert {name: cluster.ask(name, "GET", "/peer/hello")[1] for name in cluster.forming} == before
-    assert [cluster.done(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
+    assert {name: cluster.ask(name, "GET", "/peer/hello")[1] for name in cluster.initial_members} == before
+    assert [cluster.run_command(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
     nodes = until(lambda: cluster.items("g1", "nodes"), "g1 knows the leader")
     assert nodes.keys() >= {fields["node"] for fields, _ in declared}
     for part in ("nodes", "sites", "members", "followers"):
@@ -275,7 +275,7 @@
     ]
     for reader in readers:
         reader.start()
-    other = next(name for name in cluster.forming if name != leader)
+    other = next(name for name in cluster.initial_members if name != leader)
     began = time.monotonic()
     passed_on = cluster.command(other, id="paused/1", kind="node", node="paused", site="s", units=1)
     assert passed_on[0] == 200 or passed_on[1]["outcome"] in ("unknown", "not done")
@@ -284,7 +284,7 @@
     )  # it is answered as soon as the leader is known to be lost
     after = cluster.wait_leader(other_than=leader)
     fields, _ = declare_node(cluster, 600)
-    assert cluster.done(id="paused/1", kind="node", node="paused", site="s", units=1)[0] == 200
+    assert cluster.run_command(id="paused/1", kind="node", node="paused", site="s", units=1)[0] == 200
     cluster.resume(leader)
     answers.append(cluster.ask(leader, "GET", "/v1/state/nodes"))
     for reader in readers:
@@ -303,7 +303,7 @@
     after = cluster.wait_leader(other_than=leader)
     until(lambda: "its disk failed" in cluster.status(leader).get("reason", ""), "the status says why")
     assert cluster.ask(leader, "GET", "/readyz")[0] == 503
-    assert cluster.done(id="full/1", kind="node", node="full", site="s", units=1)[0] == 200
+    assert cluster.run_command(id="full/1", kind="node", node="full", site="s", units=1)[0] == 200
     assert cluster.items(after, "nodes").keys() >= {fields["node"], "full"}
     until(lambda: cluster.status(after)["bears"] == 0, "the member counts as lost")
     cluster.kill(leader)
@@ -319,7 +319,7 @@
     def write():
         number, last = 0, time.monotonic()
         while not done.is_set():
-            other = next(name for name in cluster.forming if name != leader)
+            other = next(name for name in cluster.initial_members if name != leader)
             fields = dict(kind="report", node="n670", state="serving")
             if cluster.command(other, id=f"over/{number}", **fields)[0] == 200:
                 longest_pause_s[0] = max(longest_pause_s[0], time.monotonic() - last)
@@ -330,7 +330,7 @@
     try:
         assert cluster.stop(leader) == 0
         cluster.wait_leader(other_than=leader)
-        cluster.done(id="over/end", kind="report", node="n670", state="serving")
+        cluster.run_command(id="over/end", kind="report", node="n670", state="serving")
     finally:
         done.set()
         writer.join(30)
@@ -341,7 +341,7 @@
 
 def test_wiped_member_stays_outside_and_rejoins_under_a_new_name(cluster):
     leader = cluster.wait_leader()
-    lost = next(name for name in cluster.forming if name != leader)
+    lost = next(name for name in cluster.initial_members if name != leader)
     fields, _ = declare_node(cluster, 700)
     cluster.kill(lost)
     cluster.wipe(lost)
@@ -355,21 +355,21 @@
 
     cluster.place("g4")
     address = cluster.addresses["g4"]
-    not_running = cluster.done(id="add/0", kind="add", member="g4", address=address)
+    not_running = cluster.run_command(id="add/0", kind="add", member="g4", address=address)
     assert not_running[0] == 409 and "--join" in not_running[1]["error"]["do"]
     cluster.start("g4", join=True)
     assert cluster.status("g4")["role"] == "outside"
-    assert cluster.done(id="add/1", kind="add", member="g4", address=address)[0] == 200
+    assert cluster.run_command(id="add/1", kind="add", member="g4", address=address)[0] == 200
     cluster.wait_status("g4", role="follower")
     assert cluster.items("g4", "nodes").keys() >= {fields["node"]}
     remove = dict(kind="remove", member=lost)
-    until(lambda: cluster.done(id=f"gone/{time.monotonic()}", **remove)[0] == 200, "the member is removed")
+    until(lambda: cluster.run_command(id=f"gone/{time.monotonic()}", **remove)[0] == 200, "the member is removed")
     until(lambda: cluster.status(cluster.wait_leader())["bears"] == 1, "the cluster tolerates a loss again")
     cluster.kill(lost)
     assert cluster.items("g4", "members")[lost]["gone"]
-    again = cluster.done(id="add/2", kind="add", member=lost, address=cluster.addresses[lost])
+    again = cluster.run_command(id="add/2", kind="add", member=lost, address=cluster.addresses[lost])
     assert again[0] == 409 and "was a member once" in again[1]["error"]["says"]
-    cluster.forming = sorted({*cluster.forming, "g4"} - {lost})
+    cluster.initial_members = sorted({*cluster.initial_members, "g4"} - {lost})
 
 
 def test_member_added_after_all_first_ones_left_catches_up(tmp_path):
@@ -379,18 +379,20 @@
         cluster.start().wait_leader()
         for old, new in (("g1", "g4"), ("g2", "g5"), ("g3", "g6")):
             cluster.start(new, join=True)
-            code, answer = cluster.done(
+            code, answer = cluster.run_command(
                 id=f"add/{new}", kind="add", member=new, address=cluster.addresses[new]
             )
             assert code == 200, answer
             until(lambda new=new: cluster.status(new).get("role") in ("follower", "leader"), f"{new} votes")
-            code, answer = cluster.done(id=f"remove/{old}", kind="remove", member=old, address="")
+            code, answer = cluster.run_command(id=f"remove/{old}", kind="remove", member=old, address="")
             assert code == 200, answer
             until(lambda old=old, new=new: old not in cluster.status(new)["members"], f"{old} has left")
             cluster.kill(old)
         declare_node(cluster, 7)
         cluster.start("g7", join=True)
-        code, answer = cluster.done(id="add/g7", kind="add", member="g7", address=cluster.addresses["g7"])
+        code, answer = cluster.run_command(
+            id="add/g7", kind="add", member="g7", address=cluster.addresses["g7"]
+        )
         assert code == 200, answer
         until(lambda: cluster.status("g7").get("role") == "follower", lambda: f"{cluster.status('g7')}")
         assert "n7" in cluster.items("g7", "nodes", local=True)
