--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -241,7 +241,9 @@
     after = cluster.wait_leader(other_than=leader)
     nodes = cluster.items(after, "nodes")
     assert all(nodes[fields["node"]]["units"] == fields["units"] for fields, _ in declared)
-    assert [cluster.run_command(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
+    assert [cluster.run_command(**fields) for fields, _ in declared] == [
+        (200, answer) for _, answer in declared
+    ]
     until(lambda: cluster.status(after)["bears"] == 0, "the cluster tolerates no further loss")
     cluster.start(leader)
     until(lambda: cluster.status(after).get("bears") == 1, "the member is back")
@@ -257,7 +259,9 @@
     cluster.start()
     cluster.wait_leader()
     assert {name: cluster.ask(name, "GET", "/peer/hello")[1] for name in cluster.initial_members} == before
-    assert [cluster.run_command(**fields) for fields, _ in declared] == [(200, answer) for _, answer in declared]
+    assert [cluster.run_command(**fields) for fields, _ in declared] == [
+        (200, answer) for _, answer in declared
+    ]
     nodes = until(lambda: cluster.items("g1", "nodes"), "g1 knows the leader")
     assert nodes.keys() >= {fields["node"] for fields, _ in declared}
     for part in ("nodes", "sites", "members", "followers"):
@@ -363,7 +367,10 @@
     cluster.wait_status("g4", role="follower")
     assert cluster.items("g4", "nodes").keys() >= {fields["node"]}
     remove = dict(kind="remove", member=lost)
-    until(lambda: cluster.run_command(id=f"gone/{time.monotonic()}", **remove)[0] == 200, "the member is removed")
+    until(
+        lambda: cluster.run_command(id=f"gone/{time.monotonic()}", **remove)[0] == 200,
+        "the member is removed",
+    )
     until(lambda: cluster.status(cluster.wait_leader())["bears"] == 1, "the cluster tolerates a loss again")
     cluster.kill(lost)
     assert cluster.items("g4", "members")[lost]["gone"]
