--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -65,12 +65,12 @@
     def write(self, write):
         self.writes.append(write)
 
-    def commit(self, some):
-        self.applied += some
+    def commit(self, committed_entries):
+        self.applied += committed_entries
 
-    def end(self, ticket, how):
+    def end(self, ticket, outcome):
         assert ticket not in self.results, "ended twice"
-        self.results[ticket] = how
+        self.results[ticket] = outcome
 
     def answer(self, ticket, index):
         self.end(ticket, index)
@@ -152,7 +152,7 @@
         self.replica = Replica(replica_config(self.name, **self.more), self.disk_copy(), self.net.now)
         self.writes = []
         self.state = self.snapshots[self.disk.base.index]
-        self.taken = b""
+        self.received_chunks = b""
         self.frozen = False
         self.up = True
 
@@ -165,12 +165,12 @@
         self.net.send(sent)
 
     def write(self, write):
-        delay = self.net.chance.randrange(self.net.disk_delay + 1)
+        delay = self.net.rng.randrange(self.net.disk_delay + 1)
         last = self.writes[-1][0] if self.writes else 0
         self.writes.append((max(self.net.now + delay, last), write))
 
-    def commit(self, some):
-        for one in some:
+    def commit(self, committed_entries):
+        for one in committed_entries:
             assert one.index == self.at + 1
             self.state += b"%d/%d " % (one.index, one.term)
             assert self.net.history.setdefault(one.index, one) == one, "two commits at one index"
@@ -196,11 +196,11 @@
             self.net.send(msgspec.structs.replace(chunk, data=piece, last=last))
 
     def receive_chunk(self, chunk):
-        self.taken = (b"" if chunk.offset == 0 else self.taken) + chunk.data
+        self.received_chunks = (b"" if chunk.offset == 0 else self.received_chunks) + chunk.data
 
     # the simulated machine
 
-    def turn(self):
+    def act(self):
         now = self.net.now
         if not self.up or self.frozen:
             return
@@ -219,7 +219,7 @@
         if write.base is not None:
             disk.base = write.base
             disk.entries = [one for one in disk.entries if one.index > write.base.index]
-            self.snapshots[write.base.index] = self.state = self.taken
+            self.snapshots[write.base.index] = self.state = self.received_chunks
         assert [one.index for one in disk.entries] == [
             disk.base.index + 1 + at for at in range(len(disk.entries))
         ]
@@ -250,7 +250,7 @@
     """A simulated network. `cuts` is a set of (sender, to) whose messages are lost."""
 
     def __init__(self, names="abc", seed=1, learners="", delay=2 * MS, **more):
-        self.now, self.chance, self.delay, self.disk_delay = NOW, random.Random(seed), delay, 1 * MS
+        self.now, self.rng, self.delay, self.disk_delay = NOW, random.Random(seed), delay, 1 * MS
         self.loss_rate = self.duplicate_rate = 0.0  # probabilities for each message
         self.in_transit, self.cuts, self.results, self.history, self.log = [], set(), {}, {}, []
         more.setdefault("most_bytes", 512)
@@ -267,14 +267,14 @@
 
     def send(self, sent):
         self.log.append(sent)
-        for _ in range(1 + (self.chance.random() < self.duplicate_rate)):
-            if (sent.sender, sent.to) not in self.cuts and self.chance.random() >= self.loss_rate:
-                at = self.now + self.chance.randrange(self.delay // 2, self.delay + 1)
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+            if (sent.sender, sent.to) not in self.cuts and self.rng.random() >= self.loss_rate:
+                at = self.now + self.rng.randrange(self.delay // 2, self.delay + 1)
                 self.in_transit.append((at, sent))
 
-    def end(self, ticket, how):
+    def end(self, ticket, outcome):
         assert ticket not in self.results, "ended twice"
-        self.results[ticket] = how
+        self.results[ticket] = outcome
 
     def step(self, dt=1 * MS):
         self.now += dt
@@ -285,7 +285,7 @@
             if member is not None and member.up and not member.frozen:
                 member.replica.receive(self.now, sent)
         for member in self.members.values():
-            member.turn()
+            member.act()
         leader_terms = [m.replica.term for m in self.members.values() if m.up and m.replica.role == r.LEADER]
         assert len(set(leader_terms)) == len(leader_terms), "two leaders of one term"
 
@@ -297,7 +297,7 @@
             self.step()
         raise AssertionError("the condition was not reached")
 
-    def pause(self, ms):
+    def run_ms(self, ms):
         for _ in range(ms):
             self.step()
 
@@ -309,7 +309,7 @@
             return best.name
         return None
 
-    def lead(self):
+    def run_until_leader(self):
         """Runs until there is a leader. Returns its replica."""
         self.run(self.leader)
         return self[self.leader()]
@@ -320,9 +320,9 @@
             self.cuts |= {(other, name) for other in self.members if other not in names}
 
     def propose(self, ticket, leader=None):
-        (leader or self.lead()).propose(self.now, 0, repr(ticket).encode(), ticket)
+        (leader or self.run_until_leader()).propose(self.now, 0, repr(ticket).encode(), ticket)
 
-    def done(self, ticket):
+    def run_command(self, ticket):
         """Proposes until the command is committed, as a client that retries does."""
         for again in range(20):
             self.propose((ticket, again))
@@ -331,7 +331,7 @@
                 return
         raise AssertionError("never committed")
 
-    def same(self):
+    def all_applied(self):
         """Whether all running members have applied all committed entries."""
         states = {m.state for m in self.members.values() if m.up}
         return len(states) == 1 and max(m.replica.committed for m in self.members.values() if m.up) in {
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -633,10 +633,10 @@
 
 def test_a_replaced_leader_serves_no_read():
     net = Net()
-    old = net.lead()
+    old = net.run_until_leader()
     net.cut_off(old.name)
     old.read(net.now, "stale")
-    net.propose("t", net[next(name for name in "abc" if net.lead() and name != old.name)])
+    net.propose("t", net[next(name for name in "abc" if net.run_until_leader() and name != old.name)])
     net.run(lambda: net.leader() not in (None, old.name))
     net.propose("new")
     net.run(lambda: "new" in net.results and "stale" in net.results)
@@ -647,11 +647,11 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_read_sees_every_write_acknowledged_before_it(seed):
     net = Net(seed=seed)
-    net.lead()
+    net.run_until_leader()
     for at in range(30):
         net.propose(("write", at))
         net.run(lambda at=at: ("write", at) in net.results)
-        net.lead().read(net.now, ("read", at))
+        net.run_until_leader().read(net.now, ("read", at))
         net.run(lambda at=at: ("read", at) in net.results)
         assert net.results["read", at][1] >= net.results["write", at]
 
@@ -786,22 +786,22 @@
 
 def test_a_caught_up_learner_gets_its_vote():
     net = Net()
-    net.lead()
+    net.run_until_leader()
     for at in range(50):
         net.propose(at)
     net.add("d")
-    net.lead().change_members(net.now, members_of("abcd", "d"), "add")
+    net.run_until_leader().change_members(net.now, members_of("abcd", "d"), "add")
     net.run(lambda: net["d"].role == r.FOLLOWER)
     assert net.results["add"]
-    net.run(lambda: net.lead().members == members_of("abcd") and net.same())
+    net.run(lambda: net.run_until_leader().members == members_of("abcd") and net.all_applied())
 
 
 def test_a_silent_learner_gets_no_vote_and_may_be_removed():
     net = Net()
-    net.lead().change_members(net.now, members_of("abcd", "d"), "add")
-    net.pause(3000)
-    assert net.lead().members == members_of("abcd", "d")
-    net.lead().change_members(net.now, members_of(), "remove")
+    net.run_until_leader().change_members(net.now, members_of("abcd", "d"), "add")
+    net.run_ms(3000)
+    assert net.run_until_leader().members == members_of("abcd", "d")
+    net.run_until_leader().change_members(net.now, members_of(), "remove")
     net.run(lambda: "remove" in net.results)
     assert isinstance(net.results["remove"], int)
 
@@ -821,13 +821,13 @@
 
 def test_a_removed_leader_does_not_disturb_the_cluster():
     net = Net("abcd")
-    old = net.lead()
+    old = net.run_until_leader()
     rest = "".join(name for name in "abcd" if name != old.name)
     old.change_members(net.now, members_of(rest), "t")
     net.run(lambda: net.leader() not in (None, old.name), within=ELECTION // MS)
-    term = net.lead().term
-    net.pause(6000)
-    assert (net.lead().term, old.role) == (term, r.LEARNER)
+    term = net.run_until_leader().term
+    net.run_ms(6000)
+    assert (net.run_until_leader().term, old.role) == (term, r.LEARNER)
 
 
 def test_a_member_may_stand_until_its_removal_is_committed():
@@ -843,7 +843,7 @@
 @pytest.mark.parametrize("to", ["", "named"])
 def test_a_leadership_transfer_takes_few_messages(to):
     net = Net()
-    old = net.lead()
+    old = net.run_until_leader()
     to = to and next(name for name in "abc" if name != old.name)
     started = net.now
     for at in range(20):
@@ -971,7 +971,7 @@
 
 def make_lagging(net, at=300):
     """Cuts a follower off while `at` entries are committed and compacted. Returns its name."""
-    late = next(name for name in net.members if name != net.lead().name)
+    late = next(name for name in net.members if name != net.run_until_leader().name)
     net.cut_off(late)
     for ticket in range(at):
         net.propose(("lag", ticket))
@@ -1003,9 +1003,9 @@
     net.cuts = set()
     for at in range(40):
         net.propose(at)
-        net.pause(5)
-        if not (waits and net.lead().sends_snapshot()):
-            net.members[net.lead().name].compact()
+        net.run_ms(5)
+        if not (waits and net.run_until_leader().sends_snapshot()):
+            net.members[net.run_until_leader().name].compact()
     bases = {one.base.index for one in net.log if type(one) is r.SnapshotChunk and one.to == late}
     assert len(bases) == 1 if waits else len(bases) > 3
     net.run(net.same)
@@ -1037,8 +1037,8 @@
     make_lagging(net)
     net.cuts = set()
     net.add("d")
-    net.lead().change_members(net.now, members_of("abcd", "d"), "add")
-    net.run(lambda: net["d"].role == r.FOLLOWER and net.same())
+    net.run_until_leader().change_members(net.now, members_of("abcd", "d"), "add")
+    net.run(lambda: net["d"].role == r.FOLLOWER and net.all_applied())
 
 
 # ---- clusters with faults
@@ -1046,15 +1046,15 @@
 
 def test_a_reconnected_member_does_not_disturb_the_leader():
     net = Net()
-    leader = net.lead()
+    leader = net.run_until_leader()
     late = next(name for name in "abc" if name != leader.name)
     net.cut_off(late)
-    net.pause(10_000)
+    net.run_ms(10_000)
     assert (net[late].role, net[late].term) == (r.CANDIDATE, leader.term)
     net.cuts = set()
     net.run(lambda: net[late].role == r.FOLLOWER)
-    net.pause(3000)
-    assert (net.lead(), leader.term) == (leader, net[late].term)
+    net.run_ms(3000)
+    assert (net.run_until_leader(), leader.term) == (leader, net[late].term)
 
 
 @pytest.mark.parametrize("names", ["abc", "abcde"])
@@ -1069,7 +1069,7 @@
 
 def test_a_leader_that_can_not_send_is_replaced():
     net = Net()
-    old = net.lead()
+    old = net.run_until_leader()
     net.cuts = {(old.name, other) for other in "abc"}
     net.run(lambda: net.leader() not in (None, old.name), within=5000)
     net.run(lambda: old.role != r.LEADER)
@@ -1077,31 +1077,33 @@
 
 def test_a_member_with_a_newer_term_rejoins():
     net = Net()
-    leader = net.lead()
+    leader = net.run_until_leader()
     late = next(name for name in "abc" if name != leader.name)
     net.members[late].kill()
     net.members[late].disk.term += 5
     net.members[late].start()
     net.run(
-        lambda: net.leader() and net.lead().term > leader.leader_state.term if leader.leader_state else True
+        lambda: net.leader() and net.run_until_leader().term > leader.leader_state.term
+        if leader.leader_state
+        else True
     )
-    net.run(lambda: net.leader() and net.same())
+    net.run(lambda: net.leader() and net.all_applied())
 
 
 @pytest.mark.parametrize("frozen", ["leader", "follower"])
 def test_a_frozen_member_rejoins(frozen):
     net = Net()
-    leader = net.lead()
+    leader = net.run_until_leader()
     name = leader.name if frozen == "leader" else next(one for one in "abc" if one != leader.name)
     net.propose("before")
     net.members[name].frozen = True
-    net.pause(4000)
+    net.run_ms(4000)
     net.propose("after")
     net.run(lambda: "after" in net.results)
-    term = net.lead().term
+    term = net.run_until_leader().term
     net.members[name].frozen = False
     net.run(net.same)
-    assert net.lead().term == term
+    assert net.run_until_leader().term == term
     assert "before" in net.results
 
 
@@ -1111,7 +1113,7 @@
     names = "abcde" if seed % 3 == 0 else "abc"
     net = Net(names, seed=seed, keep=20)
     net.loss_rate, net.duplicate_rate, net.delay, net.disk_delay = 0.05, 0.05, 20 * MS, 30 * MS
-    chance = net.chance
+    chance = net.rng
     for at in range(60):
         for _ in range(chance.randrange(5)):
             if leader := net.leader():
@@ -1130,7 +1132,7 @@
             member.compact()
         elif what == 5 and member.up:
             member.replica.hand_over(net.now)
-        net.pause(chance.randrange(20, 400))
+        net.run_ms(chance.randrange(20, 400))
         for other in net.members.values():
             if chance.random() < 0.5:
                 other.frozen = False
@@ -1141,8 +1143,8 @@
         other.frozen = False
         if not other.up:
             other.start()
-    net.done("last")
-    net.run(lambda: net.leader() and net.same())
+    net.run_command("last")
+    net.run(lambda: net.leader() and net.all_applied())
     data = {repr(ticket).encode(): how for ticket, how in net.results.items()}
     held = {one.data: index for index, one in net.history.items() if one.what == r.COMMAND}
     assert {one: how for one, how in data.items() if isinstance(how, int)}.items() <= held.items()
