--- a/benchmarks/moves.py
+++ b/benchmarks/moves.py
@@ -72,7 +72,7 @@
         world = World(1)
         furnish(world, "louis", nodes=64, units=100)
         furnish(world, "ebene", nodes=64, units=100)
-        louis = world.sides["louis"]
+        louis = world.clusters["louis"]
         for number in range(count):
             louis.do(capacity.Reserve(reservation=f"r{number}", service=f"s{number}", units=50, site="louis"))
         for number in range(count):
@@ -95,7 +95,7 @@
         lambda cluster, index, changes: None
     )  # its own sums anew at each entry would take long
     furnish(world, "louis", nodes=4, units=10**8)
-    louis = world.sides["louis"]
+    louis = world.clusters["louis"]
     for number in range(count):
         louis.do(capacity.Reserve(reservation=f"o{number}", service="other", units=1, site="louis"))
     louis.do(capacity.Reserve(reservation="r", service="search", units=1, site="louis"))
--- a/lemonlead/standins/drain_checks.py
+++ b/lemonlead/standins/drain_checks.py
@@ -22,7 +22,7 @@
         _, before = self.polls.get(gateway, (now, 0))
         self.polls[gateway] = now, max(before, index)
 
-    def entry(self, now, index, term, moment, changes, kind="", about=None):
+    def entry(self, now, index, term, ledger_time, changes, kind="", about=None):
         """Checks one entry and returns violations. `kind`: that of the command; `about`: it as a dict."""
         permits = {key: self.part("permits").get(key) for part, key in changes if part == "permits"}
         before = {key: self.part("nodes").get(key) for part, key in changes if part == "nodes"}
@@ -43,9 +43,9 @@
             broken += (
                 self.check_gangs(taken_out)
                 + self.check_quorums(taken_out)
-                + self.check_sites(taken_out, moment)
+                + self.check_sites(taken_out, ledger_time)
             )
-        broken += self.check_phases(now, index, term, permits, kind, about or {}, moment)
+        broken += self.check_phases(now, index, term, permits, kind, about or {}, ledger_time)
         if kind == "gang" and changes:
             for name in about["nodes"]:
                 if nodes[name].out or nodes[name].state != "serving":
@@ -69,7 +69,7 @@
                     broken.append(f"group {name} was left with {len(good)} of {group.quorum}")
         return broken
 
-    def check_sites(self, taken_out, moment):
+    def check_sites(self, taken_out, ledger_time):
         nodes, broken = self.part("nodes"), []
         for site in {nodes[name].site for name in taken_out}:
             here = {name: node for name, node in nodes.items() if node.site == site}
@@ -78,7 +78,7 @@
             }
             bears = 0
             for name in live:
-                share = self.cold_share if here[name].warm > moment else 1
+                share = self.cold_share if here[name].warm > ledger_time else 1
                 bears += int(here[name].units * share)
             promised = 0
             for held in self.part("reservations").values():
@@ -95,7 +95,7 @@
                 broken.append(f"site {site} had {away} of {len(here)} away")
         return broken
 
-    def check_phases(self, now, index, term, before, kind, about, moment):
+    def check_phases(self, now, index, term, before, kind, about, ledger_time):
         broken, permits = [], self.part("permits")
         for name, old in before.items():
             new = permits.get(name)
@@ -112,7 +112,7 @@
                 )
                 if new is None and not reports_serving:
                     broken.append(f"{name} was counted as back from {old.phase} without its report")
-                ran_out = moment - old.moment >= self.patience
+                ran_out = ledger_time - old.moment >= self.patience
                 if (
                     reports_serving
                     and old.phase == "recalled"
--- a/lemonlead/standins/drain_world.py
+++ b/lemonlead/standins/drain_world.py
@@ -76,8 +76,8 @@
 
     def apply(self, command):
         data = msgspec.json.encode(command)
-        moment = self.leader_start_ledger_time + self.now - self.leader_start
-        entry = Entry(self.state.index + 1, self.term, COMMAND, moment, self.wall, data)
+        ledger_time = self.leader_start_ledger_time + self.now - self.leader_start
+        entry = Entry(self.state.index + 1, self.term, COMMAND, ledger_time, self.wall, data)
         self.state, applied = self.ledger.apply(self.state, entry)
         about = msgspec.json.decode(data)
         changes = applied.changes if applied.code == 200 else {}
--- a/lemonlead/standins/move_faults.py
+++ b/lemonlead/standins/move_faults.py
@@ -29,11 +29,11 @@
 
 
 def begin_move(world, name="m", service="search", cluster="louis", to="ebene", id="begin"):
-    return world.sides[cluster].do(rules.MoveCommand(id=id, move=name, service=service, to=to))
+    return world.clusters[cluster].do(rules.MoveCommand(id=id, move=name, service=service, to=to))
 
 
 def stop_move(world, name="m", cluster="louis", id="stop"):
-    return world.sides[cluster].do(rules.MoveStop(id=id, move=name))
+    return world.clusters[cluster].do(rules.MoveStop(id=id, move=name))
 
 
 def disturb_messages(world, time, **faults):
@@ -51,20 +51,20 @@
 
 
 def take_leader_away(world, cluster, time):
-    side = world.sides[cluster]
+    side = world.clusters[cluster]
     side.up = False
     world.at(world.now + time, side.elect)
 
 
 def fail_node(world, cluster):
-    side = world.sides[cluster]
+    side = world.clusters[cluster]
     side.do(capacity.Report(node=f"{cluster}-1", state="failed"))
     world.at(world.now + 20 * SECOND, lambda: side.do(capacity.Report(node=f"{cluster}-1", state="serving")))
 
 
 def change_leader_repeatedly(world, cluster):
     for later in (0, 10, 300, 700, 5000):
-        world.at(world.now + later * MS, world.sides[cluster].elect)
+        world.at(world.now + later * MS, world.clusters[cluster].elect)
 
 
 FAULTS = {
@@ -82,8 +82,8 @@
     "source leaderless": lambda world: take_leader_away(world, "louis", 30 * SECOND),
     "destination leader changes": lambda world: change_leader_repeatedly(world, "ebene"),
     "destination leaderless": lambda world: take_leader_away(world, "ebene", 30 * SECOND),
-    "source restarts": lambda world: world.sides["louis"].restore(),
-    "destination restarts": lambda world: world.sides["ebene"].restore(),
+    "source restarts": lambda world: world.clusters["louis"].restore(),
+    "destination restarts": lambda world: world.clusters["ebene"].restore(),
     "source node fails": lambda world: fail_node(world, "louis"),
     "destination node fails": lambda world: fail_node(world, "ebene"),
     "gateway silent": lambda world: world.cut_for(15 * SECOND, ("louis-gateway-0",)),
--- a/lemonlead/standins/two_clusters.py
+++ b/lemonlead/standins/two_clusters.py
@@ -35,7 +35,7 @@
     return Ledger(all_rules, kinds, followers.INNER + drains.INNER + rules.INNER)
 
 
-class Side:
+class SimulatedCluster:
     """A cluster: its state, and the tasks of its leader."""
 
     def __init__(self, world, name, others, ledger, task):
@@ -143,10 +143,12 @@
 
     `lose`, `twice`: shares of messages that are lost or repeated. `late`: the longest delay. `straggle`: the
     longest further delay of a repeat. `cut`: pairs (from, to) between which nothing passes, and names of
-    gateways that are cut off. `judge(world, gateway, move record)` returns a gateway's vote, or None.
+    gateways that are cut off. `decide_vote(world, gateway, move record)` returns a gateway's vote, or None.
     """
 
-    def __init__(self, seed=0, names=("louis", "ebene"), gateways=2, task=MoveTask, ledgers=None, judge=None):
+    def __init__(
+        self, seed=0, names=("louis", "ebene"), gateways=2, task=MoveTask, ledgers=None, decide_vote=None
+    ):
         self.rng, self.now, self.turns, self.events = random.Random(seed), SECOND, count(), []
         self.checker, self.hooks, self.cut, self.answers = MoveChecker(names), [], set(), []
         self.lose = 0.0
@@ -157,20 +159,22 @@
         self.flying = 0  # messages in flight
         self.steps = []  # times at which the record of a move changed
         self.unknown = 0.0  # share of commands that are applied and get no response
-        self.judge = judge or (lambda world, gateway, move: "on")
-        self.sides = {}
+        self.decide_vote = decide_vote or (lambda world, gateway, move: "on")
+        self.clusters = {}
         for name in names:
             rest = [other for other in names if other != name]
-            self.sides[name] = Side(self, name, rest, (ledgers or {}).get(name) or ledger(), task)
-        for name, side in self.sides.items():
+            self.clusters[name] = SimulatedCluster(
+                self, name, rest, (ledgers or {}).get(name) or ledger(), task
+            )
+        for name, side in self.clusters.items():
             for number in range(gateways):
                 gateway = f"{name}-gateway-{number}"
                 side.gateways.append(gateway)
                 side.do(followers.Follow(id=gateway, gateway=gateway, services=SERVICES))
                 self.at(self.now + number * 50 * MS, lambda side=side, g=gateway: self.poll(side, g))
 
-    def at(self, moment, action):
-        heapq.heappush(self.events, (moment, next(self.turns), action))
+    def at(self, due, action):
+        heapq.heappush(self.events, (due, next(self.turns), action))
 
     # ---- gateways: they follow the ledger and vote
 
@@ -184,7 +188,11 @@
         for name in side.state.part("moving"):
             move = side.state.part("moves")[name]
             known = gateway in move.on or gateway in move.back
-            if move.step == rules.SHIFTING and not known and (verdict := self.judge(self, gateway, move)):
+            if (
+                move.step == rules.SHIFTING
+                and not known
+                and (verdict := self.decide_vote(self, gateway, move))
+            ):
                 side.do(
                     rules.MoveVote(
                         move=name, epoch=move.epoch, stage=move.stage, gateway=gateway, verdict=verdict
@@ -226,7 +234,7 @@
         arrive()
 
     def taken(self, call):
-        side = self.sides[call.cluster]
+        side = self.clusters[call.cluster]
         if not side.up:
             return 503, {"outcome": "not done"}
         return side.apply(call.data)
@@ -238,7 +246,7 @@
         while self.events and self.events[0][0] <= until:
             self.now, _, action = heapq.heappop(self.events)
             action()
-            for side in self.sides.values():
+            for side in self.clusters.values():
                 side.run_tasks()
         self.now = max(self.now, until)
 
@@ -253,10 +261,10 @@
 
     def quiet(self):
         """Returns whether no move is open at any cluster."""
-        return not any(side.state.part("moving") for side in self.sides.values())
+        return not any(side.state.part("moving") for side in self.clusters.values())
 
     def move(self, name, cluster="louis"):
-        return self.sides[cluster].state.part("moves").get(name)
+        return self.clusters[cluster].state.part("moves").get(name)
 
     def when(self, step, action, cluster="louis", stage=None):
         """Calls `action` once, when a move's record at this cluster reaches this step (and stage)."""
@@ -278,16 +286,16 @@
 def furnish(world, cluster, nodes=4, units=10, site=None):
     """Declares nodes of a cluster, all at one site."""
     for number in range(nodes):
-        world.sides[cluster].do(
+        world.clusters[cluster].do(
             capacity.NodeCommand(node=f"{cluster}-{number}", site=site or cluster, units=units)
         )
 
 
 def serve(world, cluster, service, units=8, pinned=4, group=0):
     """Creates a service: a reservation by site, one by node, and a group of `group` nodes, if any."""
-    side = world.sides[cluster]
+    side = world.clusters[cluster]
     reserve = capacity.Reserve
-    made = [
+    responses = [
         side.do(reserve(reservation=f"{service}-wide", service=service, units=units, site=cluster)),
         side.do(
             reserve(
@@ -300,7 +308,7 @@
     ]
     if group:
         members = tuple(f"{cluster}-{number}" for number in range(group))
-        made.append(
+        responses.append(
             side.do(capacity.GroupCommand(group=f"{service}/replicas", nodes=members, quorum=group // 2 + 1))
         )
-    assert [code for code, _ in made] == [200] * len(made), made
+    assert [code for code, _ in responses] == [200] * len(responses), responses
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -655,7 +655,7 @@
 
 def report_of(world, change, **entry):
     """Returns what the checker of this world reports for one more change."""
-    fields = {"now": world.now, "index": world.state.index + 1, "term": 1, "moment": world.state.moment}
+    fields = {"now": world.now, "index": world.state.index + 1, "term": 1, "ledger_time": world.state.moment}
     return world.checker.entry(**{**fields, **entry}, changes=change)
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -38,7 +38,7 @@
     world.run(world.now + 5 * SECOND)
     world.checker.settled()
     assert world.checker.broken == []
-    for side in world.sides.values():
+    for side in world.clusters.values():
         assert promises.faults(promises.plain(side.state)) == []
     return world.move("m").end
 
@@ -58,7 +58,7 @@
     assert run_until_ended(world) == expected_end(step[0], fault)
     assert met
     assert holders(world) == (["louis"] if world.move("m").end == "stopped" else ["ebene"])
-    group = {name for name, side in world.sides.items() if "search/replicas" in side.state.part("groups")}
+    group = {name for name, side in world.clusters.items() if "search/replicas" in side.state.part("groups")}
     assert group == set(holders(world))
 
 
@@ -82,7 +82,7 @@
 
 
 def test_worse_destination_is_voted_back():
-    world = create_world(judge=lambda world, gateway, move: "back" if move.stage == 2 else "on")
+    world = create_world(decide_vote=lambda world, gateway, move: "back" if move.stage == 2 else "on")
     begin_move(world)
     assert run_until_ended(world) == "sent back"
     assert holders(world) == ["louis"]
@@ -148,10 +148,10 @@
     begin_move(world)
     assert run_until_ended(world) == "done"
     world.run(world.now + 86_400 * SECOND)
-    before = world.sides["ebene"].state.parts
+    before = world.clusters["ebene"].state.parts
     for call in sent + sent[::-1]:
         taken(call)
-    assert world.sides["ebene"].state.parts == before and len(sent) > 5
+    assert world.clusters["ebene"].state.parts == before and len(sent) > 5
 
 
 def test_next_move_forgets_ended_holds():
@@ -164,12 +164,12 @@
     serve(world, "louis", "print")
     begin_move(world, "n", "print", id="second")
     run_until_ended(world)
-    holds = world.sides["ebene"].state.part("holds")
+    holds = world.clusters["ebene"].state.part("holds")
     assert list(holds) == ["louis/n"]
-    world.sides["ebene"].do(capacity.Free(id="f", reservation="search-wide"))
-    before = world.sides["ebene"].state.parts
+    world.clusters["ebene"].do(capacity.Free(id="f", reservation="search-wide"))
+    before = world.clusters["ebene"].state.parts
     again = [taken(call) for call in late if b'"m"' in call.data]
-    assert world.sides["ebene"].state.parts == before and len(again) > 5
+    assert world.clusters["ebene"].state.parts == before and len(again) > 5
 
 
 @pytest.mark.parametrize("to", ("atlantis", "louis"))
@@ -188,7 +188,7 @@
 
     def drain():
         for cluster in clusters:
-            side = world.sides[cluster]
+            side = world.clusters[cluster]
             side.obey()
             nodes = tuple(f"{cluster}-{number}" for number in range(4))
             assert side.do(drains.DrainCommand(id="d", drain="d", nodes=nodes))[0] == 200
@@ -199,7 +199,7 @@
     assert end == "done" or "ebene" in clusters and step[0] == "reserving" and end == "refused"
     assert holders(world) == (["ebene"] if end == "done" else ["louis"])
     assert world.run_till(
-        lambda: all(world.sides[cluster].state.part("drains")["d"].phase == "done" for cluster in clusters)
+        lambda: all(world.clusters[cluster].state.part("drains")["d"].phase == "done" for cluster in clusters)
     )
     assert world.checker.broken == []
 
@@ -216,11 +216,11 @@
 def test_cordoned_nodes_do_not_count_as_room(left, end):
     """Cordoned nodes are not chosen. If the other nodes have no room, the move is refused at once."""
     world = create_world(group=0)
-    cordon(world.sides["ebene"], [f"ebene-{number}" for number in range(4 - left)])
+    cordon(world.clusters["ebene"], [f"ebene-{number}" for number in range(4 - left)])
     begin_move(world)
     assert run_until_ended(world, 30 * SECOND) == end
     if left:
-        pinned = world.sides["ebene"].state.part("reservations")["search-pinned"]
+        pinned = world.clusters["ebene"].state.part("reservations")["search-pinned"]
         assert set(pinned.nodes) == {"ebene-2", "ebene-3"}
     else:
         assert "NoRoomThere" in world.move("m").says
@@ -237,7 +237,9 @@
         if any(part == "groups" for part, _ in changes):
             sizes.append(
                 tuple(
-                    len(getattr(world.sides[name].state.part("groups").get("search/replicas"), "nodes", ()))
+                    len(
+                        getattr(world.clusters[name].state.part("groups").get("search/replicas"), "nodes", ())
+                    )
                     for name in ("louis", "ebene")
                 )
             )
@@ -253,17 +255,17 @@
         monkeypatch.setattr(module, "MAX_STEP_NS", 60 * SECOND)
     world = create_world(group=3)
     for number in range(4):
-        world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
+        world.clusters["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
     begin_move(world)
     assert world.run_till(lambda: world.move("m").step == "members")
     assert run_until_ended(world) == "overdue" and holders(world) == ["louis"]
-    assert world.sides["louis"].state.part("groups")["search/replicas"].quorum == 2
+    assert world.clusters["louis"].state.part("groups")["search/replicas"].quorum == 2
 
 
 def test_service_with_a_running_gang_is_not_moved():
     world = create_world()
     gang = capacity.GangCommand(id="g", gang="search/night", nodes=("louis-3",), units=1)
-    assert world.sides["louis"].do(gang)[0] == 200
+    assert world.clusters["louis"].do(gang)[0] == 200
     assert begin_move(world)[1]["error"]["type"] == "GangRuns"
 
 
@@ -274,7 +276,7 @@
 def test_move_waits_for_a_gang_and_admits_no_other():
     """Otherwise gangs that follow one another without a gap would hold the move until it is overdue."""
     world = create_world()
-    louis, refused = world.sides["louis"], []
+    louis, refused = world.clusters["louis"], []
     world.when("reserving", lambda: louis.do(gang_command(0)))
     begin_move(world)
     world.run(world.now + 120 * SECOND)
@@ -291,7 +293,7 @@
 def test_gangs_may_start_once_a_move_rolls_back():
     world, codes = create_world(), []
     world.when("shifting", lambda: stop_move(world), stage=1)
-    world.when("going back", lambda: codes.append(world.sides["louis"].do(gang_command(0))[0]))
+    world.when("going back", lambda: codes.append(world.clusters["louis"].do(gang_command(0))[0]))
     begin_move(world)
     assert run_until_ended(world) == "stopped" and codes == [200]
 
@@ -302,12 +304,12 @@
 
     def declare(name, number=0):
         nodes = (f"{name}-0", f"{name}-1")
-        return world.sides[name].do(
+        return world.clusters[name].do(
             capacity.GroupCommand(id=f"q{number}", group="search/replicas", nodes=nodes, quorum=1)
         )
 
     def both():
-        hold = world.sides["ebene"].state.part("holds").get("louis/m")
+        hold = world.clusters["ebene"].state.part("holds").get("louis/m")
         for name in ("louis", "ebene") if hold is not None and hold.state != "dropped" else ("louis",):
             error_types[name] = declare(name)[1].get("error", {}).get("type")
 
@@ -317,7 +319,7 @@
     begin_move(world)
     assert run_until_ended(world) == ("stopped" if step == "going back" else "done")
     assert error_types and set(error_types.values()) == {"BeingMoved"}
-    assert [declare(name, 1)[0] for name in world.sides] == [200, 200]
+    assert [declare(name, 1)[0] for name in world.clusters] == [200, 200]
 
 
 class CountingTransaction(state.Transaction):
@@ -350,7 +352,7 @@
 def test_move_reads_only_records_of_its_service():
     world = World(gateways=0)
     furnish(world, "louis", nodes=4, units=1000)
-    louis, reads = world.sides["louis"], []
+    louis, reads = world.clusters["louis"], []
     louis.do(capacity.Reserve(reservation="r", service="search", units=1, site="louis"))
     louis.do(capacity.GroupCommand(group="search/a", nodes=("louis-0", "louis-1"), quorum=1))
     louis.do(capacity.GroupCommand(group="searching", nodes=("louis-0", "louis-1"), quorum=1))
@@ -372,7 +374,7 @@
     world = create_world()
     begin_move(world)
     assert world.run_till(lambda: world.move("m").step == "warming")
-    here = promises.plain(world.sides["louis"].state)
+    here = promises.plain(world.clusters["louis"].state)
     assert promises.faults(here) == []
     here["services"]["search"] |= fields
     assert [fault for fault in promises.faults(here) if says in fault]
@@ -385,7 +387,7 @@
     world = create_world()
     begin_move(world)
     world.run_till(lambda: world.move("m").step == "shifting")
-    ebene = world.sides["ebene"]
+    ebene = world.clusters["ebene"]
     refused = [
         stop_move(world, "louis/m", "ebene"),
         ebene.do(capacity.Free(id="f", reservation="search-wide")),
@@ -400,8 +402,8 @@
     world = create_world()
     begin_move(world)
     world.run_till(lambda: world.move("m").step == "shifting")
-    world.sides["louis"].up = False
-    ebene = world.sides["ebene"]
+    world.clusters["louis"].up = False
+    ebene = world.clusters["ebene"]
     assert ebene.do(rules.HoldEnd(id="end", hold="louis/m", keep=keep, because="burnt down"))[0] == 200
     reservations = ebene.state.part("reservations")
     assert all(row.move == "" for row in reservations.values()) and bool(reservations) is keep
@@ -412,7 +414,7 @@
 def test_hold_ended_by_an_operator_rolls_the_move_back():
     world = create_world()
     end = rules.HoldEnd(id="end", hold="louis/m", keep=False, because="mistaken")
-    world.when("shifting", lambda: world.sides["ebene"].do(end), stage=4)
+    world.when("shifting", lambda: world.clusters["ebene"].do(end), stage=4)
     begin_move(world)
     assert run_until_ended(world) == "refused" and holders(world) == ["louis"]
     assert "HoldEnded" in world.move("m").says
@@ -421,19 +423,19 @@
 @pytest.mark.parametrize("step", STEPS[1:8], ids=NAMES[1:8])
 def test_operator_ends_a_move_whose_destination_is_lost(step):
     world = create_world()
-    world.when(step[0], lambda: setattr(world.sides["ebene"], "up", False), stage=step[1])
+    world.when(step[0], lambda: setattr(world.clusters["ebene"], "up", False), stage=step[1])
     begin_move(world)
     world.run(world.now + 60 * SECOND)
     lost = rules.MoveLost(id="lost", move="m", because="flooded")
-    assert world.sides["louis"].do(lost)[0] == 200
+    assert world.clusters["louis"].do(lost)[0] == 200
     world.run(world.now + 60 * SECOND)
     move = world.move("m")
     assert (move.end, move.share, world.quiet()) == ("lost", 0, True) and "flooded" in move.says
-    reservations = world.sides["louis"].state.part("reservations")
+    reservations = world.clusters["louis"].state.part("reservations")
     assert sorted(reservations) == ["search-pinned", "search-wide"] and not any(
         r.move for r in reservations.values()
     )
-    assert len(world.sides["louis"].state.part("groups")["search/replicas"].nodes) == 3
+    assert len(world.clusters["louis"].state.part("groups")["search/replicas"].nodes) == 3
     assert world.checker.broken == []
 
 
@@ -458,7 +460,7 @@
     serve(world, "louis", "print")
     world.run(world.now + days * 86_400 * SECOND)
     code, _ = begin_move(world, "n", "print", id="n")
-    assert (code == 200) is fits and ("m" in world.sides["louis"].state.part("moves")) is not fits
+    assert (code == 200) is fits and ("m" in world.clusters["louis"].state.part("moves")) is not fits
 
 
 def test_waits_between_calls_grow_with_jitter():
@@ -506,7 +508,7 @@
         service="s",
         pieces=(rules.ReservationPiece("r", 1, 0, "ebene"),),
     )
-    assert create_world().sides["ebene"].do(take)[0] == code
+    assert create_world().clusters["ebene"].do(take)[0] == code
 
 
 def test_ledger_of_the_program_includes_moves():
@@ -634,12 +636,12 @@
     ledgers = {"louis": two_clusters.ledger(**here or {}), "ebene": two_clusters.ledger(**there or {})}
     world = create_world(group=3, ledgers=ledgers)
     if scenario == "full":
-        world.sides["ebene"].do(
+        world.clusters["ebene"].do(
             capacity.Reserve(id="r", reservation="other", service="other", units=30, site="ebene")
         )
     if scenario == "replicas lag":
         for number in range(4):
-            world.sides["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
+            world.clusters["ebene"].do(capacity.Report(node=f"ebene-{number}", state="catching_up"))
     if scenario == "late take":
         calls, taken = [], world.taken
         world.taken = lambda call: calls.append(call) or taken(call)
