--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -364,15 +364,15 @@
 
 def test_votes_of_real_gateways_roll_a_worse_move_back():
     """Gateways with a balancer each vote, the ledger counts the votes, and the move ends."""
-    judges = {}
+    gateways = {}
 
-    def judge(world, name, move):
-        gateway = judges.setdefault(name, Gateway(fleet(), works=far_behavior(4.0)))
+    def decide_vote(world, name, move):
+        gateway = gateways.setdefault(name, Gateway(fleet(), works=far_behavior(4.0)))
         gateway.apply_records(move_record("shifting", move.stage, move.share, move.epoch, move.at)).run(0.25)
         return next((vote["verdict"] for vote in gateway.votes[-1:] if vote["stage"] == move.stage), "")
 
-    world = test_moves.made(judge=judge)
-    test_moves.begin(world)
+    world = test_moves.create_world(decide_vote=decide_vote)
+    test_moves.begin_move(world)
     assert test_moves.run_until_ended(world) == "sent back" and test_moves.holders(world) == ["louis"]
 
 
@@ -596,11 +596,11 @@
     clusters = {"louis": ("g1",), "ebene": ("h1",)}
     with Installation(tmp_path, clusters, nodes=3, work=0.03, far=3, service="front") as installation:
         louis, ebene = installation.clusters.values()
-        installation.declare()
-        installation.declare("here", ebene, [node.name for node in installation.far])
+        installation.declare_nodes()
+        installation.declare_nodes("here", ebene, [node.name for node in installation.far])
         values = {"kind": "reserve", "reservation": "front", "service": "front", "units": 12, "site": "here"}
         assert louis.run_command(id="reserve", **values)[0] == 200
-        installation.serve(crowd=3)
+        installation.start_serving(crowd=3)
         until(lambda: len(installation.items("followers")) == 2, "both follow")
         installation.wait_requests(50)
         assert not any(node.counts["attempts"] for node in installation.far)
