--- a/lemonlead/planning/__init__.py
+++ b/lemonlead/planning/__init__.py
@@ -1,10 +1,13 @@
-"""What a fleet can bear: what breaks first, how many instances a goal needs, what losing a site does.
+"""The capacity planner: what breaks first, how many instances a goal needs, what the loss of a site does.
 
-`fleet` is a fleet as it is written; `queues` has closed forms; `steady` reckons a steady load with them;
-`world` plays a fleet in simulated time with the project's own balancers, through their door, so that what is
-predicted is what the gateways would decide; `answers` puts questions to both.
+`fleet` reads a fleet from its file. `queues` has closed-form queueing formulas, and `steady` applies them to
+a steady load. `world` simulates a fleet with the project's own balancers, so that predictions follow the
+decisions of real gateways; `loopback` runs a small fleet with real gateways. `answers` answers questions with
+`steady` and `world`.
 
-Apart from these, a fleet to come: `targets` is what operators want, `slopes` what was measured, `sizing`
-what each role needs by them, `wanted` and `page` (in `words`) the page that says so.
+A second set of modules sizes a planned fleet: `targets` reads what operators want, `slopes` reads measured
+costs, `sizing` works out what each role needs, and `target_table` and `page` write the capacity page, with
+figures formatted by `number_format`.
 
-Nothing here is imported by a gateway, and nothing here decides anything for one."""
+No gateway imports this package.
+"""
--- a/lemonlead/planning/fleet.py
+++ b/lemonlead/planning/fleet.py
@@ -1,32 +1,37 @@
-"""A fleet as it is written: sites, kinds of machine, request classes, clients. Times in whole nanoseconds."""
+"""Reads a fleet from its file: sites, kinds of machine, request classes, clients and gateways.
+
+Times are whole nanoseconds.
+"""
 
 from dataclasses import dataclass, replace
 
 from .. import interface as at
 from .. import settings
 
-MAX_MACHINES = 20_000  # of all sites; past it a file is refused
+MAX_MACHINES = 20_000  # instances of all sites together
 NS_PER_SECOND = 1_000_000_000
 EFFECTS = {"harmless": at.IDEMPOTENT, "stamped": at.DEDUPLICATED, "one-shot": at.NON_IDEMPOTENT}
 
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
+    """`slots` bounds the requests that a machine serves and queues together."""
+
     name: str
     cores: int
-    speed: float
+    speed: float  # relative to a machine of speed 1
     slots: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    work: int
-    cv: float
-    goal: int
-    stop: int
+    work: int  # mean time on one core of speed 1
+    cv: float  # coefficient of variation of the work
+    goal: int  # the latency objective
+    stop: int  # the deadline
     effect: str
-    memory: int
+    memory: int  # how long instances recognise a repeat
     revenue: float
 
 
@@ -34,12 +39,14 @@
 class Site:
     name: str
     gateways: int
-    instances: dict  # how many, by kind's name
-    load: dict  # requests a second, by request class's name
+    instances: dict  # count by name of the kind
+    load: dict  # requests a second by name of the request class
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
+    """Kinds, request classes and sites are by name; shares are between 0 and 1."""
+
     kinds: dict
     request_classes: dict
     sites: dict
@@ -65,10 +72,10 @@
     promote_share: float
     roll_back_share: float
     boot_time: int
-    service_goal: float  # the share of revenue that is to be answered within the latency objective
+    service_goal: float  # the share of revenue to answer within the latency objective
 
     def without_sites(self, names):
-        """The fleet after these sites are lost: their clients are served at the others."""
+        """Returns the fleet without these sites; their load is spread evenly over the others."""
         kept = {name: site for name, site in self.sites.items() if name not in names}
         lost = [site for name, site in self.sites.items() if name in names]
         if not kept or not lost:
@@ -90,7 +97,7 @@
         return replace(self, sites=moved)
 
     def with_load_factor(self, factor):
-        """The same with so many times the load."""
+        """Returns the fleet with this many times the load."""
         sites = {
             name: replace(
                 site, load={request_class: rate * factor for request_class, rate in site.load.items()}
@@ -100,7 +107,7 @@
         return replace(self, sites=sites)
 
     def with_work_factor(self, factor):
-        """The same with so many times the work a request, as under a bad build everywhere."""
+        """Returns the fleet with this many times the work of each request, as if all ran a bad build."""
         request_classes = {
             name: replace(request_class, work=round(request_class.work * factor))
             for name, request_class in self.request_classes.items()
@@ -108,17 +115,17 @@
         return replace(self, request_classes=request_classes)
 
     def with_instance_factor(self, factor):
-        """The same with so many times the instances, rounded up, by site and kind."""
+        """Returns the fleet with this many times the instances of each site and kind, rounded up."""
         sites = {
             name: replace(
-                site, instances={k: -int(-count * factor // 1) for k, count in site.instances.items()}
+                site, instances={kind: -int(-count * factor // 1) for kind, count in site.instances.items()}
             )
             for name, site in self.sites.items()
         }
         return replace(self, sites=sites)
 
     def machine_counts(self):
-        """(site, kind, how many) of each that there are."""
+        """Returns (site, kind, count) for each site and kind of which there are instances."""
         return [
             (site, self.kinds[kind], count)
             for site in self.sites.values()
@@ -134,63 +141,63 @@
 
 
 def read(path):
-    """A fleet from a file; settings.InvalidFile with all its faults."""
+    """Reads a fleet from a file; raises settings.InvalidFile with all faults of the file."""
     file = settings.read(path, settings.schema_text("fleet"), "schema:fleet")
-    told, faults = file.value, []
+    values, faults = file.value, []
 
     def fault(where, found, allowed):
         faults.append(settings.Fault(file.place(where), where, found, allowed, code="name"))
 
-    for name, site in told["sites"].items():
-        for part, known in (("instances", told["kinds"]), ("load", told["lanes"])):
-            for one in site[part]:
-                if one not in known:
-                    fault(f"sites.{name}.{part}.{one}", one, ", ".join(known) or "nothing")
-    for name, request_class in told["lanes"].items():
+    for name, site in values["sites"].items():
+        for field, known in (("instances", values["kinds"]), ("load", values["lanes"])):
+            for key in site[field]:
+                if key not in known:
+                    fault(f"sites.{name}.{field}.{key}", key, ", ".join(known) or "nothing")
+    for name, request_class in values["lanes"].items():
         if request_class["goal"] > request_class["stop"]:
             fault(f"lanes.{name}.goal", f"{request_class['goal']}ns", "the deadline at most")
-    steps = told["release"]["steps"]
-    if len(steps) != len(told["release"]["caps"]) or not steps or sorted(steps) != steps:
+    steps = values["release"]["steps"]
+    if len(steps) != len(values["release"]["caps"]) or not steps or sorted(steps) != steps:
         fault("release.steps[0]", f"{len(steps)} steps", "rising ones, as many as caps, one at least")
-    if not faults and not (told["sites"] and told["lanes"]):
+    if not faults and not (values["sites"] and values["lanes"]):
         fault("sites", "no site or no request class", "one at least of each")
-    count = sum(sum(site["instances"].values()) for site in told["sites"].values())
+    count = sum(sum(site["instances"].values()) for site in values["sites"].values())
     if count > MAX_MACHINES:
         fault("sites", f"{count} instances", f"{MAX_MACHINES} at most")
     if faults:
         raise settings.InvalidFile(faults)
-    return made(told)
+    return make_fleet(values)
 
 
-def made(told):
+def make_fleet(values):
     return Fleet(
-        kinds={name: MachineKind(name, **kind) for name, kind in told["kinds"].items()},
+        kinds={name: MachineKind(name, **kind) for name, kind in values["kinds"].items()},
         request_classes={
             name: RequestClass(name, **{**request_class, "effect": EFFECTS[request_class["effect"]]})
-            for name, request_class in told["lanes"].items()
+            for name, request_class in values["lanes"].items()
         },
-        sites={name: Site(name, **site) for name, site in told["sites"].items()},
-        same_site_delay=told["delay"]["within"],
-        cross_site_delay=told["delay"]["across"],
-        retries=told["clients"]["retries"],
-        retry_pause=told["clients"]["pause"],
-        patience=told["clients"]["patience"],
-        lookup_cpu=told["gateways"]["lookup_cpu"],
-        gateway_cores=told["gateways"]["cores"],
-        descriptors=told["gateways"]["descriptors"],
-        cold_share=told["cold"]["share"],
-        warm_up_time=told["cold"]["warm"],
-        cold_multiple=told["cold"]["multiple"],
-        cold_window=told["cold"]["window"],
-        list_delay=told["notice"],
-        drain_grace=told["drain_grace"],
-        service_goal=told["goal"]["service"],
-        stage_shares=tuple(told["release"]["steps"]),
-        traffic_caps=tuple(told["release"]["caps"]),
-        bake_time=told["release"]["bake"],
-        window=told["release"]["window"],
-        free_attempts=told["release"]["free"],
-        promote_share=told["release"]["on"],
-        roll_back_share=told["release"]["back"],
-        boot_time=told["release"]["boot"],
+        sites={name: Site(name, **site) for name, site in values["sites"].items()},
+        same_site_delay=values["delay"]["within"],
+        cross_site_delay=values["delay"]["across"],
+        retries=values["clients"]["retries"],
+        retry_pause=values["clients"]["pause"],
+        patience=values["clients"]["patience"],
+        lookup_cpu=values["gateways"]["lookup_cpu"],
+        gateway_cores=values["gateways"]["cores"],
+        descriptors=values["gateways"]["descriptors"],
+        cold_share=values["cold"]["share"],
+        warm_up_time=values["cold"]["warm"],
+        cold_multiple=values["cold"]["multiple"],
+        cold_window=values["cold"]["window"],
+        list_delay=values["notice"],
+        drain_grace=values["drain_grace"],
+        service_goal=values["goal"]["service"],
+        stage_shares=tuple(values["release"]["steps"]),
+        traffic_caps=tuple(values["release"]["caps"]),
+        bake_time=values["release"]["bake"],
+        window=values["release"]["window"],
+        free_attempts=values["release"]["free"],
+        promote_share=values["release"]["on"],
+        roll_back_share=values["release"]["back"],
+        boot_time=values["release"]["boot"],
     )
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -1,6 +1,8 @@
-"""The same fleet, small, on loopback: real gateways among stand-ins, so that what is predicted can be held
-against what is measured. Stand-ins sleep for their work, so one computer bears fleets of a few dozen
-machines; arrivals are drawn as in `world`, on the wall's clock."""
+"""Runs a small fleet on loopback, with real gateways and stand-in instances, to check predictions.
+
+Stand-ins sleep for the time that a request takes, so one computer can run a few dozen of them. Arrivals are
+drawn as in `world`, but in real time.
+"""
 
 import contextlib
 import math
@@ -20,12 +22,12 @@
 from .fleet import NS_PER_SECOND
 from .world import SecondCounts, service_share
 
-MOST_AT_ONCE = 512  # tries of clients under way; one past them is counted as lost
+MAX_OPEN_REQUESTS = 512  # of clients; a request past them is counted as failed
 EFFECTS = {at.IDEMPOTENT: "idempotent", at.DEDUPLICATED: "deduplicated", at.NON_IDEMPOTENT: "at_most_once"}
 
 
-def settings_of(fleet, site):
-    """The fleet as a gateway is told it."""
+def gateway_settings(fleet, site):
+    """Returns the settings of a gateway of this site."""
     request_classes = [
         {
             "Name": request_class.name,
@@ -57,25 +59,27 @@
     }
 
 
-def machine_of(kind, seed):
-    """A stand-in that needs the work that a request hints at, by its speed."""
-    made = Machine(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
-    made.needs_of = lambda said: float(said.get("h", 0)) / 1e6 / kind.speed
-    return made
+def make_machine(kind, seed):
+    """Returns a stand-in that takes the work that a request states, divided by the kind's speed."""
+    machine = Machine(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
+    machine.needs_of = lambda fields: float(fields.get("h", 0)) / 1e6 / kind.speed
+    return machine
+
 
+class LoopbackRun:
+    """A fleet's stand-ins and gateways, and the clients that send the load."""
 
-class Run:
     def __init__(self, fleet, seed):
         self.fleet, self.random, self.lock = fleet, random.Random(seed), threading.Lock()
-        self.machines, self.ports, self.spare = [], {}, {}
+        self.machines, self.ports, self.idle_clients = [], {}, {}
         for site, kind, count in fleet.machine_counts():
-            self.machines += [(site, kind, machine_of(kind, seed + n)) for n in range(count)]
+            self.machines += [(site, kind, make_machine(kind, seed + n)) for n in range(count)]
 
     def play(self, seconds):
-        """Counts by second, as `world.World.play` gives them."""
+        """Runs the fleet and returns one SecondCounts for each second, as `world.World.play` does."""
         for _, _, machine in self.machines:
             machine.start()
-        known = [
+        instance_entries = [
             {**entry(f"i{n}", machine), "zone": site.name, "kind": kind.name}
             for n, (site, kind, machine) in enumerate(self.machines)
         ]
@@ -86,49 +90,52 @@
             for site in self.fleet.sites.values():
                 for _ in range(site.gateways):
                     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-                    ran = stack.enter_context(
-                        running.gateway(folder, settings=settings_of(self.fleet, site.name), entries=known)
+                    gateway = stack.enter_context(
+                        running.gateway(
+                            folder, settings=gateway_settings(self.fleet, site.name), entries=instance_entries
+                        )
                     )
-                    self.ports.setdefault(site.name, []).append(ran.port)
-            with ThreadPoolExecutor(MOST_AT_ONCE) as pool:
-                self.arrivals(pool, counts, seconds)
-            for clients in self.spare.values():
+                    self.ports.setdefault(site.name, []).append(gateway.port)
+            with ThreadPoolExecutor(MAX_OPEN_REQUESTS) as pool:
+                self.send_load(pool, counts, seconds)
+            for clients in self.idle_clients.values():
                 for client in clients:
                     client.sock.close()
         return counts
 
-    def arrivals(self, pool, counts, seconds):
-        began, due = time.monotonic(), []
+    def send_load(self, pool, counts, seconds):
+        """Draws all arrivals first, then sends each request at its time."""
+        started_at, arrivals = time.monotonic(), []
         for site in self.fleet.sites.values():
             for name, rate in site.load.items():
-                at = 0.0
-                while rate > 0 and (at := at + self.random.expovariate(rate)) < seconds:
-                    due.append((at, site.name, self.fleet.request_classes[name]))
-        for at, site, request_class in sorted(due, key=lambda one: one[0]):
-            spread = math.sqrt(math.log1p(request_class.cv**2))
-            work = round(request_class.work * self.random.lognormvariate(-spread * spread / 2, spread)) + 1000
-            time.sleep(max(began + at - time.monotonic(), 0.0))
-            second = counts[int(at)]
+                time_s = 0.0
+                while rate > 0 and (time_s := time_s + self.random.expovariate(rate)) < seconds:
+                    arrivals.append((time_s, site.name, self.fleet.request_classes[name]))
+        for time_s, site, request_class in sorted(arrivals, key=lambda arrival: arrival[0]):
+            sigma = math.sqrt(math.log1p(request_class.cv**2))
+            work = round(request_class.work * self.random.lognormvariate(-sigma * sigma / 2, sigma)) + 1000
+            time.sleep(max(started_at + time_s - time.monotonic(), 0.0))
+            second = counts[int(time_s)]
             second.requests, second.revenue = (
                 second.requests + 1,
                 second.revenue + request_class.revenue * work,
             )
-            if pool._work_queue.qsize() > MOST_AT_ONCE:
+            if pool._work_queue.qsize() > MAX_OPEN_REQUESTS:
                 second.failed += 1
             else:
-                pool.submit(self.want, site, request_class, work, second, time.monotonic())
+                pool.submit(self.send_request, site, request_class, work, second, time.monotonic())
 
-    def want(self, site, request_class, work, second, first):
-        """A request with its client's retries."""
+    def send_request(self, site, request_class, work, second, first_sent_at):
+        """Sends a request with its client's retries, and counts its ending."""
         key, idempotency_key = os.urandom(6).hex(), os.urandom(6).hex()
-        for left in range(self.fleet.retries, -1, -1):
+        for retries_left in range(self.fleet.retries, -1, -1):
             ending = self.attempt(site, request_class, work, key, idempotency_key)
             if ending == "succeeded":
-                if (time.monotonic() - first) * NS_PER_SECOND <= request_class.goal:
+                if (time.monotonic() - first_sent_at) * NS_PER_SECOND <= request_class.goal:
                     with self.lock:
                         second.answered_revenue += request_class.revenue * work
                 return
-            if not left or ending != "rejected" and request_class.effect == at.NON_IDEMPOTENT:
+            if not retries_left or ending != "rejected" and request_class.effect == at.NON_IDEMPOTENT:
                 break
             time.sleep(self.fleet.retry_pause / NS_PER_SECOND)
         with self.lock:
@@ -140,31 +147,35 @@
     def attempt(self, site, request_class, work, key, idempotency_key):
         port = self.random.choice(self.ports[site])
         with self.lock:
-            client = self.spare.setdefault(port, []).pop() if self.spare.get(port) else None
+            client = self.idle_clients.setdefault(port, []).pop() if self.idle_clients.get(port) else None
         wait = request_class.stop * self.fleet.patience / 1e6
-        said = {"c": request_class.name, "d": round(wait), "h": max(work // 1000, 1)}
+        fields = {"c": request_class.name, "d": round(wait), "h": max(work // 1000, 1)}
         if request_class.effect == at.DEDUPLICATED:
-            said["k"] = idempotency_key
+            fields["k"] = idempotency_key
         try:
             client = client or Client(port)
             client.sock.settimeout(wait / 1e3)
-            answer = client.command(
-                b"Q.ASK" if request_class.effect == at.IDEMPOTENT else b"Q.DO", key.encode(), said
+            response = client.command(
+                b"Q.ASK" if request_class.effect == at.IDEMPOTENT else b"Q.DO", key.encode(), fields
             ).read()
         except OSError:
             if client is not None:
                 client.sock.close()
             return "given up"
-        if answer is None:  # closed between requests: it asks once more, on a new connection
+        if response is None:  # the connection was closed between requests; a retry opens a new one
             client.sock.close()
             return "given up"
         with self.lock:
-            self.spare.setdefault(port, []).append(client)
+            self.idle_clients.setdefault(port, []).append(client)
         return (
-            "rejected" if answer.startswith(b"BUSY") else "succeeded" if answer == key.encode() else "aborted"
+            "rejected"
+            if response.startswith(b"BUSY")
+            else "succeeded"
+            if response == key.encode()
+            else "aborted"
         )
 
 
 def measure(fleet, seed=1, seconds=25):
-    """Service as real gateways give it, without the first seconds."""
-    return round(service_share(Run(fleet, seed).play(seconds)[5:]), 4)
+    """Returns the service that real gateways give, without the first 5 s."""
+    return round(service_share(LoopbackRun(fleet, seed).play(seconds)[5:]), 4)
--- a/lemonlead/planning/number_format.py
+++ b/lemonlead/planning/number_format.py
@@ -1,34 +1,40 @@
-"""Figures as words of a page: three digits that count, with a unit that suits."""
+"""Formats figures for the capacity page, with three significant rounded and a suitable unit."""
 
 
 def format_number(figure):
     if figure == 0:
         return "0"
-    digits = float(f"{figure:.3g}")
-    return f"{digits:,.0f}" if abs(digits) >= 1000 else f"{digits:.12f}".rstrip("0").rstrip(".")
+    rounded = float(f"{figure:.3g}")
+    return f"{rounded:,.0f}" if abs(rounded) >= 1000 else f"{rounded:.12f}".rstrip("0").rstrip(".")
 
 
 def format_seconds(figure):
-    for least, unit, factor in ((1.0, "s", 1.0), (1e-3, "ms", 1e3)):
-        if abs(figure) >= least:
+    """Formats a time in seconds as s, ms or us."""
+    for minimum, unit, factor in ((1.0, "s", 1.0), (1e-3, "ms", 1e3)):
+        if abs(figure) >= minimum:
             return f"{format_number(figure * factor)} {unit}"
     return f"{format_number(figure * 1e6)} us"
 
 
 def format_bytes(figure):
-    """Bytes; a KB has 1,000."""
-    for least, unit in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
-        if abs(figure) >= least:
-            return f"{format_number(figure / least)} {unit}"
+    """Formats a number of bytes; a KB has 1,000."""
+    for minimum, unit in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
+        if abs(figure) >= minimum:
+            return f"{format_number(figure / minimum)} {unit}"
     return f"{format_number(figure)} B"
 
 
 def format_share(figure):
+    """Formats a share as a percentage."""
     return f"{format_number(100 * figure)} %"
 
 
 def markdown_table(rows):
-    """Rows of the same names as a table of Markdown."""
-    heads = list(rows[0])
-    lines = [heads, ["---"] * len(heads), *([row.get(head, "") for head in heads] for row in rows)]
+    """Returns rows, which are dicts with the same keys, as a Markdown table."""
+    headings = list(rows[0])
+    lines = [
+        headings,
+        ["---"] * len(headings),
+        *([row.get(heading, "") for heading in headings] for row in rows),
+    ]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
--- a/lemonlead/planning/page.py
+++ b/lemonlead/planning/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md as text, from targets and slopes alone: each figure in it comes from these two."""
+"""Renders docs/CAPACITY.md. Every figure on the page comes from the targets and the slopes."""
 
 import textwrap
 
@@ -8,8 +8,8 @@
 from .target_table import NOT_MEASURED, format_cost, target_rows
 from .targets import NS_PER_SECOND
 
-WIDTH = 120
-FAR = 0.2  # off by more at the point kept out, and a line is named as one that does not hold
+PAGE_WIDTH = 120
+MAX_HELD_OUT_ERROR = 0.2  # the page names lines with a larger error at the point held out
 CONDITION_HEADINGS = {
     "calm": "calm",
     "rack": "a rack lost",
@@ -21,12 +21,13 @@
 
 
 def render(targets, slopes):
+    """Returns the page as Markdown."""
     rows = target_rows(targets, slopes)
     parts = [
-        HEAD,
-        in_short(rows),
+        INTRODUCTION,
+        verdict_summary(rows),
         "## The operators' figures",
-        ABOUT_WANTED,
+        ABOUT_TARGETS,
         markdown_table(rows),
         "## What each role costs: slopes",
         ABOUT_SLOPES,
@@ -35,59 +36,59 @@
         about_sizes(targets),
         markdown_table(size_rows(targets, slopes)),
         "## Measured, worked out, guessed",
-        *honest(targets, slopes),
-        runs(slopes),
+        *provenance(targets, slopes),
+        run_table(slopes),
         "## The stampede in small",
-        *stampede(slopes.stampede),
+        *stampede_paragraphs(slopes.stampede),
     ]
-    return "\n\n".join(part if part.startswith(("#", "|")) else wrapped(part) for part in parts) + "\n"
+    return "\n\n".join(part if part.startswith(("#", "|")) else wrap(part) for part in parts) + "\n"
 
 
-def wrapped(text):
-    after = "  " if text.startswith("- ") else ""
-    return textwrap.fill(text, WIDTH, subsequent_indent=after, break_long_words=False, break_on_hyphens=False)
+def wrap(text):
+    indent = "  " if text.startswith("- ") else ""
+    return textwrap.fill(
+        text, PAGE_WIDTH, subsequent_indent=indent, break_long_words=False, break_on_hyphens=False
+    )
 
 
-HEAD = """# The fleet of 2028
+INTRODUCTION = """# The fleet of 2028
 
 What the operators plan, what one machine of today does, what the design does at that size, and what is not
 known. `lemonlead capacity fleet deploy/capacity/fleet-2028.cue` makes this page from that file and from
 `docs/capacity/slopes.json`, which `python -m benchmarks.slopes` writes. No figure here is typed by hand, and
 what is changed here is lost."""
 
-ABOUT_WANTED = (
+ABOUT_TARGETS = (
     "`m`: measured at that very size. `x`: worked out past the points of its slope. All other figures of "
-    "the design are "
-    "worked out. *Met* stands only where a run at full size shows it, *not met* where a figure breaks what "
-    "is wanted."
+    "the design are worked out. *Met* stands only where a run at full size shows it, *not met* where a "
+    "figure breaks what is wanted."
 )
 ABOUT_SLOPES = (
     "Least squares of the relative errors; the last size is kept out of the fit and tests it. Processor "
-    "time is that of "
-    "one core of a machine shared with other work (the last table has its load), which makes it longer; "
-    "bytes are those of JSON, without HTTP's heads."
+    "time is that of one core of a machine shared with other work (the last table has its load), which "
+    "makes it longer; bytes are those of JSON, without HTTP's heads."
 )
 
 
-def in_short(rows):
-    """The figures by verdict."""
+def verdict_summary(rows):
+    """Returns a paragraph that names the targets by verdict."""
     by_verdict = {}
     for row in rows:
         by_verdict.setdefault(row["verdict"].replace("*", ""), []).append(row["figure"])
-    told = [f"{verdict.capitalize()}: {'; '.join(names)}." for verdict, names in sorted(by_verdict.items())]
-    return f"In short. {' '.join(told)}"
+    sentences = [
+        f"{verdict.capitalize()}: {'; '.join(names)}." for verdict, names in sorted(by_verdict.items())
+    ]
+    return f"In short. {' '.join(sentences)}"
 
 
 def about_sizes(targets):
     guesses = targets.guesses
     return (
-        "In calm: shares of a core, bytes and messages a second. Else: seconds of a core, and all of them, "
-        "of one of that role, at a rack's loss, at a zone's, when all gateways start at once, once a region "
-        "is back "
-        f"that was cut off for {format_number(guesses.cut / NS_PER_SECOND)} s, and for one change of "
-        f"configuration, which is to "
-        f"be in force within {format_number(targets.in_force / NS_PER_SECOND)} s. What is paid each second "
-        f"stays a share. "
+        "In calm: shares of a core, bytes and messages a second. Else: seconds of a core, and all of "
+        "them, of one of that role, at a rack's loss, at a zone's, when all gateways start at once, once "
+        f"a region is back that was cut off for {format_number(guesses.cut / NS_PER_SECOND)} s, and for "
+        "one change of configuration, which is to be in force within "
+        f"{format_number(targets.in_force / NS_PER_SECOND)} s. What is paid each second stays a share. "
         f"`(g)`: a guess goes in. *Its services*: a gateway that routes to {guesses.services_a_gateway} of "
         f"{targets.services:,}; *all services*: one that routes to all."
     )
@@ -106,7 +107,7 @@
                 "unit": slope.unit,
                 "fixed + slope": formula(slope),
                 "points": ", ".join(
-                    f"{format_number(one.size)}: {format_number(one.figure)}" for one in slope.points
+                    f"{format_number(point.size)}: {format_number(point.figure)}" for point in slope.points
                 ),
                 "error of the fit": f"{100 * slope.error:.1f} %",
                 "kept out": f"{format_number(slope.held_out.size)}: {format_number(slope.held_out.figure)}",
@@ -129,63 +130,57 @@
 def size_rows(targets, slopes):
     rows = []
     for row in sizing.rows(targets):
-        told = {
+        cells = {
             "role": ROLES[row.role],
             "what": row.what + " (g)" * row.guessed,
             "of": row.kind,
-            "at": "each" if row.each or row.slope == sizing.NO_SLOPE else format_number(row.size),
+            "at": "each" if row.per_unit or row.slope == sizing.NO_SLOPE else format_number(row.size),
         }
         for condition in CONDITIONS:
-            worth = format_cost(row.kind, row.at(slopes, condition), condition == CALM or row.steady)
-            same = row.kind == MEMORY and condition != CALM and worth != NOT_MEASURED
-            told[CONDITION_HEADINGS[condition]] = "as in calm" if same else worth
-        rows.append(told)
+            cost = format_cost(row.kind, row.at(slopes, condition), condition == CALM or row.steady)
+            same = row.kind == MEMORY and condition != CALM and cost != NOT_MEASURED
+            cells[CONDITION_HEADINGS[condition]] = "as in calm" if same else cost
+        rows.append(cells)
     nothing = dict.fromkeys(CONDITION_HEADINGS.values(), NOT_MEASURED)
     rows.append({"role": ROLES["platform"], "what": "news and votes", "of": "all", "at": "-", **nothing})
     return rows
 
 
-# ---- what is known how
+# ---- how the figures were obtained
 
 
-def honest(targets, slopes):
+def provenance(targets, slopes):
     guesses = targets.guesses
-    far = [slope for slope in slopes.slopes if abs(slope.held_out_error) > FAR]
-    told = ", ".join(f"{slope.name} ({100 * slope.held_out_error:+.0f} %)" for slope in far) or "none"
+    inaccurate = [slope for slope in slopes.slopes if abs(slope.held_out_error) > MAX_HELD_OUT_ERROR]
+    inaccurate_names = (
+        ", ".join(f"{slope.name} ({100 * slope.held_out_error:+.0f} %)" for slope in inaccurate) or "none"
+    )
     return [
         "- **Measured**: the points of the slopes, and what has an `m`, on one shared machine. Whole "
-        "programs: a gateway's "
-        "list, start, requests and clients' connections; a member's memory, commands and what it tells "
-        "over HTTP. The "
-        "deciding code alone, in one process: rules, tenants, what a gateway follows, a leader's change, "
-        "relay and "
-        "subscription. So processor time of relays, without HTTP, is a lower bound.",
+        "programs: a gateway's list, start, requests and clients' connections; a member's memory, "
+        "commands and what it tells over HTTP. The deciding code alone, in one process: rules, tenants, "
+        "what a gateway follows, a leader's change, relay and subscription. So processor time of relays, "
+        "without HTTP, is a lower bound.",
         "- **Worked out**: all else. A gateway's part of a rack or a zone is the mean; by chance it may "
         "get far more.",
-        f"- **Lines that do not hold**: off by over {format_number(100 * FAR)} % at the point kept out: "
-        f"{told}. "
-        f"What rests on "
-        "these at other sizes than those measured is no better than that.",
+        f"- **Lines that do not hold**: off by over {format_number(100 * MAX_HELD_OUT_ERROR)} % at the "
+        f"point kept out: {inaccurate_names}. What rests on these at other sizes than those measured is no "
+        "better than that.",
         f"- **Guessed**, as the operators' file says: {guesses.services_a_gateway} services a gateway, "
         f"{guesses.rack_instances} instances a rack, {format_number(guesses.changes_a_restart)} changes of "
-        f"the "
-        f"list a restart "
-        f"or loss, {format_number(guesses.cuts_a_year)} cuts a year of "
-        f"{format_number(guesses.cut / NS_PER_SECOND)} s, "
-        f"{guesses.clients_a_gateway} clients' connections a gateway, {guesses.lost_machines} control "
-        f"machine lost. And "
-        "here: instances, routes and tenants are spread evenly over services, gateways restart as often as "
-        "other "
-        "machines, each change of configuration concerns a route, each record is as large as an "
-        "instance's.",
+        f"the list a restart or loss, {format_number(guesses.cuts_a_year)} cuts a year of "
+        f"{format_number(guesses.cut / NS_PER_SECOND)} s, {guesses.clients_a_gateway} clients' connections "
+        f"a gateway, {guesses.lost_machines} control machine lost. And here: instances, routes and tenants "
+        "are spread evenly over services, gateways restart as often as other machines, each change of "
+        "configuration concerns a route, each record is as large as an instance's.",
         "- **Not measured**: where it says so. Nothing of the design has been seen at full size unless a "
         "run is named.",
     ]
 
 
-def runs(slopes):
-    """The runs that gave the figures, each once."""
-    sources = dict.fromkeys(one.source for one in (*slopes.slopes, *slopes.latencies, *slopes.runs))
+def run_table(slopes):
+    """Returns a table of the runs that gave the figures, each once."""
+    sources = dict.fromkeys(item.source for item in (*slopes.slopes, *slopes.latencies, *slopes.runs))
     return (
         markdown_table(
             [
@@ -203,28 +198,20 @@
     )
 
 
-def stampede(told):
-    if told is None:
+def stampede_paragraphs(seen):
+    if seen is None:
         return [NOT_MEASURED]
-    (least, most), (first, last) = told.calls_a_second, told.none_served
+    (least, most), (first, last) = seen.calls_a_second, seen.none_served
     return [
-        f"Gateways that start together call the same few machines. Seen ({told.source}): {told.gateways} "
-        f"gateways, one "
-        f"discovery that works off {format_number(least)} to {format_number(most)} calls a second, one "
-        f"after the other. "
-        f"A call that "
-        f"waited {format_number(told.fails_after)} s fails, but its work is done all the same. "
-        f"{told.callers} "
-        f"callers within "
-        f"{format_number(told.within)} s kept it over that for good: none was served from "
-        f"{format_number(first)} to "
-        f"{format_number(last)} s, "
+        f"Gateways that start together call the same few machines. Seen ({seen.source}): {seen.gateways} "
+        f"gateways, one discovery that works off {format_number(least)} to {format_number(most)} calls a "
+        f"second, one after the other. A call that waited {format_number(seen.fails_after)} s fails, but "
+        f"its work is done all the same. {seen.callers} callers within {format_number(seen.within)} s kept "
+        f"it over that for good: none was served from {format_number(first)} to {format_number(last)} s, "
         "as each call made again queues up behind work for callers that have gone. Spread over "
-        f"{format_number(told.spread)} s all were served in {format_number(told.served_after)} s. After "
-        f"failures the "
-        f"pauses are "
-        f"{', '.join(map(format_number, told.pauses))} s.",
-        "For the design: whoever starts or loses its relay comes back spread; no call is made again sooner "
-        "than the "
-        "work before it can be done; and who can't serve in time says so before it has done the work.",
+        f"{format_number(seen.spread)} s all were served in {format_number(seen.served_after)} s. After "
+        f"failures the pauses are {', '.join(map(format_number, seen.pauses))} s.",
+        "For the design: whoever starts or loses its relay comes back spread; no call is made again "
+        "sooner than the work before it can be done; and who can't serve in time says so before it has "
+        "done the work.",
     ]
--- a/lemonlead/planning/sizing.py
+++ b/lemonlead/planning/sizing.py
@@ -1,7 +1,8 @@
-"""What each role needs at the size that operators want, worked out from slopes. Without I/O.
+"""Works out what each role of a planned fleet needs, from slopes. Does no I/O.
 
-A row is one cost of one role: a slope, the size at which it counts, and how often it is paid in each
-condition. What a slope does not give is None, not a guess: those stand in the operators' file."""
+A row is one cost of one role: a slope, the size at which it applies, and how often the cost arises in each
+condition. A cost without a slope is None and is not estimated; all estimates stand in the operators' file.
+"""
 
 from dataclasses import dataclass
 
@@ -10,8 +11,8 @@
 
 CALM, RACK, ZONE, RESTART, CUT, CHANGE = CONDITIONS = ("calm", "rack", "zone", "restart", "cut", "change")
 MEMORY, CPU, BYTES, MESSAGES = "memory", "CPU", "bytes", "messages"
-NO_SLOPE = ""  # in place of a slope: one message each time, by the protocol
-SECONDS = {"s": 1.0, "ms": 1e-3, "us": 1e-6}
+NO_SLOPE = ""  # instead of a slope: one message each time, as the protocol has it
+SECONDS_PER_UNIT = {"s": 1.0, "ms": 1e-3, "us": 1e-6}
 
 ROLES = {
     "front": "client front of a gateway",
@@ -30,8 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """A figure: in MB, seconds of a core, bytes or messages, or each a second in calm. `measured`: at that
-    very size; `outside`: past the points of its slope, whose line may be below 0 there."""
+    """A cost in MB, seconds of a core, bytes or messages; in calm conditions all but memory are per second.
+
+    `measured`: the figure was measured at exactly this size. `outside`: the size is outside the points of the
+    slope, where the line may be below 0.
+    """
 
     figure: float
     measured: bool = False
@@ -40,29 +44,32 @@
 
 @dataclass(frozen=True, slots=True)
 class CostRow:
-    """`times`: by condition, how often it is paid; a second in calm. `each`: it is the slope alone that is
-    paid each time, not a whole of that size. `steady`: it is paid each second, whatever happens. `guessed`:
-    a guess of the operators' file goes in."""
+    """One cost of one role.
+
+    `counts` is how often the cost arises, by condition; in calm conditions it is a rate per second.
+    `per_unit`: each time costs one unit of the slope instead of a whole of `size`. `steady`: the cost arises
+    every second in all conditions. `guessed`: it depends on an estimate of the operators' file.
+    """
 
     role: str
     what: str
     kind: str
     slope: str
     size: float = 0.0
-    times: dict | None = None
-    each: bool = False
+    counts: dict | None = None
+    per_unit: bool = False
     steady: bool = False
     guessed: bool = False
 
     def cost(self, slopes):
-        """What is paid once, a Cost, or None where it is not measured."""
+        """Returns the Cost of one time, or None if it was not measured."""
         if self.slope == NO_SLOPE:
             return Cost(1.0)
         slope = slopes.get(self.slope)
         if slope is None:
             return None
-        unit = SECONDS.get(slope.unit, 1.0)
-        if self.each:
+        unit = SECONDS_PER_UNIT.get(slope.unit, 1.0)
+        if self.per_unit:
             return Cost(slope.slope * unit)
         measured = slope.measured(self.size)
         if measured is not None:
@@ -71,17 +78,23 @@
         return Cost(slope.at(self.size) * unit, False, not min(sizes) <= self.size <= max(sizes))
 
     def at(self, slopes, condition):
-        """A Cost, or None: not measured. Memory is as in calm whatever happens."""
+        """Returns the Cost in a condition, or None if it was not measured.
+
+        Memory is the same in all conditions.
+        """
         cost = self.cost(slopes)
         if cost is None or self.kind == MEMORY:
             return cost
-        times = self.times.get(condition, 0.0)
-        return Cost(cost.figure * times, cost.measured, cost.outside)
+        count = self.counts.get(condition, 0.0)
+        return Cost(cost.figure * count, cost.measured, cost.outside)
 
 
 def change_counts(targets, share=1.0):
-    """How many changes of the list and of configuration reach a gateway that has this share of the
-    services, by condition; a second in calm. After a cut come those of its length together."""
+    """Returns how many changes of the instance list and of configuration reach a gateway, by condition.
+
+    `share` is the gateway's share of the services. In calm conditions the counts are per second. After a cut,
+    all changes that were missed meanwhile arrive together.
+    """
     cut = targets.guesses.cut / NS_PER_SECOND
     lists = {
         CALM: targets.instance_changes,
@@ -90,21 +103,24 @@
         CUT: targets.instance_changes * cut,
     }
     configurations = {CALM: targets.configurations, CUT: targets.configurations * cut, CHANGE: 1.0 / share}
-    return times(lists, share), times(configurations, share)
+    return scaled(lists, share), scaled(configurations, share)
 
 
-def times(counts, factor):
+def scaled(counts, factor):
     return {condition: count * factor for condition, count in counts.items()}
 
 
-def joined(*several):
-    """The sum of counts by condition."""
-    return {condition: sum(some.get(condition, 0.0) for some in several) for condition in CONDITIONS}
+def summed(*several):
+    """Returns the sum of counts by condition."""
+    return {condition: sum(counts.get(condition, 0.0) for counts in several) for condition in CONDITIONS}
 
 
 def rows(targets):
-    """All rows, by role. Those of the design hold for a gateway that routes to its share of the services, and
-    again for one that routes to all."""
+    """Returns all rows by role.
+
+    Those of the design come twice: for a gateway that routes to its share of the services, and for one that
+    routes to all.
+    """
     return [
         *front(targets),
         *lists(targets),
@@ -124,25 +140,29 @@
 
 def front(targets):
     zones = targets.zones
-    busy = dict.fromkeys(CONDITIONS, targets.requests)
-    busy[ZONE] *= zones / (zones - 1) if zones > 1 else 1.0
+    request_rates = dict.fromkeys(CONDITIONS, targets.requests)
+    request_rates[ZONE] *= zones / (zones - 1) if zones > 1 else 1.0
     clients = targets.guesses.clients_a_gateway
     yield CostRow(
         "front", "the whole gateway with clients' connections", MEMORY, "front memory", clients, guessed=True
     )
-    both = times(busy, 2.0)  # a request's from its client and its answer's from an instance, one attempt each
-    for way in ("in", "out"):
-        yield messages("front", f"requests and answers, {way}, one attempt each", both, steady=True)
+    messages_each_way = scaled(request_rates, 2.0)  # a client's request and an instance's answer
+    for direction in ("in", "out"):
+        yield messages(
+            "front", f"requests and answers, {direction}, one attempt each", messages_each_way, steady=True
+        )
     costs = (
         ("front", "requests, front and balancer together", "gateway request"),
         ("balancer", "requests, deciding alone", "balancer request"),
         ("balancer", "requests, a build on trial", "balancer request on trial"),
     )
-    for role, what, name in costs:
+    for role, what, slope in costs:
         for share in (targets.share, 1.0):
             size = targets.instances * share
-            what_of = f"{what} ({services_label(share)})"
-            yield CostRow(role, what_of, CPU, name, size, busy, steady=True, guessed=share != 1.0)
+            description = f"{what} ({services_label(share)})"
+            yield CostRow(
+                role, description, CPU, slope, size, request_rates, steady=True, guessed=share != 1.0
+            )
 
 
 def messages(role, what, counts, **more):
@@ -198,11 +218,11 @@
             targets.tenants * share,
             guessed=guessed,
         )
-    busy = dict.fromkeys(CONDITIONS, targets.requests)
+    request_rates = dict.fromkeys(CONDITIONS, targets.requests)
     what = "judging requests (all services)"
-    yield CostRow("rules", what, CPU, "rules judgement", targets.routes, busy, steady=True)
+    yield CostRow("rules", what, CPU, "rules judgement", targets.routes, request_rates, steady=True)
     what = "a look at each request where a tenant alone waits (all services)"
-    yield CostRow("rules", what, CPU, "tenants waiting request", targets.tenants, busy, steady=True)
+    yield CostRow("rules", what, CPU, "tenants waiting request", targets.tenants, request_rates, steady=True)
 
 
 def following(targets):
@@ -218,8 +238,8 @@
         "changes of a node, in",
         BYTES,
         "leader change bytes",
-        each=True,
-        times=changes,
+        per_unit=True,
+        counts=changes,
         guessed=True,
     )
     yield messages("following", "changes of a node, in; calls for more, out", changes, guessed=True)
@@ -231,7 +251,7 @@
 def subscription(targets):
     for share in (targets.share, 1.0):
         of, guessed = services_label(share), share != 1.0
-        records, changes = targets.records * share, joined(*change_counts(targets, share))
+        records, changes = targets.records * share, summed(*change_counts(targets, share))
         start = {RESTART: 1.0}
         yield CostRow(
             "distribution", f"records ({of})", MEMORY, "subscriber memory", records, guessed=guessed
@@ -241,8 +261,8 @@
             f"changes ({of})",
             CPU,
             "subscriber changes",
-            each=True,
-            times=changes,
+            per_unit=True,
+            counts=changes,
             guessed=True,
         )
         yield CostRow(
@@ -259,8 +279,8 @@
             f"changes, in ({of})",
             BYTES,
             "subscriber changes bytes",
-            each=True,
-            times=changes,
+            per_unit=True,
+            counts=changes,
             guessed=True,
         )
         yield messages("distribution", f"changes, in, a line each at most ({of})", changes, guessed=True)
@@ -272,8 +292,8 @@
 
 
 def leader(targets):
-    changes = joined(*change_counts(targets))
-    idle = dict.fromkeys(CONDITIONS, 0.01)  # it is measured as a percentage
+    changes = summed(*change_counts(targets))
+    idle = dict.fromkeys(CONDITIONS, 0.01)  # it was measured in percent of a core
     yield CostRow(
         "leader", "gateways that follow (today)", MEMORY, "leader followers memory", targets.gateways
     )
@@ -308,9 +328,9 @@
         guessed=True,
     )
     what = "changes told to all gateways, out; calls for more, in (today)"
-    yield messages("leader", what, times(changes, targets.gateways), guessed=True)
+    yield messages("leader", what, scaled(changes, targets.gateways), guessed=True)
     what = "changes told to relays, out; calls for more, in (design)"
-    yield messages("leader", what, times(changes, targets.control.machines), guessed=True)
+    yield messages("leader", what, scaled(changes, targets.control.machines), guessed=True)
     what = "relays that wait (design)"
     yield CostRow("leader", what, CPU, "leader idle", targets.control.machines, idle, steady=True)
     yield CostRow(
@@ -322,15 +342,15 @@
         changes,
         guessed=True,
     )
-    yield CostRow("leader", "commands", CPU, "leader commands", each=True, times=changes, guessed=True)
+    yield CostRow("leader", "commands", CPU, "leader commands", per_unit=True, counts=changes, guessed=True)
 
 
 def follower(targets):
-    """A snapshot comes after MAX_SNAPSHOT_INTERVAL entries, where there are as many records."""
-    changes = joined(*change_counts(targets))
-    snapshots = times(changes, 1 / min(MAX_SNAPSHOT_INTERVAL, targets.records))
+    """A snapshot is written after MAX_SNAPSHOT_INTERVAL entries, or after as many as there are records."""
+    changes = summed(*change_counts(targets))
+    snapshots = scaled(changes, 1 / min(MAX_SNAPSHOT_INTERVAL, targets.records))
     yield CostRow("follower", "records: instances, routes, tenants", MEMORY, "member memory", targets.records)
-    yield CostRow("follower", "commands", CPU, "member commands", each=True, times=changes, guessed=True)
+    yield CostRow("follower", "commands", CPU, "member commands", per_unit=True, counts=changes, guessed=True)
     what = "entries, in, a message each at most; acknowledgements, out"
     yield messages("follower", what, changes, guessed=True)
     yield CostRow(
@@ -342,13 +362,16 @@
 
 
 def relay(targets):
-    """While some machines are lost; subscribers of a scope are those that route to its service."""
-    subscribers, changes = targets.subscribers, joined(*change_counts(targets))
+    """The rows of a relay while some machines are lost.
+
+    The subscribers of a scope are the gateways that route to its service.
+    """
+    subscribers, changes = targets.subscribers, summed(*change_counts(targets))
     yield CostRow("relay", "records of all scopes", MEMORY, "relay memory", targets.records)
     yield CostRow("relay", "subscribers", MEMORY, "relay subscribers memory", subscribers, guessed=True)
     yield CostRow("relay", "taking in changes", CPU, "relay apply", targets.records, changes, guessed=True)
     for share in (targets.share, 1.0):
-        of, told = services_label(share), subscribers * share
+        of, receivers = services_label(share), subscribers * share
         records = targets.records * share
         starts = {
             CALM: targets.gateway_starts / targets.machines_left,
@@ -356,11 +379,11 @@
             RESTART: subscribers,
         }
         what = f"changes told, deciding alone ({of})"
-        yield CostRow("relay", what, CPU, "relay change", told, changes, guessed=True)
+        yield CostRow("relay", what, CPU, "relay change", receivers, changes, guessed=True)
         what = f"changes told, out ({of})"
-        yield CostRow("relay", what, BYTES, "relay change bytes", told, changes, guessed=True)
+        yield CostRow("relay", what, BYTES, "relay change bytes", receivers, changes, guessed=True)
         what = f"lines out, acknowledgements in, one a change at most ({of})"
-        yield messages("relay", what, times(changes, told), guessed=True)
+        yield messages("relay", what, scaled(changes, receivers), guessed=True)
         what = f"snapshots, deciding alone ({of})"
         yield CostRow("relay", what, CPU, "relay snapshot CPU", records, starts, guessed=True)
         what = f"snapshots, out ({of})"
@@ -379,32 +402,35 @@
         starts,
     )
     yield messages(
-        "discovery", "changes to all gateways, out (today)", times(changes, targets.gateways), guessed=True
+        "discovery", "changes to all gateways, out (today)", scaled(changes, targets.gateways), guessed=True
     )
     yield CostRow(
         "discovery",
         "changes to all gateways, out (today)",
         BYTES,
         "discovery list",
-        each=True,
-        times=times(changes, targets.gateways),
+        per_unit=True,
+        counts=scaled(changes, targets.gateways),
         guessed=True,
     )
 
 
 def total_cost(slopes, several, condition):
-    """Sum of rows of one kind, or None where one of them is not known."""
-    found = [row.at(slopes, condition) for row in several]
-    if any(one is None or one.figure < 0 for one in found):
+    """Returns the sum of rows of one kind, or None if one of them is not known."""
+    costs = [row.at(slopes, condition) for row in several]
+    if any(cost is None or cost.figure < 0 for cost in costs):
         return None
-    return Cost(sum(one.figure for one in found), False, any(one.outside for one in found))
+    return Cost(sum(cost.figure for cost in costs), False, any(cost.outside for cost in costs))
 
 
 def control_rows(targets, of):
-    """Of a gateway by the design, what counts as control: its list, rules, tenants, subscription; that brings
-    the list, so discovery's is not counted."""
+    """Returns the rows that count as control for a gateway of the design.
+
+    They are its list, rules, tenants and subscription. The subscription brings the list, so the list from
+    discovery is not counted.
+    """
     roles = ("list", "rules", "distribution")
     kept = [row for row in rows(targets) if row.role in roles and row.what.endswith(f"({of})")]
     kept = [row for row in kept if row.kind != MESSAGES]
-    apart = ("gateway memory after a list", "discovery list", "rules judgement", "tenants waiting request")
-    return [row for row in kept if row.slope not in apart]
+    excluded = ("gateway memory after a list", "discovery list", "rules judgement", "tenants waiting request")
+    return [row for row in kept if row.slope not in excluded]
--- a/lemonlead/planning/slopes.py
+++ b/lemonlead/planning/slopes.py
@@ -1,7 +1,9 @@
-"""What a role costs by what it grows by: measured points, and a line through them. Without I/O.
+"""Measured costs of the roles of a fleet: points, and a line through them. Does no I/O.
 
-`fixed + slope * size`, by least squares of the relative errors, so that a small size counts as a large one;
-the last point is kept out of it and tests it. What the file says of a line must be what its points give."""
+The line is `fixed + slope * size`. It has the least sum of squares of relative errors, so that small sizes
+count as much as large ones. The last point is held out of the fit and tests it. A file whose line does not
+agree with its points is refused.
+"""
 
 import math
 from typing import Annotated
@@ -9,8 +11,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-MIN_POINTS = 3  # points of a fit
-FIT_TOLERANCE = 1e-6  # by which a fit as written may be off, relatively: it is written in decimals
+MIN_POINTS = 3  # of a fit, without the point held out
+FIT_TOLERANCE = 1e-6  # relative; the fit in the file is rounded to decimals
 
 Text = Annotated[str, Meta(min_length=1, max_length=500)]
 Date = Annotated[str, Meta(pattern=r"^\d{4}-\d\d-\d\d$")]
@@ -19,7 +21,10 @@
 
 
 class InvalidSlopes(Exception):
-    """A file of slopes that can't be used: `path` in it, what was found, what was expected."""
+    """A file of slopes is invalid.
+
+    `path` is the place in the file; `found` and `expected` are texts for the operator.
+    """
 
     def __init__(self, path, found, expected):
         self.path, self.found, self.expected = path, found, expected
@@ -27,7 +32,7 @@
 
 
 class Source(Struct, frozen=True, forbid_unknown_fields=True):
-    """The run that gave a figure. `beside`: load average of the machine as it began, of `cores`."""
+    """The run that gave a figure. `beside`: the load average of the machine, with `cores`, at its start."""
 
     command: Text
     date: Date
@@ -42,8 +47,12 @@
 
 
 class Slope(Struct, frozen=True, forbid_unknown_fields=True):
-    """`by`: what the size counts. `error`: the largest of the fit at its points; `held_out_error`: that of
-    the fit at the point kept out, above 0 where the fit says too much; both as shares of the measured."""
+    """How a cost grows with a size.
+
+    `by` says what the size counts. `error` is the largest error of the fit at its points, and
+    `held_out_error` the error at the point held out, above 0 if the fit is too high. Both are shares of the
+    measured figure.
+    """
 
     name: Text
     role: Text
@@ -58,16 +67,19 @@
     source: Source
 
     def at(self, size):
+        """Returns what the line gives for this size."""
         return self.fixed + self.slope * size
 
     def measured(self, size):
-        """What was measured at this size, or None."""
+        """Returns the figure that was measured at this size, or None."""
         return next((point.figure for point in (*self.points, self.held_out) if point.size == size), None)
 
 
 class Latency(Struct, frozen=True, forbid_unknown_fields=True):
-    """Milliseconds at 99 in 100, and at half, of requests that come at a rate, through a gateway and through
-    a bare relay."""
+    """The 99th percentile and the median of request latency (ms) at a rate of requests a second.
+
+    They are measured through a gateway and through a bare relay. `asked` counts the requests.
+    """
 
     rate: Size
     gateway: Figure
@@ -79,8 +91,11 @@
 
 
 class Run(Struct, frozen=True, forbid_unknown_fields=True):
-    """A run that shows a figure of the operators' at full size, or how far it goes. `of`: the row's name.
-    `whole`: whether it is the size that is wanted. `simulated`: in simulated time."""
+    """A run that shows whether a target is met.
+
+    `of` is the name of the target's row. `whole`: the run had the full size that is wanted. `simulated`: it
+    ran in simulated time.
+    """
 
     of: Text
     what: Text
@@ -92,18 +107,18 @@
 
 
 class Stampede(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a fleet that came back all at once did to one discovery: seconds, calls."""
+    """What happened to one discovery service when all gateways came back at once. Times are seconds."""
 
     gateways: Annotated[int, Meta(ge=1)]
-    calls_a_second: tuple[Figure, Figure]  # that discovery works off, least and most
+    calls_a_second: tuple[Figure, Figure]  # that discovery can serve, minimum and maximum
     fails_after: Figure
     callers: Annotated[int, Meta(ge=1)]
-    within: Figure  # in which they came
-    none_served: tuple[Figure, Figure]  # from when to when of the day
-    spread: Figure  # over which they came in the other trial
+    within: Figure  # the time in which the callers came
+    none_served: tuple[Figure, Figure]  # the interval of the run in which no caller was served
+    spread: Figure  # the time over which they came in the other trial
     served_after: Figure  # after which all of them were served
     pauses: Annotated[tuple[Figure, ...], Meta(min_length=1)]  # after failures
-    source: Text  # how it was seen
+    source: Text  # how it was observed
 
 
 class Slopes(Struct, frozen=True, forbid_unknown_fields=True):
@@ -117,64 +132,69 @@
 
 
 def fit(points):
-    """(fixed, slope, error) of the line whose relative errors at these (size, figure) have the least sum of
-    squares; the error is the largest of them. Two sizes at least, figures above 0."""
+    """Fits a line to (size, figure) points with the least sum of squares of relative errors.
+
+    Returns (fixed, slope, largest error at a point). Needs two sizes at least, and figures above 0.
+    """
     weights = [1 / figure**2 for _, figure in points]
     total = math.fsum(weights)
-    size = math.fsum(w * x for w, (x, _) in zip(weights, points, strict=True)) / total
-    figure = math.fsum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
-    spread = math.fsum(w * (x - size) ** 2 for w, (x, _) in zip(weights, points, strict=True))
-    both = math.fsum(w * (x - size) * (y - figure) for w, (x, y) in zip(weights, points, strict=True))
-    slope = both / spread
-    fixed = figure - slope * size
-    return fixed, slope, max(abs(off(fixed, slope, point)) for point in points)
-
-
-def off(fixed, slope, point):
-    """By how much the line is off at a point, as a share of the measured; above 0: too much."""
+    mean_size = math.fsum(w * x for w, (x, _) in zip(weights, points, strict=True)) / total
+    mean_figure = math.fsum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
+    variance = math.fsum(w * (x - mean_size) ** 2 for w, (x, _) in zip(weights, points, strict=True))
+    covariance = math.fsum(
+        w * (x - mean_size) * (y - mean_figure) for w, (x, y) in zip(weights, points, strict=True)
+    )
+    slope = covariance / variance
+    fixed = mean_figure - slope * mean_size
+    return fixed, slope, max(abs(relative_error(fixed, slope, point)) for point in points)
+
+
+def relative_error(fixed, slope, point):
+    """Returns the error of the line at a point, as a share of the measured figure; above 0: too high."""
     size, figure = point
     return (fixed + slope * size) / figure - 1
 
 
 def fit_and_check(points):
-    """The fit of all points but the last, and its error there, as a slope has them by name."""
+    """Fits all points but the last and tests the fit at the last; returns the fields of a Slope by name."""
     *inside, last = points
     fixed, slope, error = fit(inside)
-    held_out = off(fixed, slope, last)
+    held_out = relative_error(fixed, slope, last)
     return {"fixed": fixed, "slope": slope, "error": error, "held_out_error": held_out}
 
 
 def read(data):
-    """Slopes from the bytes of a file, or InvalidSlopes."""
+    """Reads slopes from the bytes of a file; raises InvalidSlopes."""
     try:
-        told = msgspec.json.decode(data, type=Slopes)
+        slopes = msgspec.json.decode(data, type=Slopes)
     except msgspec.ValidationError as error:
-        says, _, path = str(error).partition(" - at ")
+        message, _, path = str(error).partition(" - at ")
         raise InvalidSlopes(
-            path.strip("`").removeprefix("$.") or "the file", *found_and_expected(says)
+            path.strip("`").removeprefix("$.") or "the file", *found_and_expected(message)
         ) from None
     except msgspec.DecodeError as error:
         raise InvalidSlopes(
             "the file", f"no JSON ({error})", "slopes as benchmarks.slopes writes them"
         ) from None
-    for at, slope in enumerate(told.slopes):
-        check(told, at, slope)
-    return told
+    for index, slope in enumerate(slopes.slopes):
+        check_slope(slopes, index, slope)
+    return slopes
 
 
-def found_and_expected(says):
-    """What msgspec's words say apart, where they do."""
-    if says.startswith("Expected ") and ", got " in says:
-        expected, _, found = says.removeprefix("Expected ").partition(", got ")
+def found_and_expected(message):
+    """Splits a message of msgspec into (found, expected), as far as it states them."""
+    if message.startswith("Expected ") and ", got " in message:
+        expected, _, found = message.removeprefix("Expected ").partition(", got ")
         return found, expected
-    if says.startswith("Expected "):
-        return "another value", says.removeprefix("Expected ")
-    return says, "an object of the fields that benchmarks.slopes writes"
+    if message.startswith("Expected "):
+        return "another value", message.removeprefix("Expected ")
+    return message, "an object of the fields that benchmarks.slopes writes"
 
 
-def check(told, at, slope):
-    path = f"slopes[{at}]"
-    if told.get(slope.name) is not slope:
+def check_slope(slopes, index, slope):
+    """Raises InvalidSlopes if a name or size occurs twice, or the fit does not agree with the points."""
+    path = f"slopes[{index}]"
+    if slopes.get(slope.name) is not slope:
         raise InvalidSlopes(f"{path}.name", repr(slope.name), "a name that no slope before it has")
     points = [(point.size, point.figure) for point in (*slope.points, slope.held_out)]
     sizes = [size for size, _ in points]
--- a/lemonlead/planning/target_table.py
+++ b/lemonlead/planning/target_table.py
@@ -1,105 +1,117 @@
-"""The operators' figures one by one: what is wanted, what one machine of today does, what the design does at
-that size, and whether that is met. Without I/O.
+"""Builds the table of the operators' targets for the capacity page. Does no I/O.
 
-*Met* needs a run at full size; *not met* a figure, measured or worked out, that breaks what is wanted; all
-else is not known."""
+A row has the target, what one machine of today does, what the design does at that size, and a verdict. *Met*
+needs a run at full size. *Not met* needs a figure, measured or worked out, that misses the target. All else
+is *not known*.
+"""
 
 from ..ledger.capacity import MAX_RECORDS_PER_PART
 from ..ledger.followers import MAX_FOLLOWERS
 from . import sizing
 from .number_format import format_bytes, format_number, format_seconds, format_share
-from .sizing import BYTES, CALM, CPU, MEMORY, RESTART, SECONDS, services_label
+from .sizing import BYTES, CALM, CPU, MEMORY, RESTART, SECONDS_PER_UNIT, services_label
 from .targets import NS_PER_SECOND
 
 NOT_MEASURED = "not measured"
 BELOW_ZERO = "not known: its line is below 0 there"
-MET, NOT_MET, NOT_KNOWN = "met", "**not met**", "not known"
+MET = "met"
+NOT_MET = "**not met**"
+NOT_KNOWN = "not known"
 NOT_TODAY = f"{NOT_MET} today; design {NOT_KNOWN}"
 NO_RUN = "none yet"
 
 
-def format_cost(kind, worth, a_second=True):
-    """A Cost as words: `m` measured at that size, `x` past the points of its slope."""
-    if worth is None:
+def format_cost(kind, cost, per_second=True):
+    """Formats a Cost; a mark `m` says measured at that size, `x` outside the points of its slope."""
+    if cost is None:
         return NOT_MEASURED
-    if worth.figure < 0:
+    if cost.figure < 0:
         return BELOW_ZERO
     if kind == MEMORY:
-        text = f"{format_number(worth.figure)} MB"
-    elif worth.figure == 0:
+        text = f"{format_number(cost.figure)} MB"
+    elif cost.figure == 0:
         return "-"
     elif kind == CPU:
-        text = format_share(worth.figure) if a_second else format_seconds(worth.figure)
+        text = format_share(cost.figure) if per_second else format_seconds(cost.figure)
     else:
-        text = (format_bytes if kind == BYTES else format_number)(worth.figure) + "/s" * a_second
-    return text + marks(worth)
+        text = (format_bytes if kind == BYTES else format_number)(cost.figure) + "/s" * per_second
+    return text + marks(cost)
 
 
-def marks(worth):
-    return " m" * worth.measured + " x" * worth.outside
+def marks(cost):
+    return " m" * cost.measured + " x" * cost.outside
 
 
 class TargetTable:
+    """The rows so far, and the costs that go into their texts."""
+
     def __init__(self, targets, slopes):
-        self.targets, self.slopes, self.rows = targets, slopes, []
+        self.targets = targets
+        self.slopes = slopes
+        self.rows = []
 
-    def figure(self, name, at):
-        """What a slope says at a size, in its own unit; None: not measured."""
+    def slope_value(self, name, size):
+        """Returns what a slope gives for a size, in its own unit, or None if it was not measured."""
         slope = self.slopes.get(name)
         if slope is None:
             return None
-        worth = sizing.CostRow("", "", MEMORY, name, at).cost(self.slopes)
-        return worth.figure / SECONDS.get(slope.unit, 1.0)
+        cost = sizing.CostRow("", "", MEMORY, name, size).cost(self.slopes)
+        return cost.figure / SECONDS_PER_UNIT.get(slope.unit, 1.0)
 
-    def cost(self, name, at):
-        """The same as words."""
+    def format_slope(self, name, size):
+        """Returns what a slope gives for a size, as text."""
         slope = self.slopes.get(name)
         if slope is None:
             return NOT_MEASURED
-        worth = sizing.CostRow("", "", MEMORY, name, at).cost(self.slopes)
-        if worth.figure < 0:
+        cost = sizing.CostRow("", "", MEMORY, name, size).cost(self.slopes)
+        if cost.figure < 0:
             return BELOW_ZERO
-        if slope.unit in SECONDS:
-            return format_seconds(worth.figure) + marks(worth)
+        if slope.unit in SECONDS_PER_UNIT:
+            return format_seconds(cost.figure) + marks(cost)
         text = (
-            format_bytes(worth.figure)
+            format_bytes(cost.figure)
             if slope.unit == "bytes"
-            else f"{format_number(worth.figure)} {slope.unit}"
+            else f"{format_number(cost.figure)} {slope.unit}"
         )
-        return text + marks(worth)
+        return text + marks(cost)
 
-    def each(self, name):
-        """What a slope adds with each, in its own unit; None: not measured."""
+    def cost_per_unit(self, name):
+        """Returns what a slope adds with each unit of its size, in its own unit, or None if not measured."""
         slope = self.slopes.get(name)
         return None if slope is None else slope.slope
 
-    def takes(self, count, name="subscriber changes bytes"):
-        """The time that so many changes take at a gateway's share of bytes, as words."""
-        each = self.each(name)
+    def transfer_time(self, count, name="subscriber changes bytes"):
+        """Returns, as text, how long this many changes take at a gateway's byte rate for control."""
+        change_bytes = self.cost_per_unit(name)
         return (
             NOT_MEASURED
-            if each is None
-            else format_seconds(count * each / self.targets.control.bytes_a_second)
+            if change_bytes is None
+            else format_seconds(count * change_bytes / self.targets.control.bytes_a_second)
         )
 
-    def sum(self, of, kind, condition=CALM):
-        """Of a gateway's control; None where a part of it is not measured."""
+    def control_cost(self, of, kind, condition=CALM):
+        """Returns the Cost of a gateway's control, or None if a part of it was not measured."""
         rows = [row for row in sizing.control_rows(self.targets, of) if row.kind == kind]
         return sizing.total_cost(self.slopes, rows, condition)
 
-    def memory(self, of):
-        """Megabytes of a gateway for control: above one at rest."""
-        worth, slope = self.sum(of, MEMORY), self.slopes.get("gateway memory")
-        return None if worth is None else worth.figure - slope.fixed
+    def control_memory(self, of):
+        """Returns the megabytes that control adds to a gateway at rest, or None if not measured."""
+        cost, slope = self.control_cost(of, MEMORY), self.slopes.get("gateway memory")
+        return None if cost is None else cost.figure - slope.fixed
+
+    def add_row(
+        self, name, wanted, today, design, by, mechanism, limit=None, otherwise=NOT_KNOWN, run=NO_RUN
+    ):
+        """Adds a row.
 
-    def row(self, name, wanted, today, design, by, mechanism, limit=None, otherwise=NOT_KNOWN, run=NO_RUN):
-        """`limit`: what the runs at full size are held against, none where they only need to have passed.
-        `otherwise`: the verdict where there is no such run."""
+        `limit` is the largest result of a run at full size that meets the target; None if any such run meets
+        it. `otherwise` is the verdict if there is no such run.
+        """
         runs = [run for run in self.slopes.runs if run.of == name]
-        full = [run.found for run in runs if run.whole]
+        full_size_results = [run.found for run in runs if run.whole]
         verdict = otherwise
-        if full:
-            verdict = MET if limit is None or max(full) <= limit else NOT_MET
+        if full_size_results:
+            verdict = MET if limit is None or max(full_size_results) <= limit else NOT_MET
         self.rows.append(
             {
                 "figure": name,
@@ -108,131 +120,135 @@
                 "the design at that size": design,
                 "by slope": by,
                 "mechanism": mechanism,
-                "run that shows it": "; ".join(map(shown, runs)) or run,
+                "run that shows it": "; ".join(map(format_run, runs)) or run,
                 "verdict": verdict,
             }
         )
 
 
-def shown(run):
-    size_of = "" if run.whole else ", not at full size"
-    how = ", simulated" if run.simulated else ""
-    return f"{run.what}: {format_number(run.found)} {run.unit}{size_of}{how} (`{run.source.command}`)"
+def format_run(run):
+    size_note = "" if run.whole else ", not at full size"
+    time_note = ", simulated" if run.simulated else ""
+    return f"{run.what}: {format_number(run.found)} {run.unit}{size_note}{time_note} (`{run.source.command}`)"
 
 
 def target_rows(targets, slopes):
-    """The rows of the table, in the letter's order."""
-    it = TargetTable(targets, slopes)
-    for part in (fleet, services, load, latency, regions, changes, budget, machines, losses):
-        part(it, targets)
-    return it.rows
+    """Returns the rows of the table, in the order of the operators' letter."""
+    table = TargetTable(targets, slopes)
+    for add in (fleet, services, load, latency, regions, changes, budget, machines, losses):
+        add(table, targets)
+    return table.rows
 
 
-def fleet(it, t):
-    it.row(
+def fleet(table, targets):
+    table.add_row(
         "gateways",
-        f"{t.gateways:,}",
+        f"{targets.gateways:,}",
         f"{MAX_FOLLOWERS:,} follow a ledger at most (a bound of its state); the leader spends "
-        f"{it.cost('leader told over HTTP', MAX_FOLLOWERS)} on a change told to as many",
-        f"{format_number(t.subscribers)} at each of {t.machines_left} machines: "
-        f"{it.cost('relay subscribers memory', t.subscribers)} there",
+        f"{table.format_slope('leader told over HTTP', MAX_FOLLOWERS)} on a change told to as many",
+        f"{format_number(targets.subscribers)} at each of {targets.machines_left} machines: "
+        f"{table.format_slope('relay subscribers memory', targets.subscribers)} there",
         "relay subscribers memory",
         "relays between members and gateways",
-        otherwise=NOT_TODAY if t.gateways > MAX_FOLLOWERS else NOT_KNOWN,
+        otherwise=NOT_TODAY if targets.gateways > MAX_FOLLOWERS else NOT_KNOWN,
     )
-    few = t.instances * t.share
-    it.row(
+    few = targets.instances * targets.share
+    table.add_row(
         "instances",
-        f"{t.instances:,}",
-        f"a gateway that knows all: {it.cost('gateway memory', t.instances)}; a change of one "
-        f"{it.cost('gateway change', t.instances)}, a start {it.cost('gateway start CPU', t.instances)} "
-        "of a core",
-        f"a gateway that knows {format_number(few)}: {it.cost('gateway memory', few)}; a change "
-        f"{it.cost('gateway change', few)}, a start {it.cost('gateway start CPU', few)}",
+        f"{targets.instances:,}",
+        f"a gateway that knows all: {table.format_slope('gateway memory', targets.instances)}; a change of "
+        f"one {table.format_slope('gateway change', targets.instances)}, a start "
+        f"{table.format_slope('gateway start CPU', targets.instances)} of a core",
+        f"a gateway that knows {format_number(few)}: {table.format_slope('gateway memory', few)}; a change "
+        f"{table.format_slope('gateway change', few)}, a start "
+        f"{table.format_slope('gateway start CPU', few)}",
         "gateway memory, change, start CPU",
         "scoped state; a list that costs what changes",
     )
 
 
-def services(it, t):
-    few = t.records * t.share
-    it.row(
+def services(table, targets):
+    few = targets.records * targets.share
+    table.add_row(
         "services",
-        f"{t.services:,}",
+        f"{targets.services:,}",
         "a gateway knows one list and no services",
-        f"{t.guesses.services_a_gateway} a gateway (a guess): {format_number(few)} records, "
-        f"{it.cost('subscriber memory', few)}; all: {format_number(t.records)}, "
-        f"{it.cost('subscriber memory', t.records)}",
+        f"{targets.guesses.services_a_gateway} a gateway (a guess): {format_number(few)} records, "
+        f"{table.format_slope('subscriber memory', few)}; all: {format_number(targets.records)}, "
+        f"{table.format_slope('subscriber memory', targets.records)}",
         "subscriber memory",
         "scopes that a gateway names",
         otherwise=NOT_TODAY,
     )
 
 
-def load(it, t):
-    cost = it.figure("gateway request", t.instances)
-    busy = NOT_MEASURED if cost is None else format_share(cost / 1e3 * t.requests)
-    few = it.figure("gateway request", t.instances * t.share)
-    it.row(
+def load(table, targets):
+    cost = table.slope_value("gateway request", targets.instances)
+    busy = NOT_MEASURED if cost is None else format_share(cost / 1e3 * targets.requests)
+    few = table.slope_value("gateway request", targets.instances * targets.share)
+    table.add_row(
         "requests a second",
-        f"{format_number(t.requests_a_second)}: {format_number(t.requests)} a gateway",
-        f"a request takes {it.cost('gateway request', t.instances)} of a core where all instances are known: "
-        f"{busy} of a core",
-        f"where its services' are: {NOT_MEASURED if few is None else format_share(few / 1e3 * t.requests)} "
-        f"of a core",
+        f"{format_number(targets.requests_a_second)}: {format_number(targets.requests)} a gateway",
+        f"a request takes {table.format_slope('gateway request', targets.instances)} of a core where all "
+        f"instances are known: {busy} of a core",
+        "where its services' are: "
+        f"{NOT_MEASURED if few is None else format_share(few / 1e3 * targets.requests)} of a core",
         "gateway request",
         "each gateway by itself, as today",
     )
-    few = t.routes * t.share
-    it.row(
+    few = targets.routes * targets.share
+    table.add_row(
         "routes",
-        f"{t.routes:,}",
-        f"loaded whole in {it.cost('rules load', t.routes)} of a core, {it.cost('rules memory', t.routes)}; "
-        f"a judgement {it.cost('rules judgement', t.routes)}",
-        f"{format_number(few)} of its services: loaded whole in {it.cost('rules load', few)}, "
-        f"{it.cost('rules memory', few)}",
+        f"{targets.routes:,}",
+        f"loaded whole in {table.format_slope('rules load', targets.routes)} of a core, "
+        f"{table.format_slope('rules memory', targets.routes)}; a judgement "
+        f"{table.format_slope('rules judgement', targets.routes)}",
+        f"{format_number(few)} of its services: loaded whole in {table.format_slope('rules load', few)}, "
+        f"{table.format_slope('rules memory', few)}",
         "rules load, memory",
         "scoped state; rules are loaded whole still",
     )
-    few = t.tenants * t.share
-    it.row(
+    few = targets.tenants * targets.share
+    table.add_row(
         "tenants",
-        f"{t.tenants:,}",
-        f"a gateway that heard of all: {it.cost('tenants memory', t.tenants)}, and each look at a request of "
-        f"one that alone waits {it.cost('tenants waiting request', t.tenants)} of a core; a part of the "
-        f"ledger holds {MAX_RECORDS_PER_PART:,}",
-        f"{format_number(few)} of its services: {it.cost('tenants memory', few)}, "
-        f"{it.cost('tenants waiting request', few)}",
+        f"{targets.tenants:,}",
+        f"a gateway that heard of all: {table.format_slope('tenants memory', targets.tenants)}, and each "
+        "look at a request of one that alone waits "
+        f"{table.format_slope('tenants waiting request', targets.tenants)} of a core; a part of the ledger "
+        f"holds {MAX_RECORDS_PER_PART:,}",
+        f"{format_number(few)} of its services: {table.format_slope('tenants memory', few)}, "
+        f"{table.format_slope('tenants waiting request', few)}",
         "tenants memory, waiting request",
         "scoped state; a part of the ledger that holds more",
-        otherwise=NOT_TODAY if t.tenants > MAX_RECORDS_PER_PART else NOT_KNOWN,
+        otherwise=NOT_TODAY if targets.tenants > MAX_RECORDS_PER_PART else NOT_KNOWN,
     )
 
 
-def latency(it, t):
-    """What a machine that is busy with other things adds by itself can't be told from a gateway's part: where
-    the bare relay alone takes longer than what is wanted, the run says nothing on 99 in 100."""
-    limit, found = t.added / 1e6, sorted(it.slopes.latencies, key=lambda one: one.rate)
-    told = "; ".join(
-        f"{format_number(one.gateway - one.relay)} ms at {format_number(one.rate)} a second "
-        f"({format_number(one.gateway)} beside "
-        f"{format_number(one.relay)} at a bare relay; in the median {format_number(one.gateway_median)} "
-        f"beside "
-        f"{format_number(one.relay_median)})"
-        for one in found
+def latency(table, targets):
+    """A latency that a busy machine adds can't be told from what a gateway adds.
+
+    If the bare relay alone takes longer than the target, the run therefore gives no verdict.
+    """
+    limit, latencies = targets.added / 1e6, sorted(table.slopes.latencies, key=lambda latency: latency.rate)
+    today = "; ".join(
+        f"{format_number(latency.gateway - latency.relay)} ms at {format_number(latency.rate)} a second ("
+        f"{format_number(latency.gateway)} beside {format_number(latency.relay)} at a bare relay; in the "
+        f"median {format_number(latency.gateway_median)} beside {format_number(latency.relay_median)})"
+        for latency in latencies
     )
-    verdict, run = NOT_KNOWN, NO_RUN
-    if found:
-        nearest = min(found, key=lambda one: abs(one.rate - t.requests))
+    verdict = NOT_KNOWN
+    run = NO_RUN
+    if latencies:
+        nearest = min(latencies, key=lambda latency: abs(latency.rate - targets.requests))
         run = f"`{nearest.source.command}`, beside a load of {format_number(nearest.source.beside)}"
         if nearest.relay > limit:
             run += ": the bare relay alone takes longer than what is wanted, so it shows nothing"
         else:
             verdict = MET if nearest.gateway - nearest.relay <= limit else NOT_MET
-    it.row(
+    table.add_row(
         "added to a request",
-        f"{format_number(limit)} ms for {format_share(t.added_share)}",
-        told or NOT_MEASURED,
+        f"{format_number(limit)} ms for {format_share(targets.added_share)}",
+        today or NOT_MEASURED,
         "as today: a gateway decides alone",
         "none: measured at a gateway's rate",
         "a choice that knows which connections have rested",
@@ -241,153 +257,160 @@
     )
 
 
-def regions(it, t):
-    it.row(
+def regions(table, targets):
+    table.add_row(
         "regions and zones",
-        f"{t.regions} and {t.zones}",
+        f"{targets.regions} and {targets.zones}",
         "not played at that size",
-        f"{format_number(t.zone_instances)} instances and {format_number(t.zone_gateways)} gateways a zone",
+        f"{format_number(targets.zone_instances)} instances and {format_number(targets.zone_gateways)} "
+        "gateways a zone",
         "division alone",
         "relays in each region; a gateway goes to another's when its own is gone",
     )
 
 
-def changes(it, t):
-    cost = it.figure("rules load", t.routes)
-    busy = NOT_MEASURED if cost is None else format_share(cost * t.configurations)
-    it.row(
+def changes(table, targets):
+    cost = table.slope_value("rules load", targets.routes)
+    busy = NOT_MEASURED if cost is None else format_share(cost * targets.configurations)
+    table.add_row(
         "changes of configuration",
-        f"{format_number(t.changes_a_day)} a day, each in force everywhere within "
-        f"{format_number(t.in_force / NS_PER_SECOND)} s",
-        f"a file and SIGHUP a gateway; nothing tells where it is in force; all routes loaded for each: "
-        f"{busy} of a "
-        "core",
-        f"told in {it.takes(1)} of a gateway's bytes; rules of its services loaded in "
-        f"{it.cost('rules load', t.routes * t.share)}",
+        f"{format_number(targets.changes_a_day)} a day, each in force everywhere within "
+        f"{format_number(targets.in_force / NS_PER_SECOND)} s",
+        "a file and SIGHUP a gateway; nothing tells where it is in force; all routes loaded for each: "
+        f"{busy} of a core",
+        f"told in {table.transfer_time(1)} of a gateway's bytes; rules of its services loaded in "
+        f"{table.format_slope('rules load', targets.routes * targets.share)}",
         "subscriber changes bytes, rules load",
         "incremental, paced, acknowledged",
-        limit=t.in_force / NS_PER_SECOND,
+        limit=targets.in_force / NS_PER_SECOND,
         otherwise=NOT_TODAY,
     )
 
 
-def budget(it, t):
-    for of in (services_label(t.share), services_label(1.0)):
-        processor_time(it, t, of)
-        memory(it, t, of)
-        bytes_in(it, t, of)
-    control_machines(it, t)
+def budget(table, targets):
+    for of in (services_label(targets.share), services_label(1.0)):
+        processor_time(table, targets, of)
+        memory(table, targets, of)
+        bytes_in(table, targets, of)
+    control_machines(table, targets)
 
 
-PARTS = "sum of list, rules, tenants, subscription"
-SEE = "see all services"
+CONTROL_PARTS = "sum of list, rules, tenants, subscription"
+SEE_ALL_SERVICES = "see all services"
 
 
-def processor_time(it, t, of):
-    worth, most = it.sum(of, CPU), t.control.core
-    today = f"rules loaded whole for each change: {it.cost('rules load', t.routes)} each"
-    it.row(
+def processor_time(table, targets, of):
+    cost, limit = table.control_cost(of, CPU), targets.control.core
+    today = f"rules loaded whole for each change: {table.format_slope('rules load', targets.routes)} each"
+    table.add_row(
         f"control's processor time, {of}",
-        f"{format_share(most)} of a core a gateway",
-        today if of == services_label(1.0) else SEE,
-        f"{format_cost(CPU, worth)} of a core in calm",
-        PARTS,
+        f"{format_share(limit)} of a core a gateway",
+        today if of == services_label(1.0) else SEE_ALL_SERVICES,
+        f"{format_cost(CPU, cost)} of a core in calm",
+        CONTROL_PARTS,
         "scoped, incremental",
-        limit=100 * most,
-        otherwise=NOT_MET if worth is not None and worth.figure > most else NOT_KNOWN,
+        limit=100 * limit,
+        otherwise=NOT_MET if cost is not None and cost.figure > limit else NOT_KNOWN,
     )
 
 
-def memory(it, t, of):
-    found, most = it.memory(of), t.control.memory_mb
+def memory(table, targets, of):
+    megabytes, limit = table.control_memory(of), targets.control.memory_mb
     today = (
-        f"list {it.cost('gateway memory', t.instances)} with the gateway at rest, rules "
-        f"{it.cost('rules memory', t.routes)}, tenants {it.cost('tenants memory', t.tenants)}"
+        f"list {table.format_slope('gateway memory', targets.instances)} with the gateway at rest, rules "
+        f"{table.format_slope('rules memory', targets.routes)}, tenants "
+        f"{table.format_slope('tenants memory', targets.tenants)}"
     )
-    it.row(
+    table.add_row(
         f"control's memory, {of}",
-        f"{format_number(most)} MB a gateway",
-        today if of == services_label(1.0) else SEE,
-        NOT_MEASURED if found is None else f"{format_number(found)} MB above a gateway at rest",
-        PARTS,
+        f"{format_number(limit)} MB a gateway",
+        today if of == services_label(1.0) else SEE_ALL_SERVICES,
+        NOT_MEASURED if megabytes is None else f"{format_number(megabytes)} MB above a gateway at rest",
+        CONTROL_PARTS,
         "scoped",
-        limit=most,
-        otherwise=NOT_MET if found is not None and found > most else NOT_KNOWN,
+        limit=limit,
+        otherwise=NOT_MET if megabytes is not None and megabytes > limit else NOT_KNOWN,
     )
 
 
-def bytes_in(it, t, of):
-    calm, start, most = it.sum(of, BYTES), it.sum(of, BYTES, RESTART), t.control.bytes_a_second
-    takes = NOT_MEASURED if start is None else format_seconds(start.figure / most)
-    today = f"a whole list has {it.cost('discovery list', t.instances)}"
-    it.row(
+def bytes_in(table, targets, of):
+    calm, start, limit = (
+        table.control_cost(of, BYTES),
+        table.control_cost(of, BYTES, RESTART),
+        targets.control.bytes_a_second,
+    )
+    duration = NOT_MEASURED if start is None else format_seconds(start.figure / limit)
+    today = f"a whole list has {table.format_slope('discovery list', targets.instances)}"
+    table.add_row(
         f"control's bytes, {of}",
-        f"{format_bytes(most)}/s a gateway",
-        today if of == services_label(1.0) else SEE,
-        f"{format_cost(BYTES, calm)} in calm; what a start asks for takes {takes} at that rate",
+        f"{format_bytes(limit)}/s a gateway",
+        today if of == services_label(1.0) else SEE_ALL_SERVICES,
+        f"{format_cost(BYTES, calm)} in calm; what a start asks for takes {duration} at that rate",
         "subscriber changes bytes, relay snapshot",
         "scoped, paced",
-        limit=most,
-        otherwise=NOT_MET if calm is not None and calm.figure > most else NOT_KNOWN,
+        limit=limit,
+        otherwise=NOT_MET if calm is not None and calm.figure > limit else NOT_KNOWN,
     )
 
 
-def control_machines(it, t):
-    it.row(
+def control_machines(table, targets):
+    table.add_row(
         "control machines",
-        f"{t.control.machines}, of which {t.guesses.lost_machines} may be lost (a guess)",
-        f"a leader that tells all gateways itself: {it.cost('leader told over HTTP', t.gateways)} of a "
-        f"core a change",
-        f"a relay holds {it.cost('relay memory', t.records)} and tells a change to those that route to its "
-        f"service "
-        f"in {it.cost('relay change', t.subscribers * t.share)}, without HTTP",
+        f"{targets.control.machines}, of which {targets.guesses.lost_machines} may be lost (a guess)",
+        "a leader that tells all gateways itself: "
+        f"{table.format_slope('leader told over HTTP', targets.gateways)} of a core a change",
+        f"a relay holds {table.format_slope('relay memory', targets.records)} and tells a change to those "
+        "that route to its service in "
+        f"{table.format_slope('relay change', targets.subscribers * targets.share)}, without HTTP",
         "relay memory, relay change",
         "members hold the log, relays tell it",
     )
 
 
-def machines(it, t):
-    it.row(
+def machines(table, targets):
+    table.add_row(
         "failures and restarts",
-        f"{format_number(t.failures_a_day)} and {format_number(t.restarts_a_day)} a day",
-        f"{format_number(t.instance_changes)} changes a second, each "
-        f"{it.cost('gateway change', t.instances)} at "
-        f"a gateway "
-        "that knows all",
-        f"{format_number(t.instance_changes * t.share)} a second reach a gateway",
+        f"{format_number(targets.failures_a_day)} and {format_number(targets.restarts_a_day)} a day",
+        f"{format_number(targets.instance_changes)} changes a second, each "
+        f"{table.format_slope('gateway change', targets.instances)} at a gateway that knows all",
+        f"{format_number(targets.instance_changes * targets.share)} a second reach a gateway",
         "gateway change",
         "scoped; later news take the place of earlier",
     )
 
 
-def losses(it, t):
-    each = it.figure("gateway change", t.instances)
-    for name, count, wanted_of, guess in (
-        ("a rack", t.guesses.rack_instances, f"{format_number(t.racks_a_week)} a week", " (a guess)"),
-        ("a zone", t.zone_instances, f"{format_number(t.zones_a_month)} a month", ""),
+def losses(table, targets):
+    each = table.slope_value("gateway change", targets.instances)
+    for name, count, wanted, guess in (
+        (
+            "a rack",
+            targets.guesses.rack_instances,
+            f"{format_number(targets.racks_a_week)} a week",
+            " (a guess)",
+        ),
+        ("a zone", targets.zone_instances, f"{format_number(targets.zones_a_month)} a month", ""),
     ):
-        it.row(
+        table.add_row(
             name,
-            wanted_of,
+            wanted,
             f"{format_number(count)} changes{guess}: "
-            f"{NOT_MEASURED if each is None else format_seconds(count * each / 1e3)} of a "
-            f"core at a "
+            f"{NOT_MEASURED if each is None else format_seconds(count * each / 1e3)} of a core at a "
             "gateway that knows all",
-            f"{format_number(count * t.share)} reach a gateway in the mean, in {it.takes(count * t.share)} "
-            f"at its "
-            f"bytes; "
-            f"one that routes to all services: {it.takes(count)}",
+            f"{format_number(count * targets.share)} reach a gateway in the mean, in "
+            f"{table.transfer_time(count * targets.share)} at its bytes; one that routes to all services: "
+            f"{table.transfer_time(count)}",
             "gateway change, subscriber changes bytes",
             "drains and removals go first, within the budget",
         )
-    cut = t.guesses.cut / NS_PER_SECOND
-    missed = (t.instance_changes + t.configurations) * cut
-    it.row(
+    cut = targets.guesses.cut / NS_PER_SECOND
+    missed = (targets.instance_changes + targets.configurations) * cut
+    table.add_row(
         "a region cut off",
-        f"for minutes ({format_number(t.guesses.cuts_a_year)} a year of {format_number(cut)} s are guesses)",
+        f"for minutes ({format_number(targets.guesses.cuts_a_year)} a year of {format_number(cut)} s are "
+        "guesses)",
         "serves on from what it has and is told all that it missed (`docs/cluster.md`)",
-        f"{format_number(missed)} changes missed, {format_number(missed * t.share)} of a gateway's services: "
-        f"{it.takes(missed * t.share)} at its bytes",
+        f"{format_number(missed)} changes missed, {format_number(missed * targets.share)} of a gateway's "
+        f"services: {table.transfer_time(missed * targets.share)} at its bytes",
         "subscriber changes bytes",
         "versions of each scope: it resumes from the one that it has",
     )
--- a/lemonlead/planning/targets.py
+++ b/lemonlead/planning/targets.py
@@ -1,16 +1,19 @@
-"""What operators want of a fleet to come, as it is written, and what follows from it by division alone."""
+"""Reads what operators want of a planned fleet, and derives simple rates and shares from it."""
 
 from dataclasses import dataclass
 
 from .. import settings
 
 NS_PER_SECOND = 1_000_000_000
-DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """What a gateway may spend on control, and the machines set aside for it."""
+    """What control may cost a gateway, and the number of control machines.
+
+    `core` is a share of a core.
+    """
 
     core: float
     memory_mb: float
@@ -20,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guesses:
-    """What the operators do not say. `cut`: in nanoseconds."""
+    """Estimates of what the operators do not state. `cut`, the length of a network cut, is in nanoseconds."""
 
     services_a_gateway: int
     rack_instances: int
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Times in nanoseconds."""
+    """The operators' figures; `added` and `in_force` are times in nanoseconds."""
 
     gateways: int
     instances: int
@@ -56,24 +59,24 @@
 
     @property
     def requests(self):
-        """A second, of one gateway."""
+        """Requests a second at one gateway."""
         return self.requests_a_second / self.gateways
 
     @property
     def instance_changes(self):
-        """A second, of all the list's entries."""
-        return (self.failures_a_day + self.restarts_a_day) * self.guesses.changes_a_restart / DAY
+        """Changes a second of entries of the instance list."""
+        return (self.failures_a_day + self.restarts_a_day) * self.guesses.changes_a_restart / SECONDS_PER_DAY
 
     @property
     def configurations(self):
-        """A second."""
-        return self.changes_a_day / DAY
+        """Changes of configuration a second."""
+        return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def gateway_starts(self):
-        """A second, of all gateways, where they restart as any machine does."""
+        """Starts a second of all gateways, if they restart as often as any machine."""
         share = self.gateways / (self.gateways + self.instances)
-        return (self.failures_a_day + self.restarts_a_day) * share / DAY
+        return (self.failures_a_day + self.restarts_a_day) * share / SECONDS_PER_DAY
 
     @property
     def zone_instances(self):
@@ -85,12 +88,12 @@
 
     @property
     def share(self):
-        """Of all services, that a gateway routes to."""
+        """The share of all services that a gateway routes to."""
         return self.guesses.services_a_gateway / self.services
 
     @property
     def records(self):
-        """All that a gateway may need to know: instances, routes, tenants."""
+        """The number of instances, routes and tenants, all that a gateway may need to know."""
         return self.instances + self.routes + self.tenants
 
     @property
@@ -99,32 +102,32 @@
 
     @property
     def subscribers(self):
-        """Of one control machine, while some are lost."""
+        """Gateways that subscribe at one control machine, while some machines are lost."""
         return self.gateways / self.machines_left
 
 
 def read(path):
-    """Targets from a file; settings.InvalidFile with all its faults."""
+    """Reads targets from a file; raises settings.InvalidFile with all faults of the file."""
     file = settings.read(path, settings.schema_text("targets"), "schema:targets")
-    told, faults = file.value, []
+    values, faults = file.value, []
 
     def fault(where, found, allowed):
         faults.append(settings.Fault(file.place(where), where, str(found), allowed))
 
-    if told["zones"] < told["regions"]:
-        fault("zones", told["zones"], f"{told['regions']} regions at least")
-    if told["guesses"]["services_a_gateway"] > told["services"]:
-        fault("guesses.services_a_gateway", told["guesses"]["services_a_gateway"], "at most all services")
-    if told["guesses"]["rack_instances"] > told["instances"]:
-        fault("guesses.rack_instances", told["guesses"]["rack_instances"], "at most all instances")
-    if told["guesses"]["lost_machines"] >= told["control"]["machines"]:
-        fault("guesses.lost_machines", told["guesses"]["lost_machines"], "less than control.machines")
+    if values["zones"] < values["regions"]:
+        fault("zones", values["zones"], f"{values['regions']} regions at least")
+    if values["guesses"]["services_a_gateway"] > values["services"]:
+        fault("guesses.services_a_gateway", values["guesses"]["services_a_gateway"], "at most all services")
+    if values["guesses"]["rack_instances"] > values["instances"]:
+        fault("guesses.rack_instances", values["guesses"]["rack_instances"], "at most all instances")
+    if values["guesses"]["lost_machines"] >= values["control"]["machines"]:
+        fault("guesses.lost_machines", values["guesses"]["lost_machines"], "less than control.machines")
     if faults:
         raise settings.InvalidFile(faults)
     return Targets(
         **{
-            **told,
-            "control": Control(**told["control"]),
-            "guesses": Guesses(**told["guesses"]),
+            **values,
+            "control": Control(**values["control"]),
+            "guesses": Guesses(**values["guesses"]),
         }
     )
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -109,7 +109,7 @@
     assert CostRow("list", "", CPU, "change", 3).cost(told) == Cost(pytest.approx(0.016))
     assert CostRow("list", "", CPU, "change", 9).cost(told) == Cost(pytest.approx(0.028), False, True)
     assert CostRow("list", "", CPU, "change", 0.5).cost(told).outside
-    assert CostRow("list", "", CPU, "load", each=True).cost(told) == Cost(pytest.approx(3.0))
+    assert CostRow("list", "", CPU, "load", per_unit=True).cost(told) == Cost(pytest.approx(3.0))
     assert CostRow("list", "", CPU, "none", 4).cost(told) is None
 
 
@@ -125,7 +125,7 @@
 
 def test_a_zone_lost_leaves_its_requests_to_the_others(small):
     row = next(row for row in sizing.rows(small) if row.slope == "gateway request")
-    assert row.times[CALM] == 50 and row.times[ZONE] == pytest.approx(50 * 4 / 3)
+    assert row.counts[CALM] == 50 and row.counts[ZONE] == pytest.approx(50 * 4 / 3)
 
 
 def test_a_relay_sends_each_subscriber_its_scopes_when_all_start(small):
@@ -139,7 +139,7 @@
 
 
 def test_messages_are_counted_by_who_gets_a_change(small):
-    told = {(row.role, row.what): row.times for row in sizing.rows(small) if row.kind == sizing.MESSAGES}
+    told = {(row.role, row.what): row.counts for row in sizing.rows(small) if row.kind == sizing.MESSAGES}
     front = told["front", "requests and answers, in, one attempt each"]
     assert front[CALM] == 100 and front[ZONE] == pytest.approx(100 * 4 / 3)
     subscribed = told["distribution", "changes, in, a line each at most (its services)"]
@@ -176,8 +176,8 @@
     others = [line(name, 1, 0.01, unit="MB") for name in names]
     it = target_table.TargetTable(small, measured(of_list, *others))
     # all: 400 instances; 100 routes, 1,000 tenants, 1,500 records
-    assert it.memory("all services") == pytest.approx(400 * 0.1 + 3 + 26)
-    assert it.memory("its services") == pytest.approx(100 * 0.1 + 3 + 26 / 4)
+    assert it.control_memory("all services") == pytest.approx(400 * 0.1 + 3 + 26)
+    assert it.control_memory("its services") == pytest.approx(100 * 0.1 + 3 + 26 / 4)
 
 
 def verdict(told, name, small):
