--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet to come: slopes fitted and read, what follows from them at the operators' size, the page."""
+"""The planned fleet: fitting and reading slopes, costs at the operators' size, the capacity page."""
 
 import json
 from pathlib import Path
@@ -47,8 +47,8 @@
     return targets.read(tmp_path / "small.cue")
 
 
-def line(name, fixed, slope, unit="ms", sizes=(1, 2, 4), held_out=8, role="list"):
-    """A slope whose points lie on that line."""
+def slope_on_line(name, fixed, slope, unit="ms", sizes=(1, 2, 4), held_out=8, role="list"):
+    """Returns a slope whose points lie on this line."""
     points = [(size, fixed + slope * size) for size in (*sizes, held_out)]
     made = [slopes.Point(*point) for point in points]
     return slopes.Slope(
@@ -63,29 +63,29 @@
     )
 
 
-def measured(*several, **more):
+def slopes_file(*several, **more):
     return slopes.Slopes(several, **more)
 
 
 # ---- the fit
 
 
-def test_a_fit_has_the_least_sum_of_squares_of_relative_errors():
-    """By hand: weights 1, 1/4, 1/36; means 57/46 and 60/46; slope 920 by 609.5."""
+def test_fit_minimises_squares_of_relative_errors():
+    """Calculated by hand: weights 1, 1/4, 1/36; means 57/46 and 60/46; slope 920 / 609.5."""
     fixed, slope, error = slopes.fit([(1, 1), (2, 2), (3, 6)])
     assert (fixed, slope, error) == pytest.approx((-30 / 53, 80 / 53, 18 / 53))
 
 
-def test_the_last_point_is_kept_out_of_the_fit_and_tests_it():
-    told = slopes.fit_and_check([(1, 3), (2, 5), (4, 9), (10, 20)])
-    assert told == pytest.approx({"fixed": 1, "slope": 2, "error": 0, "held_out_error": 0.05})
+def test_last_point_is_held_out_of_the_fit():
+    fit = slopes.fit_and_check([(1, 3), (2, 5), (4, 9), (10, 20)])
+    assert fit == pytest.approx({"fixed": 1, "slope": 2, "error": 0, "held_out_error": 0.05})
     assert slopes.fit_and_check([(1, 3), (2, 5), (4, 9), (10, 42)])["held_out_error"] == pytest.approx(-0.5)
 
 
-# ---- what follows
+# ---- rates and costs
 
 
-def test_what_follows_from_the_targets_by_division(small):
+def test_rates_and_shares_that_targets_imply(small):
     assert small.requests == 50
     assert small.instance_changes == 0.01  # 216 machines with 4 changes each, by 86,400
     assert small.configurations == 0.01
@@ -94,7 +94,7 @@
     assert (small.records, small.machines_left, small.subscribers) == (1500, 2, 5)
 
 
-def test_how_often_a_gateway_hears_of_changes(small):
+def test_number_of_changes_that_reach_a_gateway(small):
     lists, configurations = sizing.change_counts(small, small.share)
     assert lists == {CALM: 0.0025, RACK: 2, ZONE: 25, CUT: 0.25}
     assert configurations == {CALM: 0.0025, CUT: 0.25, CHANGE: 1.0}
@@ -102,65 +102,69 @@
     assert (lists[ZONE], configurations[CUT], configurations[CHANGE]) == (100, 1.0, 1.0)
 
 
-def test_a_cost_is_what_was_measured_at_that_size_else_worked_out():
-    told = measured(line("change", 10, 2), line("load", 1, 3, unit="s"))
-    assert CostRow("list", "", CPU, "change", 4).cost(told) == Cost(pytest.approx(0.018), True)
-    assert CostRow("list", "", CPU, "change", 8).cost(told) == Cost(pytest.approx(0.026), True)
-    assert CostRow("list", "", CPU, "change", 3).cost(told) == Cost(pytest.approx(0.016))
-    assert CostRow("list", "", CPU, "change", 9).cost(told) == Cost(pytest.approx(0.028), False, True)
-    assert CostRow("list", "", CPU, "change", 0.5).cost(told).outside
-    assert CostRow("list", "", CPU, "load", per_unit=True).cost(told) == Cost(pytest.approx(3.0))
-    assert CostRow("list", "", CPU, "none", 4).cost(told) is None
+def test_cost_is_measured_figure_if_there_is_one_else_from_the_line():
+    measured = slopes_file(slope_on_line("change", 10, 2), slope_on_line("load", 1, 3, unit="s"))
+    assert CostRow("list", "", CPU, "change", 4).cost(measured) == Cost(pytest.approx(0.018), True)
+    assert CostRow("list", "", CPU, "change", 8).cost(measured) == Cost(pytest.approx(0.026), True)
+    assert CostRow("list", "", CPU, "change", 3).cost(measured) == Cost(pytest.approx(0.016))
+    assert CostRow("list", "", CPU, "change", 9).cost(measured) == Cost(pytest.approx(0.028), False, True)
+    assert CostRow("list", "", CPU, "change", 0.5).cost(measured).outside
+    assert CostRow("list", "", CPU, "load", per_unit=True).cost(measured) == Cost(pytest.approx(3.0))
+    assert CostRow("list", "", CPU, "none", 4).cost(measured) is None
 
 
-def test_a_row_is_paid_as_often_as_its_condition_says():
-    told = measured(line("change", 10, 2), line("memory", 10, 2, unit="MB"))
+def test_cost_is_multiplied_by_the_count_of_the_condition():
+    measured = slopes_file(slope_on_line("change", 10, 2), slope_on_line("memory", 10, 2, unit="MB"))
     row = CostRow("list", "", CPU, "change", 4, {CALM: 5.0, ZONE: 100.0})
-    assert row.at(told, CALM).figure == pytest.approx(0.09)  # 9 % of a core
-    assert row.at(told, ZONE).figure == pytest.approx(1.8)
-    assert row.at(told, RESTART).figure == 0
+    assert row.at(measured, CALM).figure == pytest.approx(0.09)  # 9 % of a core
+    assert row.at(measured, ZONE).figure == pytest.approx(1.8)
+    assert row.at(measured, RESTART).figure == 0
     kept = CostRow("list", "", MEMORY, "memory", 4)
-    assert kept.at(told, CALM) == kept.at(told, RESTART) == Cost(18, True)
+    assert kept.at(measured, CALM) == kept.at(measured, RESTART) == Cost(18, True)
 
 
-def test_a_zone_lost_leaves_its_requests_to_the_others(small):
+def test_requests_of_a_lost_zone_move_to_the_other_zones(small):
     row = next(row for row in sizing.rows(small) if row.slope == "gateway request")
     assert row.counts[CALM] == 50 and row.counts[ZONE] == pytest.approx(50 * 4 / 3)
 
 
-def test_a_relay_sends_each_subscriber_its_scopes_when_all_start(small):
-    told = measured(
-        line("relay snapshot", 100, 10, unit="bytes", role="relay", sizes=(100, 200, 1000), held_out=2000)
+def test_relay_sends_snapshots_to_all_subscribers_after_a_restart(small):
+    measured = slopes_file(
+        slope_on_line(
+            "relay snapshot", 100, 10, unit="bytes", role="relay", sizes=(100, 200, 1000), held_out=2000
+        )
     )
     its, every = [row for row in sizing.rows(small) if row.slope == "relay snapshot" and row.role == "relay"]
-    assert its.at(told, RESTART).figure == pytest.approx(5 * (100 + 10 * 375))  # 5 subscribers, 375 records
-    assert every.at(told, RESTART).figure == pytest.approx(5 * (100 + 10 * 1500))
-    assert its.at(told, CHANGE).figure == 0
+    assert its.at(measured, RESTART).figure == pytest.approx(
+        5 * (100 + 10 * 375)
+    )  # 5 subscribers, 375 records
+    assert every.at(measured, RESTART).figure == pytest.approx(5 * (100 + 10 * 1500))
+    assert its.at(measured, CHANGE).figure == 0
 
 
-def test_messages_are_counted_by_who_gets_a_change(small):
-    told = {(row.role, row.what): row.counts for row in sizing.rows(small) if row.kind == sizing.MESSAGES}
-    front = told["front", "requests and answers, in, one attempt each"]
+def test_messages_are_counted_per_receiver_of_a_change(small):
+    counts = {(row.role, row.what): row.counts for row in sizing.rows(small) if row.kind == sizing.MESSAGES}
+    front = counts["front", "requests and answers, in, one attempt each"]
     assert front[CALM] == 100 and front[ZONE] == pytest.approx(100 * 4 / 3)
-    subscribed = told["distribution", "changes, in, a line each at most (its services)"]
+    subscribed = counts["distribution", "changes, in, a line each at most (its services)"]
     assert (subscribed[CALM], subscribed[ZONE], subscribed[CHANGE]) == (0.005, 25, 1)
-    today = told["leader", "changes told to all gateways, out; calls for more, in (today)"]
+    today = counts["leader", "changes told to all gateways, out; calls for more, in (today)"]
     assert (today[CALM], today[ZONE], today[CHANGE]) == (pytest.approx(0.2), 1000, 10)
-    relay = told["relay", "lines out, acknowledgements in, one a change at most (its services)"]
+    relay = counts["relay", "lines out, acknowledgements in, one a change at most (its services)"]
     assert (relay[ZONE], relay[CHANGE]) == (125, 1.25)  # 5 subscribers there, a quarter of them in a scope
 
 
-def test_a_sum_of_which_a_part_is_not_measured_is_not_known(small):
+def test_total_is_unknown_if_a_part_was_not_measured(small):
     rows = [row for row in sizing.control_rows(small, "all services") if row.kind == CPU]
     names = {row.slope for row in rows}
-    told = [line(name, 10, 2) for name in sorted(names)]
-    assert sizing.total_cost(measured(*told), rows, CALM).figure > 0
-    for left_out in range(len(told)):
-        assert sizing.total_cost(measured(*told[:left_out], *told[left_out + 1 :]), rows, CALM) is None
+    lines = [slope_on_line(name, 10, 2) for name in sorted(names)]
+    assert sizing.total_cost(slopes_file(*lines), rows, CALM).figure > 0
+    for left_out in range(len(lines)):
+        assert sizing.total_cost(slopes_file(*lines[:left_out], *lines[left_out + 1 :]), rows, CALM) is None
 
 
-def test_control_counts_nothing_twice(small):
-    """The memory of the whole gateway once, and neither requests nor what a request is judged by."""
+def test_control_rows_count_each_cost_once(small):
+    """The gateway's memory counts once; requests and the judging of requests do not count."""
     for of in ("its services", "all services"):
         rows = sizing.control_rows(small, of)
         assert {row.role for row in rows} == {"list", "rules", "distribution"}
@@ -170,58 +174,58 @@
         assert not set(apart) & set(names)
 
 
-def test_memory_for_control_is_what_is_above_a_gateway_at_rest(small):
-    of_list = line("gateway memory", 10, 0.1, unit="MB")
+def test_control_memory_excludes_a_gateway_at_rest(small):
+    of_list = slope_on_line("gateway memory", 10, 0.1, unit="MB")
     names = "rules memory", "tenants memory", "subscriber memory"
-    others = [line(name, 1, 0.01, unit="MB") for name in names]
-    it = target_table.TargetTable(small, measured(of_list, *others))
+    others = [slope_on_line(name, 1, 0.01, unit="MB") for name in names]
+    table = target_table.TargetTable(small, slopes_file(of_list, *others))
     # all: 400 instances; 100 routes, 1,000 tenants, 1,500 records
-    assert it.control_memory("all services") == pytest.approx(400 * 0.1 + 3 + 26)
-    assert it.control_memory("its services") == pytest.approx(100 * 0.1 + 3 + 26 / 4)
+    assert table.control_memory("all services") == pytest.approx(400 * 0.1 + 3 + 26)
+    assert table.control_memory("its services") == pytest.approx(100 * 0.1 + 3 + 26 / 4)
 
 
-def verdict(told, name, small):
-    return next(row for row in target_table.target_rows(small, told) if row["figure"] == name)["verdict"]
+def verdict(measured, name, small):
+    return next(row for row in target_table.target_rows(small, measured) if row["figure"] == name)["verdict"]
 
 
 def run(found, whole=True, of="changes of configuration"):
     return slopes.Run(of, "the last gateway", found, "s", whole, False, SOURCE)
 
 
-def test_met_needs_a_run_at_full_size(small):
+def test_verdict_met_needs_a_run_at_full_size(small):
     name, part = "changes of configuration", run(3.0, whole=False)
-    assert verdict(measured(), name, small) == "**not met** today; design not known"
-    assert verdict(measured(runs=(part,)), name, small) == "**not met** today; design not known"
-    assert verdict(measured(runs=(run(20.0),)), name, small) == "met"
-    assert verdict(measured(runs=(run(3.0), run(20.1))), name, small) == "**not met**"
-    assert verdict(measured(runs=(run(3.0, of="a zone"),)), "a zone", small) == "met"
-    assert verdict(measured(), "a zone", small) == "not known"
+    assert verdict(slopes_file(), name, small) == "**not met** today; design not known"
+    assert verdict(slopes_file(runs=(part,)), name, small) == "**not met** today; design not known"
+    assert verdict(slopes_file(runs=(run(20.0),)), name, small) == "met"
+    assert verdict(slopes_file(runs=(run(3.0), run(20.1))), name, small) == "**not met**"
+    assert verdict(slopes_file(runs=(run(3.0, of="a zone"),)), "a zone", small) == "met"
+    assert verdict(slopes_file(), "a zone", small) == "not known"
 
 
-def test_a_figure_that_breaks_what_is_wanted_is_not_met_without_a_run(small):
+def test_figure_past_the_target_is_not_met_without_a_run(small):
     names = "gateway memory", "rules memory", "tenants memory", "subscriber memory"
-    told = measured(*(line(name, 1, 0.02, unit="MB") for name in names))
+    measured = slopes_file(*(slope_on_line(name, 1, 0.02, unit="MB") for name in names))
     # 3 + 0.02 x (400 + 100 + 1,000 + 1,500) = 63 MB, a quarter of it for its services, where 30 are wanted
-    assert verdict(told, "control's memory, all services", small) == "**not met**"
-    assert verdict(told, "control's memory, its services", small) == "not known"
+    assert verdict(measured, "control's memory, all services", small) == "**not met**"
+    assert verdict(measured, "control's memory, its services", small) == "not known"
 
 
-def test_what_is_added_to_a_request_is_judged_at_a_gateways_rate(small):
+def test_added_latency_is_judged_at_the_rate_of_a_gateway(small):
     def at(rate, gateway, relay=1.0):
         return slopes.Latency(rate, gateway, relay, 0.8, 0.5, 1000, SOURCE)
 
     name, slow = "added to a request", (at(60, 3.1), at(250, 2.0))
-    assert verdict(measured(), name, small) == "not known"
-    assert verdict(measured(latencies=(at(50, 3.0), at(250, 9.0))), name, small) == "met"
-    assert verdict(measured(latencies=slow), name, small) == "**not met**"
-    busy = at(50, 3.0, relay=2.1), at(250, 9.0)  # the relay alone takes longer than what is wanted
-    assert verdict(measured(latencies=busy), name, small) == "not known"
+    assert verdict(slopes_file(), name, small) == "not known"
+    assert verdict(slopes_file(latencies=(at(50, 3.0), at(250, 9.0))), name, small) == "met"
+    assert verdict(slopes_file(latencies=slow), name, small) == "**not met**"
+    busy = at(50, 3.0, relay=2.1), at(250, 9.0)  # the relay alone takes longer than the target
+    assert verdict(slopes_file(latencies=busy), name, small) == "not known"
 
 
-# ---- words
+# ---- formats
 
 
-def test_figures_as_words():
+def test_number_formats():
     assert [format_number(one) for one in (0, 0.0000012, 0.012345, 10.789, 999.6, 1234.5, 247_900, -0.5)] == [
         "0",
         "0.0000012",
@@ -237,8 +241,8 @@
     assert format_share(0.044) == "4.4 %"
 
 
-def test_what_is_not_measured_is_never_a_number(small):
-    empty = measured()
+def test_unmeasured_cost_is_never_a_number(small):
+    empty = slopes_file()
     for row in page.size_rows(small, empty):
         if row["of"] == sizing.MESSAGES:
             continue  # these follow from the targets alone
@@ -248,7 +252,7 @@
     assert text.rstrip().endswith("## The stampede in small\n\nnot measured")
 
 
-def test_each_cost_that_a_role_has_is_one_that_the_benchmark_measures(small):
+def test_benchmark_measures_every_slope_that_rows_use(small):
     named = {slope.name: slope.role for part in PARTS.values() for slope in part.slopes}
     assert {row.slope for row in sizing.rows(small)} <= {*named, sizing.NO_SLOPE}
     assert set(named.values()) <= set(sizing.ROLES)
@@ -257,20 +261,20 @@
 # ---- files
 
 
-def told_slopes():
-    return msgspec.to_builtins(measured(line("one", 10, 2), line("two", 1, 3)))
+def example_slopes():
+    return msgspec.to_builtins(slopes_file(slope_on_line("one", 10, 2), slope_on_line("two", 1, 3)))
 
 
-def ran(*words):
-    return CliRunner().invoke(main, ["capacity", "fleet", *map(str, words)])
+def run_command(*arguments):
+    return CliRunner().invoke(main, ["capacity", "fleet", *map(str, arguments)])
 
 
 def put(value, *path):
-    def change(told):
+    def change(measured):
         *inside, last = path
         for step in inside:
-            told = told[step]
-        told[last] = value
+            measured = measured[step]
+        measured[last] = value
 
     return change
 
@@ -296,15 +300,22 @@
     ],
 )
 @pytest.mark.parametrize("as_json", [False, True])
-def test_slopes_that_cannot_be_used_are_told_and_nothing_is_written(tmp_path, change, path, found, as_json):
-    told = told_slopes()
-    change(told)
-    (tmp_path / "slopes.json").write_text(json.dumps(told))
+def test_invalid_slopes_are_reported_and_no_page_is_written(tmp_path, change, path, found, as_json):
+    measured = example_slopes()
+    change(measured)
+    (tmp_path / "slopes.json").write_text(json.dumps(measured))
     (tmp_path / "page.md").write_text("as it was")
-    words = FILE, "--slopes", tmp_path / "slopes.json", "--page", tmp_path / "page.md", *["--json"] * as_json
-    done = ran(*words)
-    assert done.exit_code == 2, done.output
-    (only,) = done.output.splitlines()
+    arguments = (
+        FILE,
+        "--slopes",
+        tmp_path / "slopes.json",
+        "--page",
+        tmp_path / "page.md",
+        *["--json"] * as_json,
+    )
+    result = run_command(*arguments)
+    assert result.exit_code == 2, result.output
+    (only,) = result.output.splitlines()
     if as_json:
         (fault,) = json.loads(only)["faults"]
         assert (fault["file"], fault["path"]) == (str(tmp_path / "slopes.json"), path)
@@ -316,11 +327,11 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"\xff", b"[]", b"null", b'{"slopes": [NaN]}'])
-def test_what_is_no_file_of_slopes_is_told(tmp_path, data):
+def test_unreadable_slopes_file_is_reported(tmp_path, data):
     (tmp_path / "slopes.json").write_bytes(data)
-    done = ran(FILE, "--slopes", tmp_path / "slopes.json", "--page", tmp_path / "page.md")
-    assert done.exit_code == 2 and done.output.startswith(f"{tmp_path / 'slopes.json'}: ")
-    assert "found " in done.output and "expected " in done.output
+    result = run_command(FILE, "--slopes", tmp_path / "slopes.json", "--page", tmp_path / "page.md")
+    assert result.exit_code == 2 and result.output.startswith(f"{tmp_path / 'slopes.json'}: ")
+    assert "found " in result.output and "expected " in result.output
     assert not (tmp_path / "page.md").exists()
 
 
@@ -342,48 +353,48 @@
         ("added: 2ms", "added: 2", "added", ""),
     ],
 )
-def test_targets_that_cannot_be_used_are_told_with_their_place(tmp_path, old, new, path, allowed):
+def test_invalid_targets_are_reported_with_their_place(tmp_path, old, new, path, allowed):
     (tmp_path / "small.cue").write_text(SMALL.replace(old, new, 1))
-    done = ran(tmp_path / "small.cue", "--slopes", MEASURED, "--page", tmp_path / "page.md")
-    assert done.exit_code == 2, done.output
-    (only,) = done.output.splitlines()
+    result = run_command(tmp_path / "small.cue", "--slopes", MEASURED, "--page", tmp_path / "page.md")
+    assert result.exit_code == 2, result.output
+    (only,) = result.output.splitlines()
     assert only.startswith(f"{tmp_path / 'small.cue'}:") and f" {path}: found " in only and allowed in only
     assert not (tmp_path / "page.md").exists()
 
 
-def test_a_file_that_there_is_not_is_told(tmp_path):
-    done = ran(FILE, "--slopes", tmp_path / "none.json", "--page", tmp_path / "page.md")
-    assert done.exit_code == 2 and "none.json" in done.output
-    done = ran(FILE, "--slopes", MEASURED, "--page", tmp_path / "none" / "page.md")
-    assert done.exit_code == 2 and "none" in done.output and "found" in done.output
+def test_missing_file_or_folder_is_reported(tmp_path):
+    result = run_command(FILE, "--slopes", tmp_path / "none.json", "--page", tmp_path / "page.md")
+    assert result.exit_code == 2 and "none.json" in result.output
+    result = run_command(FILE, "--slopes", MEASURED, "--page", tmp_path / "none" / "page.md")
+    assert result.exit_code == 2 and "none" in result.output and "found" in result.output
 
 
 # ---- the page
 
 
-def test_the_page_is_the_one_that_the_command_makes(tmp_path):
-    done = ran(FILE, "--slopes", MEASURED, "--page", tmp_path / "page.md")
-    assert done.exit_code == 0, done.output
+def test_command_writes_the_committed_page(tmp_path):
+    result = run_command(FILE, "--slopes", MEASURED, "--page", tmp_path / "page.md")
+    assert result.exit_code == 0, result.output
     assert (tmp_path / "page.md").read_bytes() == (ROOT / "docs/CAPACITY.md").read_bytes()
 
 
-def test_the_command_tells_machines_the_tables(tmp_path):
-    done = ran(FILE, "--slopes", MEASURED, "--page", tmp_path / "page.md", "--json")
-    told = json.loads(done.output)
-    assert {row["figure"] for row in told["wanted"]} >= {"gateways", "tenants", "a zone"}
-    assert len(told["roles"]) == len(sizing.rows(targets.read(FILE))) + 1  # the platform's
+def test_command_prints_the_tables_as_json(tmp_path):
+    result = run_command(FILE, "--slopes", MEASURED, "--page", tmp_path / "page.md", "--json")
+    tables = json.loads(result.output)
+    assert {row["figure"] for row in tables["wanted"]} >= {"gateways", "tenants", "a zone"}
+    assert len(tables["roles"]) == len(sizing.rows(targets.read(FILE))) + 1  # the row of the platform
     assert (tmp_path / "page.md").read_bytes() == (ROOT / "docs/CAPACITY.md").read_bytes()
 
 
-def test_the_operators_figures_are_those_of_their_letter():
-    told = targets.read(FILE)
-    assert (told.gateways, told.instances, told.services) == (2800, 23_000, 1100)
-    assert (told.requests_a_second, told.routes, told.tenants) == (230_000, 4900, 220_000)
-    assert (told.added, told.added_share, told.regions, told.zones) == (1_600_000, 0.99, 6, 16)
-    assert (told.changes_a_day, told.in_force) == (4600, 20_000_000_000)
-    assert told.control == targets.Control(0.044, 32, 8000, 6)
-    assert (told.failures_a_day, told.restarts_a_day) == (41, 2600)
-    assert (told.racks_a_week, told.zones_a_month) == (1, 0.5)
+def test_targets_are_those_of_the_operators_letter():
+    read = targets.read(FILE)
+    assert (read.gateways, read.instances, read.services) == (2800, 23_000, 1100)
+    assert (read.requests_a_second, read.routes, read.tenants) == (230_000, 4900, 220_000)
+    assert (read.added, read.added_share, read.regions, read.zones) == (1_600_000, 0.99, 6, 16)
+    assert (read.changes_a_day, read.in_force) == (4600, 20_000_000_000)
+    assert read.control == targets.Control(0.044, 32, 8000, 6)
+    assert (read.failures_a_day, read.restarts_a_day) == (41, 2600)
+    assert (read.racks_a_week, read.zones_a_month) == (1, 0.5)
 
 
 # ---- what the benchmark writes
@@ -398,10 +409,10 @@
     return lambda *sizes: written.measured("some", Part("things", sizes, None, names), [])
 
 
-def test_the_last_size_is_held_out_and_what_is_not_above_nothing_is_left_out(benchmark):
+def test_last_size_is_held_out_and_figures_not_above_0_are_left_out(benchmark):
     made, left_out = benchmark(1, 2, 4, 10)
     assert list(made) == ["up"]
-    assert left_out == {"flat": [(2, 0)], "late": [(1, 0)]}  # with three points each no slope is made
+    assert left_out == {"flat": [(2, 0)], "late": [(1, 0)]}  # three points are too few for a slope
     assert made["up"].held_out == slopes.Point(10, 21) and len(made["up"].points) == 3
     assert (made["up"].fixed, made["up"].slope) == pytest.approx((1, 2))
     made, left_out = benchmark(1, 2, 3, 4, 10)
@@ -425,21 +436,25 @@
 
 
 @pytest.mark.parametrize("name", INSIDE)
-def test_a_run_of_a_part_gives_all_its_figures(name):
-    """Those parts that start no program."""
+def test_run_of_a_part_gives_all_its_figures(name):
+    """For the parts that start no program."""
     found = PARTS[name].run(20)
     assert set(found) == {slope.name for slope in PARTS[name].slopes}
     assert all(figure >= 0 for figure in found.values()), found
 
 
-def test_what_is_written_can_be_read_and_is_in_the_order_of_the_parts(tmp_path):
-    told = measured(line("relay apply", 1, 2), line("other", 1, 2), line("gateway memory", 1, 2))
-    written.written(tmp_path / "new" / "slopes.json", told)
+def test_written_slopes_can_be_read_and_are_in_the_order_of_the_parts(tmp_path):
+    measured = slopes_file(
+        slope_on_line("relay apply", 1, 2),
+        slope_on_line("other", 1, 2),
+        slope_on_line("gateway memory", 1, 2),
+    )
+    written.written(tmp_path / "new" / "slopes.json", measured)
     again = slopes.read((tmp_path / "new" / "slopes.json").read_bytes())
     assert [slope.name for slope in again.slopes] == ["gateway memory", "relay apply"]  # no part has "other"
 
 
-def test_of_several_runs_of_the_list_the_least_disturbed_counts(tmp_path):
+def test_lowest_of_several_runs_of_the_list_counts(tmp_path):
     for n in range(2):
         points = [{"x": size, "y": size + 5 * (n == size % 2)} for size in (1, 2, 4, 8)]
         figures = [{"name": name, "points": points} for name in written.LISTED.values()]
@@ -449,20 +464,20 @@
     assert all(found[size]["gateway change"] == size for size in sizes)
 
 
-def test_bytes_of_a_row_in_calm_are_those_of_a_second():
-    told = measured(line("sent", 10, 2, unit="bytes"))
+def test_bytes_in_calm_conditions_are_per_second():
+    measured = slopes_file(slope_on_line("sent", 10, 2, unit="bytes"))
     row = CostRow("list", "", BYTES, "sent", 4, {CALM: 0.5, RACK: 10})
-    assert target_table.format_cost(BYTES, row.at(told, CALM)) == "9 B/s m"
-    assert target_table.format_cost(BYTES, row.at(told, RACK), False) == "180 B m"
+    assert target_table.format_cost(BYTES, row.at(measured, CALM)) == "9 B/s m"
+    assert target_table.format_cost(BYTES, row.at(measured, RACK), False) == "180 B m"
 
 
-def test_a_line_that_falls_is_written_so():
-    assert page.formula(line("falls", 50, -2)) == "50 - 2 x things"
-    assert page.formula(line("rises", -0.5, 2)) == "-0.5 + 2 x things"
+def test_formula_shows_the_sign_of_the_slope():
+    assert page.formula(slope_on_line("falls", 50, -2)) == "50 - 2 x things"
+    assert page.formula(slope_on_line("rises", -0.5, 2)) == "-0.5 + 2 x things"
 
 
-def test_a_line_that_is_below_nothing_gives_no_figure():
-    told = measured(line("cost", -5, 10))
+def test_line_below_0_gives_no_figure():
+    measured = slopes_file(slope_on_line("cost", -5, 10))
     row = CostRow("list", "", CPU, "cost", 0.4, {CALM: 1.0})
-    assert target_table.format_cost(CPU, row.at(told, CALM)) == target_table.BELOW_ZERO
-    assert sizing.total_cost(told, [row], CALM) is None
+    assert target_table.format_cost(CPU, row.at(measured, CALM)) == target_table.BELOW_ZERO
+    assert sizing.total_cost(measured, [row], CALM) is None
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""The capacity planner: closed forms, the world played with the balancers, and the answers to questions."""
+"""The capacity planner: closed forms, the simulated fleet, the answers to questions, and the commands."""
 
 import json
 import math
@@ -34,7 +34,7 @@
     return read
 
 
-def unfit(read, text):
+def faults_of(read, text):
     with pytest.raises(settings.InvalidFile) as raised:
         read(text)
     return [(fault.path, fault.found) for fault in raised.value.faults]
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "servers, offered, wanted",
+    "servers, offered, expected",
     [
         (1, 0.5, 0.5),
         (1, 0.9, 0.9),
@@ -55,44 +55,44 @@
         (5, 0.0, 0.0),
     ],
 )
-def test_erlang_c_has_its_known_values(servers, offered, wanted):
-    assert queues.erlang_c(servers, offered) == pytest.approx(wanted, abs=1e-6)
+def test_erlang_c_has_known_values(servers, offered, expected):
+    assert queues.erlang_c(servers, offered) == pytest.approx(expected, abs=1e-6)
 
 
 @pytest.mark.parametrize("cv, factor", [(0.0, 0.5), (1.0, 1.0), (2.0, 2.5)])
 @pytest.mark.parametrize("rho", [0.3, 0.7, 0.95])
-def test_one_server_waits_as_pollaczek_and_khinchine_say(rho, cv, factor):
+def test_mean_wait_at_one_server_is_that_of_pollaczek_and_khinchine(rho, cv, factor):
     share, mean = queues.waiting_time(1, rho, 1.0, cv)
     assert share * mean == pytest.approx(factor * rho / (1 - rho))
 
 
-def test_service_falls_with_load_and_grows_with_time_allowed():
+def test_share_within_limit_falls_with_load_and_grows_with_limit():
     found = [queues.share_within(1.0, 4, rate, 0.5, 1.0) for rate in (1, 3, 5, 7, 7.9, 8, 20)]
     assert found == sorted(found, reverse=True) and found[-1] == 0.0
     found = [queues.share_within(limit, 4, 6, 0.5, 1.0) for limit in (0.1, 0.5, 1, 2, 10, 100)]
     assert found == sorted(found) and found[-1] > 0.999
 
 
-def test_quantiles_of_work_keep_its_mean():
+def test_work_quantiles_have_the_mean_of_the_work():
     for cv in (0.0, 0.5, 1.0):
         assert sum(queues.work_quantiles(2.0, cv)) / queues.QUANTILE_COUNT == pytest.approx(2.0, rel=0.05)
 
 
-class Sink:
-    """A gateway's place that only notes how long each attempt took."""
+class WaitRecorder:
+    """Stands in for a gateway and records how long each attempt waited."""
 
     site = "here"
 
-    def __init__(self, day):
-        self.day, self.waits = day, []
+    def __init__(self, simulation):
+        self.simulation, self.waits = simulation, []
 
     def attempt_ended(self, attempt, end):
-        self.waits.append(self.day.now - attempt.sent_at - attempt.request.work)
+        self.waits.append(self.simulation.now - attempt.sent_at - attempt.request.work)
 
 
-def test_a_machine_in_the_world_waits_as_the_closed_form_says(read):
-    """M/M/4 at four fifths: the share that waits, and for how long on average."""
-    day = world.World(
+def test_simulated_machine_waits_as_in_the_closed_form(read):
+    """M/M/4 at 80 % utilisation: the share of requests that wait, and their mean wait."""
+    simulation = world.World(
         read("""
 kinds: {only: {cores: 4, slots: 100000}}
 lanes: {look: {work: 100ms, goal: 1s, stop: 30s}}
@@ -100,22 +100,29 @@
 delay: within: 0s
 """)
     )
-    sink, rng, moment = Sink(day), random.Random(6), 0
+    recorder, rng, time_ns = WaitRecorder(simulation), random.Random(6), 0
     for number in range(20_000):
-        moment += round(rng.expovariate(32.0) * world.NS_PER_SECOND)
-        asked = at.Request(number, None, 0, 0, moment, 0, round(rng.expovariate(10.0) * world.NS_PER_SECOND))
-        day.schedule(
-            moment, day.attempt_arrives, sink, at.Attempt(asked, 0, None, moment), day.machines[0], 0
+        time_ns += round(rng.expovariate(32.0) * world.NS_PER_SECOND)
+        request = at.Request(
+            number, None, 0, 0, time_ns, 0, round(rng.expovariate(10.0) * world.NS_PER_SECOND)
         )
-    day.play(moment // world.NS_PER_SECOND + 1)
-    waits = [wait / world.NS_PER_SECOND for wait in sink.waits]
+        simulation.schedule(
+            time_ns,
+            simulation.attempt_arrives,
+            recorder,
+            at.Attempt(request, 0, None, time_ns),
+            simulation.machines[0],
+            0,
+        )
+    simulation.play(time_ns // world.NS_PER_SECOND + 1)
+    waits = [wait / world.NS_PER_SECOND for wait in recorder.waits]
     share, mean = queues.waiting_time(4, 32.0, 0.1, 1.0)
     assert len(waits) == 20_000
     assert sum(wait > 1e-6 for wait in waits) / len(waits) == pytest.approx(share, abs=0.04)
     assert sum(waits) / len(waits) == pytest.approx(share * mean, rel=0.15)
 
 
-# ---- the fleet as it is written
+# ---- reading a fleet
 
 
 @pytest.mark.parametrize(
@@ -130,16 +137,16 @@
         ("work: 180ms", "work: 180", "lanes.look.work"),
     ],
 )
-def test_a_fleet_that_is_none_is_refused_with_the_field(read, old, new, path):
+def test_invalid_fleet_is_refused_with_the_path_of_the_field(read, old, new, path):
     text = FLEET.replace(old, new)
     if path is None:
         text = text.replace("fast: 2, slow: 2", "fast: 9999, slow: 9999")
-        assert "instances" in unfit(read, text)[0][1]
+        assert "instances" in faults_of(read, text)[0][1]
     else:
-        assert path in [path for path, _ in unfit(read, text)]
+        assert path in [path for path, _ in faults_of(read, text)]
 
 
-def test_a_lost_sites_clients_are_served_at_the_others(read):
+def test_load_of_a_lost_site_moves_to_the_others(read):
     left = read().without_sites(["one"])
     assert list(left.sites) == ["two"] and left.request_rate("look") == read().request_rate("look")
     assert not read().without_sites(["one", "two"]).sites
@@ -148,7 +155,7 @@
 # ---- answers
 
 
-def test_growth_breaks_the_goal_before_the_cores_and_evidence_is_given(read):
+def test_growth_breaks_the_service_goal_before_the_cores(read):
     rows = answers.breaking_points(read())
     assert [row["growth"] for row in rows] == sorted(row["growth"] for row in rows)
     found = {row["what"]: row["growth"] for row in rows}
@@ -157,7 +164,7 @@
     assert 0.85 * capacity < found["cores of instances"] <= capacity  # retries take some of it
 
 
-def test_no_stricter_goal_is_met_with_fewer_instances(read):
+def test_stricter_goal_needs_no_fewer_instances(read):
     rng, given = random.Random(4), read()
     for _ in range(6):
         goals = sorted(rng.uniform(0.5, 0.99) for _ in range(3))
@@ -173,14 +180,14 @@
     )
 
 
-def test_a_goal_that_no_size_meets_is_said_to_be_one_and_why(read):
+def test_goal_that_no_size_meets_is_reported_with_the_reason(read):
     found, why = answers.smallest_size(read(FLEET.replace("goal: 1200ms", "goal: 50ms")))
     assert found is None and "request class look" in why
     assert answers.smallest_size(read(), 2) == (None, "no site is left")
 
 
-def test_clients_who_ask_again_keep_a_fleet_down_and_the_planner_says_so(read):
-    """Many retries of what timed out: calm it stays calm, flooded it stays flooded."""
+def test_retries_keep_a_flooded_fleet_overloaded(read):
+    """With many retries after timeouts the load has two fixed points: a calm one and a flooded one."""
     text = (
         FLEET.replace("look: 20.0, hold: 20.0", "look: 26.0, hold: 26.0")
         + "clients: {retries: 6, patience: 0.25}\n"
@@ -189,26 +196,26 @@
     assert flooded.service < calm.service - 0.5 and flooded.requests_per_second > 2 * calm.requests_per_second
 
 
-def test_the_same_seed_gives_the_same_day_and_another_one_another(read):
-    days = [
+def test_same_seed_gives_same_run_and_another_seed_another(read):
+    runs = [
         [(second.requests, second.answered_revenue) for second in world.World(read(), seed).play(10)]
         for seed in (1, 1, 2)
     ]
-    assert days[0] == days[1] != days[2]
+    assert runs[0] == runs[1] != runs[2]
 
 
-def test_every_request_of_a_day_has_one_ending(read):
-    day = world.World(read().with_load_factor(2.5), 5)
-    day.lose_site("two", 4 * world.NS_PER_SECOND, 8 * world.NS_PER_SECOND, silent=True)
-    seconds = day.play(15)
-    assert all(not gateway.open_requests for gateway in day.gateways)
+def test_every_simulated_request_ends(read):
+    simulation = world.World(read().with_load_factor(2.5), 5)
+    simulation.lose_site("two", 4 * world.NS_PER_SECOND, 8 * world.NS_PER_SECOND, silent=True)
+    seconds = simulation.play(15)
+    assert all(not gateway.open_requests for gateway in simulation.gateways)
     assert sum(second.rejected + second.failed for second in seconds) < sum(
         second.requests for second in seconds
     )
     assert 0 < world.service_share(seconds) < 1
 
 
-def test_losing_a_site_near_the_edge_costs_service_until_it_is_warm_again(read):
+def test_loss_of_a_site_costs_service_until_it_is_warm_again(read):
     rows, _ = answers.play_site_loss(read().with_load_factor(1.3), "one", length=60, out=15)
     found = {row["part"]: row["service"] for row in rows}
     assert (
@@ -217,26 +224,26 @@
 
 
 @pytest.mark.parametrize("factor, ending", [(1.0, "released"), (3.0, "back")])
-def test_a_good_build_is_released_and_one_that_needs_thrice_the_work_goes_back(read, factor, ending):
+def test_good_build_is_released_and_costly_build_is_rolled_back(read, factor, ending):
     rows, _ = answers.play_release(read(), factor)
     assert rows[-1]["part"].endswith(ending)
 
 
-def test_a_machine_turns_away_what_is_past_its_slots_and_one_that_vanished_says_nothing(read):
+def test_machine_rejects_requests_past_its_slots(read):
     text = FLEET.replace("{cores: 3}", "{cores: 3, slots: 3}").replace(
         "cores: 3, speed", "cores: 3, slots: 3, speed"
     )
-    day = world.World(read(text).with_load_factor(3.0), 2)
-    seconds = day.play(10)
+    simulation = world.World(read(text).with_load_factor(3.0), 2)
+    seconds = simulation.play(10)
     assert sum(second.rejected for second in seconds) > 0
 
 
-def test_ten_thousand_instances_are_reckoned_in_time(read):
+def test_steady_state_of_ten_thousand_instances(read):
     text = FLEET.replace("fast: 3, slow: 1", "fast: 6000, slow: 1000").replace(
         "fast: 2, slow: 2", "fast: 2000, slow: 1000"
     )
-    told = steady.solve(read(text), pooled=True)
-    assert told.service == pytest.approx(1.0, abs=0.01) and not math.isnan(told.used["cores of instances"])
+    state = steady.solve(read(text), pooled=True)
+    assert state.service == pytest.approx(1.0, abs=0.01) and not math.isnan(state.used["cores of instances"])
 
 
 # ---- many gateways
@@ -257,31 +264,31 @@
 """
 
 
-def test_sixty_gateways_serve_on_while_a_seventh_of_the_machines_says_nothing(read):
-    day = world.World(read(CROWD), 3)
-    day.pause_machines(
+def test_sixty_gateways_keep_serving_while_a_seventh_of_machines_hang(read):
+    simulation = world.World(read(CROWD), 3)
+    simulation.pause_machines(
         random.Random(3).sample(range(60), 9), 2 * world.NS_PER_SECOND, 8 * world.NS_PER_SECOND
     )
-    assert world.service_share(day.play(9)[2:8]) > 0.94
+    assert world.service_share(simulation.play(9)[2:8]) > 0.94
 
 
-def test_overload_of_sixty_gateways_turns_away_the_least_worth_and_serves_the_rest_in_time(read):
-    day = world.World(read(CROWD).with_load_factor(2.6), 3)
-    seconds = day.play(9)
+def test_sixty_overloaded_gateways_keep_most_of_the_revenue(read):
+    simulation = world.World(read(CROWD).with_load_factor(2.6), 3)
+    seconds = simulation.play(9)
     assert world.service_share(seconds[4:]) > 0.58
-    assert all(not gateway.open_requests for gateway in day.gateways)
+    assert all(not gateway.open_requests for gateway in simulation.gateways)
 
 
 # ---- the command
 
 
 @pytest.mark.serial
-def test_the_commands_answer_for_people_and_machines(tmp_path):
+def test_commands_print_text_and_json(tmp_path):
     path = str(tmp_path / "fleet.cue")
     (tmp_path / "fleet.cue").write_text(FLEET)
 
-    def run(*words):
-        return CliRunner().invoke(main, ["capacity", *words])
+    def run(*arguments):
+        return CliRunner().invoke(main, ["capacity", *arguments])
 
     assert json.loads(run("breaks", path, "--json").output)["breaks"][0]["growth"] > 0
     assert "first:" in run("breaks", path).output
@@ -290,9 +297,9 @@
         0
     ] == "before"
     assert run("lose", path, "none").exit_code == 2
-    told = json.loads(run("predict", path, "--seeds", "2", "--json").output)
-    assert len(told["played"]) == 2 and 0 < told["mean"] <= 1
+    prediction = json.loads(run("predict", path, "--seeds", "2", "--json").output)
+    assert len(prediction["played"]) == 2 and 0 < prediction["mean"] <= 1
     (tmp_path / "bad.cue").write_text("kinds: 5")
     assert run("breaks", str(tmp_path / "bad.cue")).exit_code == 2
-    done = run("report", path, str(tmp_path / "page.html"))
-    assert done.exit_code == 0 and (tmp_path / "page.html").read_text().count("<svg") == 3
+    result = run("report", path, str(tmp_path / "page.html"))
+    assert result.exit_code == 0 and (tmp_path / "page.html").read_text().count("<svg") == 3
