--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -18,7 +18,7 @@
 from ..standins import fleet as running
 from ..standins.clients import Client
 from ..standins.discovery import entry
-from ..standins.instances import Machine
+from ..standins.instances import WorkerInstance
 from .fleet import NS_PER_SECOND
 from .world import SecondCounts, service_share
 
@@ -61,7 +61,7 @@
 
 def make_machine(kind, seed):
     """Returns a stand-in that takes the work that a request states, divided by the kind's speed."""
-    machine = Machine(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
+    machine = WorkerInstance(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
     machine.needs_of = lambda fields: float(fields.get("h", 0)) / 1e6 / kind.speed
     return machine
 
