--- a/benchmarks/added_latency.py
+++ b/benchmarks/added_latency.py
@@ -1,11 +1,14 @@
-"""What a gateway adds to a request: clients over a gateway to stand-in instances, beside the same clients and
-the same arrivals over a bare relay to the same instances. `python -m benchmarks.added_latency [--rates 20 82
-250 800] [--json FILE]`; some three minutes as it stands.
+"""Measures the latency that a gateway adds to requests.
 
-Open loop: arrivals are drawn from a seed before they are played, and a request's latency counts from the
-moment that it was due, so that what one waits for another counts. Each rate is played in short rounds, by
-turns over both ways, so that what the machine does besides falls on both alike. The figures come from an HDR
-histogram; instances and relay are processes of their own."""
+`python -m benchmarks.added_latency [--rates 20 82 250 800] [--json FILE]` takes about three minutes with
+the default options. Clients send requests through a gateway to stand-in instances, and the same arrivals
+through a bare relay to the same instances.
+
+The load is an open loop: arrivals are drawn from a seed beforehand, and a request's latency counts from the
+time at which it was due, so that queueing behind other requests counts. Each rate is played in short rounds
+that alternate between gateway and relay, so that other load on the machine affects both alike. The
+percentiles come from an HDR histogram; the instances and the relay run in their own processes.
+"""
 
 import argparse
 import contextlib
@@ -27,34 +30,35 @@
 from lemonlead.standins.instances import InstanceServer
 
 PERCENTILES = (50, 90, 99)
-MOST_US, DIGITS = 60_000_000, 3  # the histogram's range and its significant digits
-MOST_CLIENTS = 256
-RESTED = 1.0  # seconds after which a client connects anew: gateways end connections that rest for long
+MAX_LATENCY_US = 60_000_000  # the end of the histograms' range
+SIGNIFICANT_DIGITS = 3  # of the histograms
+MAX_CLIENTS = 256
+MAX_IDLE_SECONDS = 1.0  # then a client reconnects, because gateways close connections that are idle for long
 
 
 def instances(count, pipe):
-    """Stand-in instances that answer at once, until the pipe ends."""
+    """Runs stand-in instances that answer at once, until the pipe is closed."""
     servers = [InstanceServer().start() for _ in range(count)]
     pipe.send([server.address for server in servers])
-    ended(pipe)
+    wait_until_closed(pipe)
 
 
 def relay(addresses, pipe):
-    """Passes the bytes of each client's connection on over one of its own, to the instances by turns."""
+    """Relays each client connection over its own connection to an instance, in round-robin order."""
     listener = socket.create_server(("127.0.0.1", 0))
     pipe.send(listener.getsockname()[1])
     threading.Thread(target=accept, args=(listener, deque(addresses)), daemon=True).start()
-    ended(pipe)
+    wait_until_closed(pipe)
 
 
 def accept(listener, addresses):
     while True:
         client, _ = listener.accept()
-        threading.Thread(target=pass_on, args=(client, addresses[0]), daemon=True).start()
+        threading.Thread(target=relay_connection, args=(client, addresses[0]), daemon=True).start()
         addresses.rotate(-1)
 
 
-def pass_on(client, address):
+def relay_connection(client, address):
     host, _, port = address.rpartition(":")
     with client, socket.create_connection((host, int(port))) as instance, contextlib.suppress(OSError):
         for sock in (client, instance):
@@ -66,152 +70,156 @@
             client.sendall(data)
 
 
-def ended(pipe):
+def wait_until_closed(pipe):
     with contextlib.suppress(EOFError):
         pipe.recv()
 
 
 @contextlib.contextmanager
-def process(target, given):
-    """What the function sends first, run in a process of its own that ends with the block."""
+def child_process(target, arguments):
+    """Runs a function in a child process that ends with the block; yields what it sends first."""
     spawn = multiprocessing.get_context("spawn")
-    ours, theirs = spawn.Pipe()
-    ran = spawn.Process(target=target, args=(given, theirs), daemon=True)
-    ran.start()
-    theirs.close()
+    parent_end, child_end = spawn.Pipe()
+    child = spawn.Process(target=target, args=(arguments, child_end), daemon=True)
+    child.start()
+    child_end.close()
     try:
-        yield ours.recv()
+        yield parent_end.recv()
     finally:
-        ours.close()
-        ran.join(5)
-        if ran.is_alive():
-            ran.kill()
+        parent_end.close()
+        child.join(5)
+        if child.is_alive():
+            child.kill()
 
 
 def arrivals(rate, seconds, seed):
-    """Seconds from the start at which requests are due: a Poisson process."""
-    chance, moment = random.Random(seed), 0.0
-    while (moment := moment + chance.expovariate(rate)) < seconds:
-        yield moment
+    """Yields the times, in seconds from the start, at which requests of a Poisson process are due."""
+    rng, due = random.Random(seed), 0.0
+    while (due := due + rng.expovariate(rate)) < seconds:
+        yield due
 
 
 class Load:
-    """Plays arrivals at a port on `clients` connections, each a thread, and on more once all are taken up."""
+    """Sends requests to a port over `clients` connections, each with a thread, and more when all are busy."""
 
     def __init__(self, port, clients):
         self.port, self.clients = port, clients
         self.lock = threading.Lock()
 
     def play(self, due, histogram, counts):
-        """Records each request's microseconds from when it was due, and counts what became of them."""
+        """Sends requests at their due times; records their latency (us) from then and counts the outcomes."""
         self.due, self.histogram, self.counts = iter(due), histogram, counts
-        self.threads, self.free = [], 0
-        self.begun = time.perf_counter() + 0.2
+        self.threads, self.idle_threads = [], 0
+        self.started_at = time.perf_counter() + 0.2
         with self.lock:
             for _ in range(self.clients):
-                self.add()
-        for thread in self.threads:  # it grows meanwhile
+                self.add_client()
+        for thread in self.threads:  # threads are added meanwhile
             thread.join()
         counts["most clients"] = max(counts["most clients"], len(self.threads))
 
-    def add(self):
-        self.free += 1
-        self.threads.append(threading.Thread(target=self.run, daemon=True))
+    def add_client(self):
+        self.idle_threads += 1
+        self.threads.append(threading.Thread(target=self.run_client, daemon=True))
         self.threads[-1].start()
 
-    def run(self):
-        client, used = Client(self.port), time.perf_counter()
+    def run_client(self):
+        client, last_used_at = Client(self.port), time.perf_counter()
         while True:
             with self.lock:
                 if (due := next(self.due, None)) is None:
                     break
-            due += self.begun
-            if due - used > RESTED:
-                time.sleep(max(due - RESTED / 2 - time.perf_counter(), 0.0))
+            due += self.started_at
+            if due - last_used_at > MAX_IDLE_SECONDS:
+                time.sleep(max(due - MAX_IDLE_SECONDS / 2 - time.perf_counter(), 0.0))
                 client.sock.close()
                 client = Client(self.port)
             time.sleep(max(due - time.perf_counter(), 0.0))
             with self.lock:
-                self.free -= 1
-                if not self.free and len(self.threads) < MOST_CLIENTS:
-                    self.add()
+                self.idle_threads -= 1
+                if not self.idle_threads and len(self.threads) < MAX_CLIENTS:
+                    self.add_client()
             try:
-                answer = client.ask().read()
+                response = client.ask().read()
             except OSError:
-                answer = None
-            used = time.perf_counter()
+                response = None
+            last_used_at = time.perf_counter()
             with self.lock:
-                self.free += 1
-                self.histogram.record_value(max(round((used - due) * 1e6), 1))
+                self.idle_threads += 1
+                self.histogram.record_value(max(round((last_used_at - due) * 1e6), 1))
                 self.counts["asked"] += 1
-                self.counts["answered"] += type(answer) in (bytes, list)  # a relay passes on the instance's
-            if answer is None:
+                self.counts["answered"] += type(response) in (bytes, list)  # a relay passes on the instance's
+            if response is None:
                 client.sock.close()
                 client = Client(self.port)
         client.sock.close()
 
 
 def figures(histogram):
-    return {f"p{part}_ms": histogram.get_value_at_percentile(part) / 1e3 for part in PERCENTILES}
+    return {
+        f"p{percentile}_ms": histogram.get_value_at_percentile(percentile) / 1e3 for percentile in PERCENTILES
+    }
 
 
-def measured(rate, loads, counters, asked):
-    """The figures of one rate: of each way, and what the gateway adds and how many times it takes."""
-    histograms = {way: HdrHistogram(1, MOST_US, DIGITS) for way in loads}
-    counts = {way: Counter() for way in loads}
+def measure_rate(rate, loads, counters, options):
+    """Returns the percentiles through gateway and relay at one rate, and their differences and ratios."""
+    histograms = {path: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for path in loads}
+    counts = {path: Counter() for path in loads}
     for load in loads.values():
-        due = arrivals(rate, asked.warm_up, f"{asked.seed} warm-up")
-        load.play(due, HdrHistogram(1, MOST_US, DIGITS), Counter())
+        due = arrivals(rate, options.warm_up, f"{options.seed} warm-up")
+        load.play(due, HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS), Counter())
     before = counters()
-    for number in range(asked.rounds):
-        seconds = asked.seconds / asked.rounds
-        for way, load in loads.items():
-            load.play(arrivals(rate, seconds, f"{asked.seed} {number}"), histograms[way], counts[way])
+    for number in range(options.rounds):
+        seconds = options.seconds / options.rounds
+        for path, load in loads.items():
+            load.play(arrivals(rate, seconds, f"{options.seed} {number}"), histograms[path], counts[path])
     after = counters()
-    told = {way: {**counts[way], **figures(histograms[way])} for way in loads}
-    gateway, bare = told["gateway"], told["relay"]
+    results = {path: {**counts[path], **figures(histograms[path])} for path in loads}
+    gateway, bare = results["gateway"], results["relay"]
     for name in ("connections_made", "connections_rested"):
         gateway[f"{name}_a_request"] = round((after.get(name, 0) - before.get(name, 0)) / gateway["asked"], 4)
-    parts = [f"p{part}_ms" for part in PERCENTILES]
+    keys = [f"p{percentile}_ms" for percentile in PERCENTILES]
     return {
         "rate": rate,
-        **told,
-        "added": {part: round(gateway[part] - bare[part], 3) for part in parts},
-        "by_relay": {part: round(gateway[part] / bare[part], 2) for part in parts},
+        **results,
+        "added": {key: round(gateway[key] - bare[key], 3) for key in keys},
+        "by_relay": {key: round(gateway[key] / bare[key], 2) for key in keys},
     }
 
 
-def play(asked):
+def play(options):
     with (
-        process(instances, asked.instances) as addresses,
-        process(relay, addresses) as port,
+        child_process(instances, options.instances) as addresses,
+        child_process(relay, addresses) as port,
         tempfile.TemporaryDirectory() as folder,
     ):
         servers = [SimpleNamespace(address=address, close=lambda: None) for address in addresses]
-        with fleet.gateway(Path(folder), *servers) as ran:
-            loads = {"gateway": Load(ran.port, asked.clients), "relay": Load(port, asked.clients)}
-            for rate in asked.rates:
-                yield measured(rate, loads, ran.counters, asked)
+        with fleet.gateway(Path(folder), *servers) as gateway:
+            loads = {"gateway": Load(gateway.port, options.clients), "relay": Load(port, options.clients)}
+            for rate in options.rates:
+                yield measure_rate(rate, loads, gateway.counters, options)
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--rates", type=float, nargs="+", default=[20, 82, 250, 800], help="requests a second")
-    words.add_argument("--instances", type=int, default=20)
-    words.add_argument("--clients", type=int, default=8, help="connections to begin with")
-    words.add_argument("--seconds", type=float, default=20, help="of each rate and way")
-    words.add_argument("--warm-up", type=float, default=2, help="seconds of each rate that are not counted")
-    words.add_argument("--rounds", type=int, default=10, help="turns over which the seconds are spread")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--json", type=Path, metavar="FILE", help="write the figures there as well")
-    asked = words.parse_args()
-    found = []
-    for told in play(asked):
-        found.append(told)
-        print(json.dumps(told), flush=True)
-    if asked.json:
-        figures = {"asked": {**vars(asked), "json": asked.json.name}, "rates": found}
-        asked.json.write_text(json.dumps(figures, indent=2) + "\n")
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument(
+        "--rates", type=float, nargs="+", default=[20, 82, 250, 800], help="requests a second"
+    )
+    parser.add_argument("--instances", type=int, default=20)
+    parser.add_argument("--clients", type=int, default=8, help="connections to begin with")
+    parser.add_argument("--seconds", type=float, default=20, help="of each rate and way")
+    parser.add_argument("--warm-up", type=float, default=2, help="seconds of each rate that are not counted")
+    parser.add_argument("--rounds", type=int, default=10, help="turns over which the seconds are spread")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures there as well")
+    options = parser.parse_args()
+    results = []
+    for result in play(options):
+        results.append(result)
+        print(json.dumps(result), flush=True)
+    if options.json:
+        figures = {"asked": {**vars(options), "json": options.json.name}, "rates": results}
+        options.json.write_text(json.dumps(figures, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/instance_growth.py
+++ b/benchmarks/instance_growth.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from benchmarks.added_latency import ended, process
+from benchmarks.added_latency import child_process, wait_until_closed
 from benchmarks.overload import Clients, cpu_seconds
 from lemonlead.gateway import resp
 from lemonlead.standins import fleet
@@ -65,7 +65,7 @@
             server = await loop.create_server(lambda: Answering(work), "127.0.0.1", 0)
             addresses.append(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         pipe.send(addresses)
-        await asyncio.to_thread(ended, pipe)
+        await asyncio.to_thread(wait_until_closed, pipe)
 
     asyncio.run(serve())
 
@@ -87,7 +87,7 @@
     def play(self):
         """Its figures, by name."""
         told = self.count, self.asked.work / 1e3
-        with process(instances, told) as addresses, tempfile.TemporaryDirectory() as folder:
+        with child_process(instances, told) as addresses, tempfile.TemporaryDirectory() as folder:
             servers = [SimpleNamespace(address=address, close=lambda: None) for address in addresses]
             settings = {"Balancers": self.count}
             with fleet.gateway(Path(folder), *servers, settings=settings) as ran:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,12 +1,15 @@
-"""How a gateway does past what it can serve: `python -m benchmarks.overload [--rates 600 900 1200 1800 3000]
-[--seconds 8] [--json FILE]`; about a minute and a half as it stands.
+"""Measures how a gateway behaves under more load than it can serve.
 
-Open loop: arrivals are drawn from a seed and come whatever the gateway does, from several processes of
-clients that keep connections, open more while all are taken up, and give up after `--wait` milliseconds.
-Latency counts from the moment that a request was due. Instances are stand-ins that take `--work`
-milliseconds. Rates are played one after the other against one gateway, then the lowest again, in which the
-time is taken until nine in ten of a half second are served. Figures of one run are compared as ratios: each
-rate's requests in time over the best rate's."""
+`python -m benchmarks.overload [--rates 600 900 1200 1800 3000] [--seconds 8] [--json FILE]` takes about a
+minute and a half with the default options.
+
+The load is an open loop: arrivals are drawn from a seed and do not depend on the gateway. Several client
+processes keep connections, open more when all are busy, and time out after `--wait` milliseconds. Latency
+counts from the time at which a request was due. Instances are stand-ins that take `--work` milliseconds.
+All rates are played one after the other against one gateway, then the first again, which shows how long the
+gateway takes to recover: until nine in ten requests of each half second are served in time. Results of one
+run are compared as ratios: the requests in time at a rate, relative to the best rate.
+"""
 
 import argparse
 import asyncio
@@ -21,19 +24,25 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.added_latency import DIGITS, MOST_US, arrivals, ended, process
+from benchmarks.added_latency import (
+    MAX_LATENCY_US,
+    SIGNIFICANT_DIGITS,
+    arrivals,
+    child_process,
+    wait_until_closed,
+)
 from lemonlead.gateway import resp
 from lemonlead.standins import fleet
 from lemonlead.standins.instances import InstanceServer, value_response
 
-SLICE = 0.5  # seconds, in which recovery is looked for
-RECOVERED = 0.9  # share of a slice's requests that are answered in time
-SPREAD = 0.2  # seconds before the first arrival
+SLICE_SECONDS = 0.5  # recovery is judged slice by slice
+RECOVERED_SHARE = 0.9  # of a slice's requests are answered in time after recovery
+LEAD_SECONDS = 0.2  # before the first arrival and after the last timeout
 
 
-def instances(asked, pipe):
-    """Stand-in instances that take some milliseconds, until the pipe ends."""
-    count, work = asked
+def instances(arguments, pipe):
+    """Runs stand-in instances, each request taking `work` seconds, until the pipe is closed."""
+    count, work = arguments
 
     def react(words):
         time.sleep(work)
@@ -41,11 +50,11 @@
 
     servers = [InstanceServer(react).start() for _ in range(count)]
     pipe.send([server.address for server in servers])
-    ended(pipe)
+    wait_until_closed(pipe)
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection, with one request at a time."""
+    """A client's connection, with one request at a time."""
 
     def __init__(self, load):
         self.load, self.reader = load, resp.Reader()
@@ -56,11 +65,11 @@
         if self.due is not None:
             self.write()
 
-    def ask(self, due):
-        """Writes a request that was due at this moment, once the connection is up."""
+    def send_when_connected(self, due):
+        """Takes a request that is due at this time and writes it once the connection is up."""
         self.due = due
-        left = max(due + self.load.wait - time.perf_counter(), 0.0)
-        self.timer = asyncio.get_running_loop().call_later(left, self.give_up)
+        remaining = max(due + self.load.wait - time.perf_counter(), 0.0)
+        self.timer = asyncio.get_running_loop().call_later(remaining, self.time_out)
         if self.transport is not None:
             self.write()
 
@@ -74,60 +83,65 @@
         if self.due is not None and (value := self.reader.next()) is not resp.MORE:
             rejected = isinstance(value, resp.Fault) and value.startswith(b"BUSY")
             answered = "failed" if isinstance(value, resp.Fault) else "in time"
-            self.over("rejected" if rejected else answered)
-            self.load.free.append(self)
+            self.end_request("rejected" if rejected else answered)
+            self.load.idle.append(self)
 
-    def give_up(self):
-        self.over("late")
+    def time_out(self):
+        self.end_request("late")
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, _):
-        self.load.lost(self)
+        self.load.connection_lost(self)
         if self.due is not None:
-            self.over("lost")
+            self.end_request("lost")
 
-    def over(self, ending):
+    def end_request(self, ending):
         self.timer.cancel()
         self.load.record(self.due, ending)
         self.due = None
 
 
 class Load:
-    """Plays arrivals from one process."""
+    """Sends one process's share of the requests of a rate."""
 
-    def __init__(self, port, wait, most):
-        self.port, self.wait, self.most = port, wait, most
-        self.free, self.open = deque(), set()
+    def __init__(self, port, wait, max_connections):
+        self.port, self.wait, self.max_connections = port, wait, max_connections
+        self.idle, self.open = deque(), set()
         self.counts, self.slices = Counter(), {}
-        self.histograms = {name: HdrHistogram(1, MOST_US, DIGITS) for name in ("in time", "rejected")}
+        self.histograms = {
+            name: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for name in ("in time", "rejected")
+        }
 
     def record(self, due, ending):
         self.counts[ending] += 1
         took = max(round((time.perf_counter() - due) * 1e6), 1)
         if ending in self.histograms:
             self.histograms[ending].record_value(took)
-        asked, in_time = self.slices.get(int((due - self.begun) / SLICE), (0, 0))
-        self.slices[int((due - self.begun) / SLICE)] = asked + 1, in_time + (ending == "in time")
+        requests, in_time = self.slices.get(int((due - self.started_at) / SLICE_SECONDS), (0, 0))
+        self.slices[int((due - self.started_at) / SLICE_SECONDS)] = (
+            requests + 1,
+            in_time + (ending == "in time"),
+        )
 
-    def lost(self, connection):
+    def connection_lost(self, connection):
         self.open.discard(connection)
-        if connection in self.free:
-            self.free.remove(connection)
-
-    async def play(self, due):
-        self.begun, tasks = time.perf_counter() + SPREAD, set()
-        for moment in due:
-            moment += self.begun
-            if (wait := moment - time.perf_counter()) > 0:
+        if connection in self.idle:
+            self.idle.remove(connection)
+
+    async def play(self, due_times):
+        self.started_at, tasks = time.perf_counter() + LEAD_SECONDS, set()
+        for due in due_times:
+            due += self.started_at
+            if (wait := due - time.perf_counter()) > 0:
                 await asyncio.sleep(wait)
-            if self.free:
-                self.free.pop().ask(moment)
-            elif len(self.open) < self.most:
-                tasks.add(asyncio.create_task(self.connect(moment)))
+            if self.idle:
+                self.idle.pop().send_when_connected(due)
+            elif len(self.open) < self.max_connections:
+                tasks.add(asyncio.create_task(self.connect(due)))
             else:
-                self.record(moment, "no connection")
-        await asyncio.sleep(self.wait + SPREAD)
+                self.record(due, "no connection")
+        await asyncio.sleep(self.wait + LEAD_SECONDS)
         await asyncio.gather(*tasks)
         for connection in list(self.open):
             if connection.transport is not None:
@@ -136,45 +150,45 @@
     async def connect(self, due):
         connection = Connection(self)
         self.open.add(connection)
-        connection.ask(due)
+        connection.send_when_connected(due)
         try:
             loop = asyncio.get_running_loop()
             await loop.create_connection(lambda: connection, "127.0.0.1", self.port)
         except OSError:
-            self.lost(connection)
+            self.connection_lost(connection)
             if connection.due is not None:
-                connection.over("not accepted")
+                connection.end_request("not accepted")
 
 
-def clients(asked, pipe):
-    """Plays what the pipe says, one list of arrivals after the other, and sends what became of them."""
-    port, wait, most = asked
+def run_clients(arguments, pipe):
+    """Plays the rates that the pipe names, one after the other, and sends back the outcomes of each."""
+    port, wait, max_connections = arguments
     pipe.send("ready")
     while True:
         try:
             rate, seconds, seed = pipe.recv()
         except EOFError:
             return
-        load = Load(port, wait, most)
+        load = Load(port, wait, max_connections)
         asyncio.run(load.play(arrivals(rate, seconds, seed)))
         histograms = {name: histogram.encode() for name, histogram in load.histograms.items()}
         pipe.send((load.counts, load.slices, histograms))
 
 
 class Clients:
-    """Processes of clients; each plays its part of a rate."""
+    """Client processes, each of which plays an equal share of a rate."""
 
-    def __init__(self, count, *told):
+    def __init__(self, count, *arguments):
         spawn, self.pipes = multiprocessing.get_context("spawn"), []
         for _ in range(count):
-            ours, theirs = spawn.Pipe()
-            spawn.Process(target=clients, args=(told, theirs), daemon=True).start()
-            theirs.close()
-            ours.recv()
-            self.pipes.append(ours)
+            parent_end, child_end = spawn.Pipe()
+            spawn.Process(target=run_clients, args=(arguments, child_end), daemon=True).start()
+            child_end.close()
+            parent_end.recv()
+            self.pipes.append(parent_end)
 
     def play(self, rate, seconds, seed):
-        """What became of the requests of one rate, over all processes."""
+        """Plays one rate and returns the outcomes of its requests over all processes."""
         self.start(rate, seconds, seed)
         return self.result()
 
@@ -183,24 +197,26 @@
             pipe.send((rate / len(self.pipes), seconds, f"{seed} {rate} {number}"))
 
     def result(self):
-        """Waits for the end; what became of each, the share in time by half seconds, the histograms."""
+        """Waits for the end; returns counts by outcome, (requests, in time) by slice, and the histograms."""
         counts, slices = Counter(), {}
-        histograms = {name: HdrHistogram(1, MOST_US, DIGITS) for name in ("in time", "rejected")}
+        histograms = {
+            name: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for name in ("in time", "rejected")
+        }
         for pipe in self.pipes:
-            more, parts, encoded = pipe.recv()
-            counts += more
+            process_counts, process_slices, encoded = pipe.recv()
+            counts += process_counts
             for name, histogram in encoded.items():
                 histograms[name].decode_and_add(histogram)
-            for number, (asked, in_time) in parts.items():
+            for number, (requests, in_time) in process_slices.items():
                 before = slices.get(number, (0, 0))
-                slices[number] = before[0] + asked, before[1] + in_time
+                slices[number] = before[0] + requests, before[1] + in_time
         return counts, slices, histograms
 
 
 def recovered_after(slices):
-    """Seconds into a run from which on nine in ten of each half second are in time."""
-    bad = [number for number, (asked, in_time) in slices.items() if in_time < RECOVERED * asked]
-    return (max(bad, default=-1) + 1) * SLICE
+    """Returns the time, in seconds from the start, after which every slice has recovered."""
+    bad = [number for number, (requests, in_time) in slices.items() if in_time < RECOVERED_SHARE * requests]
+    return (max(bad, default=-1) + 1) * SLICE_SECONDS
 
 
 def cpu_seconds(pid):
@@ -208,10 +224,10 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def measured(loads, ran, rate, seconds, seed):
-    before = cpu_seconds(ran.process.pid)
-    counts, slices, histograms = loads.play(rate, seconds, seed)
-    used = cpu_seconds(ran.process.pid) - before
+def measure_rate(clients, gateway, rate, seconds, seed):
+    before = cpu_seconds(gateway.process.pid)
+    counts, slices, histograms = clients.play(rate, seconds, seed)
+    used = cpu_seconds(gateway.process.pid) - before
     percentiles = {
         f"{name} p{part} ms": round(histogram.get_value_at_percentile(part) / 1e3, 1)
         for name, histogram in histograms.items()
@@ -227,50 +243,50 @@
     }
 
 
-def play(asked):
+def play(options):
     with (
-        process(instances, (asked.instances, asked.work / 1e3)) as addresses,
+        child_process(instances, (options.instances, options.work / 1e3)) as addresses,
         tempfile.TemporaryDirectory() as folder,
     ):
         servers = [SimpleNamespace(address=address, close=lambda: None) for address in addresses]
-        with fleet.gateway(Path(folder), *servers) as ran:
-            if asked.core is not None:
-                for task in Path(f"/proc/{ran.process.pid}/task").iterdir():
-                    os.sched_setaffinity(int(task.name), {asked.core})
-            most = asked.connections // asked.processes
-            loads = Clients(asked.processes, ran.port, asked.wait / 1e3, most)
-            found = []
-            for rate in [*asked.rates, asked.rates[0]]:
-                found.append(measured(loads, ran, rate, asked.seconds, asked.seed))
-                best = max(told.get("in time", 0) for told in found)
-                found[-1]["of the best"] = round(found[-1].get("in time", 0) / max(best, 1), 2)
-                yield found[-1]
-            counters = ran.counters()
+        with fleet.gateway(Path(folder), *servers) as gateway:
+            if options.core is not None:
+                for task in Path(f"/proc/{gateway.process.pid}/task").iterdir():
+                    os.sched_setaffinity(int(task.name), {options.core})
+            max_connections = options.connections // options.processes
+            clients = Clients(options.processes, gateway.port, options.wait / 1e3, max_connections)
+            results = []
+            for rate in [*options.rates, options.rates[0]]:
+                results.append(measure_rate(clients, gateway, rate, options.seconds, options.seed))
+                best = max(result.get("in time", 0) for result in results)
+                results[-1]["of the best"] = round(results[-1].get("in time", 0) / max(best, 1), 2)
+                yield results[-1]
+            counters = gateway.counters()
             yield {name: counters[name] for name in sorted(counters) if "clients" in name}
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--rates", type=float, nargs="+", default=[600, 900, 1200, 1800, 3000])
-    words.add_argument("--seconds", type=float, default=8, help="of each rate")
-    words.add_argument("--wait", type=float, default=1000, help="milliseconds that a client waits")
-    words.add_argument("--connections", type=int, default=1200, help="at most, of all clients")
-    words.add_argument("--processes", type=int, default=3, help="that play clients")
-    words.add_argument("--instances", type=int, default=20)
-    words.add_argument("--work", type=float, default=10, help="milliseconds an instance takes")
-    words.add_argument(
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--rates", type=float, nargs="+", default=[600, 900, 1200, 1800, 3000])
+    parser.add_argument("--seconds", type=float, default=8, help="of each rate")
+    parser.add_argument("--wait", type=float, default=1000, help="milliseconds that a client waits")
+    parser.add_argument("--connections", type=int, default=1200, help="at most, of all clients")
+    parser.add_argument("--processes", type=int, default=3, help="that play clients")
+    parser.add_argument("--instances", type=int, default=20)
+    parser.add_argument("--work", type=float, default=10, help="milliseconds an instance takes")
+    parser.add_argument(
         "--core", type=int, help="the one core on which the gateway runs, as where it is deployed"
     )
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--json", type=Path, metavar="FILE", help="write the figures there as well")
-    asked = words.parse_args()
-    found = []
-    for told in play(asked):
-        found.append(told)
-        print(json.dumps(told), flush=True)
-    if asked.json:
-        figures = {"asked": {**vars(asked), "json": asked.json.name}, "rates": found}
-        asked.json.write_text(json.dumps(figures, indent=2) + "\n")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures there as well")
+    options = parser.parse_args()
+    results = []
+    for result in play(options):
+        results.append(result)
+        print(json.dumps(result), flush=True)
+    if options.json:
+        figures = {"asked": {**vars(options), "json": options.json.name}, "rates": results}
+        options.json.write_text(json.dumps(figures, indent=2) + "\n")
 
 
 if __name__ == "__main__":
