--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,2 +1,4 @@
-"""What each role costs by what it grows by, measured at several sizes and fitted; docs/capacity/slopes.json
-holds what was found, and `lemonlead capacity fleet` works with it."""
+"""Measures how the cost of each role grows with a size, and fits a line to the points.
+
+docs/capacity/slopes.json holds the results, and `lemonlead capacity fleet` works with them.
+"""
--- a/benchmarks/slopes/measures.py
+++ b/benchmarks/slopes/measures.py
@@ -1,5 +1,8 @@
-"""What is measured: by part, the sizes (the last is kept out of the fit) and the slopes that a run of one
-size gives a point of. A run has a process of its own."""
+"""The parts that can be measured, with their sizes and slopes.
+
+A run measures one part at one size, in its own process, and gives one point of each slope of the part. The
+last size is held out of the fit.
+"""
 
 from dataclasses import dataclass
 
@@ -7,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """One figure of a run: its slope's name, whose it is, its unit."""
+class SlopeInfo:
+    """A figure of a run: the name of its slope, the role that has the cost, its unit."""
 
     name: str
     role: str
@@ -19,36 +22,36 @@
 class Part:
     by: str  # what the size counts
     sizes: tuple
-    run: object  # of one size: figures, by name
+    run: object  # a function of the size that returns figures by name
     slopes: tuple
 
 
 INSTANCES = 150, 1500, 5000, 10_000, 23_000
-LIST = (
-    Named("gateway memory", "list", "MB"),
-    Named("gateway start CPU", "list", "s"),
-    Named("gateway ready", "list", "s"),
-    Named("gateway change", "list", "ms"),
-    Named("gateway whole list", "list", "ms"),
-    Named("gateway request", "front", "ms"),
-    Named("balancer request", "balancer", "ms"),
-    Named("balancer request on trial", "balancer", "ms"),
-    Named("balancer change", "balancer", "ms"),
-    Named("gateway memory after a list", "list", "MB"),
+LIST_SLOPES = (
+    SlopeInfo("gateway memory", "list", "MB"),
+    SlopeInfo("gateway start CPU", "list", "s"),
+    SlopeInfo("gateway ready", "list", "s"),
+    SlopeInfo("gateway change", "list", "ms"),
+    SlopeInfo("gateway whole list", "list", "ms"),
+    SlopeInfo("gateway request", "front", "ms"),
+    SlopeInfo("balancer request", "balancer", "ms"),
+    SlopeInfo("balancer request on trial", "balancer", "ms"),
+    SlopeInfo("balancer change", "balancer", "ms"),
+    SlopeInfo("gateway memory after a list", "list", "MB"),
 )
 PARTS = {
-    "list": Part("instances", INSTANCES, gateways.lists, LIST),
+    "list": Part("instances", INSTANCES, gateways.lists, LIST_SLOPES),
     "front": Part(
-        "client connections", (50, 100, 200, 400), gateways.front, (Named("front memory", "front", "MB"),)
+        "client connections", (50, 100, 200, 400), gateways.front, (SlopeInfo("front memory", "front", "MB"),)
     ),
     "rules": Part(
         "routes",
         (90, 490, 1225, 2450, 4900),
         gateways.rules,
         (
-            Named("rules load", "rules", "s"),
-            Named("rules memory", "rules", "MB"),
-            Named("rules judgement", "rules", "us"),
+            SlopeInfo("rules load", "rules", "s"),
+            SlopeInfo("rules memory", "rules", "MB"),
+            SlopeInfo("rules judgement", "rules", "us"),
         ),
     ),
     "tenants": Part(
@@ -56,27 +59,27 @@
         (4000, 20_000, 100_000, 220_000),
         gateways.tenants,
         (
-            Named("tenants memory", "rules", "MB"),
-            Named("tenants known", "rules", "MB"),
-            Named("tenants request", "rules", "us"),
-            Named("tenants waiting request", "rules", "us"),
+            SlopeInfo("tenants memory", "rules", "MB"),
+            SlopeInfo("tenants known", "rules", "MB"),
+            SlopeInfo("tenants request", "rules", "us"),
+            SlopeInfo("tenants waiting request", "rules", "us"),
         ),
     ),
     "discovery": Part(
         "instances",
         (150, 1500, 10_000, 23_000),
         gateways.discovery,
-        (Named("discovery list", "discovery", "bytes"),),
+        (SlopeInfo("discovery list", "discovery", "bytes"),),
     ),
     "news": Part(
         "nodes",
         (1000, 5000, 10_000, 23_000),
         gateways.following,
         (
-            Named("following memory", "following", "MB"),
-            Named("following change", "following", "us"),
-            Named("following whole", "following", "ms"),
-            Named("following whole bytes", "following", "bytes"),
+            SlopeInfo("following memory", "following", "MB"),
+            SlopeInfo("following change", "following", "us"),
+            SlopeInfo("following whole", "following", "ms"),
+            SlopeInfo("following whole bytes", "following", "bytes"),
         ),
     ),
     "followers": Part(
@@ -84,9 +87,9 @@
         (100, 250, 500, 1000),
         control.followers,
         (
-            Named("leader change", "leader", "ms"),
-            Named("leader change bytes", "leader", "bytes"),
-            Named("leader followers memory", "leader", "MB"),
+            SlopeInfo("leader change", "leader", "ms"),
+            SlopeInfo("leader change bytes", "leader", "bytes"),
+            SlopeInfo("leader followers memory", "leader", "MB"),
         ),
     ),
     "polls": Part(
@@ -94,21 +97,24 @@
         (50, 100, 200, 400),
         control.polls,
         (
-            Named("leader told over HTTP", "leader", "ms"),
-            Named("leader idle", "leader", "%"),
+            SlopeInfo("leader told over HTTP", "leader", "ms"),
+            SlopeInfo("leader idle", "leader", "%"),
         ),
     ),
     "nodes": Part(
-        "nodes", (1000, 5000, 10_000, 23_000), control.nodes, (Named("leader nodes memory", "leader", "MB"),)
+        "nodes",
+        (1000, 5000, 10_000, 23_000),
+        control.nodes,
+        (SlopeInfo("leader nodes memory", "leader", "MB"),),
     ),
     "records": Part(
         "records",
         (10_000, 50_000, 100_000, 200_000),
         control.records,
         (
-            Named("member memory", "follower", "MB"),
-            Named("member snapshot", "follower", "bytes"),
-            Named("member snapshot CPU", "follower", "ms"),
+            SlopeInfo("member memory", "follower", "MB"),
+            SlopeInfo("member snapshot", "follower", "bytes"),
+            SlopeInfo("member snapshot CPU", "follower", "ms"),
         ),
     ),
     "commands": Part(
@@ -116,8 +122,8 @@
         (200, 500, 1000, 2000),
         control.commands,
         (
-            Named("leader commands", "leader", "s"),
-            Named("member commands", "follower", "s"),
+            SlopeInfo("leader commands", "leader", "s"),
+            SlopeInfo("member commands", "follower", "s"),
         ),
     ),
     "store": Part(
@@ -125,8 +131,8 @@
         (20_000, 60_000, 120_000, 250_000),
         relays.store,
         (
-            Named("relay memory", "relay", "MB"),
-            Named("relay apply", "relay", "us"),
+            SlopeInfo("relay memory", "relay", "MB"),
+            SlopeInfo("relay apply", "relay", "us"),
         ),
     ),
     "subscribers": Part(
@@ -134,9 +140,9 @@
         (10, 50, 150, 560, 900),
         relays.subscribers,
         (
-            Named("relay change", "relay", "ms"),
-            Named("relay change bytes", "relay", "bytes"),
-            Named("relay subscribers memory", "relay", "MB"),
+            SlopeInfo("relay change", "relay", "ms"),
+            SlopeInfo("relay change bytes", "relay", "bytes"),
+            SlopeInfo("relay subscribers memory", "relay", "MB"),
         ),
     ),
     "scope": Part(
@@ -144,10 +150,10 @@
         (20, 200, 2000, 20_000),
         relays.scopes,
         (
-            Named("relay snapshot", "relay", "bytes"),
-            Named("relay snapshot CPU", "relay", "ms"),
-            Named("subscriber snapshot CPU", "distribution", "ms"),
-            Named("subscriber memory", "distribution", "MB"),
+            SlopeInfo("relay snapshot", "relay", "bytes"),
+            SlopeInfo("relay snapshot CPU", "relay", "ms"),
+            SlopeInfo("subscriber snapshot CPU", "distribution", "ms"),
+            SlopeInfo("subscriber memory", "distribution", "MB"),
         ),
     ),
     "changes": Part(
@@ -155,8 +161,8 @@
         (200, 500, 1000, 2000),
         relays.changes,
         (
-            Named("subscriber changes", "distribution", "ms"),
-            Named("subscriber changes bytes", "distribution", "bytes"),
+            SlopeInfo("subscriber changes", "distribution", "ms"),
+            SlopeInfo("subscriber changes bytes", "distribution", "bytes"),
         ),
     ),
 }
--- a/benchmarks/slopes/relays.py
+++ b/benchmarks/slopes/relays.py
@@ -1,17 +1,16 @@
-"""The slopes of a relay and of a gateway that subscribes there: the deciding code alone, its lines included,
-without HTTP."""
+"""Measures a relay, and a gateway that subscribes there, with their encoded lines but without HTTP."""
 
 import statistics
 
-from .gateways import kept, spent
+from .gateways import cpu_per_call, traced_memory
 
-S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 SCOPES, CHANGES = 1100, 30
-UNBOUND = 10**12  # bytes a second: no budget holds anything back
+UNLIMITED = 10**12  # bytes a second; no budget delays anything
 
 
 def record(n, state="up"):
-    """An instance as discovery lists it."""
+    """Returns an instance record as discovery has it."""
     return {
         "addr": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:7000",
         "zone": f"zone-{n % 16}",
@@ -23,8 +22,8 @@
     }
 
 
-def filled(records, scopes=SCOPES):
-    """A store of so many records, spread evenly over the scopes."""
+def filled_store(records, scopes=SCOPES):
+    """Returns a store with this many records, spread evenly over the scopes."""
     from lemonlead.distribution.store import Store
 
     store = Store("c")
@@ -35,106 +34,118 @@
     return store
 
 
-def lines(outbox, now):
-    """All that it tells at once; no budget holds it back."""
-    told = []
+def take_lines(outbox, now):
+    """Returns all lines that the outbox has to send at this time."""
+    lines = []
     while (line := outbox.next(now)) is not None:
-        told.append(line)
-    return told
+        lines.append(line)
+    return lines
 
 
-def outbox(store, scopes):
+def make_outbox(store, scopes):
     from lemonlead.distribution.outbox import Outbox
 
-    return Outbox(-1_000_000_000, store, scopes, UNBOUND, UNBOUND)  # by the moment 0 it has its whole burst
+    # Its time starts at -1 s, so that its whole burst is available at time 0.
+    return Outbox(-1_000_000_000, store, scopes, UNLIMITED, UNLIMITED)
 
 
-def subscriber(scopes):
+def make_subscriber(scopes):
+    """Returns a subscriber whose first request is due, and the time of that (ns)."""
     from lemonlead.distribution.subscriber import Subscriber
 
-    made = Subscriber("g1", "r1", scopes, [("relay-1", "r1", "127.0.0.1:1")], 1)
+    subscriber = Subscriber("g1", "r1", scopes, [("relay-1", "r1", "127.0.0.1:1")], 1)
     now = 0
-    while made.next(now) is None:  # it waits for its turn
-        now = made.wake_at()
-    return made, now
+    while subscriber.next(now) is None:
+        now = subscriber.wake_at()
+    return subscriber, now
 
 
 def store(size):
-    made, memory = kept(lambda: filled(size))
+    """Measures the memory of a store with this many records, and a change of one."""
+    relay_store, memory = traced_memory(lambda: filled_store(size))
 
     def apply(n):
-        at = made.index
-        made.apply(at + 1, [(f"svc-{at % SCOPES}", f"i-{at % size}", record(at, "draining"))])
+        index = relay_store.index
+        relay_store.apply(
+            index + 1, [(f"svc-{index % SCOPES}", f"i-{index % size}", record(index, "draining"))]
+        )
 
-    took = min(spent(2000, apply) for _ in range(5))
-    return {"relay memory": memory, "relay apply": took * 1e6}
+    seconds = min(cpu_per_call(2000, apply) for _ in range(5))
+    return {"relay memory": memory, "relay apply": seconds * 1e6}
 
 
 def subscribers(size):
-    """One change told to so many subscribers of its scope."""
-    made = filled(23_000)
-    scopes = {f"svc-{n}": made.index for n in range(20)}
+    """Measures a change that is sent to this many subscribers of its scope."""
+    relay_store = filled_store(23_000)
+    scopes = {f"svc-{n}": relay_store.index for n in range(20)}
 
-    def subscribed():
-        boxes = [outbox(made, dict(scopes)) for _ in range(size)]
-        for box in boxes:
-            lines(box, 0)
-        return boxes
+    def make_outboxes():
+        outboxes = [make_outbox(relay_store, dict(scopes)) for _ in range(size)]
+        for outbox in outboxes:
+            take_lines(outbox, 0)
+        return outboxes
 
-    (boxes, memory), sent = kept(subscribed), 0
+    (outboxes, memory), sent_bytes = traced_memory(make_outboxes), 0
 
     def change(_):
-        nonlocal sent
-        n = made.index
-        made.apply(n + 1, [(f"svc-{n % 20}", f"i-{n % 20}", record(n, "draining"))])
-        for box in boxes:
-            sent += sum(map(len, lines(box, n * S)))
-
-    took = statistics.median(spent(1, change) for _ in range(CHANGES))
-    sent /= CHANGES
-    return {"relay change": took * 1e3, "relay change bytes": sent, "relay subscribers memory": memory}
+        nonlocal sent_bytes
+        n = relay_store.index
+        relay_store.apply(n + 1, [(f"svc-{n % 20}", f"i-{n % 20}", record(n, "draining"))])
+        for outbox in outboxes:
+            sent_bytes += sum(map(len, take_lines(outbox, n * NS_PER_SECOND)))
+
+    seconds = statistics.median(cpu_per_call(1, change) for _ in range(CHANGES))
+    sent_bytes /= CHANGES
+    return {
+        "relay change": seconds * 1e3,
+        "relay change bytes": sent_bytes,
+        "relay subscribers memory": memory,
+    }
 
 
 def scopes(size):
-    """A snapshot of one scope, sent and taken in."""
-    made = filled(size, 1)
-    told = lines(outbox(made, {"svc-0": 0}), 0)  # what the store keeps for all alike is made here
-    sending = min(spent(1, lambda n: lines(outbox(made, {"svc-0": 0}), 0)) for _ in range(5))
-
-    def takes(_=None):
-        gateway, now = subscriber({"svc-0": 0})
-        for line in told:
+    """Measures a snapshot of one scope with this many records: sending and applying it."""
+    relay_store = filled_store(size, 1)
+    # This first call also builds what the store caches for all outboxes.
+    lines = take_lines(make_outbox(relay_store, {"svc-0": 0}), 0)
+    send_seconds = min(
+        cpu_per_call(1, lambda n: take_lines(make_outbox(relay_store, {"svc-0": 0}), 0)) for _ in range(5)
+    )
+
+    def apply_snapshot(_=None):
+        gateway, now = make_subscriber({"svc-0": 0})
+        for line in lines:
             gateway.receive_line(now, line)
         return gateway
 
-    taking = min(spent(1, takes) for _ in range(5))
-    gateway, memory = kept(takes)
+    apply_seconds = min(cpu_per_call(1, apply_snapshot) for _ in range(5))
+    gateway, memory = traced_memory(apply_snapshot)
     assert len(gateway.records["svc-0"]) == size, len(gateway.records["svc-0"])
     return {
-        "relay snapshot": sum(map(len, told)),
-        "relay snapshot CPU": sending * 1e3,
-        "subscriber snapshot CPU": taking * 1e3,
+        "relay snapshot": sum(map(len, lines)),
+        "relay snapshot CPU": send_seconds * 1e3,
+        "subscriber snapshot CPU": apply_seconds * 1e3,
         "subscriber memory": memory,
     }
 
 
 def changes(size):
-    """So many changes of a gateway's scopes, one a line, taken in."""
-    made = filled(23_000)
+    """Measures how a gateway applies this many changes of its scopes, each in its own line."""
+    relay_store = filled_store(23_000)
     names = {f"svc-{n}": 0 for n in range(20)}
-    box, first = outbox(made, dict(names)), []
-    first += lines(box, 0)
-    told = []
+    outbox, snapshot_lines = make_outbox(relay_store, dict(names)), []
+    snapshot_lines += take_lines(outbox, 0)
+    change_lines = []
     for n in range(size):
         changed = record(n, "draining" if n % 2 else "up")
-        made.apply(made.index + 1, [(f"svc-{n % 20}", f"i-{n % 20}", changed)])
-        told += lines(box, (n + 1) * S)
+        relay_store.apply(relay_store.index + 1, [(f"svc-{n % 20}", f"i-{n % 20}", changed)])
+        change_lines += take_lines(outbox, (n + 1) * NS_PER_SECOND)
 
-    def takes():
-        gateway, now = subscriber(dict(names))
-        for line in first:
+    def apply_changes():
+        gateway, now = make_subscriber(dict(names))
+        for line in snapshot_lines:
             gateway.receive_line(now, line)
-        return spent(1, lambda n: [gateway.receive_line(now, line) for line in told])
+        return cpu_per_call(1, lambda n: [gateway.receive_line(now, line) for line in change_lines])
 
-    took = min(takes() for _ in range(5))
-    return {"subscriber changes": took * 1e3, "subscriber changes bytes": sum(map(len, told))}
+    seconds = min(apply_changes() for _ in range(5))
+    return {"subscriber changes": seconds * 1e3, "subscriber changes bytes": sum(map(len, change_lines))}
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -7,8 +7,8 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.slopes import __main__ as written
-from benchmarks.slopes.measures import PARTS, Named, Part
+from benchmarks.slopes import __main__ as benchmark_main
+from benchmarks.slopes.measures import PARTS, Part, SlopeInfo
 from lemonlead.commands import main
 from lemonlead.planning import page, sizing, slopes, target_table, targets
 from lemonlead.planning.number_format import format_bytes, format_number, format_seconds, format_share
@@ -402,11 +402,13 @@
 
 @pytest.fixture
 def benchmark(monkeypatch):
-    monkeypatch.setattr(written, "source", lambda *_: SOURCE)
+    monkeypatch.setattr(benchmark_main, "source", lambda *_: SOURCE)
     figures = {"up": lambda at: 1 + 2 * at, "flat": lambda at: 0 if at == 2 else 1, "late": lambda at: at - 1}
-    monkeypatch.setattr(written, "one", lambda _, at: {name: found(at) for name, found in figures.items()})
-    names = Named("up", "list", "ms"), Named("flat", "list", "MB"), Named("late", "list", "ms")
-    return lambda *sizes: written.measured("some", Part("things", sizes, None, names), [])
+    monkeypatch.setattr(
+        benchmark_main, "run_part", lambda _, at: {name: found(at) for name, found in figures.items()}
+    )
+    names = SlopeInfo("up", "list", "ms"), SlopeInfo("flat", "list", "MB"), SlopeInfo("late", "list", "ms")
+    return lambda *sizes: benchmark_main.measure_part("some", Part("things", sizes, None, names), [])
 
 
 def test_last_size_is_held_out_and_figures_not_above_0_are_left_out(benchmark):
@@ -449,7 +451,7 @@
         slope_on_line("other", 1, 2),
         slope_on_line("gateway memory", 1, 2),
     )
-    written.written(tmp_path / "new" / "slopes.json", measured)
+    benchmark_main.write(tmp_path / "new" / "slopes.json", measured)
     again = slopes.read((tmp_path / "new" / "slopes.json").read_bytes())
     assert [slope.name for slope in again.slopes] == ["gateway memory", "relay apply"]  # no part has "other"
 
@@ -457,9 +459,9 @@
 def test_lowest_of_several_runs_of_the_list_counts(tmp_path):
     for n in range(2):
         points = [{"x": size, "y": size + 5 * (n == size % 2)} for size in (1, 2, 4, 8)]
-        figures = [{"name": name, "points": points} for name in written.LISTED.values()]
+        figures = [{"name": name, "points": points} for name in benchmark_main.LIST_FIGURES.values()]
         (tmp_path / f"{n}.json").write_text(json.dumps(figures))
-    found, sizes = written.listed([tmp_path / "0.json", tmp_path / "1.json"], (1, 2, 4, 8))
+    found, sizes = benchmark_main.read_list_figures([tmp_path / "0.json", tmp_path / "1.json"], (1, 2, 4, 8))
     assert sizes == [1, 2, 4, 8]
     assert all(found[size]["gateway change"] == size for size in sizes)
 
