--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""A scale rig: hollow gateways before control processes, and a world that plays a day. See `__main__.py`."""
+"""Simulates a day of a fleet: hollow gateways connect to real control processes. See `__main__.py`."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .bounds import TooMuch
+from .bounds import TooLarge
 from .run import Asked, Run
 
 WAYS = ("distribution", "follow")
@@ -59,7 +59,7 @@
     )  # fmt: skip
     try:
         run = Run(asked, say)
-    except TooMuch as error:
+    except TooLarge as error:
         click.echo(f"benchmarks.scale: {error}", err=True)
         sys.exit(2)
     result = run.play()
--- a/benchmarks/scale/follow.py
+++ b/benchmarks/scale/follow.py
@@ -74,7 +74,7 @@
         if self.stream is None or self.stream.address != ask.address:
             self.hang_up()
             self.stream = self.process.wire(self, "call", ask.address)
-        self.stream.ask(ask.method, ask.path, ask.body)
+        self.stream.send_request(ask.method, ask.path, ask.body)
         self.process.later(now() + int(READ_TIMEOUT_SECONDS * S), self, "silent", self.calls)
 
     def ended(self, reason, call=0):
@@ -103,7 +103,7 @@
             if line is not http.END:
                 self.body.append(line)
                 continue
-            status, headers = wire.answer.status, wire.answer.headers
+            status, headers = wire.response.status, wire.response.headers
             if headers.get(b"connection", b"").lower() == b"close":
                 self.hang_up()
             if status not in (200, 503):
--- a/benchmarks/scale/gateway.py
+++ b/benchmarks/scale/gateway.py
@@ -111,7 +111,7 @@
             self.process.later(now() + CUT_TIME, self, "cut off")
             return False
         self.stream = self.process.wire(self, "stream", ask.address)
-        self.stream.ask("POST", "/v1/subscribe", ask.body)
+        self.stream.send_request("POST", "/v1/subscribe", ask.body)
         return True
 
     def acknowledge(self):
@@ -126,7 +126,7 @@
             if wire is not None:
                 self.process.close(wire)
             wire = self.acknowledger = self.process.wire(self, "acknowledge", ask.address)
-        wire.ask("POST", "/v1/acknowledge", ask.body)
+        wire.send_request("POST", "/v1/acknowledge", ask.body)
         self.tally.counts["acknowledgements"] += 1
         return None
 
@@ -145,17 +145,17 @@
                 self.ended(f"{wire.kind}: {str(error)[:40]}")
 
     def acknowledged(self, wire, lines):
-        if wire.answer.status == 404:
+        if wire.response.status == 404:
             return self.ended("acknowledge: not subscribed there")
         if lines[-1] is http.END:
-            self.subscriber.acknowledgement_ended(now(), wire.answer.status == 200)
+            self.subscriber.acknowledgement_ended(now(), wire.response.status == 200)
             self.acknowledge()
         return None
 
     def told(self, wire, lines):
         for line in lines:
-            if wire.answer.status != 200 or line is http.END:
-                return self.ended(f"stream: status {wire.answer.status}")
+            if wire.response.status != 200 or line is http.END:
+                return self.ended(f"stream: status {wire.response.status}")
             moment = now()
             changes = self.subscriber.receive_line(moment, line)
             if changes:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -117,9 +117,9 @@
             for index in self.commits.between(scope, after, upto):
                 if not early and (scope, index) in ahead:
                     ahead.discard((scope, index))
-                elif (committed := self.commits.at[index]) >= begun:
+                elif (committed := self.commits.committed_at[index]) >= begun:
                     due = max(committed, not_before) if moment >= not_before else committed
-                    tally.in_force(index, self.commits.kind[index], moment - due)
+                    tally.record_in_force(index, self.commits.kind[index], moment - due)
 
     # ---- orders and reports
 
@@ -192,7 +192,7 @@
                 "gateways": len(own), "seconds": seconds, "cpu_s": cpu() - self.begun_cpu,
                 "bytes_in": sum(one.bytes_in for one in own), "bytes_out": sum(one.bytes_out for one in own),
                 "memory": memory(), "base": self.base, "peaks": self.peaks, "alone": alone,
-                "starts_ms": self.starts, "tally": self.tally.told(),
+                "starts_ms": self.starts, "tally": self.tally.to_json(),
             }
         )  # fmt: skip
 
--- a/benchmarks/scale/members.py
+++ b/benchmarks/scale/members.py
@@ -114,7 +114,7 @@
                     status, connection, turn = 0, None, turn + 1
                 if status == 200:
                     with self.lock:
-                        self.commits.note(told["at"], began, scope if self.entries else ALL, kind)
+                        self.commits.record(told["at"], began, scope if self.entries else ALL, kind)
                         self.at = max(self.at, told["at"])
                     break
                 assert status in (0, 503), told
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -17,7 +17,7 @@
 from .control import Control
 from .members import Members, RelaysOfMembers
 from .real import Real, compared
-from .tally import added, summary
+from .tally import sum_tallies, summary
 from .world import ALL, KINDS, Day, Plan
 
 FIRST = 2000  # changes of the first state in one call
@@ -146,8 +146,8 @@
         )
         if self.asked.way == "follow" and len(self.plan.gateways) + 1 > MAX_FOLLOWERS:
             most = MAX_FOLLOWERS - len(self.plan.gateways) + self.asked.gateways - 1
-            raise bounds.TooMuch(f"--gateways {self.asked.gateways}: at most {most} can follow in one run")
-        memory = bounds.wanted_memory(self.plan, control, self.hollow_processes)
+            raise bounds.TooLarge(f"--gateways {self.asked.gateways}: at most {most} can follow in one run")
+        memory = bounds.estimate_memory(self.plan, control, self.hollow_processes)
         descriptors = max(2 * self.asked.gateways // self.hollow_processes, 3 * self.asked.gateways)
         bounds.check(memory, 3 + control + self.hollow_processes, descriptors)
         self.bound = {"memory": memory, "processes": 3 + control + self.hollow_processes}
@@ -345,7 +345,7 @@
                 break
             time.sleep(0.5)
         results = self.hollows.asked("result", "result")
-        whole = added([one["tally"] for one in results])
+        whole = sum_tallies([one["tally"] for one in results])
         alone = [row | {"seconds": one["seconds"]} for one in results for row in one["alone"]]
         real, self.real_faults = self.beside(results, alone)
         result = {
--- a/benchmarks/scale/source.py
+++ b/benchmarks/scale/source.py
@@ -41,7 +41,7 @@
                 self.state[name] = record
             told = {"index": self.index, "changes": [{"part": "entries", "key": name, "record": record}]}
             self.changes.append(ENCODE(told))
-            self.commits.note(self.index, time.monotonic_ns(), scope, kind)
+            self.commits.record(self.index, time.monotonic_ns(), scope, kind)
         if len(self.changes) > 2 * KEPT:
             self.first += len(self.changes) - KEPT
             del self.changes[:-KEPT]
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""What is counted over many gateways' logs, on lines of our own."""
+"""Counting events in the logs of many gateways, on example lines."""
 
 import sys
 
@@ -16,7 +16,7 @@
 """.splitlines()
 
 
-def test_events_are_counted_with_their_reason_by_the_second():
+def test_events_with_their_reasons_are_counted_by_second():
     names, table = fleet.by_second(fleet.read(LINES))
     assert names[:2] == ["second", "vote: over"] and len(table) == 3
     counted = dict(zip(names, zip(*table, strict=True), strict=True))
@@ -25,18 +25,18 @@
     assert counted["watch ended: unavailable"] == (0, 1, 0)
 
 
-def test_the_gateway_that_has_most_stands_beside_the_median():
+def test_highest_count_of_a_gateway_is_listed_with_the_median():
     _, table = fleet.by_gateway(fleet.read(LINES))
     assert table[0] == ["vote: over", 2, 1, "n1", 2, 1.0]
 
 
-def test_what_is_rare_is_added_up():
+def test_rare_events_share_one_column():
     lines = [LINES[0].replace("serving", f"event{n}") for n in range(20)]
     names, table = fleet.by_second(fleet.read(lines))
-    assert len(names) == fleet.COLUMNS + 2 and table[0][-1] == 20 - fleet.COLUMNS
+    assert len(names) == fleet.MAX_COLUMNS + 2 and table[0][-1] == 20 - fleet.MAX_COLUMNS
 
 
-def test_a_folder_without_logs_is_one_clear_error(tmp_path, monkeypatch, capsys):
+def test_folder_without_logs_is_an_error(tmp_path, monkeypatch, capsys):
     monkeypatch.setattr(sys, "argv", ["fleet", str(tmp_path)])
     with pytest.raises(SystemExit) as ended:
         fleet.main()
