--- a/lemonlead/standins/distributed/links.py
+++ b/lemonlead/standins/distributed/links.py
@@ -1,36 +1,36 @@
 """Streams and calls between relays and gateways: bytes in order, late, held by a cut as TCP holds them, with
 a bound on what is under way. What a faulty relay or line makes of a line is here as well."""
 
-from ..simulated.network import Cuts
+from ..simulated.network import LinkCuts
 
 MS, SECOND = 1_000_000, 1_000_000_000
-LEAST, MOST = 1 * MS, 12 * MS  # a way
-AGAIN = 200 * MS  # until what a cut holds is tried once more
-WINDOW = 8192  # bytes under way on one stream; past it the sender waits
+MIN_DELAY, MAX_DELAY = 1 * MS, 12 * MS  # a way
+RETRY_INTERVAL = 200 * MS  # until what a cut holds is tried once more
+WINDOW_BYTES = 8192  # bytes under way on one stream; past it the sender waits
 SEND_TIMEOUT = 15 * SECOND  # after so long with bytes that nobody takes the sender's machine ends the stream
 
 
-class Links(Cuts):
+class Links(LinkCuts):
     """Who can reach whom, by name."""
 
     def __init__(self, world):
         super().__init__()
         self.world = world
 
-    def passes(self, *pairs):
+    def can_pass(self, *pairs):
         return not any(pair in self.cuts for pair in pairs)
 
     def delay(self):
-        return self.world.chance.randint(LEAST, MOST)
+        return self.world.rng.randint(MIN_DELAY, MAX_DELAY)
 
     def carry(self, sender, to, function, *args):
         """One message of a call, lost where the line is cut as it is sent or comes."""
 
         def arrive():
-            if self.passes((sender, to)):
+            if self.can_pass((sender, to)):
                 function(*args)
 
-        if self.passes((sender, to)):
+        if self.can_pass((sender, to)):
             self.world.after(self.delay(), arrive)
 
 
@@ -40,80 +40,86 @@
 
     NUMBER = 0
 
-    def __init__(self, links, relay, gateway, life, taken, ended, lost, room):
+    def __init__(self, links, relay, gateway, incarnation, on_data, on_end, on_lost, on_room):
         self.links, self.world = links, links.world
-        self.relay, self.gateway, self.life = relay, gateway, life
-        self.taken, self.ended, self.lost, self.room = taken, ended, lost, room
-        self.waiting, self.bytes_in_flight, self.held_since = [], 0, None
-        self.running = False  # whether an arrival is due
-        self.closed_here = self.closed_there = False  # at the relay, at the gateway
-        self.reset = None  # why, once the relay ended it
-        self.stay, self.said = "", 0  # whose it is by its own word, when the relay last sent something
-        self.passed, self.spoiled = [], False  # the last lines; whether anything false was put in or left out
+        self.relay, self.gateway, self.incarnation = relay, gateway, incarnation
+        self.on_data, self.on_end, self.on_lost, self.on_room = on_data, on_end, on_lost, on_room
+        self.unsent, self.bytes_in_flight, self.blocked_since = [], 0, None
+        self.arrival_scheduled = False  # whether an arrival is due
+        self.closed_by_sender = self.closed_by_reader = False  # at the relay, at the gateway
+        self.end_reason = None  # why, once the relay ended it
+        self.subscription_id, self.last_sent_at = (
+            "",
+            0,
+        )  # whose it is by its own word, when the relay last sent something
+        self.recent_lines, self.is_spoiled = (
+            [],
+            False,
+        )  # the last lines; whether anything false was put in or left out
 
     def send(self, data):
         """From the relay. Bytes past WINDOW are not refused, but `full` says so before."""
-        if self.closed_here:
+        if self.closed_by_sender:
             return
         self.bytes_in_flight += len(data)
-        self.waiting.append(data)
+        self.unsent.append(data)
         self.run()
 
     @property
     def full(self):
-        return self.bytes_in_flight >= WINDOW
+        return self.bytes_in_flight >= WINDOW_BYTES
 
     def end(self, reason):
         """The relay's side ends it, after what is under way."""
-        if not self.closed_here:
-            self.closed_here, self.reset = True, reason
+        if not self.closed_by_sender:
+            self.closed_by_sender, self.end_reason = True, reason
             self.run()
 
     def close(self):
         """The gateway's side is gone; the relay hears of it if it can be reached, or finds out."""
-        if not self.closed_there:
-            self.closed_there = True
+        if not self.closed_by_reader:
+            self.closed_by_reader = True
             self.links.carry(self.gateway, self.relay, self.gone)
 
     def gone(self):
-        if not self.closed_here:
-            self.closed_here = True
-            self.waiting.clear()
-            self.lost(self)
+        if not self.closed_by_sender:
+            self.closed_by_sender = True
+            self.unsent.clear()
+            self.on_lost(self)
 
     def run(self):
-        if not self.running and (self.waiting or self.reset is not None):
-            self.running = True
+        if not self.arrival_scheduled and (self.unsent or self.end_reason is not None):
+            self.arrival_scheduled = True
             self.world.after(self.links.delay(), self.arrive)
 
     def arrive(self):
-        self.running, now = False, self.world.now
-        if self.closed_there:
-            self.waiting.clear()
+        self.arrival_scheduled, now = False, self.world.now
+        if self.closed_by_reader:
+            self.unsent.clear()
             return self.links.carry(self.gateway, self.relay, self.gone)
-        if not self.links.passes((self.relay, self.gateway)):
-            self.held_since = now if self.held_since is None else self.held_since
-            if now - self.held_since > SEND_TIMEOUT and not self.closed_here:
+        if not self.links.can_pass((self.relay, self.gateway)):
+            self.blocked_since = now if self.blocked_since is None else self.blocked_since
+            if now - self.blocked_since > SEND_TIMEOUT and not self.closed_by_sender:
                 return self.gone()
-            self.running = True
-            return self.world.after(AGAIN, self.arrive)
-        self.held_since = None
-        for data in list(self.waiting):
-            if self.closed_there:
+            self.arrival_scheduled = True
+            return self.world.after(RETRY_INTERVAL, self.arrive)
+        self.blocked_since = None
+        for data in list(self.unsent):
+            if self.closed_by_reader:
                 return self.links.carry(self.gateway, self.relay, self.gone)
-            if not self.taken(self, data):
-                self.running = True
-                return self.world.after(AGAIN, self.arrive)
-            if self.waiting:
-                self.waiting.pop(0)
+            if not self.on_data(self, data):
+                self.arrival_scheduled = True
+                return self.world.after(RETRY_INTERVAL, self.arrive)
+            if self.unsent:
+                self.unsent.pop(0)
             self.bytes_in_flight -= len(data)
-        if not self.closed_here:
-            self.room(self)
-        if self.waiting:
+        if not self.closed_by_sender:
+            self.on_room(self)
+        if self.unsent:
             return self.run()
-        if self.reset is not None and not self.closed_there:
-            self.closed_there = True
-            self.ended(self, self.reset)
+        if self.end_reason is not None and not self.closed_by_reader:
+            self.closed_by_reader = True
+            self.on_end(self, self.end_reason)
         return None
 
 
@@ -142,21 +148,21 @@
 ]  # fmt: skip
 
 
-def garble_line(line, chance):
-    """With one bit turned, and still one line."""
+def garble_line(line, rng):
+    """With one bit flipped, and still one line."""
     body = line.rstrip(b"\n")
     while True:
-        at = chance.randrange(len(body))
-        turned = body[at] ^ 1 << chance.randrange(8)
-        if turned not in b"\r\n":
-            return body[:at] + bytes([turned]) + body[at + 1 :] + b"\n"
+        at = rng.randrange(len(body))
+        flipped = body[at] ^ 1 << rng.randrange(8)
+        if flipped not in b"\r\n":
+            return body[:at] + bytes([flipped]) + body[at + 1 :] + b"\n"
 
 
-def endless_line(line, chance):
+def endless_line(line, rng):
     """Far more than any line should have."""
-    return chance.choice([b"[" * 100_000, b'{"snapshot": "' + b"x" * 300_000, b'{"a":' * 50_000]) + b"\n"
+    return rng.choice([b"[" * 100_000, b'{"snapshot": "' + b"x" * 300_000, b'{"a":' * 50_000]) + b"\n"
 
 
-def truncate_line(line, chance):
+def truncate_line(line, rng):
     """Cut off somewhere, with a line end after it."""
-    return line[: chance.randrange(1, max(len(line) - 1, 2))].rstrip(b"\n") + b"\n"
+    return line[: rng.randrange(1, max(len(line) - 1, 2))].rstrip(b"\n") + b"\n"
--- a/lemonlead/standins/distributed/log.py
+++ b/lemonlead/standins/distributed/log.py
@@ -12,7 +12,7 @@
     def __init__(self, cluster):
         self.cluster, self.entries, self.history, self.stamps = cluster, [], {}, {}
         self.keys = {}  # scope to its keys, ever
-        self.touched = {}  # scope to the indexes of its changes
+        self.changed_indexes = {}  # scope to the indexes of its changes
         self.reported_index, self.is_silent = 0, False
 
     @property
@@ -29,7 +29,7 @@
         self.entries.append((scope, key, record))
         self.history.setdefault((scope, key), []).append((index, record))
         self.keys.setdefault(scope, {})[key] = True
-        self.touched.setdefault(scope, []).append(index)
+        self.changed_indexes.setdefault(scope, []).append(index)
         if not self.is_silent:
             self.reported_index = index
         return index
@@ -68,20 +68,20 @@
         return [(at + 1, self.entries[at]) for at in range(index, self.reported_index)]
 
 
-SERVICES, INSTANCES, LARGE, SETTINGS, ZONES = 8, 10, 240, 6, 4
+SERVICES, INSTANCES, LARGE_INSTANCES, SETTINGS, ZONES = 8, 10, 240, 6, 4
 
 
 class Changes:
     """What is committed from second to second: restarts, drains, settings, a zone at once."""
 
     def __init__(self, log, seed):
-        self.log, self.chance, self.number = log, random.Random(f"changes {seed}"), 0
+        self.log, self.rng, self.number = log, random.Random(f"changes {seed}"), 0
         for number in range(SETTINGS):
             log.commit("", f"setting-{number}", {"limit": number})
         for service in range(SERVICES):
             for number in range(INSTANCES):
                 log.commit(f"svc-{service}", f"i{number}", self.ready(number))
-        for number in range(LARGE):
+        for number in range(LARGE_INSTANCES):
             log.commit("large", f"i{number}", self.ready(number))
 
     def ready(self, number, started=0):
@@ -95,24 +95,24 @@
     def scopes(self):
         return ["", "large", *(f"svc-{number}" for number in range(SERVICES))]
 
-    def standing(self, scope):
+    def current_keys(self, scope):
         return [key for key, (_, _) in self.log.records_of(scope, self.log.index).items()]
 
-    def one(self):
+    def make_change(self):
         """One change as on an ordinary day."""
-        chance, log = self.chance, self.log
-        scope = chance.choice(self.scopes())
+        rng, log = self.rng, self.log
+        scope = rng.choice(self.scopes())
         if not scope:
-            return log.commit("", f"setting-{chance.randrange(SETTINGS)}", {"limit": chance.randrange(99)})
-        size = LARGE if scope == "large" else INSTANCES
-        number = chance.randrange(size + 2)
+            return log.commit("", f"setting-{rng.randrange(SETTINGS)}", {"limit": rng.randrange(99)})
+        size = LARGE_INSTANCES if scope == "large" else INSTANCES
+        number = rng.randrange(size + 2)
         _, record = log.record_at(scope, f"i{number}", log.index)
         if record is None:
             self.number += 1
             return log.commit(scope, f"i{number}", self.ready(number, started=self.number))
         if record["state"] == "draining":
-            return log.commit(scope, f"i{number}", None if chance.random() < 0.6 else self.ready(number))
-        how = chance.random()
+            return log.commit(scope, f"i{number}", None if rng.random() < 0.6 else self.ready(number))
+        how = rng.random()
         if how < 0.4:
             return log.commit(scope, f"i{number}", {**record, "state": "draining"})
         if how < 0.55:
@@ -121,18 +121,18 @@
 
     def wave(self):
         """A zone goes: most of its instances drain at once."""
-        zone = self.chance.randrange(ZONES)
+        zone = self.rng.randrange(ZONES)
         for scope in self.scopes()[2:]:
-            for key in self.standing(scope):
+            for key in self.current_keys(scope):
                 _, record = self.log.record_at(scope, key, self.log.index)
-                if record.get("zone") == zone and record["state"] == "ready" and self.chance.random() < 0.8:
+                if record.get("zone") == zone and record["state"] == "ready" and self.rng.random() < 0.8:
                     self.log.commit(scope, key, {**record, "state": "draining"})
 
     def unfit(self):
         """A setting that no gateway can use; the same setting, sound again, comes by `mend`."""
-        return self.log.commit("", f"setting-{self.chance.randrange(SETTINGS)}", {"unfit": True})
+        return self.log.commit("", f"setting-{self.rng.randrange(SETTINGS)}", {"unfit": True})
 
-    def mend(self):
-        for key in self.standing(""):
+    def repair_settings(self):
+        for key in self.current_keys(""):
             if self.log.record_at("", key, self.log.index)[1].get("unfit"):
                 self.log.commit("", key, {"limit": 1})
--- a/lemonlead/standins/simulated/__init__.py
+++ b/lemonlead/standins/simulated/__init__.py
@@ -1,7 +1,8 @@
-"""A simulated world: many members of one or more clusters in one process, with seeded clock, network and
-disks. What runs in it are the very dispatchers that a process hosts; nothing here is imported by them.
+"""A simulated world: many members of one or more clusters in one process, with a seeded clock, network and disks.
+The members run the same dispatchers that a real process hosts; the code under test imports nothing from here.
 
-`world.py` holds the clock and what happens when; `hosts.py` a machine with one member on it; `network.py` and
-`disks.py` what carries and keeps its bytes; `clients.py` who asks; `schedules.py` draws, plays and shrinks
-lists of troubles; `checks.py` and `history.py` judge what was seen, and share no code with what they judge.
+`world.py` holds the clock and the event queue; `hosts.py` a machine with one member on it; `network.py` and
+`disks.py` the simulated network and disks; `clients.py` the clients and the operator; `schedules.py` draws, plays
+and shrinks lists of injected faults; `checks.py` and `history.py` hold the invariant checkers, which share no code
+with what they check. `whole.py` plays two clusters with gateways and nodes, checked by `whole_checks.py`.
 """
--- a/lemonlead/standins/simulated/clients.py
+++ b/lemonlead/standins/simulated/clients.py
@@ -4,59 +4,61 @@
 import json
 import random
 
-from .history import NEVER, UNKNOWN, Seen
+from .history import NEVER, UNKNOWN, ObservedCall
 from .world import MS
 
-TIME_OUT = 700 * MS  # before a call is asked anew elsewhere
-TRIES = 8
-UNITS = 10  # of each site's one node
+CALL_TIMEOUT = 700 * MS  # before a call is asked anew elsewhere
+MAX_TRIES = 8
+SITE_UNITS = 10  # of each site's one node
 
 
 class Ticket:
     """One call at one member."""
 
-    def __init__(self, asking, number):
-        self.asking, self.number, self.answers, self.outcome = asking, number, 0, UNKNOWN
+    def __init__(self, request, number):
+        self.request, self.number, self.answers, self.outcome = request, number, 0, UNKNOWN
 
     @property
     def id(self):
-        return self.asking.id
+        return self.request.id
 
     def answer(self, host, code, body):
         self.outcome = body.get("outcome", "") if code == 503 else "done"
-        self.back(host, code, body)
+        self.respond(host, code, body)
 
     def readable(self, host, state, leader):
         """A read's answer is made from the state at once, as a process does."""
         if state is None:
-            return self.back(host, 503, {"outcome": "not done", "leader": leader, "retry_ms": 200})
+            return self.respond(host, 503, {"outcome": "not done", "leader": leader, "retry_ms": 200})
         held = state.part("reservations")
-        site = self.asking.site
+        site = self.request.site
         seen = frozenset((key, row.units) for key, row in held.items() if row.site == site)
-        self.back(host, 200, {"seen": seen})
+        self.respond(host, 200, {"seen": seen})
 
-    def back(self, host, code, body):
-        asking, line = self.asking, host.cluster.line(host.name)
-        host.world.network.carry(line, asking.line, lambda _: asking.heard(self, code, body))
+    def respond(self, host, code, body):
+        request, endpoint = self.request, host.cluster.endpoint(host.name)
+        host.world.network.carry(
+            endpoint, request.endpoint, lambda _: request.response_received(self, code, body)
+        )
 
 
-class Asking:
+class PendingRequest:
     """One command (or a read, where `data` is None) until it has an answer, or is given up. `over`:
     function(code, body), code 0 where it was given up."""
 
-    def __init__(self, cluster, line, id, data, over, site="", tries=TRIES, seed=0):
-        self.cluster, self.world, self.line = cluster, cluster.world, line
-        self.id, self.data, self.over, self.site, self.tries = id, data, over, site, tries
-        self.chance = random.Random(f"asking {seed} {line} {id}")
+    def __init__(self, cluster, endpoint, id, data, on_end, site="", tries=MAX_TRIES, seed=0):
+        self.cluster, self.world, self.endpoint = cluster, cluster.world, endpoint
+        self.id, self.data, self.on_end, self.site, self.tries = id, data, on_end, site, tries
+        self.rng = random.Random(f"asking {seed} {endpoint} {id}")
         self.tickets, self.ended = [], False
 
-    def ask(self, where=""):
+    def send(self, preferred=""):
         if self.ended:
             return
         if len(self.tickets) >= self.tries:
             return self.end(0, {})
         hosts = [host for host in self.cluster.hosts.values() if not host.gone]
-        host = next((host for host in hosts if host.name == where), None) or self.chance.choice(hosts)
+        host = next((host for host in hosts if host.name == preferred), None) or self.rng.choice(hosts)
         ticket = Ticket(self, len(self.tickets))
         self.tickets.append(ticket)
 
@@ -66,93 +68,93 @@
             else:
                 host.take(host.command, self.data, ticket)
 
-        self.world.network.carry(self.line, self.cluster.line(host.name), arrive)
-        self.world.after(TIME_OUT, self.late, ticket)
+        self.world.network.carry(self.endpoint, self.cluster.endpoint(host.name), arrive)
+        self.world.after(CALL_TIMEOUT, self.timed_out, ticket)
 
-    def late(self, ticket):
+    def timed_out(self, ticket):
         if ticket is self.tickets[-1]:
-            self.ask()
+            self.send()
 
-    def heard(self, ticket, code, body):
+    def response_received(self, ticket, code, body):
         if self.ended:
             return
         if code != 503:
             return self.end(code, body)
         if ticket is self.tickets[-1]:
-            wait = body["retry_ms"] * MS // 2 + self.chance.randint(0, 100 * MS)
-            self.world.after(wait, self.again, ticket, body["leader"])
+            wait = body["retry_ms"] * MS // 2 + self.rng.randint(0, 100 * MS)
+            self.world.after(wait, self.retry, ticket, body["leader"])
 
-    def again(self, ticket, leader):
+    def retry(self, ticket, leader):
         if ticket is self.tickets[-1]:
-            self.ask(leader)
+            self.send(leader)
 
     def end(self, code, body):
         self.ended = True
-        self.over(code, body)
+        self.on_end(code, body)
 
 
 class Client:
     """Does one thing after another at one site until `until`; `seen` is what it saw. Every seventh command
     is asked again after its answer, by the same id, at any member."""
 
-    def __init__(self, cluster, name, site, seed, until, gap=350 * MS):
-        self.cluster, self.name, self.site, self.until, self.gap = cluster, name, site, until, gap
+    def __init__(self, cluster, name, site, seed, until, mean_gap=350 * MS):
+        self.cluster, self.name, self.site, self.until, self.mean_gap = cluster, name, site, until, mean_gap
         self.world = cluster.world
-        self.chance = random.Random(f"client {seed} {name}")
-        self.seed, self.number, self.seen, self.askings = seed, 0, [], []
+        self.rng = random.Random(f"client {seed} {name}")
+        self.seed, self.number, self.observed, self.requests = seed, 0, [], []
 
     def start(self, world):
-        self.next()
+        self.schedule_next()
 
-    def next(self):
-        self.world.after(self.chance.randint(0, 2 * self.gap), self.act)
+    def schedule_next(self):
+        self.world.after(self.rng.randint(0, 2 * self.mean_gap), self.act)
 
     def act(self):
         if self.world.now >= self.until:
             return
-        draw, key = self.chance.random(), f"{self.site}-{self.chance.randrange(4)}"
+        draw, key = self.rng.random(), f"{self.site}-{self.rng.randrange(4)}"
         if draw < 0.35:
-            self.ask("reserve", key, self.chance.randint(1, 5), self.next)
+            self.request("reserve", key, self.rng.randint(1, 5), self.schedule_next)
         elif draw < 0.6:
-            self.ask("free", key, 0, self.next)
+            self.request("free", key, 0, self.schedule_next)
         else:
-            self.ask("read", "", 0, self.next)
+            self.request("read", "", 0, self.schedule_next)
 
-    def ask(self, kind, key, units, then, tries=TRIES):
+    def request(self, kind, key, units, then, tries=MAX_TRIES):
         self.number += 1
         what, asked, id = (kind, key, units), self.world.now, f"{self.name}/{self.number}"
         data = None if kind == "read" else json.dumps(command(id, self.site, *what)).encode()
-        at = len(self.seen)
-        self.seen.append(Seen(what, UNKNOWN, asked))
+        at = len(self.observed)
+        self.observed.append(ObservedCall(what, UNKNOWN, asked))
 
-        def over(code, body):
+        def on_end(code, body):
             if code:
                 result = body["seen"] if kind == "read" else code
-                self.seen[at] = Seen(what, result, asked, self.world.now)
+                self.observed[at] = ObservedCall(what, result, asked, self.world.now)
                 if data and self.number % 7 == 0:
-                    self.repeat(id, data)
+                    self.repeat_command(id, data)
             then()
 
-        asking = Asking(self.cluster, self.name, id, data, over, self.site, tries, self.seed)
-        self.askings.append(asking)
-        asking.ask()
+        request = PendingRequest(self.cluster, self.name, id, data, on_end, self.site, tries, self.seed)
+        self.requests.append(request)
+        request.send()
 
-    def repeat(self, id, data):
-        again = Asking(
+    def repeat_command(self, id, data):
+        again = PendingRequest(
             self.cluster, self.name, id, data, lambda code, body: None, self.site, seed=self.number
         )
-        self.askings.append(again)
-        self.world.after(self.chance.randint(0, 4 * self.gap), again.ask)
+        self.requests.append(again)
+        self.world.after(self.rng.randint(0, 4 * self.mean_gap), again.send)
 
     def burst(self, count):
         """So many reservations at once, beside what it does otherwise; each asked for once."""
         for _ in range(count):
-            key = f"{self.site}-{self.chance.randrange(4)}"
-            self.ask("reserve", key, self.chance.randint(1, 5), lambda: None, 1)
+            key = f"{self.site}-{self.rng.randrange(4)}"
+            self.request("reserve", key, self.rng.randint(1, 5), lambda: None, 1)
 
-    def calls(self):
+    def observed_calls(self):
         """What it saw, for the search: reads without an answer say nothing."""
-        return [call for call in self.seen if call.answered != NEVER or call.what[0] != "read"]
+        return [call for call in self.observed if call.answered_at != NEVER or call.operation[0] != "read"]
 
 
 def command(id, site, kind, key, units):
@@ -167,15 +169,15 @@
     """Makes up for a lost machine: a new one under a new name is added, the old name is removed, in either
     order. `busy` from the loss until the new one votes and the old one is gone."""
 
-    LOOK = 200 * MS
+    CHECK_INTERVAL = 200 * MS
 
     def __init__(self, cluster, seed):
         self.cluster, self.world = cluster, cluster.world
-        self.chance = random.Random(f"operator {seed}")
+        self.rng = random.Random(f"operator {seed}")
         self.busy, self.number, self.names = False, 0, len(cluster.hosts)
-        self.asking, self.askings = False, []
+        self.request_pending, self.requests = False, []
 
-    def lost(self, old, after):
+    def machine_lost(self, old, after):
         """`old`: the name of a machine that was just wiped."""
         self.busy = True
         self.names += 1
@@ -184,12 +186,12 @@
     def replace(self, old, new):
         host = self.cluster.join(new)
         add = {"kind": "add", "member": new, "address": f"{new}:1", "folder": host.disk.folder}
-        steps = [(add, self.votes), ({"kind": "remove", "member": old}, self.left)]
-        if self.chance.random() < 0.5:
+        steps = [(add, self.is_voter), ({"kind": "remove", "member": old}, self.has_left)]
+        if self.rng.random() < 0.5:
             steps.reverse()
-        self.look(steps)
+        self.run_steps(steps)
 
-    def look(self, steps):
+    def run_steps(self, steps):
         """Asks for the first step until it shows in the state that a leader has; then for the next."""
         leader = self.cluster.leader()
         while steps and leader is not None and steps[0][1](leader.dispatcher.state, steps[0][0]["member"]):
@@ -197,25 +199,25 @@
         if not steps:
             self.busy = False
             return
-        if leader is not None and not self.asking and not leader.dispatcher.state.part("seating"):
+        if leader is not None and not self.request_pending and not leader.dispatcher.state.part("seating"):
             self.number += 1
-            self.asking = True
+            self.request_pending = True
             id = f"operator/{self.number}"
             data = json.dumps({**steps[0][0], "id": id}).encode()
-            asking = Asking(self.cluster, "operator", id, data, self.asked)
-            self.askings.append(asking)
-            asking.ask(leader.name)
-        self.world.after(self.LOOK, self.look, steps)
+            request = PendingRequest(self.cluster, "operator", id, data, self.request_ended)
+            self.requests.append(request)
+            request.send(leader.name)
+        self.world.after(self.CHECK_INTERVAL, self.run_steps, steps)
 
-    def asked(self, code, body):
-        self.asking = False
+    def request_ended(self, code, body):
+        self.request_pending = False
 
     @staticmethod
-    def votes(state, name):
+    def is_voter(state, name):
         row = state.part("members").get(name)
         return row is not None and row.votes and not row.gone
 
     @staticmethod
-    def left(state, name):
+    def has_left(state, name):
         row = state.part("members").get(name)
         return row is None or row.gone
--- a/lemonlead/standins/simulated/disks.py
+++ b/lemonlead/standins/simulated/disks.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class DiskContents:
     """What a folder holds: as a replica writes it, and the bytes of the snapshot that `base` names."""
 
     term: int = 0
@@ -19,46 +19,46 @@
     snapshot: bytes = b""
 
     def copy(self):
-        return Held(self.term, self.voted, self.base, list(self.entries), self.snapshot)
+        return DiskContents(self.term, self.voted, self.base, list(self.entries), self.snapshot)
 
     @property
-    def last(self):
+    def last_index(self):
         return self.entries[-1].index if self.entries else self.base.index
 
-    def entry(self, index):
+    def entry_at(self, index):
         """That entry, or None where it is not here (or behind the base)."""
         at = index - self.base.index - 1
         return self.entries[at] if 0 <= at < len(self.entries) else None
 
-    def take(self, work):
+    def apply(self, task):
         """One Write, whole; ValueError where it leaves a hole in the log."""
-        write = work.write
+        write = task.write
         if write is None:
-            return self.rest_on(work.base, work.snapshot)
+            return self.set_base(task.base, task.snapshot)
         self.term, self.voted = write.term, write.voted
         if write.base is not None:
-            self.rest_on(write.base, work.snapshot)
+            self.set_base(write.base, task.snapshot)
         if write.cut is not None:
             del self.entries[max(write.cut - self.base.index - 1, 0) :]
         for entry in write.entries:
             if entry.index <= self.base.index:
                 continue
-            if entry.index != self.last + 1:
-                raise ValueError(f"entry {entry.index} written after {self.last}")
+            if entry.index != self.last_index + 1:
+                raise ValueError(f"entry {entry.index} written after {self.last_index}")
             self.entries.append(entry)
 
-    def rest_on(self, base, snapshot):
+    def set_base(self, base, snapshot):
         """Stands on this base from now on; an older one is passed over."""
         if base.index <= self.base.index:
             return
-        mark = self.entry(base.index)
-        fits = mark is not None and mark.term == base.term
+        kept = self.entry_at(base.index)
+        fits = kept is not None and kept.term == base.term
         self.entries = [entry for entry in self.entries if entry.index > base.index] if fits else []
         self.base, self.snapshot = base, snapshot
 
 
 @dataclass(slots=True)
-class Work:
+class DiskTask:
     """A Write of the replica, or a snapshot of its own (`base`, without `write`)."""
 
     write: object = None
@@ -71,74 +71,74 @@
     """One folder. Works are synced in order, those that wait together; a crash keeps the first few of those
     that were not synced yet, each whole or not at all."""
 
-    def __init__(self, folder, seed, after, held=None, synced=None):
+    def __init__(self, folder, seed, after, contents=None, on_sync=None):
         self.folder, self.after = folder, after
-        self.chance = random.Random(f"disk {seed} {folder}")
-        self.held = held or Held()  # what is synced
-        self.ahead = self.held.copy()  # with all that was asked for
-        self.works, self.busy, self.life = [], False, 0
-        self.least, self.most = 1 * MS, 6 * MS
-        self.broken = ""  # why every sync fails
-        self.failing = None  # function(why), told at the first sync that fails
-        self.synced = synced  # function(disk) after each sync
-
-    def submit(self, work):
-        if self.broken:
+        self.rng = random.Random(f"disk {seed} {folder}")
+        self.contents = contents or DiskContents()  # what is synced
+        self.requested_contents = self.contents.copy()  # with all that was asked for
+        self.tasks, self.busy, self.incarnation = [], False, 0
+        self.min_delay, self.max_delay = 1 * MS, 6 * MS
+        self.failure = ""  # why every sync fails
+        self.on_failure = None  # function(why), told at the first sync that fails
+        self.on_sync = on_sync  # function(disk) after each sync
+
+    def submit(self, task):
+        if self.failure:
             return self.fail()
-        self.ahead.take(work)
-        self.works.append(work)
+        self.requested_contents.apply(task)
+        self.tasks.append(task)
         if not self.busy:
             self.sync()
 
     def sync(self):
         self.busy = True
-        delay = self.chance.randint(self.least, self.most)
-        self.after(delay, self.finish, self.life, len(self.works))
+        delay = self.rng.randint(self.min_delay, self.max_delay)
+        self.after(delay, self.finish, self.incarnation, len(self.tasks))
 
-    def finish(self, life, count):
-        if life != self.life:
+    def finish(self, incarnation, count):
+        if incarnation != self.incarnation:
             return
-        if self.broken:
+        if self.failure:
             return self.fail()
-        some, self.works = self.works[:count], self.works[count:]
-        for work in some:
-            self.held.take(work)
-        if self.synced:
-            self.synced(self)
+        finished, self.tasks = self.tasks[:count], self.tasks[count:]
+        for task in finished:
+            self.contents.apply(task)
+        if self.on_sync:
+            self.on_sync(self)
         self.busy = False
-        if self.works:
+        if self.tasks:
             self.sync()
-        for work in some:
-            if life != self.life:
+        for task in finished:
+            if incarnation != self.incarnation:
                 return
-            work.done()
+            task.done()
 
     def fail(self):
         """Some of what waits may be on the disk all the same; nobody is told which."""
-        why, tell = self.broken, self.failing
+        reason, on_failure = self.failure, self.on_failure
         self.crash()
-        if tell:
-            tell(why)
+        if on_failure:
+            on_failure(reason)
 
     def crash(self):
         """The machine is gone, or the process: the first few works may have come through."""
-        for work in self.works[: self.chance.randint(0, len(self.works))]:
-            self.held.take(work)
-        if self.synced:
-            self.synced(self)
-        self.life += 1
-        self.works, self.busy, self.failing = [], False, None
-        self.ahead = self.held.copy()
-
-    def at_speed(self):
+        for task in self.tasks[: self.rng.randint(0, len(self.tasks))]:
+            self.contents.apply(task)
+        if self.on_sync:
+            self.on_sync(self)
+        self.incarnation += 1
+        self.tasks, self.busy, self.on_failure = [], False, None
+        self.requested_contents = self.contents.copy()
+
+    def reset_speed(self):
         """No longer slow; a broken one stays so."""
-        self.least, self.most = 1 * MS, 6 * MS
+        self.min_delay, self.max_delay = 1 * MS, 6 * MS
 
     def heal(self):
-        self.broken = ""
-        self.at_speed()
+        self.failure = ""
+        self.reset_speed()
 
-    def kept(self):
+    def stored_state(self):
         """What a replica is given at its start."""
-        held = self.held
-        return StoredState(held.term, held.voted, held.base, list(held.entries))
+        contents = self.contents
+        return StoredState(contents.term, contents.voted, contents.base, list(contents.entries))
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways in a simulated world: the very LedgerPolling and Merge, and a driver that asks over
+"""Gateways in a simulated world: the very LedgerPolling and Merge, and a driver that asks on_end
 the faulty network.
 
 What counts is to whom a gateway may send: to each node that its Merge has ready, from its first word of the
@@ -16,12 +16,12 @@
 from .calls import Call
 from .world import MS, SECOND
 
-SILENCE = 3500 * MS  # without an answer a call has failed, as in the driver
-NEVER_HEARD = -(1 << 62)
+CALL_TIMEOUT = 3500 * MS  # without an answer a call has failed, as in the driver
+NEVER = -(1 << 62)
 
 
 @dataclass(frozen=True)
-class Line:
+class DiscoveredInstance:
     """What of discovery's line Merge looks at."""
 
     id: str
@@ -35,33 +35,33 @@
 
     def __init__(self, cluster, name, service, nodes, seed):
         self.cluster, self.name, self.service, self.nodes, self.seed = cluster, name, service, nodes, seed
-        self.world, self.line, self.life = cluster.world, name, 0
-        self.chance = random.Random(f"gateway {seed} {name}")
-        self.watched = []  # function(gateway, after) as a poll comes to a leader
+        self.world, self.endpoint, self.incarnation = cluster.world, name, 0
+        self.rng = random.Random(f"gateway {seed} {name}")
+        self.poll_listeners = []  # function(gateway, after) as a poll comes to a leader
 
     def start(self, world):
         self.begin()
 
     def begin(self):
         """A new process under the old name: it knows nothing."""
-        self.life += 1
+        self.incarnation += 1
         members = {host.name: f"{host.name}:1" for host in self.cluster.hosts.values() if not host.gone}
-        boot = f"boot{self.life}"
-        self.polling = LedgerPolling(self.name, boot, members, self.chance.random(), ("moves",), self.service)
+        boot = f"boot{self.incarnation}"
+        self.polling = LedgerPolling(self.name, boot, members, self.rng.random(), ("moves",), self.service)
         self.merge, self.parts, self.moves = Merge(), [], {}
-        self.merge.listed([Line(node) for node in self.nodes], {}, True)
-        self.heard, self.asked = False, {}  # asked: a command's id to when it was first sent
-        self.fresh = NEVER_HEARD  # when the last call was sent by which the ledger knows of it
-        self.turn(self.life)
+        self.merge.listed([DiscoveredInstance(node) for node in self.nodes], {}, True)
+        self.has_state, self.sent_at = False, {}  # sent_at: a command's id to when it was first sent
+        self.leased_from = NEVER  # when the last call was sent by which the ledger knows of it
+        self.turn(self.incarnation)
 
-    # ---- what judges ask
+    # ---- what judges command
 
     def may_send(self, node):
-        return self.heard and self.merge.merged_line(node).state == READY
+        return self.has_state and self.merge.merged_line(node).state == READY
 
     def leased(self, lease):
         """Whether it follows and its lease has not run out, by its own count."""
-        return self.polling.is_following and self.world.now - self.fresh < lease
+        return self.polling.is_following and self.world.now - self.leased_from < lease
 
     def share(self, move, epoch):
         """Thousandths that it sends to the far side of this move; None where it has not heard of it."""
@@ -70,41 +70,43 @@
 
     # ---- its calls
 
-    def turn(self, life):
-        if life != self.life or self.polling.left:
+    def turn(self, incarnation):
+        if incarnation != self.incarnation or self.polling.left:
             return
         now = self.world.now
-        ask = self.polling.next(now)
-        if ask is None:
+        command = self.polling.next(now)
+        if command is None:
             wake = max(self.polling.not_before - now, 10 * MS)
-            return self.world.after(wake, self.turn, life)
-        host = self.cluster.hosts.get(ask.address.split(":")[0])
+            return self.world.after(wake, self.turn, incarnation)
+        host = self.cluster.hosts.get(command.address.split(":")[0])
         if host is None:
             self.polling.failed(now)
-            return self.turn(life)
-
-        def over(code, body):
-            if life == self.life:
-                self.over(ask, now, code, body)
-                self.world.after(MS, self.turn, life)
-
-        call = Call(self.cluster, self.line, host, over, SILENCE, part=ask.part)
-        if ask.kind == STATE:
-            call.go(host.read, call)
-        elif ask.kind == EVENTS:
-            call.go(self.poll, host, self.polling.applied_index, self.polling.followed_since, call, life)
+            return self.turn(incarnation)
+
+        def on_end(code, body):
+            if incarnation == self.incarnation:
+                self.call_ended(command, now, code, body)
+                self.world.after(MS, self.turn, incarnation)
+
+        call = Call(self.cluster, self.endpoint, host, on_end, CALL_TIMEOUT, part=command.part)
+        if command.kind == STATE:
+            call.send(host.read, call)
+        elif command.kind == EVENTS:
+            call.send(
+                self.poll, host, self.polling.applied_index, self.polling.followed_since, call, incarnation
+            )
         else:
-            call.id = json.loads(ask.body)["id"]
-            self.asked.setdefault(call.id, now)
-            call.go(host.command, ask.body, call)
-
-    def poll(self, host, after, since, call, life):
-        if life == self.life:
-            for watch in self.watched:
-                watch(self, host, after)
+            call.id = json.loads(command.body)["id"]
+            self.sent_at.setdefault(call.id, now)
+            call.send(host.command, command.body, call)
+
+    def poll(self, host, after, since, call, incarnation):
+        if incarnation == self.incarnation:
+            for listener in self.poll_listeners:
+                listener(self, host, after)
         host.poll(after, self.name, call, since, responses.POLLED_PARTS)
 
-    def over(self, ask, sent, code, body):
+    def call_ended(self, command, sent, code, body):
         """What the answer means, as the driver has it."""
         polling, now = self.polling, self.world.now
         if code == 0:
@@ -116,69 +118,71 @@
         if code == 200 and not polling.check_cluster(now, responses.cluster_id(body)):
             self.parts = []
             return None
-        if ask.kind == FOLLOW:
+        if command.kind == FOLLOW:
             if code != 200:
                 return polling.follow_refused(now)
-            self.fresh = self.asked[json.loads(ask.body)["id"]]
+            self.leased_from = self.sent_at[json.loads(command.body)["id"]]
             return polling.follow_accepted(now, responses.parse_whole_number(body, "at"))
-        if ask.kind == VOTE:
-            return polling.vote_answered(ask.command_number)
-        if ask.kind == STATE:
-            return self.state(ask, body)
-        return self.events(sent, body)
-
-    def state(self, ask, body):
-        self.parts.append(responses.parse_state(body, ask.part))
-        if self.polling.part_received(ask.part):
+        if command.kind == VOTE:
+            return polling.vote_answered(command.command_number)
+        if command.kind == STATE:
+            return self.state_received(command, body)
+        return self.events_received(sent, body)
+
+    def state_received(self, command, body):
+        self.parts.append(responses.parse_state(body, command.part))
+        if self.polling.part_received(command.part):
             parts, self.parts = self.parts, []
-            if not self.obey(responses.join_updates(parts), ""):
+            if not self.apply(responses.join_updates(parts), ""):
                 self.polling.restart_from_state()
 
-    def events(self, sent, body):
+    def events_received(self, sent, body):
         polling, now = self.polling, self.world.now
-        news = responses.parse_events(body, polling.applied_index, responses.POLLED_PARTS)
-        if news is None:
+        update = responses.parse_events(body, polling.applied_index, responses.POLLED_PARTS)
+        if update is None:
             return polling.restart_from_state()
-        if news.index < polling.applied_index:
+        if update.index < polling.applied_index:
             return polling.stale_response(now)
-        rows = {(part, key): record for part, key, record in news.changes}
+        rows = {(part, key): record for part, key, record in update.changes}
         for (part, key), record in rows.items():
             if part == "members" and record is not None:
                 polling.member_changed(key, None if record.get("gone") else record["address"])
-        if not self.obey(news, responses.leader_hint(body)):
+        if not self.apply(update, responses.leader_hint(body)):
             return polling.failed(now)
-        self.fresh = max(self.fresh, sent)
+        self.leased_from = max(self.leased_from, sent)
         if rows.get(("followers", self.name), True) is None:
             polling.lease_lost()
         return None
 
-    def obey(self, news, leader):
-        if self.hear(news) is None:
+    def apply(self, update, leader):
+        if self.merge_update(update) is None:
             return False
-        self.polling.update_applied(self.world.now, news.index, leader)
-        self.heard = True
+        self.polling.update_applied(self.world.now, update.index, leader)
+        self.has_state = True
         return True
 
-    def hear(self, news):
-        told = self.merge.apply_update(self.world.now, news)
-        if told is not None:
-            self.shifts([change for change in news.changes if change[0] == "moves" and change[2] is not None])
-        return told
+    def merge_update(self, update):
+        changed = self.merge.apply_update(self.world.now, update)
+        if changed is not None:
+            self.moves_changed(
+                [change for change in update.changes if change[0] == "moves" and change[2] is not None]
+            )
+        return changed
 
-    def shifts(self, changes):
+    def moves_changed(self, changes):
         for _, key, record in changes:
             self.moves[key] = record
-            self.judge(key, record)
+            self.schedule_vote(key, record)
 
-    def judge(self, name, move):
+    def schedule_vote(self, name, move):
         """Its vote on a stage, some time after it heard of it."""
         if move["service"] == self.service and move["step"] == "shifting" and move["share"] < 1000:
-            verdict = "back" if self.chance.random() < 0.02 else "on"
+            verdict = "back" if self.rng.random() < 0.02 else "on"
             cast = {"move": name, "epoch": move["epoch"], "stage": move["stage"], "verdict": verdict}
-            self.world.after(self.chance.randint(0, SECOND), self.vote, cast, self.life)
+            self.world.after(self.rng.randint(0, SECOND), self.vote, cast, self.incarnation)
 
-    def vote(self, cast, life):
+    def vote(self, cast, incarnation):
         move = self.moves.get(cast["move"])
-        stands = move and (move["epoch"], move["stage"]) == (cast["epoch"], cast["stage"])
-        if life == self.life and stands and self.name not in (*move["on"], *move["back"]):
+        is_current = move and (move["epoch"], move["stage"]) == (cast["epoch"], cast["stage"])
+        if incarnation == self.incarnation and is_current and self.name not in (*move["on"], *move["back"]):
             self.polling.vote(cast)
--- a/lemonlead/standins/simulated/history.py
+++ b/lemonlead/standins/simulated/history.py
@@ -12,67 +12,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ObservedCall:
     """One call as its client saw it. Moments of one clock; `answered` is NEVER where no answer came."""
 
-    what: object
+    operation: object
     result: object
-    asked: int
-    answered: int = NEVER
+    called_at: int
+    answered_at: int = NEVER
 
 
-def first_wrong(calls, start, step, most=200_000):
+def find_inconsistent_call(calls, start, step, max_states=200_000):
     """None where some order of the calls fits all that was seen; else a call that fits in no order. `step`:
-    function(state, what) to (state after, result); states can be hashed. Undecided past `most` places tried.
+    function(state, what) to (state after, result); states can be hashed. Undecided past `max_states` places tried.
 
     A known call that fits as the state is and changes nothing is taken at once: later it could only fit
     worse."""
-    calls = sorted(calls, key=lambda call: (call.asked, call.answered))
+    calls = sorted(calls, key=lambda call: (call.called_at, call.answered_at))
     known = sum(1 << at for at, call in enumerate(calls) if call.result != UNKNOWN)
-    tried, places, furthest = set(), [(0, start)], 0
+    tried, unexplored, furthest = set(), [(0, start)], 0
     stuck = None
-    while places:
-        done, state = places.pop()
-        done, open_ = settle(calls, done, state, step)
+    while unexplored:
+        done, state = unexplored.pop()
+        done, candidates = take_calls_without_effect(calls, done, state, step)
         if done & known == known:
             return None
         if (done, state) in tried:
             continue
         tried.add((done, state))
-        if len(tried) > most:
-            raise Undecided(f"{len(calls)} calls, {most} places tried")
+        if len(tried) > max_states:
+            raise Undecided(f"{len(calls)} calls, {max_states} places tried")
         if stuck is None or bin(done & known).count("1") > furthest:
             furthest = bin(done & known).count("1")
-            waits = [calls[at] for at in range(len(calls)) if not done >> at & 1 and known >> at & 1]
-            stuck = min(waits, key=lambda call: call.answered)
-        for at in reversed(open_):
-            after, result = step(state, calls[at].what)
+            pending = [calls[at] for at in range(len(calls)) if not done >> at & 1 and known >> at & 1]
+            stuck = min(pending, key=lambda call: call.answered_at)
+        for at in reversed(candidates):
+            after, result = step(state, calls[at].operation)
             if calls[at].result == UNKNOWN:
                 if after != state:
-                    places.append((done | 1 << at, after))
+                    unexplored.append((done | 1 << at, after))
             elif result == calls[at].result:
-                places.append((done | 1 << at, after))
+                unexplored.append((done | 1 << at, after))
     return stuck
 
 
-def settle(calls, done, state, step):
+def take_calls_without_effect(calls, done, state, step):
     """What is done once every call that fits and changes nothing is taken, and the calls that may be
     next."""
     while True:
-        open_, until = [], NEVER
+        candidates, until = [], NEVER
         for at, call in enumerate(calls):
-            if call.asked > until:
+            if call.called_at > until:
                 break
             if not done >> at & 1:
-                open_.append(at)
-                until = min(until, call.answered)
-        open_ = [at for at in open_ if calls[at].asked <= until]
-        quiet = [
+                candidates.append(at)
+                until = min(until, call.answered_at)
+        candidates = [at for at in candidates if calls[at].called_at <= until]
+        without_effect = [
             at
-            for at in open_
-            if calls[at].result != UNKNOWN and step(state, calls[at].what) == (state, calls[at].result)
+            for at in candidates
+            if calls[at].result != UNKNOWN and step(state, calls[at].operation) == (state, calls[at].result)
         ]
-        if not quiet:
-            return done, open_
-        for at in quiet:
+        if not without_effect:
+            return done, candidates
+        for at in without_effect:
             done |= 1 << at
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -8,15 +8,15 @@
 from lemonlead.ledger.records import LEADER, ReplicaConfig
 from lemonlead.ledger.state import State
 
-from .checks import Judge
-from .disks import Disk, Held, Work
-from .world import MS, SECOND, WALL, InvariantViolation
+from .checks import Checker
+from .disks import Disk, DiskContents, DiskTask
+from .world import MS, SECOND, START_WALL_MS, InvariantViolation
 
-MOST_STEPS = 20_000  # of one turn; past it the dispatcher never comes to an end
-MOST_WAITING = 5_000  # inputs of a machine that stands still; past it they are lost
+MAX_STEPS_PER_TURN = 20_000  # of one turn; past it the dispatcher never comes to an end
+MAX_QUEUED_INPUTS = 5_000  # inputs of a machine that stands still; past it they are lost
 
 
-def short_told(cluster, name, folder, seed):
+def short_config(cluster, name, folder, seed):
     """Times and bounds that make much happen in few seconds."""
     return ReplicaConfig(
         cluster,
@@ -34,11 +34,11 @@
     )
 
 
-def plain_dispatcher(host, told, kept, state, now):
+def default_dispatcher(host, config, stored, state, now):
     cluster = host.cluster
-    duties = cluster.duties()
+    leader_tasks = cluster.make_leader_tasks()
     dispatcher = Dispatcher(
-        told, kept, cluster.ledger, state, now, duties, snapshot_every=cluster.snapshot_every
+        config, stored, cluster.ledger, state, now, leader_tasks, snapshot_every=cluster.snapshot_every
     )
     dispatcher.leader_tasks.insert(0, Membership(dispatcher))
     return dispatcher
@@ -55,33 +55,33 @@
         id,
         names,
         ledger,
-        judges=(),
-        duties=list,
-        make_dispatcher=plain_dispatcher,
+        checkers=(),
+        make_leader_tasks=list,
+        make_dispatcher=default_dispatcher,
         make_disk=Disk,
-        told=short_told,
-        terms=None,
+        make_config=short_config,
+        settings=None,
         snapshot_every=10,
     ):
-        self.world, self.id, self.ledger, self.judges = world, id, ledger, list(judges)
-        self.duties, self.make_dispatcher, self.make_disk, self.told = (
-            duties,
+        self.world, self.id, self.ledger, self.checkers = world, id, ledger, list(checkers)
+        self.make_leader_tasks, self.make_dispatcher, self.make_disk, self.make_config = (
+            make_leader_tasks,
             make_dispatcher,
             make_disk,
-            told,
+            make_config,
         )
         self.snapshot_every = snapshot_every
-        self.watching = {}  # what judges are told: the functions of those that want it
+        self.listeners = {}  # what judges are told: the functions of those that want it
         self.hosts, self.folders = {}, 0
         world.clusters[id] = self
-        seats = {name: ConfiguredMember(f"{name}:1", f"{name}-0") for name in names}
-        self.formed, self.base = formed(seats, terms or LedgerSettings())
-        first = b"".join(ledger.pieces(self.formed))
-        for judge in self.judges:
-            judge.cluster = self
-        self.tell("formed", self, self.formed, self.base)
+        members = {name: ConfiguredMember(f"{name}:1", f"{name}-0") for name in names}
+        self.initial_state, self.base = formed(members, settings or LedgerSettings())
+        first = b"".join(ledger.pieces(self.initial_state))
+        for checker in self.checkers:
+            checker.cluster = self
+        self.notify("cluster_formed", self, self.initial_state, self.base)
         for name in names:
-            held = Held(self.base.term, "", self.base, [], first)
+            held = DiskContents(self.base.term, "", self.base, [], first)
             self.hosts[name] = Host(self, name, self.disk(f"{name}-0", held))
         for host in self.hosts.values():
             host.start()
@@ -89,25 +89,25 @@
     def disk(self, folder, held=None):
         return self.make_disk(folder, self.world.seed, self.world.after, held, self.synced)
 
-    def watch(self, judge):
-        """One judge more, from now on."""
-        self.judges.append(judge)
-        self.watching.clear()
-        judge.cluster = self
-        judge.formed(self, self.formed, self.base)
+    def add_checker(self, checker):
+        """One checker more, from now on."""
+        self.checkers.append(checker)
+        self.listeners.clear()
+        checker.cluster = self
+        checker.cluster_formed(self, self.initial_state, self.base)
 
-    def tell(self, what, *args):
+    def notify(self, what, *args):
         """The judges, in their order."""
-        functions = self.watching.get(what)
+        functions = self.listeners.get(what)
         if functions is None:
-            plain = getattr(Judge, what)
-            wants = [judge for judge in self.judges if getattr(type(judge), what) is not plain]
-            functions = self.watching[what] = [getattr(judge, what) for judge in wants]
+            default = getattr(Checker, what)
+            overriding = [checker for checker in self.checkers if getattr(type(checker), what) is not default]
+            functions = self.listeners[what] = [getattr(checker, what) for checker in overriding]
         for function in functions:
             function(*args)
 
     def synced(self, disk):
-        self.tell("synced", self, disk)
+        self.notify("disk_synced", self, disk)
 
     def new_folder(self, name):
         self.folders += 1
@@ -128,12 +128,12 @@
         lead = [host for host in self.up if host.dispatcher.replica.role == LEADER]
         return max(lead, key=lambda host: host.dispatcher.replica.term, default=None)
 
-    def line(self, name):
+    def endpoint(self, name):
         """The name of a machine's end in the network."""
         return f"{self.id}/{name}"
 
-    def lines(self, froms, tos):
-        return [(self.line(a), self.line(b)) for a in froms for b in tos if a != b]
+    def endpoint_pairs(self, froms, tos):
+        return [(self.endpoint(a), self.endpoint(b)) for a in froms for b in tos if a != b]
 
 
 class Host:
@@ -141,60 +141,70 @@
 
     def __init__(self, cluster, name, disk):
         self.cluster, self.world, self.name, self.disk = cluster, cluster.world, name, disk
-        self.chance = random.Random(f"host {self.world.seed} {disk.folder}")
-        self.offset = self.chance.randint(0, 10**6) * SECOND
-        self.rate = 1 + self.chance.uniform(-0.01, 0.01)
-        self.jumped = 0  # milliseconds that its wall clock is off
+        self.rng = random.Random(f"host {self.world.seed} {disk.folder}")
+        self.clock_offset = self.rng.randint(0, 10**6) * SECOND
+        self.clock_rate = 1 + self.rng.uniform(-0.01, 0.01)
+        self.wall_offset_ms = 0  # milliseconds that its wall clock is off
         self.dispatcher, self.paused, self.gone = None, False, False
-        self.life, self.waiting, self.wakes = 0, [], None
-        self.dies_in = None  # steps until it is killed in the midst of a turn
-        self.parts = None  # of a snapshot under way: (base, bytes)
-        self.received = (None, b"")  # the last that came whole
+        self.incarnation, self.queued_inputs, self.next_wakeup = 0, [], None
+        self.steps_until_kill = None  # steps until it is killed in the midst of a turn
+        self.incoming_chunks = None  # of a snapshot under way: (base, bytes)
+        self.received_snapshot = (None, b"")  # the last that came whole
         self.polls = 0
 
     def now(self):
-        return self.offset + round(self.world.now * self.rate)
+        return self.clock_offset + round(self.world.now * self.clock_rate)
 
     def wall_ms(self):
-        return WALL + self.world.now // MS + self.jumped
+        return START_WALL_MS + self.world.now // MS + self.wall_offset_ms
 
     # ---- what befalls it
 
     def start(self):
         if self.dispatcher is not None or self.gone:
             return
-        self.life += 1
-        self.disk.failing = lambda why: self.take(self.fail, why)
-        kept = self.disk.kept()
-        state = self.cluster.ledger.whole(self.disk.held.snapshot) if self.disk.held.snapshot else State()
-        told = self.cluster.told(self.cluster.id, self.name, self.disk.folder, self.chance.randrange(1 << 30))
-        self.parts, self.waiting, self.paused, self.wakes, self.dies_in = None, [], False, None, None
-        self.dispatcher = self.cluster.make_dispatcher(self, told, kept, state, self.now())
-        self.cluster.tell("started", self)
+        self.incarnation += 1
+        self.disk.on_failure = lambda reason: self.take(self.fail, reason)
+        stored = self.disk.stored_state()
+        state = (
+            self.cluster.ledger.whole(self.disk.contents.snapshot) if self.disk.contents.snapshot else State()
+        )
+        config = self.cluster.make_config(
+            self.cluster.id, self.name, self.disk.folder, self.rng.randrange(1 << 30)
+        )
+        self.incoming_chunks, self.queued_inputs, self.paused, self.next_wakeup, self.steps_until_kill = (
+            None,
+            [],
+            False,
+            None,
+            None,
+        )
+        self.dispatcher = self.cluster.make_dispatcher(self, config, stored, state, self.now())
+        self.cluster.notify("host_started", self)
         self.turn()
 
     def kill(self):
         if self.dispatcher is not None:
             self.world.count("kills")
-        self.dispatcher, self.paused, self.waiting = None, False, []
+        self.dispatcher, self.paused, self.queued_inputs = None, False, []
         self.disk.crash()
 
     def wipe(self):
         """The machine is lost with its disk, for good."""
         self.kill()
         self.gone = True
-        self.cluster.tell("wiped", self)
+        self.cluster.notify("host_wiped", self)
 
     def pause(self):
         if self.dispatcher is not None:
             self.paused = True
 
-    def go_on(self):
+    def resume(self):
         if not self.paused:
             return
-        self.paused, waiting, self.waiting = False, self.waiting, []
-        for life, input, args in waiting:
-            if life == self.life and self.dispatcher is not None and not self.paused:
+        self.paused, waiting, self.queued_inputs = False, self.queued_inputs, []
+        for incarnation, input, args in waiting:
+            if incarnation == self.incarnation and self.dispatcher is not None and not self.paused:
                 input(*args)
         self.turn()
 
@@ -204,8 +214,8 @@
         if self.dispatcher is None:
             return
         if self.paused:
-            if len(self.waiting) < MOST_WAITING:
-                self.waiting.append((self.life, input, args))
+            if len(self.queued_inputs) < MAX_QUEUED_INPUTS:
+                self.queued_inputs.append((self.incarnation, input, args))
             return
         input(*args)
         self.turn()
@@ -215,41 +225,41 @@
         if dispatcher is None:
             return
         dispatcher.set_clocks(now, self.wall_ms())
-        door = Door(self)
-        for _ in range(MOST_STEPS):
-            if self.dies_in is not None:
-                if self.dies_in <= 0:
-                    self.cluster.tell("turned", self)
+        replica_host = SimulatedReplicaHost(self)
+        for _ in range(MAX_STEPS_PER_TURN):
+            if self.steps_until_kill is not None:
+                if self.steps_until_kill <= 0:
+                    self.cluster.notify("turn_ended", self)
                     return self.kill()
-                self.dies_in -= 1
-            if not dispatcher.decide(now, door):
+                self.steps_until_kill -= 1
+            if not dispatcher.decide(now, replica_host):
                 break
         else:
             raise InvariantViolation(
-                "turns", f"{self.name} takes more than {MOST_STEPS} steps", self.world.now
+                "turns", f"{self.name} takes more than {MAX_STEPS_PER_TURN} steps", self.world.now
             )
-        self.cluster.tell("turned", self)
-        wakes = max(dispatcher.wake_at(), now + 20_000)
-        wakes = round((wakes - self.offset) / self.rate) + 1
-        if self.wakes is None or wakes < self.wakes:
-            self.wakes = wakes
-            self.world.after(wakes - self.world.now, self.wake, self.life, wakes)
-
-    def wake(self, life, wakes):
-        if life == self.life and wakes == self.wakes:
-            self.wakes = None
+        self.cluster.notify("turn_ended", self)
+        wakeup_at = max(dispatcher.wake_at(), now + 20_000)
+        wakeup_at = round((wakeup_at - self.clock_offset) / self.clock_rate) + 1
+        if self.next_wakeup is None or wakeup_at < self.next_wakeup:
+            self.next_wakeup = wakeup_at
+            self.world.after(wakeup_at - self.world.now, self.wake_up, self.incarnation, wakeup_at)
+
+    def wake_up(self, incarnation, wakeup_at):
+        if incarnation == self.incarnation and wakeup_at == self.next_wakeup:
+            self.next_wakeup = None
             self.take(lambda: None)
 
     # ---- inputs
 
-    def hear(self, message):
-        self.take(self.heard, message)
+    def message_arrived(self, message):
+        self.take(self.receive, message)
 
-    def heard(self, message):
+    def receive(self, message):
         self.dispatcher.receive(self.now(), message)
 
-    def fail(self, why):
-        self.dispatcher.disk_failed(self.now(), why)
+    def fail(self, reason):
+        self.dispatcher.disk_failed(self.now(), reason)
 
     def written(self, number, state):
         self.dispatcher.written(self.now(), number, state)
@@ -273,7 +283,7 @@
         self.dispatcher.called(self.now(), call, code, body)
 
 
-class Door:
+class SimulatedReplicaHost:
     """What a dispatcher asks of its machine."""
 
     def __init__(self, host):
@@ -281,49 +291,49 @@
 
     def send(self, message):
         cluster = self.cluster
-        cluster.tell("sent", self.host, message)
+        cluster.notify("message_sent", self.host, message)
 
         def arrive(message):
             to = cluster.hosts.get(message.to)
             if to is not None:
-                to.hear(message)
+                to.message_arrived(message)
 
-        line = cluster.line
-        self.world.network.carry(line(self.host.name), line(message.to), arrive, message)
+        endpoint = cluster.endpoint
+        self.world.network.carry(endpoint(self.host.name), endpoint(message.to), arrive, message)
 
     def write(self, write):
         host = self.host
-        self.cluster.tell("wrote", host, write)
+        self.cluster.notify("write_submitted", host, write)
         snapshot = b""
         if write.base is not None:
-            base, snapshot = host.received
+            base, snapshot = host.received_snapshot
             if base != write.base:
                 raise InvariantViolation(
                     "snapshots", f"{host.name} has no bytes of {write.base}", self.world.now
                 )
-        life = host.life
+        incarnation = host.incarnation
 
         def done():
-            if life == host.life:
+            if incarnation == host.incarnation:
                 state = self.cluster.ledger.whole(snapshot) if snapshot else None
                 host.take(host.written, write.number, state)
 
-        host.disk.submit(Work(write, snapshot=snapshot, done=done))
+        host.disk.submit(DiskTask(write, snapshot=snapshot, done=done))
 
     def snapshot(self, state, base):
-        host, life = self.host, self.host.life
-        self.cluster.tell("kept", host, base)
+        host, incarnation = self.host, self.host.incarnation
+        self.cluster.notify("snapshot_submitted", host, base)
 
         def done():
-            if life == host.life:
+            if incarnation == host.incarnation:
                 host.take(host.snapshot_kept, base)
 
         data = b"".join(self.cluster.ledger.pieces(state))
-        host.disk.submit(Work(base=base, snapshot=data, done=done))
+        host.disk.submit(DiskTask(base=base, snapshot=data, done=done))
 
     def send_chunk(self, peer, message, most):
         """The snapshot in force on this disk; of another one nothing is to be had any more."""
-        held = self.host.disk.held
+        held = self.host.disk.contents
         if held.base.index != message.base.index:
             return
         data = held.snapshot[message.offset : message.offset + most]
@@ -332,21 +342,21 @@
 
     def receive_chunk(self, message):
         host = self.host
-        if host.parts is None or host.parts[0] != message.base or message.offset == 0:
-            host.parts = message.base, b""
-        base, data = host.parts
+        if host.incoming_chunks is None or host.incoming_chunks[0] != message.base or message.offset == 0:
+            host.incoming_chunks = message.base, b""
+        base, data = host.incoming_chunks
         if len(data) != message.offset:
             raise InvariantViolation("snapshots", f"{host.name} got offset {message.offset} at {len(data)}")
-        host.parts = base, data + message.data
+        host.incoming_chunks = base, data + message.data
         if message.last:
-            host.received, host.parts = host.parts, None
+            host.received_snapshot, host.incoming_chunks = host.incoming_chunks, None
 
     def answer(self, ticket, code, body):
-        self.cluster.tell("answered", self.host, ticket, code, body)
+        self.cluster.notify("command_answered", self.host, ticket, code, body)
         ticket.answer(self.host, code, body)
 
     def readable(self, ticket, state, leader):
-        self.cluster.tell("read_answered", self.host, ticket, state)
+        self.cluster.notify("read_answered", self.host, ticket, state)
         ticket.readable(self.host, state, leader)
 
     def polled(self, ticket, events, at, state, leader):
@@ -355,36 +365,36 @@
     def call(self, call):
         """To some member of the other cluster; code 0 where no answer comes in time."""
         host = self.host
-        Passing(self.world, host, call).start()
+        ClusterCall(self.world, host, call).start()
 
 
-class Passing:
+class ClusterCall:
     """A command of a duty on its way to another cluster, and its answer's way back."""
 
-    TIME_OUT = 1 * SECOND
+    CALL_TIMEOUT = 1 * SECOND
 
     def __init__(self, world, host, call):
-        self.world, self.host, self.call, self.over = world, host, call, False
-        self.life = host.life
+        self.world, self.host, self.call, self.ended = world, host, call, False
+        self.incarnation = host.incarnation
 
     def start(self):
-        self.world.after(self.TIME_OUT, self.end, 0, {})
+        self.world.after(self.CALL_TIMEOUT, self.end, 0, {})
         other = self.world.clusters.get(self.call.cluster)
         if other is None or not other.hosts:
             return
-        to = self.world.chance.choice(sorted(other.hosts))
-        to = other.leader() if self.world.chance.random() < 0.7 and other.leader() else other.hosts[to]
-        lines = self.host.cluster.line(self.host.name), other.line(to.name)
-        self.back = lines[::-1]
+        to = self.world.rng.choice(sorted(other.hosts))
+        to = other.leader() if self.world.rng.random() < 0.7 and other.leader() else other.hosts[to]
+        endpoints = self.host.cluster.endpoint(self.host.name), other.endpoint(to.name)
+        self.return_endpoints = endpoints[::-1]
         carry = self.world.network.carry
-        carry(*lines, lambda _: to.take(to.command, self.call.data, self))
+        carry(*endpoints, lambda _: to.take(to.command, self.call.data, self))
 
     def answer(self, host, code, body):
-        self.world.network.carry(*self.back, lambda _: self.end(code, body))
+        self.world.network.carry(*self.return_endpoints, lambda _: self.end(code, body))
 
     def end(self, code, body):
-        if not self.over and self.host.life == self.life:
-            self.over = True
+        if not self.ended and self.host.incarnation == self.incarnation:
+            self.ended = True
             self.host.take(self.host.called, self.call, code, body)
 
 
--- a/lemonlead/standins/simulated/nodes.py
+++ b/lemonlead/standins/simulated/nodes.py
@@ -1,110 +1,119 @@
-"""Nodes in a simulated world, each with an agent that reads permits over the faulty network, obeys them and
-reports. A node goes down only by a clear permit that is newer than any it obeyed, while what it knows of it
-is younger than the lease."""
+"""Nodes in a simulated world. Each has an agent that reads permits over the faulty network, obeys them and reports
+its state. A node goes down only by a clear permit that is newer than any that it obeyed, and only while its last
+read of the permits is younger than the lease."""
 
 import json
 import random
 
-from .calls import Call, wait
+from .calls import Call, retry_delay
 from .world import MS
 
 SERVING, CLEARING, DOWN, CATCHING_UP = "serving", "clearing", "down", "catching up"
-TIME_OUT = 700 * MS
+CALL_TIMEOUT = 700 * MS
 
 
 class Node:
-    """`goes`: function(node), told as it goes down."""
-
-    def __init__(self, cluster, name, lease, seed, goes):
-        self.cluster, self.world, self.name, self.line = cluster, cluster.world, name, name
-        self.lease, self.goes = lease, goes
-        self.chance = random.Random(f"node {seed} {name}")
-        self.state, self.number, self.asked = SERVING, 0, 0
-        self.seen, self.obeyed = 0, (0, 0)  # entry known up to; (term, index) of the permit obeyed last
-        self.permit, self.known = None, 0  # as last read; when that read was sent
-        self.answered = 0  # the recall that was answered
-        self.last = ("serving", 200)  # the report under way or answered, and its code
+    """`on_down`: function(node), called as the node goes down. `lease`: nanoseconds."""
+
+    def __init__(self, cluster, name, lease, seed, on_down):
+        self.cluster, self.world, self.name, self.endpoint = cluster, cluster.world, name, name
+        self.lease, self.on_down = lease, on_down
+        self.rng = random.Random(f"node {seed} {name}")
+        self.state, self.report_number, self.poll_number = SERVING, 0, 0
+        self.known_index = 0  # index as of which the permit was read
+        self.obeyed_permit = (0, 0)  # (term, index) of the last permit obeyed
+        self.permit = None  # as last read
+        self.read_sent_at = 0  # when the read that returned `permit` was sent
+        self.answered_recall = 0  # index as of which the last recall was answered
+        self.last_report = ("serving", 200)  # state and response code; code 0 while it has no response
 
     def start(self, world):
-        self.look()
+        self.poll_permit()
 
-    def pick(self):
-        return self.chance.choice([host for host in self.cluster.hosts.values() if not host.gone])
+    def choose_host(self):
+        return self.rng.choice([host for host in self.cluster.hosts.values() if not host.gone])
 
-    # ---- what it is told
+    # ---- permits
 
-    def look(self):
-        self.world.after(self.chance.randint(100, 500) * MS, self.look)
+    def poll_permit(self):
+        self.world.after(self.rng.randint(100, 500) * MS, self.poll_permit)
         if self.state not in (SERVING, CLEARING):
             return
-        self.asked += 1
-        number, sent, host = self.asked, self.world.now, self.pick()
+        self.poll_number += 1
+        number, sent, host = self.poll_number, self.world.now, self.choose_host()
 
-        def over(code, body):
+        def on_end(code, body):
             if code == 200 and self.state in (SERVING, CLEARING):
-                self.told(number, sent, body["at"], body["items"].get(self.name))
+                self.permit_read(number, sent, body["at"], body["items"].get(self.name))
 
-        call = Call(self.cluster, self.line, host, over, TIME_OUT, part="permits")
-        call.go(host.read, call)
+        call = Call(self.cluster, self.endpoint, host, on_end, CALL_TIMEOUT, part="permits")
+        call.send(host.read, call)
 
-    def told(self, number, sent, at, permit):
-        if at < self.seen or sent < self.known:
+    def permit_read(self, number, sent, at, permit):
+        """`sent`: when the read was sent. `at`: the index of the state that was read. Ignores a response that is
+        older than a previous one."""
+        if at < self.known_index or sent < self.read_sent_at:
             return self.world.count("node told late")
-        self.seen, self.permit, self.known = at, permit, sent
-        if permit is None or (permit["term"], permit["index"]) <= self.obeyed:
-            return self.stay()
+        self.known_index, self.permit, self.read_sent_at = at, permit, sent
+        if permit is None or (permit["term"], permit["index"]) <= self.obeyed_permit:
+            return self.keep_serving()
         if permit["phase"] == "clear" and self.state == SERVING:
             self.state = CLEARING
-            self.world.after(self.chance.randint(20, 600) * MS, self.go)
+            self.world.after(self.rng.randint(20, 600) * MS, self.go_down)
         elif permit["phase"] != "clear":
-            self.stay()
-            if permit["phase"] == "recalled" and self.answered < at and self.last[1]:
-                self.answered = at
+            self.keep_serving()
+            if permit["phase"] == "recalled" and self.answered_recall < at and self.last_report[1]:
+                self.answered_recall = at
                 self.report("serving", lambda: None)
         return None
 
-    def stay(self):
+    def keep_serving(self):
         if self.state == CLEARING:
             self.state = SERVING
 
-    # ---- what it does
+    # ---- going down and coming back
 
-    def go(self):
+    def go_down(self):
         permit = self.permit
         if self.state != CLEARING:
             return
-        if not self.last[1] or self.world.now - self.known >= self.lease:
-            return self.stay()
-        self.obeyed = permit["term"], permit["index"]
+        if not self.last_report[1] or self.world.now - self.read_sent_at >= self.lease:
+            return self.keep_serving()
+        self.obeyed_permit = permit["term"], permit["index"]
         self.state = DOWN
         self.world.count("nodes down")
-        self.goes(self)
-        self.report("drained", lambda: self.world.after(self.chance.randint(200, 1500) * MS, self.up))
+        self.on_down(self)
+        self.report("drained", lambda: self.world.after(self.rng.randint(200, 1500) * MS, self.come_up))
 
-    def up(self):
+    def come_up(self):
         self.state = CATCHING_UP
-        self.report("catching_up", lambda: self.world.after(self.chance.randint(50, 600) * MS, self.serve))
+        self.report("catching_up", lambda: self.world.after(self.rng.randint(50, 600) * MS, self.serve))
 
     def serve(self):
         self.state = SERVING
         self.report("serving", lambda: None)
 
     def report(self, state, then):
-        """Under one id until it is answered; then the next."""
-        self.number += 1
-        self.last = state, 0
-        told = {"id": f"{self.name}/{self.number}", "kind": "report", "node": self.name, "state": state}
-        self.send(json.dumps({**told, "seen": self.seen}).encode(), told["id"], then)
+        """Sends the report under one id until it has a response, then calls `then`."""
+        self.report_number += 1
+        self.last_report = state, 0
+        command = {
+            "id": f"{self.name}/{self.report_number}",
+            "kind": "report",
+            "node": self.name,
+            "state": state,
+        }
+        self.send(json.dumps({**command, "seen": self.known_index}).encode(), command["id"], then)
 
     def send(self, data, id, then, host=None):
-        def over(code, body):
+        def on_end(code, body):
             if code in (200, 409):
-                self.last = self.last[0], code
+                self.last_report = self.last_report[0], code
                 return then()
             leader = self.cluster.hosts.get(body.get("leader", ""))
-            self.world.after(wait(body), self.send, data, id, then, leader)
+            self.world.after(retry_delay(body), self.send, data, id, then, leader)
             return None
 
-        host = host if host is not None and not host.gone else self.pick()
-        call = Call(self.cluster, self.line, host, over, TIME_OUT, id=id)
-        call.go(host.command, data, call)
+        host = host if host is not None and not host.gone else self.choose_host()
+        call = Call(self.cluster, self.endpoint, host, on_end, CALL_TIMEOUT, id=id)
+        call.send(host.command, data, call)
--- a/lemonlead/standins/simulated/schedules.py
+++ b/lemonlead/standins/simulated/schedules.py
@@ -7,16 +7,16 @@
 from lemonlead.ledger import capacity, membership
 from lemonlead.ledger.state import Ledger
 
-from .checks import Promises, Seeing, all_judges
-from .clients import Asking, Client, Operator, command
-from .disks import Held
+from .checks import CommandOutcomes, Linearizability, all_checkers
+from .clients import PendingRequest, Client, Operator, command
+from .disks import DiskContents
 from .history import Undecided
-from .hosts import Cluster, Host, plain_dispatcher
+from .hosts import Cluster, Host, default_dispatcher
 from .world import MS, SECOND, InvariantViolation, World
 
-SPAN = 6_000  # milliseconds in which troubles begin
-HEALS = 1_500  # after the span all is healed
-SERVES = 25_000  # and within so many milliseconds more all of it serves again
+FAULT_SPAN_MS = 6_000  # milliseconds in which troubles begin
+HEAL_AFTER_MS = 1_500  # after the span all is healed
+SERVE_WITHIN_MS = 25_000  # and within so many milliseconds more all of it serves again
 SITES = ("louis", "ebene")
 
 
@@ -25,11 +25,11 @@
     """`at`, `length`: milliseconds. `whom`: 0 for whoever leads then, else the so-maniest of the others by
     name. `more`: what else the kind asks for."""
 
-    at: int
+    at_ms: int
     kind: str
-    whom: int = 0
-    length: int = 0
-    more: int = 0
+    target: int = 0
+    length_ms: int = 0
+    variant: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """How a schedule came out. `violation`: None where no checker found one."""
+    """How a schedule ended. `violation`: None where no checker found one."""
 
     schedule: Schedule
     violation: InvariantViolation | None
@@ -78,19 +78,19 @@
 }
 
 
-def draw(seed, kinds=None, table=KINDS, span=SPAN):
+def draw(seed, kinds=None, table=KINDS, span=FAULT_SPAN_MS):
     """`kinds`: names out of the `table`; all of them where none is given."""
-    chance = random.Random(f"schedule {seed}")
+    rng = random.Random(f"schedule {seed}")
     names = sorted(kinds or table)
     weights = [table[name][0] for name in names]
     faults = []
-    for _ in range(chance.randint(2, 7)):
-        kind = chance.choices(names, weights)[0]
+    for _ in range(rng.randint(2, 7)):
+        kind = rng.choices(names, weights)[0]
         _, least, most = table[kind]
-        at, whom = chance.randint(0, span), 0 if chance.random() < 0.45 else chance.randint(1, 4)
-        faults.append(InjectedFault(at, kind, whom, chance.randint(least, most), chance.randrange(1000)))
-    faults.sort(key=lambda fault: fault.at)
-    return Schedule(seed, 5 if chance.random() < 0.15 else 3, tuple(faults))
+        at, target = rng.randint(0, span), 0 if rng.random() < 0.45 else rng.randint(1, 4)
+        faults.append(InjectedFault(at, kind, target, rng.randint(least, most), rng.randrange(1000)))
+    faults.sort(key=lambda fault: fault.at_ms)
+    return Schedule(seed, 5 if rng.random() < 0.15 else 3, tuple(faults))
 
 
 # ---- playing
@@ -104,23 +104,23 @@
     """One world with one cluster, four clients at two sites, an operator, and the troubles of a schedule.
     `setup`: function(play), called before it starts, may add actors, clusters and judges."""
 
-    def __init__(self, schedule, make_dispatcher=plain_dispatcher, setup=None, **more):
+    def __init__(self, schedule, make_dispatcher=default_dispatcher, setup=None, **more):
         self.schedule = schedule
         self.world = World(schedule.seed)
         ledger = plain_ledger()
         names = [f"g{number + 1}" for number in range(schedule.members)]
-        self.judges = all_judges(ledger)
+        self.checkers = all_checkers(ledger)
         self.cluster = Cluster(
             self.world,
             "c",
             names,
             ledger,
-            self.judges,
+            self.checkers,
             make_dispatcher=make_dispatcher,
-            **{"told": short, **more},
+            **{"make_config": config, **more},
         )
         self.operator = Operator(self.cluster, schedule.seed)
-        until = (SPAN + HEALS) * MS
+        until = (FAULT_SPAN_MS + HEAL_AFTER_MS) * MS
         self.clients = [
             Client(self.cluster, f"client{number}", SITES[number % 2], schedule.seed, until)
             for number in range(4)
@@ -132,25 +132,25 @@
     def run(self):
         world = self.world
         for site, client in zip(SITES, self.clients, strict=False):
-            client.ask("node", f"{site}-n", 10, lambda: None)
+            client.request("node", f"{site}-n", 10, lambda: None)
         for client in self.clients:
             world.add(client)
         for fault in self.schedule.faults:
-            world.after(fault.at * MS, self.befall, fault)
-        world.run((SPAN + HEALS) * MS)
+            world.after(fault.at_ms * MS, self.inject, fault)
+        world.run((FAULT_SPAN_MS + HEAL_AFTER_MS) * MS)
         self.heal()
         started = world.now
-        if not world.run(started + SERVES * MS, self.serves):
-            raise InvariantViolation("Live", f"does not serve again: {self.why()}", world.now)
+        if not world.run(started + SERVE_WITHIN_MS * MS, self.serves):
+            raise InvariantViolation("Live", f"does not serve again: {self.why_not_serving()}", world.now)
         world.counts["slowest to serve again, ms"] = (world.now - started) // MS
-        self.cluster.tell("ended")
-        self.one(Promises).not_done(
-            [asking for client in self.clients for asking in client.askings] + self.operator.askings
+        self.cluster.notify("run_ended")
+        self.checker(CommandOutcomes).check_not_done(
+            [request for client in self.clients for request in client.requests] + self.operator.requests
         )
-        self.one(Seeing).judge(self.clients)
+        self.checker(Linearizability).check(self.clients)
 
-    def one(self, kind):
-        return next(judge for judge in self.judges if isinstance(judge, kind))
+    def checker(self, kind):
+        return next(checker for checker in self.checkers if isinstance(checker, kind))
 
     # ---- the end: all is healed, and has to serve
 
@@ -161,11 +161,11 @@
         for host in list(self.cluster.hosts.values()):
             if host.gone:
                 continue
-            if host.disk.broken:
+            if host.disk.failure:
                 host.kill()
             host.disk.heal()
-            host.dies_in = None
-            host.go_on()
+            host.steps_until_kill = None
+            host.resume()
             host.start()
         for site in SITES:
             self.probe(site, 0)
@@ -175,25 +175,25 @@
         client = Client(self.cluster, f"probe-{site}", site, self.schedule.seed, 0)
         self.clients.append(client)
         self.probes.append(client)
-        client.ask("read", "", 0, lambda: None)
-        self.world.after(3 * SECOND, self.again, client)
+        client.request("read", "", 0, lambda: None)
+        self.world.after(3 * SECOND, self.retry_probe, client)
 
-    def again(self, client):
-        if not any(call.result != "unknown" for call in client.seen):
-            client.ask("read", "", 0, lambda: None)
-            self.world.after(3 * SECOND, self.again, client)
+    def retry_probe(self, client):
+        if not any(call.result != "unknown" for call in client.observed):
+            client.request("read", "", 0, lambda: None)
+            self.world.after(3 * SECOND, self.retry_probe, client)
 
     def serves(self):
-        return not self.why()
+        return not self.why_not_serving()
 
-    def why(self):
+    def why_not_serving(self):
         """What is lacking until all serves again; empty once it does."""
         if self.operator.busy:
-            return "the lost machine is not made up for"
+            return "the lost machine is not world_play up for"
         for client in self.probes:
-            if all(call.result == "unknown" for call in client.seen):
+            if all(call.result == "unknown" for call in client.observed):
                 return f"{client.name} has no answer"
-        last = self.judges[0].last
+        last = self.checkers[0].last_committed
         for host in self.cluster.hosts.values():
             if not host.gone and (host.dispatcher is None or host.dispatcher.state.index < last):
                 return (
@@ -204,14 +204,14 @@
 
     # ---- troubles
 
-    def befall(self, fault):
-        host = self.whom(fault.whom)
+    def inject(self, fault):
+        host = self.choose_host(fault.target)
         if host is None:
             return
         self.world.count(f"trouble: {fault.kind}")
         getattr(self, fault.kind)(host, fault)
 
-    def whom(self, number):
+    def choose_host(self, number):
         hosts = [host for _, host in sorted(self.cluster.hosts.items()) if not host.gone]
         leader = self.cluster.leader()
         if number == 0 and leader is not None and not leader.gone:
@@ -219,31 +219,31 @@
         others = [host for host in hosts if host is not leader]
         return others[number % len(others)] if others else None
 
-    def later(self, fault, function, *args):
-        self.world.after(fault.length * MS, function, *args)
+    def after_fault(self, fault, function, *args):
+        self.world.after(fault.length_ms * MS, function, *args)
 
     def kill(self, host, fault):
         host.kill()
-        self.later(fault, host.start)
+        self.after_fault(fault, host.start)
 
     kill_long = kill
 
     def kill_within(self, host, fault):
         """In the midst of a turn, after a few of its steps."""
-        host.dies_in = 1 + fault.more % 12
-        self.later(fault, host.start)
+        host.steps_until_kill = 1 + fault.variant % 12
+        self.after_fault(fault, host.start)
 
     def pause(self, host, fault):
         host.pause()
-        self.later(fault, host.go_on)
+        self.after_fault(fault, host.resume)
 
     def wipe(self, host, fault):
-        """Only where no other machine is lost that is not made up for yet."""
+        """Only where no other machine is lost that is not world_play up for yet."""
         if self.operator.busy or host in self.impostors:
             return None
         host.wipe()
         self.world.count("wipes")
-        self.operator.lost(host.name, fault.length * MS)
+        self.operator.machine_lost(host.name, fault.length_ms * MS)
         return host
 
     def impostor(self, host, fault):
@@ -252,99 +252,101 @@
         if self.wipe(host, fault) is None:
             return
         cluster = self.cluster
-        held = Held()
-        if fault.more % 2:
-            first = b"".join(cluster.ledger.pieces(cluster.formed))
-            held = Held(cluster.base.term, "", cluster.base, [], first)
+        held = DiskContents()
+        if fault.variant % 2:
+            first = b"".join(cluster.ledger.pieces(cluster.initial_state))
+            held = DiskContents(cluster.base.term, "", cluster.base, [], first)
         again = Host(cluster, host.name, cluster.new_folder(host.name))
         again.disk = cluster.disk(again.disk.folder, held)
         cluster.hosts[host.name] = again
         self.impostors.append(again)
-        self.world.after((50 + fault.more % 200) * MS, again.start)
+        self.world.after((50 + fault.variant % 200) * MS, again.start)
 
     def cut(self, host, fault):
-        self.sever(fault, self.cluster.lines([host.name], self.others(host)), True)
+        self.cut_lines(fault, self.cluster.endpoint_pairs([host.name], self.other_names(host)), True)
 
     def cut_out(self, host, fault):
-        self.sever(fault, self.cluster.lines([host.name], self.others(host)))
+        self.cut_lines(fault, self.cluster.endpoint_pairs([host.name], self.other_names(host)))
 
     def cut_in(self, host, fault):
-        self.sever(fault, self.cluster.lines(self.others(host), [host.name]))
+        self.cut_lines(fault, self.cluster.endpoint_pairs(self.other_names(host), [host.name]))
 
     def cut_pair(self, host, fault):
-        others = self.others(host)
+        others = self.other_names(host)
         if others:
-            pair = self.cluster.lines([host.name], [others[fault.more % len(others)]])
-            self.sever(fault, pair, fault.more % 3)
+            pair = self.cluster.endpoint_pairs([host.name], [others[fault.variant % len(others)]])
+            self.cut_lines(fault, pair, fault.variant % 3)
 
     def split(self, host, fault):
         names = sorted(self.cluster.hosts)
-        near = {name for at, name in enumerate(names) if fault.more >> at & 1} | {host.name}
-        self.sever(fault, self.cluster.lines(sorted(near), [n for n in names if n not in near]), True)
+        near = {name for at, name in enumerate(names) if fault.variant >> at & 1} | {host.name}
+        self.cut_lines(
+            fault, self.cluster.endpoint_pairs(sorted(near), [n for n in names if n not in near]), True
+        )
 
-    def others(self, host):
+    def other_names(self, host):
         return [name for name in sorted(self.cluster.hosts) if name != host.name]
 
-    def sever(self, fault, lines, both=False):
+    def cut_lines(self, fault, lines, both=False):
         lines = lines + [line[::-1] for line in lines] if both else lines
         self.world.network.cut(lines)
-        self.later(fault, self.world.network.mend, lines)
+        self.after_fault(fault, self.world.network.restore, lines)
 
-    def weather(self, fault, **fields):
-        before = self.world.network.weather
-        self.world.network.weather = replace(before, **fields)
-        self.later(fault, self.clear, fields)
+    def change_conditions(self, fault, **fields):
+        before = self.world.network.conditions
+        self.world.network.conditions = replace(before, **fields)
+        self.after_fault(fault, self.reset_conditions, fields)
 
-    def clear(self, fields):
+    def reset_conditions(self, fields):
         plain = {name: 0.0 for name in fields}
-        self.world.network.weather = replace(self.world.network.weather, **plain)
+        self.world.network.conditions = replace(self.world.network.conditions, **plain)
 
     def lossy(self, host, fault):
-        self.weather(fault, lost=0.05 + fault.more / 3000)
+        self.change_conditions(fault, lost=0.05 + fault.variant / 3000)
 
     def twice(self, host, fault):
-        self.weather(fault, twice=0.5)
+        self.change_conditions(fault, duplicated=0.5)
 
     def late(self, host, fault):
-        self.weather(fault, late=0.3)
+        self.change_conditions(fault, late=0.3)
 
     def garbled(self, host, fault):
-        self.weather(fault, garbled=0.2)
+        self.change_conditions(fault, garbled=0.2)
 
     def slow_disk(self, host, fault):
         disk = host.disk
-        disk.least, disk.most = 30 * MS, (60 + fault.more % 300) * MS
-        self.later(fault, disk.at_speed)
+        disk.min_delay, disk.max_delay = 30 * MS, (60 + fault.variant % 300) * MS
+        self.after_fault(fault, disk.reset_speed)
 
     def stalled_disk(self, host, fault):
         """One sync that takes as long as the trouble lasts."""
         disk = host.disk
-        disk.least = disk.most = fault.length * MS
-        self.world.after(300 * MS, disk.at_speed)
+        disk.min_delay = disk.max_delay = fault.length_ms * MS
+        self.world.after(300 * MS, disk.reset_speed)
 
     def broken_disk(self, host, fault):
         """Full, or a sync that fails. Once it is mended, the process is started anew."""
-        host.disk.broken = "no space left" if fault.more % 2 else "sync failed"
-        self.later(fault, self.mended, host)
+        host.disk.failure = "no space left" if fault.variant % 2 else "sync failed"
+        self.after_fault(fault, self.repair_disk, host)
 
-    def mended(self, host):
-        if not host.gone and host.disk.broken:
+    def repair_disk(self, host):
+        if not host.gone and host.disk.failure:
             host.kill()
             host.disk.heal()
             host.start()
 
     def jump(self, host, fault):
-        host.jumped += (fault.more - 500) * 20_000
+        host.wall_offset_ms += (fault.variant - 500) * 20_000
 
     def rolling(self, host, fault):
         """Each in turn is ended and started again."""
         for at, name in enumerate(sorted(self.cluster.hosts)):
-            self.world.after(at * (fault.length + 300) * MS, self.restart, name, fault)
+            self.world.after(at * (fault.length_ms + 300) * MS, self.restart, name, fault)
 
     def restart(self, name, fault):
         host = self.cluster.hosts.get(name)
         if host is not None and not host.gone:
-            if host.dispatcher is not None and not host.paused and fault.more % 2:
+            if host.dispatcher is not None and not host.paused and fault.variant % 2:
                 host.take(host.hand_over)
             self.world.after(50 * MS, self.kill, host, fault)
 
@@ -354,39 +356,41 @@
                 self.kill(one, fault)
 
     def burst(self, host, fault):
-        self.clients[fault.more % 4].burst(16)
+        self.clients[fault.variant % 4].burst(16)
 
     def hand_over(self, host, fault):
         if host.dispatcher is not None:
             host.take(host.hand_over)
 
 
-def short(cluster, name, folder, seed):
-    from .hosts import short_told
+def config(cluster, name, folder, seed):
+    from .hosts import short_config
 
-    return short_told(cluster, name, folder, seed)
+    return short_config(cluster, name, folder, seed)
 
 
 def play(schedule, kind=Play, **more):
-    """Plays it in a world of this kind; what a judge saw, or an error of the dispatchers, is in `broken`."""
-    made, undecided, broken = None, 0, None
+    """Plays it in a world of this kind; what a checker saw, or an error of the dispatchers, is in `broken`."""
+    world_play, undecided, violation = None, 0, None
     try:
-        made = kind(schedule, **more)
-        made.run()
+        world_play = kind(schedule, **more)
+        world_play.run()
     except InvariantViolation as error:
-        broken = error
+        violation = error
     except Undecided:
         undecided = 1
     except Exception as error:  # whatever a dispatcher raises is a failure of the schedule
-        broken = InvariantViolation(
-            f"raised {type(error).__name__}", f"{error} {where(error)}", made and made.world.now
+        violation = InvariantViolation(
+            f"raised {type(error).__name__}",
+            f"{error} {raised_in(error)}",
+            world_play and world_play.world.now,
         )
-        broken.__cause__ = error
-    counts = {**made.world.network.counts, **made.world.counts} if made else {}
-    return PlayResult(schedule, broken, counts, undecided)
+        violation.__cause__ = error
+    counts = {**world_play.world.network.counts, **world_play.world.counts} if world_play else {}
+    return PlayResult(schedule, violation, counts, undecided)
 
 
-def where(error):
+def raised_in(error):
     trace = error.__traceback__
     while trace.tb_next is not None:
         trace = trace.tb_next
@@ -401,7 +405,7 @@
     at most `max_plays` times."""
     left = [max_plays]
 
-    def still(faults):
+    def still_fails(faults):
         if left[0] <= 0:
             return False
         left[0] -= 1
@@ -412,16 +416,16 @@
         at = 0
         while at < len(faults):
             fewer = faults[:at] + faults[at + size :]
-            if still(fewer):
+            if still_fails(fewer):
                 faults = fewer
             else:
                 at += size
         size //= 2
     for at, fault in enumerate(faults):
         for share in (0, 4, 2):
-            length = fault.length // share if share else 0
-            shorter = replace(fault, length=length)
-            if length < fault.length and still([*faults[:at], shorter, *faults[at + 1 :]]):
+            length = fault.length_ms // share if share else 0
+            shorter = replace(fault, length_ms=length)
+            if length < fault.length_ms and still_fails([*faults[:at], shorter, *faults[at + 1 :]]):
                 faults[at] = shorter
                 break
     return replace(schedule, faults=tuple(faults))
@@ -429,7 +433,7 @@
 
 __all__ = [
     "KINDS",
-    "Asking",
+    "PendingRequest",
     "Play",
     "PlayResult",
     "Schedule",
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -9,22 +9,22 @@
 from lemonlead.member import assembly
 
 from . import schedules
-from .clients import Asking, Operator
+from .clients import PendingRequest, Operator
 from .gateways import Gateway
 from .hosts import Cluster
 from .nodes import SERVING, Node
 from .schedules import Play
-from .whole_checks import Between, judges
+from .whole_checks import CrossClusterChecks, checkers
 from .world import MS, SECOND, InvariantViolation, World
 
 NAMES = ("louis", "ebene")
 SERVICES = {"louis": "search", "ebene": "print"}  # by where each is at first
 NODES, UNITS = 5, 20  # of each cluster; units of each node
 QUORUM = 2  # of each service's group of three
-TERMS = LedgerSettings(lease=4 * SECOND, grace=SECOND, cold=SECOND)
-SPAN = 14_000  # milliseconds in which troubles begin and operators act
-HEALS = 1_500
-ENDS = 60_000  # within so many milliseconds after that all drains and moves end
+SETTINGS = LedgerSettings(lease=4 * SECOND, grace=SECOND, cold=SECOND)
+FAULT_SPAN_MS = 14_000  # milliseconds in which troubles begin and operators act
+HEAL_AFTER_MS = 1_500
+END_WITHIN_MS = 60_000  # within so many milliseconds after that all drains and moves end
 KINDS = {
     **schedules.KINDS,
     "clusters": (8, 300, 5000),  # one cluster from the other, one way or both
@@ -35,26 +35,26 @@
 }
 
 
-def draw(seed, kinds=None, span=SPAN):
+def draw(seed, kinds=None, span=FAULT_SPAN_MS):
     return schedules.draw(seed, kinds, KINDS, span)
 
 
-def dispatcher(host, told, kept, state, now):
+def make_dispatcher(host, config, stored, state, now):
     cluster = host.cluster
-    made = Dispatcher(told, kept, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
-    made.leader_tasks = assembly.make_leader_tasks(
-        made, cluster.id, [name for name in NAMES if name != cluster.id], told.seed
+    dispatcher = Dispatcher(config, stored, cluster.ledger, state, now, snapshot_every=cluster.snapshot_every)
+    dispatcher.leader_tasks = assembly.make_leader_tasks(
+        dispatcher, cluster.id, [name for name in NAMES if name != cluster.id], config.seed
     )
-    return made
+    return dispatcher
 
 
-class People:
+class OperatorRequests:
     """Operators and schedulers of one cluster: what is asked is asked until it is answered, or given up."""
 
     def __init__(self, cluster, seed, until):
         self.cluster, self.world, self.until = cluster, cluster.world, until
         self.name = f"people-{cluster.id}"
-        self.chance, self.seed, self.number = random.Random(f"people {seed} {cluster.id}"), seed, 0
+        self.rng, self.seed, self.number = random.Random(f"people {seed} {cluster.id}"), seed, 0
         self.nodes = [f"{cluster.id}-{number}" for number in range(NODES)]
         self.other = next(name for name in NAMES if name != cluster.id)
         self.ready = False
@@ -79,114 +79,114 @@
             self.id = None
         if not self.steps:
             self.ready = True
-            return self.next()
-        return self.ask(self.steps[0], self.prepare, tries=40)
+            return self.schedule_next()
+        return self.request(self.steps[0], self.prepare, tries=40)
 
-    def ask(self, told, over, tries=8):
+    def request(self, command, on_end, tries=8):
         self.number += 1
         id = f"{self.name}/{self.number}"
-        data = json.dumps({"id": id, **told}).encode()
-        Asking(self.cluster, self.name, id, data, over, tries=tries, seed=self.seed).ask()
+        data = json.dumps({"id": id, **command}).encode()
+        PendingRequest(self.cluster, self.name, id, data, on_end, tries=tries, seed=self.seed).send()
 
-    def next(self):
+    def schedule_next(self):
         if self.world.now < self.until:
-            self.world.after(self.chance.randint(50, 700) * MS, self.act)
+            self.world.after(self.rng.randint(50, 700) * MS, self.act)
 
     def act(self):
-        told = getattr(self, self.chance.choice(WANTS))(self.chance)
-        self.ask(told, lambda code, body: None)
-        self.next()
+        command = getattr(self, self.rng.choice(REQUEST_KINDS))(self.rng)
+        self.request(command, lambda code, body: None)
+        self.schedule_next()
 
     def burst(self, count):
         for _ in range(count):
-            self.ask(self.reserve(self.chance), lambda code, body: None, tries=1)
+            self.request(self.reserve(self.rng), lambda code, body: None, tries=1)
 
     # ---- what they ask for
 
-    def reserve(self, chance):
-        told = {"kind": "reserve", "reservation": f"r{chance.randrange(5)}", "service": "other"}
-        if chance.random() < 0.5:
-            return {**told, "units": chance.randint(1, 6), "site": self.cluster.id}
-        return {**told, "units": chance.randint(1, 2), "nodes": chance.sample(self.nodes, 2)}
+    def reserve(self, rng):
+        command = {"kind": "reserve", "reservation": f"r{rng.randrange(5)}", "service": "other"}
+        if rng.random() < 0.5:
+            return {**command, "units": rng.randint(1, 6), "site": self.cluster.id}
+        return {**command, "units": rng.randint(1, 2), "nodes": rng.sample(self.nodes, 2)}
 
-    def free(self, chance):
-        return {"kind": "free", "reservation": f"r{chance.randrange(5)}"}
+    def free(self, rng):
+        return {"kind": "free", "reservation": f"r{rng.randrange(5)}"}
 
-    def gang(self, chance):
-        service = SERVICES[self.cluster.id] if chance.random() < 0.15 else "other"
-        name, nodes = f"{service}/{chance.randrange(3)}", chance.sample(self.nodes, 2)
-        ends = 1_750_000_000_000 + self.world.now // MS + chance.randint(100, 5000)
+    def gang(self, rng):
+        service = SERVICES[self.cluster.id] if rng.random() < 0.15 else "other"
+        name, nodes = f"{service}/{rng.randrange(3)}", rng.sample(self.nodes, 2)
+        ends = 1_750_000_000_000 + self.world.now // MS + rng.randint(100, 5000)
         return {"kind": "gang", "gang": name, "nodes": nodes, "units": 1, "ends_ms": ends}
 
-    def gang_end(self, chance):
+    def gang_end(self, rng):
         leader = self.cluster.leader()
         gangs = sorted(leader.dispatcher.state.part("gangs")) if leader else []
-        return {"kind": "gang_end", "gang": chance.choice(gangs or ["none"])}
+        return {"kind": "gang_end", "gang": rng.choice(gangs or ["none"])}
 
-    def drain(self, chance):
-        nodes = chance.sample(self.nodes, chance.randint(1, 4))
-        return {"kind": "drain", "drain": f"d{chance.randrange(3)}", "nodes": nodes}
+    def drain(self, rng):
+        nodes = rng.sample(self.nodes, rng.randint(1, 4))
+        return {"kind": "drain", "drain": f"d{rng.randrange(3)}", "nodes": nodes}
 
-    def drain_stop(self, chance):
-        return {"kind": "drain_stop", "drain": f"d{chance.randrange(3)}"}
+    def drain_stop(self, rng):
+        return {"kind": "drain_stop", "drain": f"d{rng.randrange(3)}"}
 
-    def move(self, chance):
-        service = chance.choice(sorted(SERVICES.values()))
+    def move(self, rng):
+        service = rng.choice(sorted(SERVICES.values()))
         return {"kind": "move", "move": f"m{self.number}", "service": service, "to": self.other}
 
-    def move_stop(self, chance):
+    def move_stop(self, rng):
         leader = self.cluster.leader()
-        names = sorted(leader.dispatcher.state.part("moving")) if leader and chance.random() < 0.3 else []
-        return {"kind": "move_stop", "move": chance.choice(names or ["none"])}
+        names = sorted(leader.dispatcher.state.part("moving")) if leader and rng.random() < 0.3 else []
+        return {"kind": "move_stop", "move": rng.choice(names or ["none"])}
 
-    def tidy(self):
+    def end_gangs(self):
         """In the end: gangs end, whoever began them."""
         leader = self.cluster.leader()
         for gang in sorted(leader.dispatcher.state.part("gangs")) if leader else ():
-            self.ask({"kind": "gang_end", "gang": gang}, lambda code, body: None)
-        self.world.after(2 * SECOND, self.tidy)
+            self.request({"kind": "gang_end", "gang": gang}, lambda code, body: None)
+        self.world.after(2 * SECOND, self.end_gangs)
 
 
-WANTS = (
+REQUEST_KINDS = (
     "reserve", "reserve", "free", "gang", "gang", "gang_end", "gang_end", "gang_end", "drain", "drain",
     "drain_stop", "move", "move", "move_stop",
 )  # fmt: skip
 
 
-class Side(Play):
+class ClusterPlay(Play):
     """One cluster with all that is its own; the troubles of a Play strike it."""
 
-    def __init__(self, play, name, ledger, made):
+    def __init__(self, play, name, ledger, replacements):
         schedule, self.world, self.schedule = play.schedule, play.world, play.schedule
-        self.judges = judges(ledger, play.between)
+        self.checkers = checkers(ledger, play.cross_checks)
         members = [f"g{number + 1}" for number in range(schedule.members)]
         self.cluster = Cluster(
-            self.world, name, members, ledger, self.judges,
-            make_dispatcher=made.get("make_dispatcher", dispatcher),
-            told=schedules.short, terms=TERMS,
+            self.world, name, members, ledger, self.checkers,
+            make_dispatcher=replacements.get("make_dispatcher", make_dispatcher),
+            make_config=schedules.config, settings=SETTINGS,
         )  # fmt: skip
         self.operator = Operator(self.cluster, f"{schedule.seed} {name}")
-        self.people = People(self.cluster, schedule.seed, play.span * MS)
-        self.clients, self.probes, self.impostors = [self.people] * 4, [], []
-        seed, lease, nodes = schedule.seed, TERMS.lease, self.people.nodes
-        node = made.get("node", Node)
-        self.nodes = [node(self.cluster, one, lease, seed, play.between.goes) for one in nodes]
-        play.between.nodes.update((one.name, one) for one in self.nodes)
-        gateway = made.get("gateway", Gateway)
+        self.requests = OperatorRequests(self.cluster, schedule.seed, play.span * MS)
+        self.clients, self.probes, self.impostors = [self.requests] * 4, [], []
+        seed, lease, nodes = schedule.seed, SETTINGS.lease, self.requests.nodes
+        node = replacements.get("node", Node)
+        self.nodes = [node(self.cluster, one, lease, seed, play.cross_checks.node_goes_down) for one in nodes]
+        play.cross_checks.nodes.update((one.name, one) for one in self.nodes)
+        gateway = replacements.get("gateway", Gateway)
         self.gateways = [
             gateway(self.cluster, f"{name}-gw{number}", service, nodes, seed)
             for number, service in enumerate(sorted(SERVICES.values()))
         ]
-        play.between.gateways[name] = self.gateways
+        play.cross_checks.gateways[name] = self.gateways
         for one in self.gateways:
-            one.watched.append(play.between.entries[name].polled)
-        for actor in (self.people, *self.gateways):
+            one.poll_listeners.append(play.cross_checks.entries[name].polled)
+        for actor in (self.requests, *self.gateways):
             self.world.add(actor)
 
     def run(self):
         raise TypeError("its world runs it")
 
-    def unquiet(self):
+    def find_unfinished(self):
         """What has not come to its end, empty where all has."""
         leader = self.cluster.leader()
         if leader is None:
@@ -197,8 +197,8 @@
                 row = state.part("moves")[key] if part == "moving" else state.part(part)[key]
                 return f"{self.cluster.id}: {part} {key}: {row}"
         for node in self.nodes:
-            if node.state != SERVING or not node.last[1]:
-                return f"{node.name} is {node.state}, {node.last}"
+            if node.state != SERVING or not node.last_report[1]:
+                return f"{node.name} is {node.state}, {node.last_report}"
         return ""
 
     # ---- troubles beside those of a Play
@@ -206,87 +206,87 @@
     def clusters(self, host, fault):
         other = next(name for name in NAMES if name != self.cluster.id)
         lines = [
-            (self.cluster.line(here), self.world.clusters[other].line(there))
+            (self.cluster.endpoint(here), self.world.clusters[other].endpoint(there))
             for here in sorted(self.cluster.hosts)
             for there in sorted(self.world.clusters[other].hosts)
         ]
-        self.sever(fault, lines, fault.more % 3)
+        self.cut_lines(fault, lines, fault.variant % 3)
 
     def gateway_cut(self, host, fault):
-        self.apart(fault, self.gateways[fault.more % 2])
+        self.cut_off(fault, self.gateways[fault.variant % 2])
 
     def node_cut(self, host, fault):
-        self.apart(fault, self.nodes[fault.more % NODES])
+        self.cut_off(fault, self.nodes[fault.variant % NODES])
 
-    def apart(self, fault, one):
-        lines = [(one.line, self.cluster.line(name)) for name in sorted(self.cluster.hosts)]
-        if fault.more % 5 == 0:  # the way back alone
-            return self.sever(fault, [line[::-1] for line in lines])
-        return self.sever(fault, lines, fault.more % 3)
+    def cut_off(self, fault, one):
+        lines = [(one.endpoint, self.cluster.endpoint(name)) for name in sorted(self.cluster.hosts)]
+        if fault.variant % 5 == 0:  # the way back alone
+            return self.cut_lines(fault, [line[::-1] for line in lines])
+        return self.cut_lines(fault, lines, fault.variant % 3)
 
     def gateway_with(self, host, fault):
-        others, gateway = self.others(host), self.gateways[fault.more % 2]
-        lines = [(gateway.line, self.cluster.line(name)) for name in others]
-        self.sever(fault, lines + self.cluster.lines([host.name], others), True)
+        others, gateway = self.other_names(host), self.gateways[fault.variant % 2]
+        lines = [(gateway.endpoint, self.cluster.endpoint(name)) for name in others]
+        self.cut_lines(fault, lines + self.cluster.endpoint_pairs([host.name], others), True)
 
     def gateway_anew(self, host, fault):
-        gateway = self.gateways[fault.more % 2]
-        gateway.life += 1
-        gateway.heard = False
-        self.later(fault, gateway.begin)
+        gateway = self.gateways[fault.variant % 2]
+        gateway.incarnation += 1
+        gateway.has_state = False
+        self.after_fault(fault, gateway.begin)
 
 
 class WholePlay:
-    """`span`: milliseconds in which troubles begin and operators act. `made`: what is in place of what, for
+    """`span`: milliseconds in which troubles begin and operators act. `replacements`: what is in place of what, for
     faults put in on purpose: `make_dispatcher`, `node`, `gateway`, `ledger` (function(cluster's name))."""
 
-    def __init__(self, schedule, span=SPAN, **made):
+    def __init__(self, schedule, span=FAULT_SPAN_MS, **replacements):
         self.schedule, self.span, self.world = schedule, span, World(schedule.seed)
-        self.between = Between(NAMES, TERMS, QUORUM)
-        ledger = made.get("ledger", lambda name: assembly.make_ledger())
-        self.sides = [Side(self, name, ledger(name), made) for name in NAMES]
+        self.cross_checks = CrossClusterChecks(NAMES, SETTINGS, QUORUM)
+        ledger = replacements.get("ledger", lambda name: assembly.make_ledger())
+        self.cluster_plays = [ClusterPlay(self, name, ledger(name), replacements) for name in NAMES]
         self.prepared = False
 
     def run(self):
         world = self.world
         for fault in self.schedule.faults:
-            side = self.sides[(fault.at + fault.more // 8) % 2]
-            world.after(fault.at * MS, side.befall, fault)
+            cluster_play = self.cluster_plays[(fault.at_ms + fault.variant // 8) % 2]
+            world.after(fault.at_ms * MS, cluster_play.inject, fault)
         world.after(0, self.prepare)
-        world.run((self.span + HEALS) * MS)
-        for side in self.sides:
-            side.heal()
-            side.people.tidy()
+        world.run((self.span + HEAL_AFTER_MS) * MS)
+        for cluster_play in self.cluster_plays:
+            cluster_play.heal()
+            cluster_play.requests.end_gangs()
         started = world.now
-        if not world.run(started + ENDS * MS, self.ended):
-            raise InvariantViolation("Live", f"does not come to an end: {self.why()}", world.now)
+        if not world.run(started + END_WITHIN_MS * MS, self.ended):
+            raise InvariantViolation("Live", f"does not come to an end: {self.why_not_ended()}", world.now)
         world.counts["slowest to end, ms"] = (world.now - started) // MS
-        for side in self.sides:
-            side.cluster.tell("ended")
-        self.between.ended()
+        for cluster_play in self.cluster_plays:
+            cluster_play.cluster.notify("run_ended")
+        self.cross_checks.check_end()
 
     def prepare(self):
         """Nodes start once their cluster knows them; a service counts as held once all of it stands."""
-        for side in self.sides:
-            service = SERVICES[side.cluster.id]
-            if side.people.ready and service not in self.between.services:
-                self.between.services[service] = (f"{service}-wide", f"{service}-pinned")
-                for node in side.nodes:
+        for cluster_play in self.cluster_plays:
+            service = SERVICES[cluster_play.cluster.id]
+            if cluster_play.requests.ready and service not in self.cross_checks.services:
+                self.cross_checks.services[service] = (f"{service}-wide", f"{service}-pinned")
+                for node in cluster_play.nodes:
                     self.world.add(node)
-        if len(self.between.services) < len(NAMES):
+        if len(self.cross_checks.services) < len(NAMES):
             self.world.after(50 * MS, self.prepare)
 
     def ended(self):
         """Looked at now and then: each look goes over much."""
-        if self.world.number % 16:
+        if self.world.event_number % 16:
             return False
-        return not self.why()
+        return not self.why_not_ended()
 
-    def why(self):
-        for side in self.sides:
-            if not side.people.ready:
-                return f"{side.cluster.id} is not prepared"
-            if why := side.why() or side.unquiet():
+    def why_not_ended(self):
+        for cluster_play in self.cluster_plays:
+            if not cluster_play.requests.ready:
+                return f"{cluster_play.cluster.id} is not prepared"
+            if why := cluster_play.why_not_serving() or cluster_play.find_unfinished():
                 return why
         return ""
 
--- a/lemonlead/standins/simulated/world.py
+++ b/lemonlead/standins/simulated/world.py
@@ -1,18 +1,19 @@
-"""The clock of a simulated world, and what happens when. Clusters, clients and whatever else acts in it take
-their turns by `after`; nothing in it reads a real clock or draws unseeded chance."""
+"""The clock and event queue of a simulated world. Clusters, clients and all other actors schedule their work with
+`World.after`; nothing in the world reads a real clock or draws from an unseeded random generator."""
 
 import heapq
 import random
 
 from .network import Network
 
-MS, SECOND = 1_000_000, 1_000_000_000
-MOST_EVENTS = 400_000  # in one world; past it something goes round in circles
-WALL = 1_750_000_000_000  # Unix milliseconds at the start
+MS, SECOND = 1_000_000, 1_000_000_000  # nanoseconds
+MAX_EVENTS = 400_000  # in one world; more means that something schedules itself without end
+START_WALL_MS = 1_750_000_000_000  # Unix milliseconds
 
 
 class InvariantViolation(Exception):
-    """A judge saw what must not be. `checker`: its name; `message`: what it saw."""
+    """An invariant checker saw something that must not happen. `checker`: its name. `message`: what it saw.
+    `at_ns`: when, by the clock of the world."""
 
     def __init__(self, checker, message, at=0):
         super().__init__(f"{checker}: {message}")
@@ -20,12 +21,13 @@
 
 
 class World:
-    """`clusters`: name to Cluster, each put in by itself. Actors are anything with `start(world)`."""
+    """`now`: nanoseconds since the start. `clusters`: Cluster by name; each cluster adds itself. `actors`: objects
+    with a method `start(world)`. `counts`: how often each thing happened, for reports."""
 
     def __init__(self, seed):
         self.seed, self.now = seed, 0
-        self.chance = random.Random(f"world {seed}")
-        self.queue, self.number = [], 0
+        self.rng = random.Random(f"world {seed}")
+        self.queue, self.event_number = [], 0
         self.network = Network(seed, self.after)
         self.clusters, self.actors = {}, []
         self.counts = {}
@@ -34,18 +36,19 @@
         self.counts[what] = self.counts.get(what, 0) + by
 
     def after(self, delay, function, *args):
-        """Calls it so many nanoseconds on; what is due at one moment goes in the order of asking."""
-        self.number += 1
-        if self.number > MOST_EVENTS:
-            raise InvariantViolation("events", f"more than {MOST_EVENTS}")
-        heapq.heappush(self.queue, (self.now + max(delay, 0), self.number, function, args))
+        """Calls the function after `delay` nanoseconds. Calls that are due at the same time run in the order in
+        which they were scheduled."""
+        self.event_number += 1
+        if self.event_number > MAX_EVENTS:
+            raise InvariantViolation("events", f"more than {MAX_EVENTS}")
+        heapq.heappush(self.queue, (self.now + max(delay, 0), self.event_number, function, args))
 
     def add(self, actor):
         self.actors.append(actor)
         actor.start(self)
 
     def run(self, until, stop=None):
-        """Until that moment, or until `stop()` is true; whether it was."""
+        """Runs to that time, or until `stop()` returns true after an event. Returns whether it did."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, function, args = heapq.heappop(self.queue)
             function(*args)
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -100,7 +100,7 @@
     fixture.stream.send(b"3")
     fixture.run(5)
     assert fixture.got == [b"1", b"2"] and fixture.stream.bytes_in_flight == 1
-    fixture.links.mend([("r", "g")])
+    fixture.links.restore([("r", "g")])
     fixture.stream.end("over")
     fixture.run(1)
     assert fixture.got == [b"1", b"2", b"3"] and fixture.over == ["over"] and not fixture.lost
@@ -397,8 +397,8 @@
 INJECTED_FAULTS = {
     # fault: (checker that has to catch it, how it is injected, events that expose it, and the first seed
     # where earlier ones are known to show nothing)
-    "applies older changes": ("Acting", {"make_subscriber": AppliesOlderChanges}, ["repeated"]),
-    "mixes clusters": ("Acting", {"make_subscriber": MixesClusters}, ["impostor"]),
+    "applies older changes": ("RecordsInForce", {"make_subscriber": AppliesOlderChanges}, ["repeated"]),
+    "mixes clusters": ("RecordsInForce", {"make_subscriber": MixesClusters}, ["impostor"]),
     "acknowledges what it received": ("Complete", {"make_subscriber": AcknowledgesReceived}, []),
     "keeps removed records": (
         "Complete",
@@ -406,9 +406,9 @@
         ["older", "thaw_late", "region"],
         3,
     ),
-    "forgets removals": ("Acting", {"make_subscriber": ForgetsRemovals}, ["repeated"]),
+    "forgets removals": ("RecordsInForce", {"make_subscriber": ForgetsRemovals}, ["repeated"]),
     "ignores unreadable lines": (
-        "Unmoved",
+        "InvalidLinesIgnored",
         {"make_subscriber": IgnoresUnreadableLines},
         ["garbled", "short", "endless"],
     ),
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -17,9 +17,15 @@
 from lemonlead.ledger.records import AppendEntries, Entry, SnapshotBase, Write
 from lemonlead.ledger.replica import Replica
 from lemonlead.standins.simulated.checks import Logs
-from lemonlead.standins.simulated.disks import Disk, Held, Work
-from lemonlead.standins.simulated.history import NEVER, UNKNOWN, Seen, Undecided, first_wrong
-from lemonlead.standins.simulated.network import Network, garble, packed, unpacked
+from lemonlead.standins.simulated.disks import Disk, DiskContents, DiskTask
+from lemonlead.standins.simulated.history import (
+    NEVER,
+    UNKNOWN,
+    ObservedCall,
+    Undecided,
+    find_inconsistent_call,
+)
+from lemonlead.standins.simulated.network import Network, garble, pack, unpack
 from lemonlead.standins.simulated.schedules import KINDS, Schedule, InjectedFault, draw, play, shrink
 from lemonlead.standins.simulated.world import InvariantViolation
 
@@ -54,18 +60,39 @@
 @pytest.mark.parametrize(
     "calls, fits",
     [
-        ([Seen(("write", 1), "ok", 0, 1), Seen(("read",), 1, 2, 3)], True),
-        ([Seen(("write", 1), "ok", 0, 1), Seen(("read",), 0, 2, 3)], False),
-        ([Seen(("write", 1), "ok", 0, 4), Seen(("read",), 0, 2, 3)], True),
-        ([Seen(("write", 1), "ok", 0, 9), Seen(("read",), 1, 2, 3), Seen(("read",), 0, 4, 5)], False),
-        ([Seen(("write", 1), UNKNOWN, 0), Seen(("read",), 0, 2, 3), Seen(("read",), 1, 4, 5)], True),
-        ([Seen(("write", 1), UNKNOWN, 0), Seen(("read",), 1, 2, 3), Seen(("read",), 0, 4, 5)], False),
-        ([Seen(("write", 1), UNKNOWN, 4), Seen(("read",), 1, 2, 3)], False),
-        ([Seen(("read",), 0, 1, 2), Seen(("read",), 0, 1, NEVER)], True),
+        ([ObservedCall(("write", 1), "ok", 0, 1), ObservedCall(("read",), 1, 2, 3)], True),
+        ([ObservedCall(("write", 1), "ok", 0, 1), ObservedCall(("read",), 0, 2, 3)], False),
+        ([ObservedCall(("write", 1), "ok", 0, 4), ObservedCall(("read",), 0, 2, 3)], True),
+        (
+            [
+                ObservedCall(("write", 1), "ok", 0, 9),
+                ObservedCall(("read",), 1, 2, 3),
+                ObservedCall(("read",), 0, 4, 5),
+            ],
+            False,
+        ),
+        (
+            [
+                ObservedCall(("write", 1), UNKNOWN, 0),
+                ObservedCall(("read",), 0, 2, 3),
+                ObservedCall(("read",), 1, 4, 5),
+            ],
+            True,
+        ),
+        (
+            [
+                ObservedCall(("write", 1), UNKNOWN, 0),
+                ObservedCall(("read",), 1, 2, 3),
+                ObservedCall(("read",), 0, 4, 5),
+            ],
+            False,
+        ),
+        ([ObservedCall(("write", 1), UNKNOWN, 4), ObservedCall(("read",), 1, 2, 3)], False),
+        ([ObservedCall(("read",), 0, 1, 2), ObservedCall(("read",), 0, 1, NEVER)], True),
     ],
 )
 def test_a_history_fits_or_not(calls, fits):
-    assert (first_wrong(calls, 0, register) is None) == fits
+    assert (find_inconsistent_call(calls, 0, register) is None) == fits
 
 
 def by_hand(calls, start, step):
@@ -77,10 +104,10 @@
             for order in itertools.permutations([*known, *some]):
                 state = start
                 for at, call in enumerate(order):
-                    state, result = step(state, call.what)
+                    state, result = step(state, call.operation)
                     if call.result not in (UNKNOWN, result):
                         break
-                    if any(later.answered < call.asked for later in order[at + 1 :]):
+                    if any(later.answered_at < call.called_at for later in order[at + 1 :]):
                         break
                 else:
                     return True
@@ -101,37 +128,39 @@
 )
 def test_the_search_agrees_with_trying_all_orders(drawn):
     calls = [
-        Seen(what, UNKNOWN, asked, NEVER)
+        ObservedCall(what, UNKNOWN, asked, NEVER)
         if seen == UNKNOWN
-        else Seen(what, "ok" if what[0] == "write" else seen, asked, asked + took)
+        else ObservedCall(what, "ok" if what[0] == "write" else seen, asked, asked + took)
         for what, seen, asked, took in drawn
     ]
-    assert (first_wrong(calls, 0, register) is None) == by_hand(calls, 0, register)
+    assert (find_inconsistent_call(calls, 0, register) is None) == by_hand(calls, 0, register)
 
 
 def test_a_history_that_is_too_long_is_undecided():
-    calls = [Seen(("write", value), UNKNOWN, 0) for value in range(12)] + [Seen(("read",), -1, 1, 2)]
+    calls = [ObservedCall(("write", value), UNKNOWN, 0) for value in range(12)] + [
+        ObservedCall(("read",), -1, 1, 2)
+    ]
     with pytest.raises(Undecided):
-        first_wrong(calls, 0, register, most=500)
+        find_inconsistent_call(calls, 0, register, max_states=500)
 
 
 # ---- network
 
 
 def test_whatever_is_garbled_is_dropped():
-    chance = random.Random(1)
+    rng = random.Random(1)
     message = AppendEntries("c", "g1", "f1", "g2", "f2", 3, 4, 2, [entry(5), entry(6)], 4, 9)
-    frame = packed(message)
-    assert unpacked(frame) == message
+    frame = pack(message)
+    assert unpack(frame) == message
     for _ in range(500):
-        assert unpacked(garble(frame, chance)) in (None, message)
-    assert unpacked(garble(frame, chance)) is None
+        assert unpack(garble(frame, rng)) in (None, message)
+    assert unpack(garble(frame, rng)) is None
 
 
 def test_lines_lose_double_and_are_cut():
     later, got = Later(), []
     network = Network(1, later)
-    network.weather.twice = 1.0
+    network.conditions.duplicated = 1.0
     network.carry("a", "b", got.append, 1)
     later.run()
     assert got == [1, 1]
@@ -147,7 +176,7 @@
     network.heal()
     network.carry("a", "b", got.append, 5)
     later.run()
-    assert got[-1] == 5 and network.under_way == 0
+    assert got[-1] == 5 and network.in_flight == 0
 
 
 # ---- disks
@@ -158,8 +187,10 @@
     disk = Disk("f", 1, later)
     for number in range(1, 4):
         write = Write(number, 1, "", None, [entry(number)])
-        disk.submit(Work(write, done=lambda number=number: told.append((number, disk.held.last))))
-    assert disk.held.last == 0 and disk.ahead.last == 3
+        disk.submit(
+            DiskTask(write, done=lambda number=number: told.append((number, disk.contents.last_index)))
+        )
+    assert disk.contents.last_index == 0 and disk.requested_contents.last_index == 3
     later.run()
     assert told == [(1, 1), (2, 3), (3, 3)]
 
@@ -171,38 +202,41 @@
         disk = Disk("f", seed, later)
         for number in range(1, 4):
             write = Write(number, number, "", None, [entry(number, number)])
-            disk.submit(Work(write, done=lambda told=told: told.append(1)))
+            disk.submit(DiskTask(write, done=lambda told=told: told.append(1)))
         disk.crash()
         later.run()
-        assert told == [] and disk.held.last == disk.held.term == disk.ahead.last
-        kept.add(disk.held.last)
+        assert (
+            told == []
+            and disk.contents.last_index == disk.contents.term == disk.requested_contents.last_index
+        )
+        kept.add(disk.contents.last_index)
     assert kept == {0, 1, 2, 3}
 
 
 def test_a_disk_that_fails_tells_once_and_syncs_nothing_more():
     later, told = Later(), []
     disk = Disk("f", 1, later)
-    disk.failing = told.append
-    disk.broken = "full"
-    disk.submit(Work(Write(1, 1, "", None, [entry(1)]), done=lambda: told.append("synced")))
-    disk.submit(Work(Write(2, 1, "", None, [entry(2)]), done=lambda: told.append("synced")))
+    disk.on_failure = told.append
+    disk.failure = "full"
+    disk.submit(DiskTask(Write(1, 1, "", None, [entry(1)]), done=lambda: told.append("synced")))
+    disk.submit(DiskTask(Write(2, 1, "", None, [entry(2)]), done=lambda: told.append("synced")))
     later.run()
-    assert told == ["full"] and disk.held.last == 0
+    assert told == ["full"] and disk.contents.last_index == 0
 
 
 def test_a_snapshot_takes_the_place_of_what_it_covers():
-    held = Held()
-    held.take(Work(Write(1, 1, "", None, [entry(1), entry(2), entry(3)])))
-    held.take(Work(base=SnapshotBase(2, 1), snapshot=b"two"))
-    assert held.snapshot == b"two" and [one.index for one in held.entries] == [3] and held.entry(2) is None
-    held.take(Work(base=SnapshotBase(1, 1), snapshot=b"one"))
+    held = DiskContents()
+    held.apply(DiskTask(Write(1, 1, "", None, [entry(1), entry(2), entry(3)])))
+    held.apply(DiskTask(base=SnapshotBase(2, 1), snapshot=b"two"))
+    assert held.snapshot == b"two" and [one.index for one in held.entries] == [3] and held.entry_at(2) is None
+    held.apply(DiskTask(base=SnapshotBase(1, 1), snapshot=b"one"))
     assert held.snapshot == b"two"
-    held.take(Work(Write(2, 2, "", 3, [entry(3, 2)])))
-    assert held.entry(3).term == 2
-    held.take(Work(Write(3, 2, "", base=SnapshotBase(9, 2)), snapshot=b"nine"))
-    assert held.last == 9 and held.entries == []
+    held.apply(DiskTask(Write(2, 2, "", 3, [entry(3, 2)])))
+    assert held.entry_at(3).term == 2
+    held.apply(DiskTask(Write(3, 2, "", base=SnapshotBase(9, 2)), snapshot=b"nine"))
+    assert held.last_index == 9 and held.entries == []
     with pytest.raises(ValueError):
-        held.take(Work(Write(4, 2, "", None, [entry(11)])))
+        held.apply(DiskTask(Write(4, 2, "", None, [entry(11)])))
 
 
 # ---- schedules
@@ -243,7 +277,7 @@
     judge.logs, judge.bases = {"f": {5: entry(5)}}, {"f": SnapshotBase(4, 1)}
     host = SimpleNamespace(name="g1", disk=SimpleNamespace(folder="f"))
     with nullcontext() if right else pytest.raises(InvariantViolation, match="keeps a snapshot as of"):
-        judge.kept(host, base)
+        judge.snapshot_submitted(host, base)
 
 
 def test_entries_applied_before_the_disk_was_given_them_are_caught(monkeypatch):
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -14,7 +14,7 @@
 from lemonlead.ledger.records import VoteRequest
 from lemonlead.ledger.replica import Replica
 from lemonlead.ledger.state import Ledger
-from lemonlead.standins.simulated.hosts import plain_dispatcher
+from lemonlead.standins.simulated.hosts import default_dispatcher
 from lemonlead.standins.simulated.schedules import Schedule, InjectedFault, draw, plain_ledger, play, shrink
 
 MOST = 300  # schedules in which each has to be caught
@@ -24,7 +24,7 @@
     """Members whose replica is of this class."""
 
     def make(host, told, kept, state, now):
-        dispatcher = plain_dispatcher(host, told, kept, state, now)
+        dispatcher = default_dispatcher(host, told, kept, state, now)
         dispatcher.replica = kind(told, kept, now)
         return dispatcher
 
@@ -35,7 +35,7 @@
     """Members whose dispatcher was spoiled by `spoil(dispatcher, host)`."""
 
     def make(host, told, kept, state, now):
-        dispatcher = plain_dispatcher(host, told, kept, state, now)
+        dispatcher = default_dispatcher(host, told, kept, state, now)
         spoil(dispatcher, host)
         return dispatcher
 
@@ -270,17 +270,17 @@
     "counts a learner as voter": ("Logs", of_replica(CountsLearners), ["wipe", "cut", "cut_pair"]),
     "commits by a minority": ("Logs", of_replica(CountsMinority), []),
     "leads by a minority": ("Leaders", of_replica(ElectedByFew), CUTS),
-    "local reads as of now": ("Seeing", of_dispatcher(reads_at_once), []),
-    "reads without a round": ("Seeing", of_office(ReadsWithoutRound), ["cut"]),
+    "local reads as of now": ("Linearizability", of_dispatcher(reads_at_once), []),
+    "reads without a round": ("Linearizability", of_office(ReadsWithoutRound), ["cut"]),
     "cuts off what is committed": ("Logs", of_following(CutsWhatItHas), ["late", "twice"]),
     "seats without a folder": ("Votes", of_replica(SeatsWithoutFolder), ["impostor", "kill", "all"]),
     "an old folder's id again": ("Votes", {"setup": same_folder}, ["impostor", "kill", "all"]),
     "ids forgotten by a restart": ("SameState", of_dispatcher(forgets_ids), ["kill"]),
     "applies twice after a snapshot": ("SameState", of_dispatcher(applies_twice), ["kill", "all"]),
     "a state that depends on the member": ("SameState", of_dispatcher(odd), []),
-    "answers before commit": ("Promises", of_dispatcher(answers_at_once), []),
+    "answers before commit": ("CommandOutcomes", of_dispatcher(answers_at_once), []),
     "goes on without its disk": ("Acknowledged", of_dispatcher(goes_on_without_disk), ["broken_disk"]),
-    "unknown told as not done": ("Promises", of_replica(SaysNotDone), ["burst", "kill", "pause"], 78),
+    "unknown told as not done": ("CommandOutcomes", of_replica(SaysNotDone), ["burst", "kill", "pause"], 78),
     "takes no snapshot": ("Live", of_following(TakesNoSnapshot), ["wipe", "kill_long"]),
 }
 
--- a/tests/test_simulated_whole.py
+++ b/tests/test_simulated_whole.py
@@ -48,18 +48,18 @@
 class Early(Gateway):
     """Acknowledges what it heard, and obeys it only later."""
 
-    def hear(self, news):
-        if news.whole:
-            return super().hear(news)
-        self.world.after(2 * SECOND, super().hear, news)
-        return news
+    def merge_update(self, update):
+        if update.whole:
+            return super().merge_update(update)
+        self.world.after(2 * SECOND, super().merge_update, update)
+        return update
 
 
 class SlowToMove(Gateway):
     """Obeys permits at once, and the shares of moves only later."""
 
-    def shifts(self, changes):
-        self.world.after(4 * SECOND, super().shifts, changes)
+    def moves_changed(self, changes):
+        self.world.after(4 * SECOND, super().moves_changed, changes)
 
 
 class Forgetful(Node):
@@ -67,11 +67,11 @@
 
     first = None
 
-    def told(self, number, sent, at, permit):
+    def permit_read(self, number, sent, at, permit):
         if permit is not None and permit["phase"] == "clear":
             self.first = self.first or permit
-        self.obeyed = (0, 0)
-        super().told(number, sent, at, self.first or permit)
+        self.obeyed_permit = (0, 0)
+        super().permit_read(number, sent, at, self.first or permit)
 
 
 def frees_early(name):
