--- a/lemonlead/standins/distributed/checks.py
+++ b/lemonlead/standins/distributed/checks.py
@@ -1,6 +1,6 @@
-"""Judges of the world: each is told what relays and gateways do and raises Broken at what must not be. They
-know the log, what gateways act on, and the bytes on the lines; of the modules they judge they use nothing but
-the answers, and count everything on their own."""
+"""Invariant checkers of the distribution. They see the events of relays and gateways and raise
+InvariantViolation. They know the log, what gateways act on, and the bytes on the lines. Of the modules that
+they check they use only the results, and compute all expected values themselves."""
 
 import sys
 from collections import deque
@@ -10,20 +10,18 @@
 from .links import MS, SECOND
 from .relays import GRACE, LEASE, MAX_CLOCK_DRIFT
 
-STEADY_DRAIN_WITHIN = 4 * SECOND  # on a stream that stands, whatever else is under way on it
-DRAIN_WITHIN = 20 * SECOND  # while some relay that follows the log can be reached all the time
-EQUAL_WITHIN = 20 * SECOND  # after all is healed
-URGENT_LINE_BYTES = 300  # of one urgent change, generously
-MAX_OUTBOX_BYTES, OUTBOX_SCOPE_BYTES = (
-    8 * 1024,
-    1024,
-)  # bytes of one subscriber at its sender, and for each of its scopes
-OUTBOX_KEY_BYTES = 200  # and for each key of the scope of which it is telling a snapshot
-SUBSCRIBER_KEY_BYTES = 400  # bytes a key in a gateway's memory of what it was told
+STEADY_DRAIN_WITHIN = 4 * SECOND  # on a steady stream, whatever else is sent on it
+DRAIN_WITHIN = 20 * SECOND  # while a relay that follows the log can be reached all the time
+EQUAL_WITHIN = 20 * SECOND  # after all faults ended
+URGENT_LINE_BYTES = 300  # upper bound of one urgent change
+MAX_OUTBOX_BYTES = 8 * 1024  # that a relay keeps for one subscriber, plus:
+OUTBOX_SCOPE_BYTES = 1024  # for each of its scopes
+OUTBOX_KEY_BYTES = 200  # for each key of the scope whose snapshot is being sent
+SUBSCRIBER_KEY_BYTES = 400  # that a gateway keeps for each key
 
 
 class Checker:
-    """`play` is put in by the world."""
+    """Base class, with one method for each event. The Play sets `play`."""
 
     play = None
 
@@ -45,15 +43,15 @@
 
 
 class RecordsInForce(Checker):
-    """What each gateway acts on, by the log: the index of each record in force, and where one is gone the
-    index from which on it may be gone. Asked by the others; stands first.
+    """Keeps what each gateway acts on, as indexes of the log: the index of each record in force, and the
+    index from which a dropped record may be gone. The other checkers read it, so it stands first.
 
-    Holds: what is put in force was committed, to this scope and key, by the cluster whose state the gateway
-    has; and nothing goes back."""
+    Checks that a record put in force was committed, for this scope and key and by the cluster whose state the
+    gateway has, and that no record goes back."""
 
     def gateway_started(self, gateway):
         gateway.applied_indexes, gateway.dropped_indexes, gateway.refused_indexes = {}, {}, {}
-        gateway.verified_indexes = {}  # scope to the index as of which it was last seen to be behind in nothing
+        gateway.verified_indexes = {}  # scope to the index as of which it was last found up to date
 
     def log_of(self, gateway):
         return self.play.logs[gateway.cluster or self.play.log.cluster]
@@ -62,7 +60,7 @@
         log, place = self.log_of(gateway), (scope, key)
         had = gateway.applied_indexes.get(place, gateway.dropped_indexes.get(place, 0))
         if scope not in gateway.scopes:
-            self.fail(f"{gateway.name} was told of {scope!r}, which is not of its scopes")
+            self.fail(f"{gateway.name} received {scope!r}, which is not of its scopes")
         if record is None:
             if place not in gateway.applied_indexes:
                 return
@@ -91,7 +89,7 @@
         gateway.dropped_indexes.pop(place, None)
 
     def scopes_changed(self, gateway, scopes, changes):
-        """All of the scopes that it has no more is out of force, and nothing else."""
+        """Checks that exactly the records of the dropped scopes go out of force."""
         for scope, key, record in changes:
             if record is not None or scope in scopes:
                 self.fail(f"{gateway.name} puts {scope!r} {key} in force as its scopes change")
@@ -109,22 +107,22 @@
     def record_refused(self, gateway, scope, key, record):
         of = self.log_of(gateway).stamps.get(record["stamp"])
         if of is None or of[:2] != (scope, key):
-            self.fail(f"{gateway.name} was told {scope} {key} {record}, which was never committed")
+            self.fail(f"{gateway.name} received {scope} {key} {record}, which was never committed")
         gateway.refused_indexes[scope, key] = of[2]
 
     def index_in_force(self, gateway, log, place, changed):
-        """The index that the gateway acts on here. Where it has no record, which is right once it was dropped
-        after `changed`, that of the drop."""
+        """Returns the index of the record that the gateway acts on. If it has none, the index of the
+        removal, as it may have applied a removal after `changed`."""
         if place in gateway.applied_indexes:
             return gateway.applied_indexes[place]
         dropped = [at for at, record in log.history[place] if record is None and at > changed]
         return max(gateway.dropped_indexes.get(place, 0), *dropped[:1], 0)
 
     def behind(self, gateway, scope, index):
-        """The first key of this scope on which the gateway acts on something older than as of this index:
-        (key, index in force, index of the log), or None."""
+        """Returns the first key of the scope for which the gateway acts on an older record than the log has
+        as of this index: (key, index in force, index of the log). None if there is none."""
         if index <= gateway.verified_indexes.get(scope, 0):
-            return None  # as nothing goes back
+            return None  # records never go back
         log = self.log_of(gateway)
         for key in log.keys.get(scope, ()):
             changed, record = log.record_at(scope, key, index)
@@ -141,8 +139,9 @@
 
 
 class Complete(Checker):
-    """What a gateway says to be complete is in force, but for what it tells as refused; no scope's index goes
-    back in one life; what the module says to be its records is what the gateway acts on."""
+    """Everything that a gateway reports as complete is in force, except for the records that it reports as
+    refused. The reported index of a scope never goes back within a process. The records of the Subscriber are
+    what the gateway acts on."""
 
     def gateway_started(self, gateway):
         gateway.reported_complete, gateway.reported_refusals = {}, set()
@@ -159,10 +158,10 @@
 
     def acknowledgement_sent(self, gateway, request):
         self.play.world.count("acknowledgements")
-        told = {(scope, key): index for scope, key, index, _ in request.get("refused", ())}
+        refused = {(scope, key): index for scope, key, index, _ in request.get("refused", ())}
         for place, index in gateway.refused_indexes.items():
             if gateway.applied_indexes.get(place, 0) < index <= request["complete"].get(place[0], 0):
-                if told.get(place) is None and place not in gateway.reported_refusals:
+                if refused.get(place) is None and place not in gateway.reported_refusals:
                     self.fail(f"{gateway.name} acknowledges {place} of {index}, which it refused")
                 gateway.reported_refusals.add(place)
         self.check_complete(gateway, request["complete"], gateway.refused_indexes)
@@ -173,7 +172,8 @@
         for scope, index in complete.items():
             if index < gateway.reported_complete.get(scope, 0):
                 self.fail(
-                    f"{gateway.name} has {scope} complete to {index}, after {gateway.reported_complete[scope]}"
+                    f"{gateway.name} has {scope} complete to {index}, "
+                    f"after {gateway.reported_complete[scope]}"
                 )
             if index == gateway.reported_complete.get(scope):
                 continue
@@ -188,12 +188,12 @@
                     wrong = index_there < changed and refused.get((scope, key), 0) < changed
                 if wrong:
                     self.fail(
-                        f"{gateway.name} says {scope!r} complete to {index}, but has {key} of {index_there}, not "
-                        f"{changed}"
+                        f"{gateway.name} says {scope!r} complete to {index}, but has {key} of {index_there}, "
+                        f"not {changed}"
                     )
 
     def line_applied(self, gateway, stream):
-        """One key of all, by chance, each time, and all that it refused."""
+        """Checks one key drawn at random, and all refused records."""
         rng, records = self.play.check_rng, gateway.subscriber.records
         for (scope, key), index in gateway.refused_indexes.items():
             if records.get(scope, {}).get(key, (0,))[0] == index:
@@ -217,10 +217,11 @@
 
 
 class Drains(Checker):
-    """No drain or removal is missed for long. Each tick looks at who could be reached all the time since."""
+    """No gateway misses a drain or removal for long. Each tick updates since when each gateway can be
+    reached."""
 
     def __init__(self):
-        self.due = []  # (index, told at, scope, key), oldest first
+        self.due = []  # (index, time of the report, scope, key), oldest first
         self.checked_index = 0
         self.reachable, self.steady_streams, self.missing = {}, {}, {}
 
@@ -262,10 +263,10 @@
                 if relay.name not in following:
                     self.reachable.pop((name, relay.name), None)
             stream = gateway.stream
-            standing = (
+            is_steady = (
                 stream is not None and (name, stream.relay) in self.reachable and not stream.closed_by_sender
             )
-            mark = (stream, self.reachable.get((name, stream.relay))) if standing else None
+            mark = (stream, self.reachable.get((name, stream.relay))) if is_steady else None
             if mark is None or self.steady_streams.get(name, (None,))[0] != mark:
                 self.steady_streams[name] = mark, now
             steady_since = self.steady_streams[name][1] if mark is not None else now
@@ -273,7 +274,7 @@
                 self.check_missing(gateway, missing, since, steady_since)
 
     def follows(self, relay):
-        """Whether it is of this log, runs, and hears it."""
+        """Returns whether the relay runs without faults and follows this log."""
         play = self.play
         return (
             relay.up and not relay.frozen and not relay.is_lagging and relay.line_fault is None
@@ -284,39 +285,42 @@
         now, still = self.play.world.now, []
         urgent = 0
         for one in missing:
-            index, told, scope, key = one
+            index, reported_at, scope, key = one
             if not 0 < gateway.applied_indexes.get((scope, key), 0) < index:
-                if told > steady_since + SECOND:
+                if reported_at > steady_since + SECOND:
                     counts = self.play.world.counts
-                    counts["slowest drain, ms"] = max(counts.get("slowest drain, ms", 0), (now - told) // MS)
+                    counts["slowest drain, ms"] = max(
+                        counts.get("slowest drain, ms", 0), (now - reported_at) // MS
+                    )
                 continue
             still.append(one)
             urgent += URGENT_LINE_BYTES
-            if now - max(told, since) > DRAIN_WITHIN:
+            if now - max(reported_at, since) > DRAIN_WITHIN:
                 self.fail(
                     f"{gateway.name} has missed the drain {index} of {scope} {key} for "
-                    f"{(now - told) // MS} ms, and could be reached for {(now - since) // MS} ms"
+                    f"{(now - reported_at) // MS} ms, and could be reached for {(now - since) // MS} ms"
                 )
-            # what was told before its stream stood may come by a snapshot's end
+            # a drain reported before its stream was steady may come at the end of a snapshot
             allowed = STEADY_DRAIN_WITHIN + urgent * SECOND // self.play.rate
-            if told > steady_since + SECOND and now - told > allowed:
+            if reported_at > steady_since + SECOND and now - reported_at > allowed:
                 self.fail(
                     f"{gateway.name} misses the drain {index} of {scope} {key} for "
-                    f"{(now - told) // MS} ms on a stream that stands since {steady_since // MS} ms"
+                    f"{(now - reported_at) // MS} ms on a stream that is steady since {steady_since // MS} ms"
                 )
         missing[:] = still
 
 
 class Everywhere(Checker):
-    """'In force everywhere' is never told while a gateway that counts acts on older: at one relay one that
-    has spoken to this process within lease and grace; over all relays, all answering, one that has spoken to
-    any of them. By the world's clock, whatever the relay's clock says."""
+    """No scope is reported as in force everywhere while a gateway that counts acts on an older record. At
+    one relay, a gateway counts if it sent a request to this process within lease and grace; over all
+    relays, if all of them answer, it counts if it sent a request to any of them. Times are by the clock of
+    the world, not by that of the relay."""
 
     COUNTED_FOR = int((LEASE + GRACE) * (1 - 2 * MAX_CLOCK_DRIFT)) - SECOND
 
     def __init__(self):
-        self.last_contact = {}  # gateway to (when, life, scopes) over all relays
-        self.reported_at_end = set()  # (relay, scope) told to be in force everywhere once all was equal
+        self.last_contact = {}  # gateway to (time, process, scopes) over all relays
+        self.reported_at_end = set()  # (relay, scope) reported as in force everywhere after all was equal
 
     def tick(self):
         play = self.play
@@ -337,7 +341,7 @@
                 self.check(self.last_contact, scope, index, "all relays together")
 
     def force_report(self, relay, scope, index):
-        """None from one that stands still or is of another cluster."""
+        """Returns the relay's report, or None if it is frozen or of another cluster."""
         if relay.frozen or relay.log is not self.play.log:
             return None
         return relay.acknowledged.in_force(relay.now(), scope, index)
@@ -358,12 +362,14 @@
                 if behind is not None:
                     self.fail(
                         f"{who}: {scope!r} in force everywhere as of {index}, but {gateway.name} has "
-                        f"{behind[0]} of {behind[1]}, not {behind[2]}; heard {(now - when) // MS} ms ago"
+                        f"{behind[0]} of {behind[1]}, not {behind[2]}; "
+                        f"last request {(now - when) // MS} ms ago"
                     )
 
     def find_missing_report(self):
-        """Which relay has not told it yet of which scope, though all is equal; empty where each has. One that
-        has may stop for a moment, as a gateway comes home to it."""
+        """Returns a relay and a scope that it has not reported as in force everywhere yet, though all is
+        equal; empty if there is none. A relay that has reported it may stop for a moment when a gateway
+        returns to it."""
         play, missing = self.play, ""
         for scope in play.changes.scopes():
             index = play.log.changed_indexes[scope][-1]
@@ -375,22 +381,23 @@
                     self.reported_at_end.add((relay.name, scope))
                 else:
                     missing = (
-                        f"{relay.name}: all is equal, but {scope!r} as of {index} is not told as in force "
-                        f"everywhere: {force.behind[:3]} {force.refused[:3]} of {force.counted}"
+                        f"{relay.name}: all is equal, but {scope!r} as of {index} is not reported as in "
+                        f"force everywhere: {force.behind[:3]} {force.refused[:3]} of {force.counted}"
                     )
         return missing
 
 
 class Budget(Checker):
-    """Bytes to one subscriber in any second: rate and burst at most, on each stream by the relay's clock, and
-    to a gateway over all streams. What a clock that jumped made of it is not held against the second."""
+    """The bytes sent to a subscriber within any second are at most rate and burst: on each stream by the
+    clock of the relay, and to a gateway over all streams. Seconds in which a clock jumped are not
+    checked."""
 
     def __init__(self):
         self.sent_lines = {}
 
     def line_sent(self, relay, stream, line):
         self.add((id(stream), "stream"), relay.now(), len(line), f"{relay.name} to {stream.gateway}", stream)
-        if stream.closed_by_reader:  # nobody is there to get it, which the relay has not heard yet
+        if stream.closed_by_reader:  # nobody reads it, which the relay doesn't know yet
             return
         now = self.play.world.now
         self.add(
@@ -418,8 +425,8 @@
 
 
 class Memory(Checker):
-    """What a sender keeps of one subscriber has a bound, whatever waits; so has what a gateway keeps beside
-    its records, and a relay of gateways."""
+    """The memory that a relay uses for one subscriber is bounded, whatever waits to be sent, and so is the
+    memory of a gateway's Subscriber."""
 
     def tick(self):
         play = self.play
@@ -448,7 +455,8 @@
 
 
 def deep_size(thing, excluded):
-    """Bytes of what it refers to, once each; records and the store are not its own."""
+    """Returns the bytes of all objects that `thing` refers to, each counted once. `excluded` (the store)
+    and, if it is given, records are not counted."""
     seen, unvisited, size = {id(excluded)}, [thing], 0
     while unvisited:
         one = unvisited.pop()
@@ -472,8 +480,8 @@
 
 
 class Readable(Checker):
-    """Nothing on a stream that was not spoiled is unreadable to a gateway of its cluster. (That nonsense
-    moves nothing the gateways look at, and tell as `Unmoved`.)"""
+    """A gateway can read each line of an unspoiled stream of its cluster. (The simulated gateways check that
+    invalid lines change nothing, as `InvalidLinesIgnored`.)"""
 
     def line_unreadable(self, gateway, stream, line):
         relay = self.play.relay_named(stream.relay)
--- a/lemonlead/standins/distributed/gateways.py
+++ b/lemonlead/standins/distributed/gateways.py
@@ -1,5 +1,5 @@
-"""Simulated gateways: the very Subscriber, with what the driver round it does. `force` is what a gateway acts
-on: (scope, key) to record, by what Subscriber said to put in force."""
+"""Simulated gateways, with the real Subscriber and a driver that works as the real one. `in_force` is what
+a gateway acts on: (scope, key) to record, as Subscriber put it in force."""
 
 import json
 import random
@@ -9,13 +9,14 @@
 from .links import MS, SECOND
 from .relays import HARMLESS_MARK, MAX_CLOCK_DRIFT, UNREADABLE_MARK
 
-CALL_TIMEOUT = 2 * SECOND  # of a call
-STREAM_TIMEOUT = 6 * SECOND  # without a whole line a stream has ended: three empty lines missed
-MAX_LINE_BYTES = 1 << 20  # bytes; the driver ends a stream whose line is longer
+CALL_TIMEOUT = 2 * SECOND
+STREAM_TIMEOUT = 6 * SECOND  # without a complete line, that is after three missed heartbeats
+MAX_LINE_BYTES = 1 << 20  # the driver ends a stream with a longer line
 
 
 class Gateway:
-    """`scopes`: names. `relays`: [(name, region, address)]. `make_subscriber`: the class of Subscriber."""
+    """A gateway that subscribes to these scopes. `relays`: [(name, region, address)]. `make_subscriber`:
+    the class of its subscriber."""
 
     def __init__(self, play, name, region, scopes, relays, make_subscriber=Subscriber):
         self.play, self.world, self.links, self.make_subscriber = (
@@ -33,10 +34,10 @@
     def now(self):
         return self.clock_offset + round(self.world.now * self.clock_rate) + self.clock_jump
 
-    # ---- life
+    # ---- process
 
     def start(self):
-        """A new process under the old name: it knows nothing."""
+        """Starts a new process under the same name, without any state."""
         if self.up:
             return
         self.up, self.frozen, self.queued_inputs = True, False, []
@@ -51,7 +52,7 @@
             None,
             None,
         )
-        self.cluster = ""  # whose state it has, by the first line that it took
+        self.cluster = ""  # whose state it has, by the first line that it accepted
         self.play.notify("gateway_started", self)
         self.turn()
 
@@ -82,7 +83,7 @@
                 function(*args)
 
     def rescope(self, scopes):
-        """It routes to other services from now on."""
+        """Changes the scopes, as when it starts to route to other services."""
         if self.frozen:
             return
         if self.up:
@@ -94,7 +95,7 @@
         if self.up:
             self.turn()
 
-    # ---- what it asks
+    # ---- requests
 
     def turn(self):
         for _ in range(20):
@@ -107,7 +108,7 @@
                 break
             self.send(request)
         else:
-            self.play.fail("Requests", f"{self.name} asks without end: {request}")
+            self.play.fail("Requests", f"{self.name} sends requests without end: {request}")
         due = self.subscriber.wake_at()
         if self.stream is not None:
             due = min(due, self.now() + SECOND)
@@ -132,7 +133,7 @@
             self.links.carry(self.name, relay.name, relay.take, relay.acknowledge, *arguments)
             return
         if not isinstance(request, Subscribe):
-            self.play.fail("Requests", f"{self.name} asks for {request!r}")
+            self.play.fail("Requests", f"{self.name} sends {request!r}")
         self.pending_acknowledgement = None
         self.play.notify("subscribe_sent", self, json.loads(body))
         if self.stream is not None:
@@ -144,7 +145,7 @@
         self.links.carry(self.name, relay.name, self.subscribe_arrived, relay, call, incarnation, body)
 
     def subscribe_arrived(self, relay, call, incarnation, body):
-        """At the relay's machine."""
+        """The request reaches the machine of the relay."""
         if not relay.up:
             return self.links.carry(
                 relay.name, self.name, self.take, incarnation, self.subscribe_failed, call, "refused"
@@ -162,7 +163,7 @@
         return relay.take(relay.subscribe, self.name, incarnation, body, answer, on_data, on_end)
 
     def acknowledged(self, pending, good):
-        """Answered, or not in time."""
+        """The response arrived, or the time for it passed (`good` is False)."""
         if self.pending_acknowledgement is pending:
             self.pending_acknowledgement = None
             self.subscriber.acknowledgement_ended(self.now(), good)
@@ -183,11 +184,11 @@
         else:
             self.pending_subscribe, self.stream = None, stream
 
-    # ---- what it is told
+    # ---- lines
 
     def data_arrived(self, incarnation, stream, data):
-        """False while the process stands still: the bytes wait on its machine. A stream that it does not
-        read any more is closed."""
+        """Returns False while the process is frozen, as the data waits on its machine. Closes a stream that
+        it doesn't read any more."""
         if self.up and incarnation == self.incarnation and self.frozen:
             return False
         if not self.up or incarnation != self.incarnation:
@@ -197,7 +198,7 @@
         elif self.pending_subscribe is None:
             stream.close()
         else:
-            return False  # the head of the answer is still on its way
+            return False  # the head of the response has not arrived yet
         return True
 
     def receive_line(self, stream, data):
@@ -205,7 +206,7 @@
         before = self.play.applied_state(self) if mark else None
         now, line = self.now(), data.rstrip(b"\n")
         if len(line) > MAX_LINE_BYTES:
-            return self.end("a line without end")
+            return self.end("line too long")
         try:
             changes = self.subscriber.receive_line(now, line)
         except Unreadable:
@@ -237,7 +238,7 @@
         return self.turn()
 
     def end(self, reason):
-        """By its own choice."""
+        """Ends the stream at the gateway."""
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
--- a/lemonlead/standins/distributed/links.py
+++ b/lemonlead/standins/distributed/links.py
@@ -1,17 +1,18 @@
-"""Streams and calls between relays and gateways: bytes in order, late, held by a cut as TCP holds them, with
-a bound on what is under way. What a faulty relay or line makes of a line is here as well."""
+"""Streams and calls between relays and gateways. A stream carries bytes in order, with delays and a bound
+on the bytes in flight, and keeps them during a cut as TCP does. The module also has the functions that
+spoil lines."""
 
 from ..simulated.network import LinkCuts
 
 MS, SECOND = 1_000_000, 1_000_000_000
-MIN_DELAY, MAX_DELAY = 1 * MS, 12 * MS  # a way
-RETRY_INTERVAL = 200 * MS  # until what a cut holds is tried once more
-WINDOW_BYTES = 8192  # bytes under way on one stream; past it the sender waits
-SEND_TIMEOUT = 15 * SECOND  # after so long with bytes that nobody takes the sender's machine ends the stream
+MIN_DELAY, MAX_DELAY = 1 * MS, 12 * MS  # nanoseconds, one way
+RETRY_INTERVAL = 200 * MS  # until data that a cut holds back is tried again
+WINDOW_BYTES = 8192  # in flight on one stream; past it the sender waits
+SEND_TIMEOUT = 15 * SECOND  # after which the sender's machine ends a stream whose data can't be delivered
 
 
 class Links(LinkCuts):
-    """Who can reach whom, by name."""
+    """The lines between relays, gateways and the log, by name."""
 
     def __init__(self, world):
         super().__init__()
@@ -24,7 +25,7 @@
         return self.world.rng.randint(MIN_DELAY, MAX_DELAY)
 
     def carry(self, sender, to, function, *args):
-        """One message of a call, lost where the line is cut as it is sent or comes."""
+        """Carries one message of a call. It is lost if the line is cut when it is sent or arrives."""
 
         def arrive():
             if self.can_pass((sender, to)):
@@ -35,8 +36,10 @@
 
 
 class Stream:
-    """What one relay tells one life of a gateway. `taken`: function(bytes), `ended`: function(reason), both
-    at the gateway; `lost`: function() at the relay once it learns that nobody reads."""
+    """A stream from a relay to one process (`incarnation`) of a gateway. At the gateway: `on_data`:
+    function(stream, bytes) that returns whether it took them, and `on_end`: function(stream, reason). At
+    the relay: `on_lost`: function(stream), called when it learns that nobody reads, and `on_room`:
+    function(stream), called when it may send more."""
 
     NUMBER = 0
 
@@ -45,20 +48,16 @@
         self.relay, self.gateway, self.incarnation = relay, gateway, incarnation
         self.on_data, self.on_end, self.on_lost, self.on_room = on_data, on_end, on_lost, on_room
         self.unsent, self.bytes_in_flight, self.blocked_since = [], 0, None
-        self.arrival_scheduled = False  # whether an arrival is due
+        self.arrival_scheduled = False
         self.closed_by_sender = self.closed_by_reader = False  # at the relay, at the gateway
-        self.end_reason = None  # why, once the relay ended it
-        self.subscription_id, self.last_sent_at = (
-            "",
-            0,
-        )  # whose it is by its own word, when the relay last sent something
-        self.recent_lines, self.is_spoiled = (
-            [],
-            False,
-        )  # the last lines; whether anything false was put in or left out
+        self.end_reason = None  # set when the relay ends it
+        self.subscription_id = ""  # as the gateway gave it
+        self.last_sent_at = 0  # by the clock of the relay
+        self.recent_lines = []
+        self.is_spoiled = False  # whether a line was changed, added or left out
 
     def send(self, data):
-        """From the relay. Bytes past WINDOW are not refused, but `full` says so before."""
+        """Sends data from the relay. It accepts more than WINDOW_BYTES; the relay has to look at `full`."""
         if self.closed_by_sender:
             return
         self.bytes_in_flight += len(data)
@@ -70,13 +69,14 @@
         return self.bytes_in_flight >= WINDOW_BYTES
 
     def end(self, reason):
-        """The relay's side ends it, after what is under way."""
+        """Ends the stream from the relay, after the data in flight."""
         if not self.closed_by_sender:
             self.closed_by_sender, self.end_reason = True, reason
             self.run()
 
     def close(self):
-        """The gateway's side is gone; the relay hears of it if it can be reached, or finds out."""
+        """Closes the stream at the gateway. The relay learns of it at once if the line is not cut, else
+        when it sends."""
         if not self.closed_by_reader:
             self.closed_by_reader = True
             self.links.carry(self.gateway, self.relay, self.gone)
@@ -123,7 +123,7 @@
         return None
 
 
-# ---- what becomes of lines
+# ---- spoiled lines
 
 INVALID_LINES = [
     b"null", b"[]", b"7", b'"complete"', b"{}", b"{", b"}{", b"\xff\xfe\x00", b"NaN", b'{"at": NaN}',
@@ -149,7 +149,7 @@
 
 
 def garble_line(line, rng):
-    """With one bit flipped, and still one line."""
+    """Returns the line with one bit flipped, still as one line."""
     body = line.rstrip(b"\n")
     while True:
         at = rng.randrange(len(body))
@@ -159,10 +159,10 @@
 
 
 def endless_line(line, rng):
-    """Far more than any line should have."""
+    """Returns a line far longer or deeper than any real one."""
     return rng.choice([b"[" * 100_000, b'{"snapshot": "' + b"x" * 300_000, b'{"a":' * 50_000]) + b"\n"
 
 
 def truncate_line(line, rng):
-    """Cut off somewhere, with a line end after it."""
+    """Returns the start of the line, with a line end."""
     return line[: rng.randrange(1, max(len(line) - 1, 2))].rstrip(b"\n") + b"\n"
--- a/lemonlead/standins/distributed/log.py
+++ b/lemonlead/standins/distributed/log.py
@@ -1,17 +1,18 @@
-"""The log of one cluster as members tell it: entries that put or drop one record of a scope each. Every
-record carries a stamp of its own, so that whoever sees one knows which entry it is from."""
+"""The log of one cluster as its members report it. Each entry puts or drops one record of a scope. Each
+record has its own stamp, which shows the entry that it is from."""
 
 import random
 
-MAX_KEPT_ENTRIES = 120  # entries that are told one by one; who is further behind gets the whole state
+MAX_KEPT_ENTRIES = 120  # reported one by one; a relay that is further behind gets the whole state
 
 
 class Log:
-    """`history`: (scope, key) to [(index, record)], oldest first. `told`: index up to which members tell."""
+    """`history`: (scope, key) to [(index, record)], oldest first. `stamps`: stamp to (scope, key, index).
+    `reported_index`: the index up to which members report. `is_silent`: whether they report nothing."""
 
     def __init__(self, cluster):
         self.cluster, self.entries, self.history, self.stamps = cluster, [], {}, {}
-        self.keys = {}  # scope to its keys, ever
+        self.keys = {}  # scope to all keys that it ever had
         self.changed_indexes = {}  # scope to the indexes of its changes
         self.reported_index, self.is_silent = 0, False
 
@@ -20,7 +21,7 @@
         return len(self.entries)
 
     def commit(self, scope, key, record):
-        """The record with its stamp in it; None drops it. Its index."""
+        """Appends a record with a stamp, or the removal of the record if it is None. Returns the index."""
         index = self.index + 1
         if record is not None:
             stamp = f"{self.cluster}-{index}"
@@ -35,21 +36,21 @@
         return index
 
     def silence(self):
-        """No leader: nothing is told."""
+        """Reports nothing, as without a leader, until `resume`."""
         self.is_silent = True
 
     def resume(self):
         self.is_silent, self.reported_index = False, self.index
 
     def record_at(self, scope, key, index):
-        """(index of the last change up to this index, record); (0, None) where there is none."""
+        """Returns (index, record) of the last change up to this index; (0, None) if there is none."""
         for changed, record in reversed(self.history.get((scope, key), ())):
             if changed <= index:
                 return changed, record
         return 0, None
 
     def records_of(self, scope, index):
-        """key to (index, record) of all that stands in this scope as of this index."""
+        """Returns the records of a scope as of this index: key to (index, record)."""
         found = {}
         for key in self.keys.get(scope, ()):
             changed, record = self.record_at(scope, key, index)
@@ -58,21 +59,26 @@
         return found
 
     def state(self, index):
-        """scope to key to (index, record)."""
+        """Returns the state as of this index: scope to key to (index, record)."""
         return {scope: self.records_of(scope, index) for scope in sorted(self.keys)}
 
     def changes_since(self, index):
-        """[(index, (scope, key, record))] of what is told after this index; None where that is not kept."""
+        """Returns the reported entries after this index as [(index, (scope, key, record))]. None if they
+        are not all kept."""
         if index < self.reported_index - MAX_KEPT_ENTRIES or index > self.reported_index:
             return None
         return [(at + 1, self.entries[at]) for at in range(index, self.reported_index)]
 
 
-SERVICES, INSTANCES, LARGE_INSTANCES, SETTINGS, ZONES = 8, 10, 240, 6, 4
+SERVICES = 8
+INSTANCES = 10  # of each service
+LARGE_INSTANCES = 240  # of the scope `large`
+SETTINGS = 6
+ZONES = 4
 
 
 class Changes:
-    """What is committed from second to second: restarts, drains, settings, a zone at once."""
+    """Commits changes to a log: restarts, drains, settings, and the drain of a whole zone."""
 
     def __init__(self, log, seed):
         self.log, self.rng, self.number = log, random.Random(f"changes {seed}"), 0
@@ -99,7 +105,7 @@
         return [key for key, (_, _) in self.log.records_of(scope, self.log.index).items()]
 
     def make_change(self):
-        """One change as on an ordinary day."""
+        """Commits one ordinary change."""
         rng, log = self.rng, self.log
         scope = rng.choice(self.scopes())
         if not scope:
@@ -120,7 +126,7 @@
         return log.commit(scope, f"i{number}", self.ready(number))
 
     def wave(self):
-        """A zone goes: most of its instances drain at once."""
+        """Drains most instances of a zone at once."""
         zone = self.rng.randrange(ZONES)
         for scope in self.scopes()[2:]:
             for key in self.current_keys(scope):
@@ -129,7 +135,7 @@
                     self.log.commit(scope, key, {**record, "state": "draining"})
 
     def unfit(self):
-        """A setting that no gateway can use; the same setting, sound again, comes by `mend`."""
+        """Commits a setting that no gateway can use. `repair_settings` commits it with a usable value."""
         return self.log.commit("", f"setting-{self.rng.randrange(SETTINGS)}", {"unfit": True})
 
     def repair_settings(self):
--- a/lemonlead/standins/distributed/relays.py
+++ b/lemonlead/standins/distributed/relays.py
@@ -1,4 +1,5 @@
-"""Simulated relays: the very Store, Outbox and Acknowledgements, with what the driver round them does."""
+"""Simulated relays, with the real Store, Outbox and Acknowledgements, and a driver that works as the real
+one."""
 
 import random
 
@@ -10,18 +11,19 @@
 from . import links
 from .links import MS, SECOND, Stream
 
-POLL_INTERVAL = 150 * MS  # between two looks at the log, and up to as much more
-HEARTBEAT_INTERVAL = 2 * SECOND  # an empty line after so much silence
-STALE_AFTER = 8 * SECOND  # without word of the log: ends its streams, takes no more
+POLL_INTERVAL = 150 * MS  # between two polls of the log, plus a random delay of at most as much
+HEARTBEAT_INTERVAL = 2 * SECOND  # an empty line is sent after this time without a line
+STALE_AFTER = 8 * SECOND  # without a response of the log, it ends its streams and refuses new ones
 LEASE, GRACE = 10 * SECOND, 2 * SECOND
-MAX_CLOCK_DRIFT = 0.003  # clocks run that much off at most
-MAX_LINES_PER_TURN = 40  # lines in one turn of one stream
+MAX_CLOCK_DRIFT = 0.003  # share by which a clock is fast or slow
+MAX_LINES_PER_TURN = 40  # of one stream
 STORE_KEPT_CHANGES = 90  # changes that its store keeps
 
 
 class Relay:
-    """A process that follows `log`. `rate`, `burst`: bytes, for each subscriber. `kinds`: the classes of
-    Store, Outbox and Acknowledgements; tests put spoiled ones in."""
+    """A relay that follows `log`. `rate`: bytes a second, and `burst`: bytes, for each subscriber.
+    `classes`: what tests use in place of Store, Outbox and Acknowledgements, by the names `store`, `outbox`
+    and `acknowledged`."""
 
     def __init__(self, play, name, region, log, rate, burst, classes=None):
         self.play, self.world, self.links = play, play.world, play.links
@@ -32,17 +34,17 @@
         self.clock_offset = self.rng.randint(1, 10**6) * SECOND
         self.clock_rate = 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.clock_jump, self.incarnation, self.up, self.frozen = 0, 0, False, False
-        self.is_lagging = False  # does not ask the log
-        self.line_fault = None  # what becomes of its lines: (function or name, share)
+        self.is_lagging = False  # it doesn't poll the log
+        self.line_fault = None  # how lines are spoiled: (name, share of the lines)
         self.queued_inputs = []
 
     def now(self):
         return self.clock_offset + round(self.world.now * self.clock_rate) + self.clock_jump
 
-    # ---- life
+    # ---- process
 
     def start(self, older=None):
-        """`older`: index of an old state that it comes back with."""
+        """Starts a new process. `older`: index of an old state that it starts with."""
         if self.up:
             return
         self.up, self.frozen, self.queued_inputs = True, False, []
@@ -58,7 +60,7 @@
         self.heartbeat(self.incarnation)
 
     def kill(self):
-        """The process ends; the machine resets what was connected to it."""
+        """Ends the process; its machine resets the connections."""
         if self.up:
             self.world.count("kills")
             self.up, self.frozen, self.queued_inputs = False, False, []
@@ -73,13 +75,13 @@
     def resume(self):
         if self.frozen:
             self.frozen, waiting, self.queued_inputs = False, self.queued_inputs, []
-            self.rng.shuffle(waiting)  # a process that wakes up reads its sockets in any order
+            self.rng.shuffle(waiting)  # after a pause a process reads its sockets in any order
             for incarnation, function, args in waiting:
                 if incarnation == self.incarnation and self.up:
                     function(*args)
 
     def take(self, function, *args):
-        """What comes in; it waits while the process stands still."""
+        """Calls the function with an input; the inputs of a frozen process are queued."""
         if self.up:
             if self.frozen:
                 self.queued_inputs.append((self.incarnation, function, args))
@@ -103,7 +105,7 @@
             self.links.carry(self.name, "log", self.poll_arrived, incarnation, self.store.index)
 
     def poll_arrived(self, incarnation, index):
-        """At a member. A log that is silent does not answer."""
+        """A poll reaches a member, which doesn't answer while the log is silent."""
         log = self.log
         if log.is_silent:
             return
@@ -140,14 +142,14 @@
     # ---- subscribers
 
     def subscribe(self, gateway, incarnation, body, answer, on_data, on_end):
-        """`answer`: function(stream or None) at the gateway."""
+        """`answer`: function(stream), called at the gateway, with None if the relay refuses."""
         request = parse_body(body, Subscription)
         now, name = self.now(), request.gateway
         if self.is_stale():
             return self.links.carry(self.name, gateway, answer, None)
         before = self.streams.pop(name, None)
         if before is not None:
-            before.end("subscribed anew")
+            before.end("subscribed again")
         stream = Stream(
             self.links, self.name, gateway, incarnation, on_data, on_end, self.reader_lost, self.window_opened
         )
@@ -173,7 +175,8 @@
             self.acknowledged.stream_ended(self.now(), stream.gateway, stream.subscription_id)
 
     def acknowledge(self, gateway, incarnation, body, answer):
-        """`spoke` is for the judges: whose words of which life have come when, and for which scopes."""
+        """`last_contact` is for the checkers: gateway to the time, the process and the scopes of its last
+        request."""
         request, good = parse_body(body, Acknowledgement), False
         if request.cluster == self.store.cluster:
             reported = request.complete, request.refused, request.stay
@@ -224,7 +227,8 @@
         stream.send(line)
 
     def spoil_line(self, stream, line):
-        """What comes in place of this line. An own mark in front tells the gateway's judge what it was."""
+        """Returns the lines that are sent in place of this line. A mark in front shows the simulated
+        gateway how the line was spoiled."""
         kind, rng = self.line_fault[0], self.rng
         self.world.count(f"lines spoiled: {kind}")
         stream.is_spoiled = True
@@ -255,4 +259,4 @@
                 self.send(stream, b"\n")
 
 
-UNREADABLE_MARK, HARMLESS_MARK = b"\x01", b"\x02"  # removed before the line is read
+UNREADABLE_MARK, HARMLESS_MARK = b"\x01", b"\x02"  # in front of a spoiled line; removed before it is read
--- a/lemonlead/standins/distributed/schedules.py
+++ b/lemonlead/standins/distributed/schedules.py
@@ -1,5 +1,5 @@
-"""Worlds of one log, a few relays and dozens of gateways, and the troubles that befall them. The shapes of
-schedules, their drawing and shrinking are those of `simulated/`."""
+"""Worlds of one log, a few relays and dozens of gateways, with injected faults. Schedules, and the drawing
+and shrinking of them, are those of `simulated/`."""
 
 import random
 
@@ -13,19 +13,19 @@
 from .log import SERVICES, Changes, Log
 from .relays import GRACE, LEASE, Relay
 
-FAULT_SPAN_MS = 16_000  # milliseconds in which troubles begin
-HEAL_AFTER_MS = 6_000  # after the span all is healed
-SETTLE_TIME = LEASE + GRACE + 3 * SECOND  # and once all is equal, who is gone is counted no more
-REPORTED_WITHIN = 6 * SECOND  # and then it is told to be in force everywhere within so long
-CHECK_INTERVAL = 250 * MS  # between two looks of the judges
-CHANGE_INTERVAL_MS = 250  # milliseconds between two ordinary changes, in the mean
+FAULT_SPAN_MS = 16_000  # in which faults begin
+HEAL_AFTER_MS = 6_000  # after the span, all faults end
+SETTLE_TIME = LEASE + GRACE + 3 * SECOND  # after which gone gateways are not counted any more
+REPORTED_WITHIN = 6 * SECOND  # after SETTLE_TIME, until all is reported in force everywhere
+CHECK_INTERVAL = 250 * MS  # between two checks
+CHANGE_INTERVAL_MS = 250  # mean time between two ordinary changes
 REGIONS = 3
-GATEWAY_COUNTS = (18, 26)
-RATES = (4000, 8000, 8000)  # bytes a second, one for a whole world
-BURST_BYTES = 10 * 1024  # the least that is taken
-WARM_UP_MS = 6_000  # milliseconds before the first trouble: all gateways take their first snapshots
+GATEWAY_COUNTS = (18, 26)  # minimum and maximum
+RATES = (4000, 8000, 8000)  # bytes a second; one of them is drawn for a world
+BURST_BYTES = 10 * 1024  # the minimum that the relay's settings accept
+WARM_UP_MS = 6_000  # before the first fault, for the first snapshots of all gateways
 
-KINDS = {  # kind: (weight, least length, most length)
+KINDS = {  # kind: (weight, minimum and maximum length in milliseconds)
     "kill": (8, 100, 4000),
     "lost": (3, 20000, 22000),
     "freeze": (8, 500, 9000),
@@ -81,7 +81,7 @@
         self.rate = self.rng.choice(RATES)
         self.burst = BURST_BYTES
         self.checkers = checkers or all_checkers()
-        self.listeners = {}  # what judges are told: the functions of those that want it
+        self.listeners = {}  # event to the methods of the checkers that override it
         for checker in self.checkers:
             checker.play = self
         self.relays = [
@@ -101,7 +101,7 @@
         self.relays_named = {relay.name: relay for relay in self.relays}
         self.healed = False
 
-    # ---- what parties ask
+    # ---- used by relays, gateways and checkers
 
     def relay_at(self, address):
         return self.addresses[address]
@@ -113,7 +113,7 @@
         return self.named[name]
 
     def notify(self, what, *args):
-        """The judges that want it, in their order."""
+        """Calls the method `what` of each checker that overrides it, in the order of the checkers."""
         functions = self.listeners.get(what)
         if functions is None:
             default = getattr(Checker, what)
@@ -129,13 +129,14 @@
         raise InvariantViolation(checker, message, self.world.now)
 
     def applied_state(self, gateway):
-        """What a line that says nothing must not move."""
+        """Returns the part of a gateway's state that an invalid line must not change."""
         one = gateway.subscriber
         return dict(one.complete), {scope: dict(rows) for scope, rows in one.records.items()}
 
     def choose_indexes(self):
-        """(scope, index) whose being in force is asked for: the last change of the scope for all and of one
-        by chance, and a change of lately of a third."""
+        """Returns the pairs (scope, index) that the checkers compare with the reports of what is in force:
+        the last change of the scope that all gateways have and of one drawn scope, and a recent change of
+        another one."""
         scopes = [self.check_rng.choice(self.changes.scopes()) for _ in range(2)]
         chosen = []
         for scope, back in ("", 1), (scopes[0], 1), (scopes[1], self.check_rng.randint(1, 4)):
@@ -176,7 +177,8 @@
         self.notify("run_ended")
 
     def snapshots(self):
-        """Bytes of all that the gateway with most is told at its start, generously."""
+        """Returns an upper bound of the bytes of the largest set of snapshots that a gateway gets at its
+        start."""
         return max(
             sum(250 * len(self.log.records_of(scope, self.log.index)) for scope in gateway.scopes)
             for gateway in self.gateways
@@ -195,7 +197,7 @@
         return not self.find_difference()
 
     def find_difference(self):
-        """Who acts on what else than the log's state; empty where none does."""
+        """Returns a gateway that acts on anything but the log's state; empty if there is none."""
         for gateway in self.gateways:
             if not gateway.up or not gateway.in_force:
                 return f"{gateway.name} acts on nothing"
@@ -213,7 +215,10 @@
                     )
                 complete = gateway.subscriber.complete.get(scope, 0)
                 if complete < self.final_indexes[scope]:
-                    return f"{gateway.name} has {scope!r} complete to {complete}, not {self.final_indexes[scope]}"
+                    return (
+                        f"{gateway.name} has {scope!r} complete to {complete}, "
+                        f"not {self.final_indexes[scope]}"
+                    )
         return ""
 
     def heal(self):
@@ -231,7 +236,7 @@
         for gateway in self.gateways:
             gateway.resume()
             if gateway.cluster not in ("", self.log.cluster):
-                gateway.kill()  # its operator starts it anew: it began with another cluster's state
+                gateway.kill()  # it began with another cluster's state, so an operator has to restart it
             gateway.start()
         state = self.log.state(self.log.index)
         self.final_records = {
@@ -239,7 +244,7 @@
         }
         self.final_indexes = {scope: indexes[-1] for scope, indexes in self.log.changed_indexes.items()}
 
-    # ---- troubles
+    # ---- faults, by the name of their kind
 
     def inject(self, fault):
         self.world.count(f"trouble: {fault.kind}")
@@ -247,7 +252,7 @@
         getattr(self, fault.kind)(relays[fault.target % len(relays)], fault)
 
     def after_fault(self, fault, function, *args):
-        """Once it has lasted, unless all was healed before."""
+        """Calls the function at the end of the fault, unless all faults were ended before."""
         self.world.after(fault.length_ms * MS, lambda: None if self.healed else function(*args))
 
     def choose_gateways(self, fault, most=6):
@@ -281,7 +286,7 @@
         self.cut_lines(fault, pairs[fault.variant % 3 % 2 :][: 1 + fault.variant % 2])
 
     def region(self, relay, fault):
-        """Its relays and gateways hear and tell nothing outside."""
+        """Cuts the relays and gateways of a region off from all others and from the log."""
         within = {one.name for one in [*self.relays, *self.gateways] if one.region == relay.region}
         outside = [one.name for one in [*self.relays, *self.gateways] if one.name not in within] + ["log"]
         within = sorted(within)
@@ -289,7 +294,7 @@
         self.cut_lines(fault, pairs)
 
     def leader(self, relay, fault):
-        """Under a wave: the log is silent, then tells much at once."""
+        """The log has no leader during a wave of drains, then reports many changes at once."""
         if not self.log.is_silent:
             self.log.silence()
             self.changes.wave()
@@ -301,7 +306,7 @@
             self.after_fault(fault, gateway.start)
 
     def restart_in_snapshot(self, relay, fault):
-        """Killed and back at once, and killed again so soon that its snapshot is under way."""
+        """Restarts gateways, and kills them again while their snapshot is being sent."""
         for gateway in self.choose_gateways(fault, 8):
             gateway.kill()
             gateway.start()
@@ -309,7 +314,8 @@
             self.world.after(fault.length_ms * MS + 5 * MS, lambda one=gateway: self.healed or one.start())
 
     def restart_frozen(self, relay, fault):
-        """While their relay stands still, so that it reads both lives' words in any order."""
+        """Restarts gateways while their relay is frozen, so that it reads the requests of both processes in
+        any order."""
         relay.freeze()
         rng = random.Random(fault.variant)
         self.changes.wave()
@@ -326,7 +332,7 @@
             gateway.start()
 
     def older(self, relay, fault):
-        """Comes back with a state of long ago, and lags behind for a while."""
+        """The relay restarts with an old state, and lags for a while."""
         relay.kill()
         relay.is_lagging = True
         back = max(self.log.reported_index - 10 - fault.variant % 150, 1)
@@ -338,8 +344,8 @@
         self.after_fault(fault, setattr, relay, "is_lagging", False)
 
     def impostor(self, relay, fault):
-        """Under its address is for a while a relay of another cluster; never under all addresses, which would
-        be a cluster formed anew."""
+        """Another cluster's relay runs under the address for a while. Never under all addresses, which
+        would be a new cluster."""
         if sum(one.log is not self.log for one in self.relays) >= len(self.relays) - 1:
             return
         relay.kill()
@@ -372,11 +378,11 @@
         self.spoil_lines(relay, fault, "repeated")
 
     def holes(self, relay, fault):
-        """Lines that are left out, with the stream going on."""
+        """Leaves out lines without ending the stream."""
         self.spoil_lines(relay, fault, "holes")
 
     def jump(self, relay, fault):
-        """Its clock goes forward, by up to half a minute or by an hour."""
+        """The relay's clock jumps forward by up to 30 s or by an hour."""
         relay.clock_jump += 3600 * SECOND if fault.variant % 4 == 0 else (1 + fault.variant % 30) * SECOND
         self.changes.wave()
 
@@ -387,7 +393,7 @@
             )
 
     def slow(self, relay, fault):
-        """Gateways that stand still, and read nothing."""
+        """Freezes gateways, which then read nothing."""
         for gateway in self.choose_gateways(fault):
             gateway.freeze()
             self.after_fault(fault, gateway.resume)
@@ -411,12 +417,12 @@
         self.changes.wave()
 
     def unfit(self, relay, fault):
-        """A setting that no gateway can use, mended after a while."""
+        """Commits a setting that no gateway can use, and repairs it 3 s later."""
         self.changes.unfit()
         self.world.after(3 * SECOND, self.changes.repair_settings)
 
     def rescope(self, relay, fault):
-        """Gateways that route to other services from now on; some to all that they had, and one more."""
+        """Changes the scopes of gateways: drops some services and adds others."""
         rng = random.Random(fault.variant)
         services = [f"svc-{number}" for number in range(SERVICES)]
         for gateway in self.choose_gateways(fault, 10):
--- a/lemonlead/standins/simulated/calls.py
+++ b/lemonlead/standins/simulated/calls.py
@@ -1,5 +1,5 @@
-"""One call from outside the cluster to one member over the faulty network, with its response as plain data. The
-responses that a member sends over HTTP are built here from what its dispatcher returns."""
+"""One call from outside the cluster to one member over the faulty network, with its response as plain data.
+The responses that a member sends over HTTP are built here from what its dispatcher returns."""
 
 import msgspec
 
@@ -9,8 +9,8 @@
 
 
 class Call:
-    """`on_end(code, body)` is called once, with code 0 if no response came in time. `part`: the part of the state
-    that a read returns."""
+    """`on_end(code, body)` is called once, with code 0 if no response came in time. `part`: the part of the
+    state that a read returns."""
 
     def __init__(self, cluster, endpoint, host, on_end, timeout, id="", part=""):
         self.cluster, self.world, self.endpoint, self.host = cluster, cluster.world, endpoint, host
--- a/lemonlead/standins/simulated/checks.py
+++ b/lemonlead/standins/simulated/checks.py
@@ -1,5 +1,6 @@
-"""Judges: each watches a cluster from outside and raises Broken at what must not be. They know the messages
-and what disks hold, and share no code with what they checker; what they count, they count on their own."""
+"""Invariant checkers. Each watches a cluster from outside and raises InvariantViolation. They see the
+messages and the contents of the disks, and share no code with what they check: they compute all expected
+values themselves."""
 
 import json
 
@@ -19,8 +20,8 @@
 
 
 class Checker:
-    """Told of everything that a cluster's machines do. `host`: hosts.Host. Its cluster puts itself into
-    `cluster`."""
+    """Base class, with one method for each event of a cluster's machines. `host`: hosts.Host. The cluster
+    sets `cluster`."""
 
     cluster = None
 
@@ -41,22 +42,22 @@
 
 
 class Logs(Checker):
-    """What each folder was asked to hold, and has ever held on its disk; what was committed first, on whose
-    word. The same index and term is the same entry everywhere, with the same one before it; what is
-    committed rests on a majority of the voters' disks and on an entry of its leader's term, and is never
-    cut off."""
+    """Keeps what each folder was asked to hold and has ever held on its disk, and which entries were
+    committed first. Checks that entries of the same index and term are the same everywhere and follow the
+    same entry; that a committed entry is on the disks of a majority of the voters, together with an entry
+    of its leader's term; and that no committed entry is truncated."""
 
     def cluster_formed(self, cluster, state, base):
         self.base = base
-        self.logs = {}  # folder: index to entry, as asked for
-        self.bases = {}  # folder: (base, the last index before it that is known)
-        self.ever_on_disk = {}  # (index, term) to the folders that have held it on disk
-        self.snapshot_index = {}  # folder: index up to which it has held a snapshot on disk
-        self.known_entries = {}  # (index, term): (entry, term of the one before)
+        self.logs = {}  # folder to its entries by index, as submitted
+        self.bases = {}  # folder to the base of its log
+        self.ever_on_disk = {}  # (index, term) to the folders that have ever held it on disk
+        self.snapshot_index = {}  # folder to the index of the snapshot on its disk
+        self.known_entries = {}  # (index, term) to (entry, term of the entry before)
         self.committed = {}  # index to entry
         self.last_committed = base.index
-        self.applied_index = {}  # folder: index up to which this life has applied
-        self.voters = {}  # folder: who votes by the newest entry asked for, and by those before in this turn
+        self.applied_index = {}  # folder to the index that its current process has applied
+        self.voters = {}  # folder to its sets of voters: at the start of the turn and after each change in it
 
     def host_started(self, host):
         folder, held = host.disk.folder, host.disk.contents
@@ -70,7 +71,8 @@
         self.disk_synced(self.cluster, host.disk)
 
     def snapshot_submitted(self, host, base):
-        """A snapshot of its own: the disk, which does all in order, has to have that entry by then."""
+        """A member may only take a snapshot as of an entry that its disk was given before, as the disk
+        works in order."""
         log, held = self.logs[host.disk.folder], self.bases[host.disk.folder]
         entry = log.get(base.index)
         if base.index > max(log, default=held.index) or entry is not None and entry.term != base.term:
@@ -119,7 +121,7 @@
             folders.add(folder)
 
     def members(self, folder):
-        """The members as the newest entry that was asked for has them, or the base."""
+        """Returns the folders of the voters by the newest submitted entry of members, or by the base."""
         newest = [entry for entry in self.logs[folder].values() if entry.what == MEMBERS]
         if not newest:
             return {member.folder for member in self.bases[folder].members.values() if member.votes}
@@ -160,13 +162,14 @@
 
 
 class CommittedEntryChecker(Checker):
-    """A checker that is told each entry once, as it is first committed; it stands behind Logs."""
+    """A checker that sees each entry once, when it is first committed. Logs calls it and has to stand before
+    it."""
 
     def committed(self, entry): ...
 
 
 class Leaders(Checker):
-    """One leader a term; each holds all that was committed before it came."""
+    """Each term has at most one leader, whose log holds all entries committed before its election."""
 
     def __init__(self, logs):
         self.logs, self.leaders = logs, {}
@@ -187,8 +190,8 @@
 
 
 class Votes(Checker):
-    """One vote a term and folder, each on disk as it is given, and none by a folder without a member or one
-    that was lost with its machine."""
+    """Each folder gives at most one vote in a term, which is on its disk before it is sent. No vote comes
+    from a folder that belongs to no member or that was lost with its machine."""
 
     def cluster_formed(self, cluster, state, base):
         self.votes, self.lost_folders = {}, set()
@@ -207,7 +210,7 @@
             if host.disk.folder in self.lost_folders:
                 self.fail(f"folder {host.disk.folder} was lost and gave a vote")
             if host.disk.folder not in self.member_folders:
-                self.fail(f"{host.name} with folder {host.disk.folder} has no seat and gave a vote")
+                self.fail(f"{host.name} with folder {host.disk.folder} is no member and gave a vote")
             if not message.early:
                 self.record_vote(host, message.term, message.to)
         elif isinstance(message, VoteRequest) and not message.early:
@@ -229,7 +232,7 @@
 
 
 class Acknowledged(Checker):
-    """What a member says that its disk holds, it holds."""
+    """A member only acknowledges what its disk holds."""
 
     def message_sent(self, host, message):
         held = host.disk.contents
@@ -246,7 +249,7 @@
 
 
 class SameState(CommittedEntryChecker):
-    """Each member's state is what one run through the committed log comes to."""
+    """Each member's state equals the state that results from applying the committed log."""
 
     def __init__(self, ledger):
         self.ledger, self.checked_states = ledger, {}
@@ -269,8 +272,9 @@
 
 
 class CommandOutcomes(CommittedEntryChecker):
-    """Goes through the committed log with a count of its own: what each id was answered, that a site never
-    promises more than it has, and that the ledger's state says the same."""
+    """Computes the result of each command of the committed log and compares the responses and the
+    reservations in the ledger's state with it: a site never promises more than it has, and an id always
+    gets the same response."""
 
     def __init__(self, same_state):
         self.same_state = same_state  # SameState
@@ -335,7 +339,7 @@
             self.cluster.world.count("acknowledged")
 
     def check_not_done(self, requests):
-        """A command of which every call was answered with `not done` is not in the log."""
+        """A command whose calls were all answered with `not done` must not be in the log."""
         outcomes = {}
         for request in requests:
             if request.data is not None:
@@ -346,7 +350,7 @@
 
 
 class Linearizability(Checker):
-    """What clients saw fits one order, site by site."""
+    """The calls that clients observed at each site are linearizable."""
 
     def check(self, clients):
         by_site = {}
@@ -359,7 +363,7 @@
 
 
 def site_step(state, what):
-    """A site as its clients should see it: (units, reservations)."""
+    """The step function of a site; its state is (units, reservations)."""
     units, held = state
     kind, key, asked = what
     if kind == "read":
@@ -376,5 +380,5 @@
 
 def all_checkers(ledger):
     logs, same = Logs(), SameState(ledger)
-    # Logs stands first: the others ask it. What is told each entry stands behind it in this order.
+    # Logs stands first, as the others read it; it calls the CommittedEntryCheckers in this order.
     return [logs, same, CommandOutcomes(same), Leaders(logs), Votes(), Acknowledged(), Linearizability()]
--- a/lemonlead/standins/simulated/clients.py
+++ b/lemonlead/standins/simulated/clients.py
@@ -1,5 +1,5 @@
-"""Who asks a cluster in a simulated world: clients that reserve, free and read, and an operator who makes up
-for lost machines. A call that has no answer in time is asked again with the same id at another member."""
+"""The clients of a simulated cluster, which reserve, free and read, and an operator who replaces lost
+machines. A call without a response in time is sent again, with the same id, to a member drawn at random."""
 
 import json
 import random
@@ -7,13 +7,13 @@
 from .history import NEVER, UNKNOWN, ObservedCall
 from .world import MS
 
-CALL_TIMEOUT = 700 * MS  # before a call is asked anew elsewhere
+CALL_TIMEOUT = 700 * MS  # after which a call is sent again
 MAX_TRIES = 8
-SITE_UNITS = 10  # of each site's one node
+SITE_UNITS = 10  # of the one node of each site
 
 
 class Ticket:
-    """One call at one member."""
+    """One call of a PendingRequest to one member. `answers`: how many responses the member gave."""
 
     def __init__(self, request, number):
         self.request, self.number, self.answers, self.outcome = request, number, 0, UNKNOWN
@@ -27,7 +27,7 @@
         self.respond(host, code, body)
 
     def readable(self, host, state, leader):
-        """A read's answer is made from the state at once, as a process does."""
+        """Builds the response to a read from the state at once, as a process does."""
         if state is None:
             return self.respond(host, 503, {"outcome": "not done", "leader": leader, "retry_ms": 200})
         held = state.part("reservations")
@@ -43,8 +43,8 @@
 
 
 class PendingRequest:
-    """One command (or a read, where `data` is None) until it has an answer, or is given up. `over`:
-    function(code, body), code 0 where it was given up."""
+    """One command, or a read if `data` is None, that is sent until it has a response or `tries` are used up.
+    `on_end`: function(code, body), with code 0 if there was no response."""
 
     def __init__(self, cluster, endpoint, id, data, on_end, site="", tries=MAX_TRIES, seed=0):
         self.cluster, self.world, self.endpoint = cluster, cluster.world, endpoint
@@ -94,8 +94,8 @@
 
 
 class Client:
-    """Does one thing after another at one site until `until`; `seen` is what it saw. Every seventh command
-    is asked again after its answer, by the same id, at any member."""
+    """Makes one call after another at one site until the time `until`; `observed` is what it saw. Every
+    seventh command is sent again after its response, with the same id, to any member."""
 
     def __init__(self, cluster, name, site, seed, until, mean_gap=350 * MS):
         self.cluster, self.name, self.site, self.until, self.mean_gap = cluster, name, site, until, mean_gap
@@ -147,13 +147,14 @@
         self.world.after(self.rng.randint(0, 4 * self.mean_gap), again.send)
 
     def burst(self, count):
-        """So many reservations at once, beside what it does otherwise; each asked for once."""
+        """Sends `count` reservations at once, each with one try, beside its other calls."""
         for _ in range(count):
             key = f"{self.site}-{self.rng.randrange(4)}"
             self.request("reserve", key, self.rng.randint(1, 5), lambda: None, 1)
 
     def observed_calls(self):
-        """What it saw, for the search: reads without an answer say nothing."""
+        """Returns the calls for the linearizability check. Reads without a response are left out, as they say
+        nothing."""
         return [call for call in self.observed if call.answered_at != NEVER or call.operation[0] != "read"]
 
 
@@ -166,8 +167,8 @@
 
 
 class Operator:
-    """Makes up for a lost machine: a new one under a new name is added, the old name is removed, in either
-    order. `busy` from the loss until the new one votes and the old one is gone."""
+    """Replaces a lost machine: adds a new one under a new name and removes the old name, in either order.
+    It is `busy` from the loss until the new machine votes and the old one has left."""
 
     CHECK_INTERVAL = 200 * MS
 
@@ -178,7 +179,7 @@
         self.request_pending, self.requests = False, []
 
     def machine_lost(self, old, after):
-        """`old`: the name of a machine that was just wiped."""
+        """`old`: name of a machine that was just wiped. `after`: nanoseconds until it is replaced."""
         self.busy = True
         self.names += 1
         self.world.after(after, self.replace, old, f"g{self.names}")
@@ -192,7 +193,7 @@
         self.run_steps(steps)
 
     def run_steps(self, steps):
-        """Asks for the first step until it shows in the state that a leader has; then for the next."""
+        """Requests the first step until the leader's state shows it, then the next one."""
         leader = self.cluster.leader()
         while steps and leader is not None and steps[0][1](leader.dispatcher.state, steps[0][0]["member"]):
             steps = steps[1:]
--- a/lemonlead/standins/simulated/disks.py
+++ b/lemonlead/standins/simulated/disks.py
@@ -1,4 +1,4 @@
-"""A folder on a simulated disk: what is synced when, what a crash leaves, what fails."""
+"""A folder on a simulated disk, with syncs that take time, crashes and failures."""
 
 import random
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class DiskContents:
-    """What a folder holds: as a replica writes it, and the bytes of the snapshot that `base` names."""
+    """What a folder holds: the replica's term, vote and log, and the bytes of the snapshot of `base`."""
 
     term: int = 0
     voted: str = ""
@@ -26,12 +26,12 @@
         return self.entries[-1].index if self.entries else self.base.index
 
     def entry_at(self, index):
-        """That entry, or None where it is not here (or behind the base)."""
+        """Returns the entry at this index, or None if the folder doesn't hold it or the base covers it."""
         at = index - self.base.index - 1
         return self.entries[at] if 0 <= at < len(self.entries) else None
 
     def apply(self, task):
-        """One Write, whole; ValueError where it leaves a hole in the log."""
+        """Applies all of a task. Raises ValueError if it would leave a hole in the log."""
         write = task.write
         if write is None:
             return self.set_base(task.base, task.snapshot)
@@ -48,7 +48,8 @@
             self.entries.append(entry)
 
     def set_base(self, base, snapshot):
-        """Stands on this base from now on; an older one is passed over."""
+        """Replaces the base and its snapshot, and drops the entries that it covers. An older base is
+        ignored."""
         if base.index <= self.base.index:
             return
         kept = self.entry_at(base.index)
@@ -59,27 +60,27 @@
 
 @dataclass(slots=True)
 class DiskTask:
-    """A Write of the replica, or a snapshot of its own (`base`, without `write`)."""
+    """A Write of the replica, or a snapshot that the member took itself (`base`, without `write`)."""
 
     write: object = None
     base: SnapshotBase | None = None
     snapshot: bytes = b""
-    done: object = None  # function() once it is synced
+    done: object = None  # function(), called after the sync
 
 
 class Disk:
-    """One folder. Works are synced in order, those that wait together; a crash keeps the first few of those
-    that were not synced yet, each whole or not at all."""
+    """One folder. Tasks are synced in order; those that wait are synced together. A crash keeps a random
+    number of the first unsynced tasks, each of them whole."""
 
     def __init__(self, folder, seed, after, contents=None, on_sync=None):
         self.folder, self.after = folder, after
         self.rng = random.Random(f"disk {seed} {folder}")
-        self.contents = contents or DiskContents()  # what is synced
-        self.requested_contents = self.contents.copy()  # with all that was asked for
+        self.contents = contents or DiskContents()  # as synced
+        self.requested_contents = self.contents.copy()  # with all submitted tasks
         self.tasks, self.busy, self.incarnation = [], False, 0
         self.min_delay, self.max_delay = 1 * MS, 6 * MS
-        self.failure = ""  # why every sync fails
-        self.on_failure = None  # function(why), told at the first sync that fails
+        self.failure = ""  # why every sync fails; empty if none does
+        self.on_failure = None  # function(reason), called at the first sync that fails
         self.on_sync = on_sync  # function(disk) after each sync
 
     def submit(self, task):
@@ -114,14 +115,15 @@
             task.done()
 
     def fail(self):
-        """Some of what waits may be on the disk all the same; nobody is told which."""
+        """Some of the waiting tasks may be on the disk nevertheless; the member doesn't learn which."""
         reason, on_failure = self.failure, self.on_failure
         self.crash()
         if on_failure:
             on_failure(reason)
 
     def crash(self):
-        """The machine is gone, or the process: the first few works may have come through."""
+        """Ends all that waits, as when the process or the machine dies. Some of the first tasks may have
+        reached the disk."""
         for task in self.tasks[: self.rng.randint(0, len(self.tasks))]:
             self.contents.apply(task)
         if self.on_sync:
@@ -131,7 +133,7 @@
         self.requested_contents = self.contents.copy()
 
     def reset_speed(self):
-        """No longer slow; a broken one stays so."""
+        """Ends slowness; a disk that fails goes on failing."""
         self.min_delay, self.max_delay = 1 * MS, 6 * MS
 
     def heal(self):
@@ -139,6 +141,6 @@
         self.reset_speed()
 
     def stored_state(self):
-        """What a replica is given at its start."""
+        """Returns what a replica gets at its start."""
         contents = self.contents
         return StoredState(contents.term, contents.voted, contents.base, list(contents.entries))
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -1,8 +1,8 @@
-"""Gateways in a simulated world: the very LedgerPolling and Merge, and a driver that asks on_end
-the faulty network.
+"""Gateways in a simulated world. Each runs the real LedgerPolling and Merge, with a driver that sends their
+calls over the faulty network.
 
-What counts is to whom a gateway may send: to each node that its Merge has ready, from its first word of the
-ledger on."""
+The checkers look at which nodes a gateway may send to: those that its Merge has as ready, once it has
+received a state of the ledger."""
 
 import json
 import random
@@ -16,13 +16,13 @@
 from .calls import Call
 from .world import MS, SECOND
 
-CALL_TIMEOUT = 3500 * MS  # without an answer a call has failed, as in the driver
+CALL_TIMEOUT = 3500 * MS  # the same as in the real driver
 NEVER = -(1 << 62)
 
 
 @dataclass(frozen=True)
 class DiscoveredInstance:
-    """What of discovery's line Merge looks at."""
+    """The fields of a discovered instance that Merge reads."""
 
     id: str
     state: str = READY
@@ -30,45 +30,46 @@
 
 
 class Gateway:
-    """Of one cluster; sends one service's requests, votes on its moves. `nodes`: names, all of them ready by
-    discovery's word."""
+    """A gateway of one cluster that sends the requests of one service and votes on its moves. `nodes`: the
+    names of its instances, which discovery reports as ready all the time."""
 
     def __init__(self, cluster, name, service, nodes, seed):
         self.cluster, self.name, self.service, self.nodes, self.seed = cluster, name, service, nodes, seed
         self.world, self.endpoint, self.incarnation = cluster.world, name, 0
         self.rng = random.Random(f"gateway {seed} {name}")
-        self.poll_listeners = []  # function(gateway, after) as a poll comes to a leader
+        self.poll_listeners = []  # function(gateway, host, index), called as a poll reaches a member
 
     def start(self, world):
         self.begin()
 
     def begin(self):
-        """A new process under the old name: it knows nothing."""
+        """Starts a new process under the same name, without any state."""
         self.incarnation += 1
         members = {host.name: f"{host.name}:1" for host in self.cluster.hosts.values() if not host.gone}
         boot = f"boot{self.incarnation}"
         self.polling = LedgerPolling(self.name, boot, members, self.rng.random(), ("moves",), self.service)
         self.merge, self.parts, self.moves = Merge(), [], {}
         self.merge.listed([DiscoveredInstance(node) for node in self.nodes], {}, True)
-        self.has_state, self.sent_at = False, {}  # sent_at: a command's id to when it was first sent
-        self.leased_from = NEVER  # when the last call was sent by which the ledger knows of it
+        self.has_state, self.sent_at = False, {}  # sent_at: command id to the time at which it was first sent
+        self.leased_from = NEVER  # when the last call was sent that renewed its lease
         self.turn(self.incarnation)
 
-    # ---- what judges command
+    # ---- read by the checkers
 
     def may_send(self, node):
         return self.has_state and self.merge.merged_line(node).state == READY
 
     def leased(self, lease):
-        """Whether it follows and its lease has not run out, by its own count."""
+        """Returns whether it is registered as a follower and its lease, by its own clock, has not ended."""
         return self.polling.is_following and self.world.now - self.leased_from < lease
 
     def share(self, move, epoch):
-        """Thousandths that it sends to the far side of this move; None where it has not heard of it."""
+        """Returns the share, in thousandths, that it sends to the destination of this move. None if it
+        doesn't know this epoch of the move."""
         known = self.moves.get(move)
         return known["share"] if known is not None and known["epoch"] == epoch else None
 
-    # ---- its calls
+    # ---- calls
 
     def turn(self, incarnation):
         if incarnation != self.incarnation or self.polling.left:
@@ -107,7 +108,7 @@
         host.poll(after, self.name, call, since, responses.POLLED_PARTS)
 
     def call_ended(self, command, sent, code, body):
-        """What the answer means, as the driver has it."""
+        """Handles a response as the real driver does."""
         polling, now = self.polling, self.world.now
         if code == 0:
             self.parts = []
@@ -175,7 +176,7 @@
             self.schedule_vote(key, record)
 
     def schedule_vote(self, name, move):
-        """Its vote on a stage, some time after it heard of it."""
+        """Votes on the stage of a move some time after learning of it."""
         if move["service"] == self.service and move["step"] == "shifting" and move["share"] < 1000:
             verdict = "back" if self.rng.random() < 0.02 else "on"
             cast = {"move": name, "epoch": move["epoch"], "stage": move["stage"], "verdict": verdict}
--- a/lemonlead/standins/simulated/history.py
+++ b/lemonlead/standins/simulated/history.py
@@ -1,19 +1,21 @@
-"""Whether what clients saw could have been seen of one object that does one thing at a time (Wing & Gong's
-search with Lowe's memory of what was tried). Knows nothing of what it judges but a function of its own."""
+"""Checks whether the calls that clients observed are linearizable: whether some order of them fits one object
+that does one thing at a time. The search is that of Wing and Gong, with Lowe's memory of the states already
+tried. It knows nothing of the object but a step function."""
 
 from dataclasses import dataclass
 
-UNKNOWN = "unknown"  # the result of a call that had no answer: it may be done at any later moment, or never
+UNKNOWN = "unknown"  # result of a call without a response: it may take effect at any later time, or never
 NEVER = 1 << 62
 
 
 class Undecided(Exception):
-    """The search passed its bound: the history is too long or has too many calls without an answer."""
+    """The search passed its bound: the history is too long or has too many calls without a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedCall:
-    """One call as its client saw it. Moments of one clock; `answered` is NEVER where no answer came."""
+    """One call as its client saw it. The times are of one clock; `answered_at` is NEVER if there was no
+    response."""
 
     operation: object
     result: object
@@ -22,11 +24,12 @@
 
 
 def find_inconsistent_call(calls, start, step, max_states=200_000):
-    """None where some order of the calls fits all that was seen; else a call that fits in no order. `step`:
-    function(state, what) to (state after, result); states can be hashed. Undecided past `max_states` places tried.
+    """Returns None if some order of the calls fits everything that was observed, else a call that fits in no
+    order. `step`: function(state, operation) to (state after, result); states are hashable. Raises Undecided
+    after more than `max_states` states.
 
-    A known call that fits as the state is and changes nothing is taken at once: later it could only fit
-    worse."""
+    A call with a known result that fits the current state and changes nothing is taken at once: it could not
+    fit better later."""
     calls = sorted(calls, key=lambda call: (call.called_at, call.answered_at))
     known = sum(1 << at for at, call in enumerate(calls) if call.result != UNKNOWN)
     tried, unexplored, furthest = set(), [(0, start)], 0
@@ -40,7 +43,7 @@
             continue
         tried.add((done, state))
         if len(tried) > max_states:
-            raise Undecided(f"{len(calls)} calls, {max_states} places tried")
+            raise Undecided(f"{len(calls)} calls, {max_states} states tried")
         if stuck is None or bin(done & known).count("1") > furthest:
             furthest = bin(done & known).count("1")
             pending = [calls[at] for at in range(len(calls)) if not done >> at & 1 and known >> at & 1]
@@ -56,8 +59,8 @@
 
 
 def take_calls_without_effect(calls, done, state, step):
-    """What is done once every call that fits and changes nothing is taken, and the calls that may be
-    next."""
+    """Takes every call that fits the state and doesn't change it. Returns the calls that are done, as a bit
+    set, and the calls that may come next."""
     while True:
         candidates, until = [], NEVER
         for at, call in enumerate(calls):
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -1,5 +1,5 @@
-"""Machines: each hosts one member's dispatcher as a process does, on a clock and a disk of its own. A Cluster
-is the machines of one ledger, with the judges that watch them."""
+"""Simulated machines. Each hosts the dispatcher of one member as a process does, with its own clock and
+disk. A Cluster is the machines of one ledger, with the invariant checkers that watch them."""
 
 import random
 
@@ -12,12 +12,12 @@
 from .disks import Disk, DiskContents, DiskTask
 from .world import MS, SECOND, START_WALL_MS, InvariantViolation
 
-MAX_STEPS_PER_TURN = 20_000  # of one turn; past it the dispatcher never comes to an end
-MAX_QUEUED_INPUTS = 5_000  # inputs of a machine that stands still; past it they are lost
+MAX_STEPS_PER_TURN = 20_000  # more means that the dispatcher doesn't come to an end
+MAX_QUEUED_INPUTS = 5_000  # of a paused machine; further inputs are lost
 
 
 def short_config(cluster, name, folder, seed):
-    """Times and bounds that make much happen in few seconds."""
+    """Returns settings with short times and low bounds, so that much happens within a few seconds."""
     return ReplicaConfig(
         cluster,
         name,
@@ -45,9 +45,9 @@
 
 
 class Cluster:
-    """`ledger`: its rules. `duties`: function() to a new list of duties for each dispatcher (seating is
-    always there). `judges`: see checks.Judge. `make_dispatcher`, `make_disk`: what hosts a member, and on
-    what."""
+    """`ledger`: its rules. `make_leader_tasks`: function() that returns a new list of leader tasks for each
+    dispatcher (Membership is always added). `checkers`: see checks.Checker. `make_dispatcher`, `make_disk`
+    and `make_config`: functions that make the dispatcher, the disk and the ReplicaConfig of a member."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
             make_config,
         )
         self.snapshot_every = snapshot_every
-        self.listeners = {}  # what judges are told: the functions of those that want it
+        self.listeners = {}  # event to the methods of the checkers that override it
         self.hosts, self.folders = {}, 0
         world.clusters[id] = self
         members = {name: ConfiguredMember(f"{name}:1", f"{name}-0") for name in names}
@@ -90,14 +90,14 @@
         return self.make_disk(folder, self.world.seed, self.world.after, held, self.synced)
 
     def add_checker(self, checker):
-        """One checker more, from now on."""
+        """Adds a checker, which sees all events from now on."""
         self.checkers.append(checker)
         self.listeners.clear()
         checker.cluster = self
         checker.cluster_formed(self, self.initial_state, self.base)
 
     def notify(self, what, *args):
-        """The judges, in their order."""
+        """Calls the method `what` of each checker that overrides it, in the order of the checkers."""
         functions = self.listeners.get(what)
         if functions is None:
             default = getattr(Checker, what)
@@ -114,7 +114,7 @@
         return self.disk(f"{name}-{self.folders}")
 
     def join(self, name):
-        """A new machine that starts outside, with an empty folder."""
+        """Starts a new machine with an empty folder, which is not a member yet."""
         host = self.hosts[name] = Host(self, name, self.new_folder(name))
         host.start()
         return host
@@ -124,12 +124,12 @@
         return [host for host in self.hosts.values() if host.dispatcher is not None and not host.paused]
 
     def leader(self):
-        """Whoever leads in the newest term, or None."""
+        """Returns the host that leads in the newest term, or None."""
         lead = [host for host in self.up if host.dispatcher.replica.role == LEADER]
         return max(lead, key=lambda host: host.dispatcher.replica.term, default=None)
 
     def endpoint(self, name):
-        """The name of a machine's end in the network."""
+        """Returns the name of a machine in the network."""
         return f"{self.id}/{name}"
 
     def endpoint_pairs(self, froms, tos):
@@ -137,19 +137,19 @@
 
 
 class Host:
-    """A machine. `dispatcher` is None while its process is down."""
+    """A machine. `dispatcher` is None while its process is down. `gone`: its disk is lost for good."""
 
     def __init__(self, cluster, name, disk):
         self.cluster, self.world, self.name, self.disk = cluster, cluster.world, name, disk
         self.rng = random.Random(f"host {self.world.seed} {disk.folder}")
         self.clock_offset = self.rng.randint(0, 10**6) * SECOND
         self.clock_rate = 1 + self.rng.uniform(-0.01, 0.01)
-        self.wall_offset_ms = 0  # milliseconds that its wall clock is off
+        self.wall_offset_ms = 0  # error of its wall clock
         self.dispatcher, self.paused, self.gone = None, False, False
         self.incarnation, self.queued_inputs, self.next_wakeup = 0, [], None
-        self.steps_until_kill = None  # steps until it is killed in the midst of a turn
-        self.incoming_chunks = None  # of a snapshot under way: (base, bytes)
-        self.received_snapshot = (None, b"")  # the last that came whole
+        self.steps_until_kill = None  # of a turn, if it is to be killed within one
+        self.incoming_chunks = None  # of a snapshot that is being received: (base, bytes)
+        self.received_snapshot = (None, b"")  # the last complete one: (base, bytes)
         self.polls = 0
 
     def now(self):
@@ -158,7 +158,7 @@
     def wall_ms(self):
         return START_WALL_MS + self.world.now // MS + self.wall_offset_ms
 
-    # ---- what befalls it
+    # ---- faults
 
     def start(self):
         if self.dispatcher is not None or self.gone:
@@ -190,7 +190,7 @@
         self.disk.crash()
 
     def wipe(self):
-        """The machine is lost with its disk, for good."""
+        """Loses the machine with its disk, for good."""
         self.kill()
         self.gone = True
         self.cluster.notify("host_wiped", self)
@@ -209,8 +209,8 @@
         self.turn()
 
     def take(self, input, *args):
-        """One input, and all that it leads to. Nothing reaches a process that is down; what reaches one
-        that stands still waits."""
+        """Takes one input and runs the turn that follows. A process that is down gets nothing; the inputs
+        of a paused one are queued."""
         if self.dispatcher is None:
             return
         if self.paused:
@@ -284,7 +284,7 @@
 
 
 class SimulatedReplicaHost:
-    """What a dispatcher asks of its machine."""
+    """The DispatcherHost that a dispatcher calls in a turn: it sends, writes and responds for one machine."""
 
     def __init__(self, host):
         self.host, self.world, self.cluster = host, host.world, host.cluster
@@ -332,7 +332,7 @@
         host.disk.submit(DiskTask(base=base, snapshot=data, done=done))
 
     def send_chunk(self, peer, message, most):
-        """The snapshot in force on this disk; of another one nothing is to be had any more."""
+        """Sends a chunk of the snapshot on this disk; nothing if the disk has another snapshot by now."""
         held = self.host.disk.contents
         if held.base.index != message.base.index:
             return
@@ -363,13 +363,14 @@
         ticket.polled(self.host, events, at, state, leader)
 
     def call(self, call):
-        """To some member of the other cluster; code 0 where no answer comes in time."""
+        """Sends a call of a leader task to a member of the other cluster. Code 0 if no response comes in
+        time."""
         host = self.host
         ClusterCall(self.world, host, call).start()
 
 
 class ClusterCall:
-    """A command of a duty on its way to another cluster, and its answer's way back."""
+    """A command of a leader task to another cluster, and its response."""
 
     CALL_TIMEOUT = 1 * SECOND
 
--- a/lemonlead/standins/simulated/network.py
+++ b/lemonlead/standins/simulated/network.py
@@ -1,4 +1,5 @@
-"""What carries messages between the machines: late, lost, twice, out of order, garbled, cut."""
+"""The network between the machines. It delays, loses, duplicates, reorders and garbles messages, and its
+lines can be cut."""
 
 import random
 from dataclasses import dataclass
@@ -10,19 +11,19 @@
 
 MS = 1_000_000
 ENCODE, DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(PeerMessage).decode
-MAX_MESSAGES_IN_FLIGHT = 20_000  # messages; past it one is lost, and counted
+MAX_MESSAGES_IN_FLIGHT = 20_000  # further messages are lost, and counted
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """How the lines are at present. Shares from 0 to 1, times in nanoseconds."""
+    """The current faults of all lines. Delays are in nanoseconds, all other fields are shares from 0 to 1."""
 
     min_delay: int = 1 * MS
     max_delay: int = 8 * MS
     lost: float = 0.0
     duplicated: float = 0.0
     garbled: float = 0.0
-    late: float = 0.0  # share that is later than `most`
+    late: float = 0.0  # share of messages that are later than `max_delay`
     max_extra_delay: int = 400 * MS
 
 
@@ -32,7 +33,7 @@
 
 
 def unpack(frame):
-    """The message of these bytes, or None: whatever was cut short or changed is dropped."""
+    """Returns the message in this frame, or None if the frame was cut short or changed."""
     if xxh64_digest(frame[8:]) != frame[:8]:
         return None
     try:
@@ -42,7 +43,7 @@
 
 
 def garble(frame, rng):
-    """Cut short, with a bit turned, or with a piece that stands twice."""
+    """Returns the frame cut short, with one bit flipped, or with a piece repeated."""
     at = rng.randrange(len(frame))
     kind = rng.randrange(3)
     if kind == 0:
@@ -53,7 +54,7 @@
 
 
 class LinkCuts:
-    """Who can't reach whom. `cuts`: (from, to) to how many cuts lie on it."""
+    """Which ends can't reach each other. `cuts`: (sender, receiver) to the number of cuts of this line."""
 
     def __init__(self):
         self.cuts = {}
@@ -74,7 +75,7 @@
 
 
 class Network(LinkCuts):
-    """Lines between ends that are called by name. `after(delay, function)` is the world's."""
+    """Lines between endpoints, which have names. `after`: World.after."""
 
     def __init__(self, seed, after):
         super().__init__()
@@ -90,9 +91,9 @@
         self.conditions = NetworkConditions()
 
     def carry(self, sender, to, deliver, message=None):
-        """Calls `deliver(message)` once, later, twice or never. A line that is cut by the time loses it. A
-        message may come garbled, and is then dropped where it does not read; without one (a client's call)
-        it is lost instead."""
+        """Calls `deliver(message)` after a delay, once, twice or never. The message is lost if the line is
+        cut when it is sent or when it arrives. A garbled message is dropped if it can't be decoded. A call
+        without a message (a client's call) is lost instead of garbled."""
         conditions, rng = self.conditions, self.rng
         for _ in range(2 if message is not None and rng.random() < conditions.duplicated else 1):
             if (sender, to) in self.cuts or conditions.lost and rng.random() < conditions.lost:
--- a/lemonlead/standins/simulated/nodes.py
+++ b/lemonlead/standins/simulated/nodes.py
@@ -1,6 +1,6 @@
-"""Nodes in a simulated world. Each has an agent that reads permits over the faulty network, obeys them and reports
-its state. A node goes down only by a clear permit that is newer than any that it obeyed, and only while its last
-read of the permits is younger than the lease."""
+"""Nodes in a simulated world. Each has an agent that reads permits over the faulty network, obeys them and
+reports its state. A node goes down only by a clear permit that is newer than any that it obeyed, and only
+while its last read of the permits is younger than the lease."""
 
 import json
 import random
@@ -50,8 +50,8 @@
         call.send(host.read, call)
 
     def permit_read(self, number, sent, at, permit):
-        """`sent`: when the read was sent. `at`: the index of the state that was read. Ignores a response that is
-        older than a previous one."""
+        """`sent`: when the read was sent. `at`: the index of the state that was read. Ignores a response
+        that is older than a previous one."""
         if at < self.known_index or sent < self.read_sent_at:
             return self.world.count("node told late")
         self.known_index, self.permit, self.read_sent_at = at, permit, sent
--- a/lemonlead/standins/simulated/schedules.py
+++ b/lemonlead/standins/simulated/schedules.py
@@ -1,5 +1,6 @@
-"""Lists of troubles: drawn from a seed, played in a world with all judges, shrunk to the shortest that still
-fails. A Schedule prints as Python that plays it again."""
+"""Schedules, which are lists of injected faults. They are drawn from a seed, played in a world with all
+invariant checkers, and shrunk to the shortest list that still fails. The repr of a Schedule is Python code
+that makes it again."""
 
 import random
 from dataclasses import dataclass, replace
@@ -14,16 +15,17 @@
 from .hosts import Cluster, Host, default_dispatcher
 from .world import MS, SECOND, InvariantViolation, World
 
-FAULT_SPAN_MS = 6_000  # milliseconds in which troubles begin
-HEAL_AFTER_MS = 1_500  # after the span all is healed
-SERVE_WITHIN_MS = 25_000  # and within so many milliseconds more all of it serves again
+FAULT_SPAN_MS = 6_000  # in which faults begin
+HEAL_AFTER_MS = 1_500  # after the span, all faults end
+SERVE_WITHIN_MS = 25_000  # after that, within which everything has to serve again
 SITES = ("louis", "ebene")
 
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """`at`, `length`: milliseconds. `whom`: 0 for whoever leads then, else the so-maniest of the others by
-    name. `more`: what else the kind asks for."""
+    """`kind`: name of the method of Play that injects it. `target`: 0 for the leader at that time, else the
+    number of another host in the order of their names. `variant`: a random number for further choices of the
+    kind."""
 
     at_ms: int
     kind: str
@@ -41,7 +43,8 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """How a schedule ended. `violation`: None where no checker found one."""
+    """How a schedule ended. `violation`: None if no checker found one. `counts`: how often each thing
+    happened. `undecided`: 1 if the linearizability check gave up."""
 
     schedule: Schedule
     violation: InvariantViolation | None
@@ -51,7 +54,7 @@
 
 # ---- drawing
 
-KINDS = {  # kind: (weight, least length, most length)
+KINDS = {  # kind: (weight, minimum and maximum length in milliseconds)
     "kill": (10, 100, 3000),
     "kill_within": (6, 100, 1500),
     "kill_long": (2, 4000, 7000),
@@ -79,7 +82,7 @@
 
 
 def draw(seed, kinds=None, table=KINDS, span=FAULT_SPAN_MS):
-    """`kinds`: names out of the `table`; all of them where none is given."""
+    """Draws a schedule from a seed. `kinds`: names of the `table`; all of them if none is given."""
     rng = random.Random(f"schedule {seed}")
     names = sorted(kinds or table)
     weights = [table[name][0] for name in names]
@@ -101,8 +104,8 @@
 
 
 class Play:
-    """One world with one cluster, four clients at two sites, an operator, and the troubles of a schedule.
-    `setup`: function(play), called before it starts, may add actors, clusters and judges."""
+    """A world with one cluster, four clients at two sites, an operator, and the faults of a schedule.
+    `setup`: function(play), called before the start, which may add actors, clusters and checkers."""
 
     def __init__(self, schedule, make_dispatcher=default_dispatcher, setup=None, **more):
         self.schedule = schedule
@@ -152,7 +155,7 @@
     def checker(self, kind):
         return next(checker for checker in self.checkers if isinstance(checker, kind))
 
-    # ---- the end: all is healed, and has to serve
+    # ---- the end: all faults end, and everything has to serve again
 
     def heal(self):
         self.world.network.heal()
@@ -171,7 +174,7 @@
             self.probe(site, 0)
 
     def probe(self, site, number):
-        """A read by a new client of each site, again until it is answered."""
+        """Starts a new client at the site, which reads until it has a response."""
         client = Client(self.cluster, f"probe-{site}", site, self.schedule.seed, 0)
         self.clients.append(client)
         self.probes.append(client)
@@ -187,12 +190,12 @@
         return not self.why_not_serving()
 
     def why_not_serving(self):
-        """What is lacking until all serves again; empty once it does."""
+        """Returns why not everything serves again; empty if it does."""
         if self.operator.busy:
-            return "the lost machine is not world_play up for"
+            return "the lost machine is not replaced yet"
         for client in self.probes:
             if all(call.result == "unknown" for call in client.observed):
-                return f"{client.name} has no answer"
+                return f"{client.name} has no response"
         last = self.checkers[0].last_committed
         for host in self.cluster.hosts.values():
             if not host.gone and (host.dispatcher is None or host.dispatcher.state.index < last):
@@ -202,7 +205,7 @@
                 )
         return ""
 
-    # ---- troubles
+    # ---- faults, by the name of their kind
 
     def inject(self, fault):
         host = self.choose_host(fault.target)
@@ -229,7 +232,7 @@
     kill_long = kill
 
     def kill_within(self, host, fault):
-        """In the midst of a turn, after a few of its steps."""
+        """Kills the process within a turn, after a few of its steps."""
         host.steps_until_kill = 1 + fault.variant % 12
         self.after_fault(fault, host.start)
 
@@ -238,7 +241,7 @@
         self.after_fault(fault, host.resume)
 
     def wipe(self, host, fault):
-        """Only where no other machine is lost that is not world_play up for yet."""
+        """Loses a machine with its disk, unless another lost machine is not replaced yet."""
         if self.operator.busy or host in self.impostors:
             return None
         host.wipe()
@@ -247,8 +250,8 @@
         return host
 
     def impostor(self, host, fault):
-        """The lost machine comes up again under its old name, with an empty folder: as one that is to be
-        added, or as one that believes it forms the cluster."""
+        """Loses a machine, which comes up again under its old name with a new folder: an empty one, as before
+        it was added, or one with the initial state of the cluster."""
         if self.wipe(host, fault) is None:
             return
         cluster = self.cluster
@@ -319,13 +322,13 @@
         self.after_fault(fault, disk.reset_speed)
 
     def stalled_disk(self, host, fault):
-        """One sync that takes as long as the trouble lasts."""
+        """One sync takes as long as the fault lasts."""
         disk = host.disk
         disk.min_delay = disk.max_delay = fault.length_ms * MS
         self.world.after(300 * MS, disk.reset_speed)
 
     def broken_disk(self, host, fault):
-        """Full, or a sync that fails. Once it is mended, the process is started anew."""
+        """The disk is full, or a sync fails. Once it is repaired, the process is restarted."""
         host.disk.failure = "no space left" if fault.variant % 2 else "sync failed"
         self.after_fault(fault, self.repair_disk, host)
 
@@ -339,7 +342,7 @@
         host.wall_offset_ms += (fault.variant - 500) * 20_000
 
     def rolling(self, host, fault):
-        """Each in turn is ended and started again."""
+        """Restarts each member in turn."""
         for at, name in enumerate(sorted(self.cluster.hosts)):
             self.world.after(at * (fault.length_ms + 300) * MS, self.restart, name, fault)
 
@@ -370,7 +373,8 @@
 
 
 def play(schedule, kind=Play, **more):
-    """Plays it in a world of this kind; what a checker saw, or an error of the dispatchers, is in `broken`."""
+    """Plays the schedule in a world of this class. A violation that a checker saw, or an exception of the
+    code under test, is in `violation` of the result."""
     world_play, undecided, violation = None, 0, None
     try:
         world_play = kind(schedule, **more)
@@ -379,7 +383,7 @@
         violation = error
     except Undecided:
         undecided = 1
-    except Exception as error:  # whatever a dispatcher raises is a failure of the schedule
+    except Exception as error:  # any error that a dispatcher raises fails the schedule
         violation = InvariantViolation(
             f"raised {type(error).__name__}",
             f"{error} {raised_in(error)}",
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -1,5 +1,6 @@
-"""Two whole clusters in one simulated world: the ledger with all rules and duties, gateways that follow,
-nodes that obey, operators that drain and move; troubles strike all of it. `WholePlay` plays a Schedule."""
+"""Two whole clusters in one simulated world: the ledger with all its rules and leader tasks, gateways that
+follow it, nodes that obey permits, and operators who drain and move. Faults hit all of them. `WholePlay`
+plays a Schedule."""
 
 import json
 import random
@@ -18,13 +19,13 @@
 from .world import MS, SECOND, InvariantViolation, World
 
 NAMES = ("louis", "ebene")
-SERVICES = {"louis": "search", "ebene": "print"}  # by where each is at first
+SERVICES = {"louis": "search", "ebene": "print"}  # service that each cluster has at the start
 NODES, UNITS = 5, 20  # of each cluster; units of each node
 QUORUM = 2  # of each service's group of three
 SETTINGS = LedgerSettings(lease=4 * SECOND, grace=SECOND, cold=SECOND)
-FAULT_SPAN_MS = 14_000  # milliseconds in which troubles begin and operators act
+FAULT_SPAN_MS = 14_000  # in which faults begin and operators act
 HEAL_AFTER_MS = 1_500
-END_WITHIN_MS = 60_000  # within so many milliseconds after that all drains and moves end
+END_WITHIN_MS = 60_000  # after that, within which all drains and moves have to end
 KINDS = {
     **schedules.KINDS,
     "clusters": (8, 300, 5000),  # one cluster from the other, one way or both
@@ -49,7 +50,8 @@
 
 
 class OperatorRequests:
-    """Operators and schedulers of one cluster: what is asked is asked until it is answered, or given up."""
+    """The requests of the operators and schedulers of one cluster. Each is sent until it has a response or
+    its tries are used up."""
 
     def __init__(self, cluster, seed, until):
         self.cluster, self.world, self.until = cluster, cluster.world, until
@@ -72,7 +74,7 @@
         self.prepare()
 
     def prepare(self, code=200, body=None):
-        """One after the other, each until it is done."""
+        """Sends the steps that set up the cluster one after the other, each until it is done."""
         if code == 200:
             if body is not None:
                 self.steps.pop(0)
@@ -101,7 +103,7 @@
         for _ in range(count):
             self.request(self.reserve(self.rng), lambda code, body: None, tries=1)
 
-    # ---- what they ask for
+    # ---- requests, by their kind
 
     def reserve(self, rng):
         command = {"kind": "reserve", "reservation": f"r{rng.randrange(5)}", "service": "other"}
@@ -140,7 +142,7 @@
         return {"kind": "move_stop", "move": rng.choice(names or ["none"])}
 
     def end_gangs(self):
-        """In the end: gangs end, whoever began them."""
+        """Ends all gangs, at the end of the run."""
         leader = self.cluster.leader()
         for gang in sorted(leader.dispatcher.state.part("gangs")) if leader else ():
             self.request({"kind": "gang_end", "gang": gang}, lambda code, body: None)
@@ -154,7 +156,8 @@
 
 
 class ClusterPlay(Play):
-    """One cluster with all that is its own; the troubles of a Play strike it."""
+    """One of the clusters, with its operators, gateways and nodes. It takes the faults of a Play and a few
+    more."""
 
     def __init__(self, play, name, ledger, replacements):
         schedule, self.world, self.schedule = play.schedule, play.world, play.schedule
@@ -184,10 +187,10 @@
             self.world.add(actor)
 
     def run(self):
-        raise TypeError("its world runs it")
+        raise TypeError("WholePlay runs it")
 
     def find_unfinished(self):
-        """What has not come to its end, empty where all has."""
+        """Returns a drain, move, gang or node that has not come to its end; empty if all have."""
         leader = self.cluster.leader()
         if leader is None:
             return f"{self.cluster.id} has no leader"
@@ -201,7 +204,7 @@
                 return f"{node.name} is {node.state}, {node.last_report}"
         return ""
 
-    # ---- troubles beside those of a Play
+    # ---- further faults, by the name of their kind
 
     def clusters(self, host, fault):
         other = next(name for name in NAMES if name != self.cluster.id)
@@ -220,7 +223,7 @@
 
     def cut_off(self, fault, one):
         lines = [(one.endpoint, self.cluster.endpoint(name)) for name in sorted(self.cluster.hosts)]
-        if fault.variant % 5 == 0:  # the way back alone
+        if fault.variant % 5 == 0:  # only the responses
             return self.cut_lines(fault, [line[::-1] for line in lines])
         return self.cut_lines(fault, lines, fault.variant % 3)
 
@@ -237,8 +240,9 @@
 
 
 class WholePlay:
-    """`span`: milliseconds in which troubles begin and operators act. `replacements`: what is in place of what, for
-    faults put in on purpose: `make_dispatcher`, `node`, `gateway`, `ledger` (function(cluster's name))."""
+    """`span`: milliseconds in which faults begin and operators act. `replacements`: faulty classes and
+    functions that tests use in place of the real ones, by the names `make_dispatcher`, `node`, `gateway`
+    and `ledger` (function(name of the cluster))."""
 
     def __init__(self, schedule, span=FAULT_SPAN_MS, **replacements):
         self.schedule, self.span, self.world = schedule, span, World(schedule.seed)
@@ -266,7 +270,8 @@
         self.cross_checks.check_end()
 
     def prepare(self):
-        """Nodes start once their cluster knows them; a service counts as held once all of it stands."""
+        """Starts the nodes once their cluster is set up. From then on its service has to be held
+        somewhere."""
         for cluster_play in self.cluster_plays:
             service = SERVICES[cluster_play.cluster.id]
             if cluster_play.requests.ready and service not in self.cross_checks.services:
@@ -277,7 +282,7 @@
             self.world.after(50 * MS, self.prepare)
 
     def ended(self):
-        """Looked at now and then: each look goes over much."""
+        """Checks only every 16th event, as the check is slow."""
         if self.world.event_number % 16:
             return False
         return not self.why_not_ended()
--- a/lemonlead/standins/simulated/whole_checks.py
+++ b/lemonlead/standins/simulated/whole_checks.py
@@ -1,5 +1,5 @@
-"""Judges of two whole clusters: of each entry as it is first committed, and of what gateways and nodes really
-do then. The drains' and moves' own independent checkers do the counting."""
+"""Invariant checkers of two whole clusters. They check each entry when it is first committed, and what the
+gateways and nodes do at that time, with the independent checkers of drains and moves."""
 
 import json
 
@@ -12,21 +12,22 @@
 from .world import InvariantViolation
 
 PROMISE_PARTS = ("nodes", "reservations", "gangs", "groups", "loads", "sites")
-CLOCK_MARGIN = 0.8  # share of the grace that is asked for: clocks differ by 2 %
+CLOCK_MARGIN = 0.8  # share of the grace that is required, as clocks differ by 2 %
 
 
 class CrossClusterChecks:
-    """What concerns both clusters. `quorum`: of each group, wherever its members are. `gateways`: by cluster;
-    `nodes`: by name."""
+    """Checks what concerns both clusters. `quorum`: members of each group that have to serve, in either
+    cluster. `gateways`: by cluster. `nodes`: by name."""
 
     def __init__(self, names, settings, quorum):
         self.names, self.settings, self.quorum = names, settings, quorum
         self.moves = move_checks.Watch(names)
         self.entries, self.gateways, self.nodes = {}, {name: [] for name in names}, {}
-        self.services = {}  # service to its reservations, once all of them stood
+        self.services = {}  # service to its reservations, once all of them were made
 
     def node_goes_down(self, node):
-        """A node goes down: by a permit, nobody may still send to it, no gang or quorum breaks."""
+        """Checks, as a node goes down, that it has a permit, that no gateway may still send to it, and that
+        no gang or quorum breaks."""
         checker = self.entries[node.cluster.id]
         state, lease, name = checker.state, self.settings.lease, node.name
         permit = state.part("permits").get(name)
@@ -44,20 +45,20 @@
                 checker.fail(f"{name} goes down, group {group} has {serve} of {self.quorum}")
 
     def group_members(self, group):
-        """On both sides: while it moves, some serve here and some there."""
+        """Yields the members of a group in both clusters, as they serve in both during a move."""
         for checker in self.entries.values():
             row = checker.state.part("groups").get(group)
             yield from row.nodes if row is not None else ()
 
     def check_services_held(self, checker):
-        """Each service wholly on one side at least."""
+        """Each service has all its reservations in at least one cluster."""
         held = {name: self.moves.part(name, "reservations") for name in self.names}
         for service, reservations in self.services.items():
             if not any(all(reservation in rows for reservation in reservations) for rows in held.values()):
-                checker.fail(f"service {service} is held on no side")
+                checker.fail(f"service {service} is held in no cluster")
 
     def check_shares(self, checker, part, key, row):
-        """Nothing is let go on a side to which a gateway may still send."""
+        """No cluster lets go of a service to which a gateway may still send there."""
         if part == "holds" and row.state == "dropped" and row.source in self.names:
             source, move, wrong = row.source, row.move, lambda share: share
         elif part == "moves" and row.step == "done":
@@ -70,7 +71,7 @@
                 checker.fail(f"{part} {key} let go while {gateway.name} sends {share} there")
 
     def check_end(self):
-        """Once all is quiet."""
+        """Checks, after all drains and moves ended, that each reservation is held exactly once."""
         self.moves.settled()
         checker = self.entries[self.names[0]]
         if self.moves.broken:
@@ -83,8 +84,8 @@
                     )
 
 
-class Entries(CommittedEntryChecker):
-    """Each entry, once, with its changes."""
+class CommittedEntries(CommittedEntryChecker):
+    """Checks each committed entry with its changes."""
 
     def __init__(self, ledger, cross_checks):
         self.ledger, self.cross_checks = ledger, cross_checks
@@ -98,7 +99,7 @@
         self.cross_checks.entries[cluster.id] = self
 
     def polled(self, gateway, host, after):
-        """A poll of a gateway as it is comes to a member."""
+        """A poll of a gateway reached a member."""
         leader = self.cluster.leader()
         if leader is host:
             self.drains.heard(self.cluster.world.now, gateway.name, after)
@@ -135,7 +136,7 @@
             self.cluster.world.count(f"done: {kind}")
 
     def command_answered(self, host, ticket, code, body):
-        if code in (200, 409) and getattr(ticket, "id", ""):  # a call between clusters has none
+        if code in (200, 409) and getattr(ticket, "id", ""):  # a call between clusters has no id
             self.unchecked_answers.append((host.name, ticket.id, code, body))
 
     def turn_ended(self, host):
@@ -147,9 +148,16 @@
 
 
 def checkers(ledger, cross_checks):
-    """Logs stands first: the others ask it."""
+    """Returns the checkers of one cluster. Logs stands first, as the others read it."""
     logs = Logs()
-    return [logs, SameState(ledger), Entries(ledger, cross_checks), Leaders(logs), Votes(), Acknowledged()]
+    return [
+        logs,
+        SameState(ledger),
+        CommittedEntries(ledger, cross_checks),
+        Leaders(logs),
+        Votes(),
+        Acknowledged(),
+    ]
 
 
-__all__ = ["CrossClusterChecks", "InvariantViolation", "Entries", "checkers"]
+__all__ = ["CrossClusterChecks", "InvariantViolation", "CommittedEntries", "checkers"]
--- a/lemonlead/standins/simulated/world.py
+++ b/lemonlead/standins/simulated/world.py
@@ -1,5 +1,5 @@
-"""The clock and event queue of a simulated world. Clusters, clients and all other actors schedule their work with
-`World.after`; nothing in the world reads a real clock or draws from an unseeded random generator."""
+"""The clock and event queue of a simulated world. Clusters, clients and all other actors schedule their work
+with `World.after`; nothing in the world reads a real clock or draws from an unseeded random generator."""
 
 import heapq
 import random
@@ -21,8 +21,8 @@
 
 
 class World:
-    """`now`: nanoseconds since the start. `clusters`: Cluster by name; each cluster adds itself. `actors`: objects
-    with a method `start(world)`. `counts`: how often each thing happened, for reports."""
+    """`now`: nanoseconds since the start. `clusters`: Cluster by name; each cluster adds itself. `actors`:
+    objects with a method `start(world)`. `counts`: how often each thing happened, for reports."""
 
     def __init__(self, seed):
         self.seed, self.now = seed, 0
@@ -36,8 +36,8 @@
         self.counts[what] = self.counts.get(what, 0) + by
 
     def after(self, delay, function, *args):
-        """Calls the function after `delay` nanoseconds. Calls that are due at the same time run in the order in
-        which they were scheduled."""
+        """Calls the function after `delay` nanoseconds. Calls that are due at the same time run in the
+        order in which they were scheduled."""
         self.event_number += 1
         if self.event_number > MAX_EVENTS:
             raise InvariantViolation("events", f"more than {MAX_EVENTS}")
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -1,4 +1,4 @@
-"""The simulated world: its network, disks and judges by themselves, then many members in it."""
+"""The simulated world: its network, disks and invariant checkers alone, then schedules with many members."""
 
 import itertools
 import os
@@ -31,7 +31,7 @@
 
 
 class Later:
-    """Keeps what is to be called; calls it by order."""
+    """Stands for World.after: keeps the calls, and runs them in order."""
 
     def __init__(self):
         self.calls = []
@@ -52,9 +52,9 @@
 # ---- linearizability
 
 
-def register(state, what):
-    """A register: ("write", value) or ("read",)."""
-    return (what[1], "ok") if what[0] == "write" else (state, state)
+def register(state, operation):
+    """The step function of a register, whose operations are ("write", value) and ("read",)."""
+    return (operation[1], "ok") if operation[0] == "write" else (state, state)
 
 
 @pytest.mark.parametrize(
@@ -91,12 +91,13 @@
         ([ObservedCall(("read",), 0, 1, 2), ObservedCall(("read",), 0, 1, NEVER)], True),
     ],
 )
-def test_a_history_fits_or_not(calls, fits):
+def test_linearizable_and_other_histories(calls, fits):
     assert (find_inconsistent_call(calls, 0, register) is None) == fits
 
 
-def by_hand(calls, start, step):
-    """Whether some order fits, by trying all: of the known calls with any of the unknown ones."""
+def fits_some_order(calls, start, step):
+    """Returns whether some order fits, by trying all orders of the known calls and some of the unknown
+    ones."""
     known = [call for call in calls if call.result != UNKNOWN]
     unknown = [call for call in calls if call.result == UNKNOWN]
     for count in range(len(unknown) + 1):
@@ -126,17 +127,17 @@
         max_size=5,
     )
 )
-def test_the_search_agrees_with_trying_all_orders(drawn):
+def test_search_agrees_with_trying_all_orders(drawn):
     calls = [
         ObservedCall(what, UNKNOWN, asked, NEVER)
         if seen == UNKNOWN
         else ObservedCall(what, "ok" if what[0] == "write" else seen, asked, asked + took)
         for what, seen, asked, took in drawn
     ]
-    assert (find_inconsistent_call(calls, 0, register) is None) == by_hand(calls, 0, register)
+    assert (find_inconsistent_call(calls, 0, register) is None) == fits_some_order(calls, 0, register)
 
 
-def test_a_history_that_is_too_long_is_undecided():
+def test_too_long_history_is_undecided():
     calls = [ObservedCall(("write", value), UNKNOWN, 0) for value in range(12)] + [
         ObservedCall(("read",), -1, 1, 2)
     ]
@@ -147,7 +148,7 @@
 # ---- network
 
 
-def test_whatever_is_garbled_is_dropped():
+def test_garbled_frame_is_dropped():
     rng = random.Random(1)
     message = AppendEntries("c", "g1", "f1", "g2", "f2", 3, 4, 2, [entry(5), entry(6)], 4, 9)
     frame = pack(message)
@@ -157,7 +158,7 @@
     assert unpack(garble(frame, rng)) is None
 
 
-def test_lines_lose_double_and_are_cut():
+def test_network_duplicates_and_cuts_lose():
     later, got = Later(), []
     network = Network(1, later)
     network.conditions.duplicated = 1.0
@@ -182,49 +183,49 @@
 # ---- disks
 
 
-def test_works_are_synced_in_order_those_that_wait_together():
-    later, told = Later(), []
+def test_waiting_tasks_are_synced_together_in_order():
+    later, reports = Later(), []
     disk = Disk("f", 1, later)
     for number in range(1, 4):
         write = Write(number, 1, "", None, [entry(number)])
         disk.submit(
-            DiskTask(write, done=lambda number=number: told.append((number, disk.contents.last_index)))
+            DiskTask(write, done=lambda number=number: reports.append((number, disk.contents.last_index)))
         )
     assert disk.contents.last_index == 0 and disk.requested_contents.last_index == 3
     later.run()
-    assert told == [(1, 1), (2, 3), (3, 3)]
+    assert reports == [(1, 1), (2, 3), (3, 3)]
 
 
-def test_a_crash_keeps_the_first_few_and_tells_nobody():
+def test_crash_keeps_the_first_tasks_without_notice():
     kept = set()
     for seed in range(40):
-        later, told = Later(), []
+        later, reports = Later(), []
         disk = Disk("f", seed, later)
         for number in range(1, 4):
             write = Write(number, number, "", None, [entry(number, number)])
-            disk.submit(DiskTask(write, done=lambda told=told: told.append(1)))
+            disk.submit(DiskTask(write, done=lambda reports=reports: reports.append(1)))
         disk.crash()
         later.run()
         assert (
-            told == []
+            reports == []
             and disk.contents.last_index == disk.contents.term == disk.requested_contents.last_index
         )
         kept.add(disk.contents.last_index)
     assert kept == {0, 1, 2, 3}
 
 
-def test_a_disk_that_fails_tells_once_and_syncs_nothing_more():
-    later, told = Later(), []
+def test_failing_disk_reports_once_and_syncs_nothing_more():
+    later, reports = Later(), []
     disk = Disk("f", 1, later)
-    disk.on_failure = told.append
+    disk.on_failure = reports.append
     disk.failure = "full"
-    disk.submit(DiskTask(Write(1, 1, "", None, [entry(1)]), done=lambda: told.append("synced")))
-    disk.submit(DiskTask(Write(2, 1, "", None, [entry(2)]), done=lambda: told.append("synced")))
+    disk.submit(DiskTask(Write(1, 1, "", None, [entry(1)]), done=lambda: reports.append("synced")))
+    disk.submit(DiskTask(Write(2, 1, "", None, [entry(2)]), done=lambda: reports.append("synced")))
     later.run()
-    assert told == ["full"] and disk.contents.last_index == 0
+    assert reports == ["full"] and disk.contents.last_index == 0
 
 
-def test_a_snapshot_takes_the_place_of_what_it_covers():
+def test_snapshot_replaces_the_entries_that_it_covers():
     held = DiskContents()
     held.apply(DiskTask(Write(1, 1, "", None, [entry(1), entry(2), entry(3)])))
     held.apply(DiskTask(base=SnapshotBase(2, 1), snapshot=b"two"))
@@ -242,68 +243,70 @@
 # ---- schedules
 
 
-def stands(*runs):
-    """Plays each; fails with the shortest form of the first that breaks."""
+def assert_unbroken(*runs):
+    """Plays each schedule; fails with a shortened form of the first one that breaks an invariant."""
     for schedule in runs:
         played = play(schedule)
         if played.violation is not None:
-            judge = played.violation.checker
-            short = shrink(schedule, lambda one, judge=judge: breaks(one, judge))
+            checker = played.violation.checker
+            short = shrink(schedule, lambda one, checker=checker: breaks(one, checker))
             pytest.fail(f"{played.violation}\n{short}")
 
 
-def breaks(schedule, judge, **more):
+def breaks(schedule, checker, **more):
     broken = play(schedule, **more).violation
-    return broken is not None and broken.checker == judge
+    return broken is not None and broken.checker == checker
 
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
 def test_drawn_schedules_break_nothing(first):
-    stands(*(draw(seed) for seed in range(first, first + 20)))
+    assert_unbroken(*(draw(seed) for seed in range(first, first + 20)))
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
-def test_each_trouble_by_itself_breaks_nothing(kind):
+def test_each_fault_alone_breaks_nothing(kind):
     faults = tuple(InjectedFault(at, kind, whom, 1500, at) for at, whom in ((800, 0), (3900, 1), (5600, 0)))
-    stands(Schedule(KINDS[kind][0], 3, faults))
+    assert_unbroken(Schedule(KINDS[kind][0], 3, faults))
 
 
 @pytest.mark.parametrize(
     "base, right", [(SnapshotBase(5, 1), True), (SnapshotBase(6, 1), False), (SnapshotBase(5, 2), False)]
 )
-def test_a_snapshot_of_what_the_disk_was_not_given_is_caught(base, right):
-    judge = Logs()
-    judge.cluster = SimpleNamespace(world=SimpleNamespace(now=0))
-    judge.logs, judge.bases = {"f": {5: entry(5)}}, {"f": SnapshotBase(4, 1)}
+def test_snapshot_of_entries_that_the_disk_lacks_is_caught(base, right):
+    checker = Logs()
+    checker.cluster = SimpleNamespace(world=SimpleNamespace(now=0))
+    checker.logs, checker.bases = {"f": {5: entry(5)}}, {"f": SnapshotBase(4, 1)}
     host = SimpleNamespace(name="g1", disk=SimpleNamespace(folder="f"))
     with nullcontext() if right else pytest.raises(InvariantViolation, match="keeps a snapshot as of"):
-        judge.snapshot_submitted(host, base)
+        checker.snapshot_submitted(host, base)
 
 
-def test_entries_applied_before_the_disk_was_given_them_are_caught(monkeypatch):
-    """One Write out at a time, so that entries often wait for the one before."""
+def test_entries_applied_before_they_are_written_are_caught(monkeypatch):
+    """With one write in flight at a time, entries often wait for the previous write."""
     monkeypatch.setattr(log, "MAX_WRITES_IN_FLIGHT", 1)
     assert play(draw(4)).violation is None
-    rightly = Replica.commit
+    commit = Replica.commit
 
-    def at_once(self, now, door):
-        given, self.pending_writes.submitted = self.pending_writes.submitted, self.log.last
+    def commit_at_once(self, now, replica_host):
+        submitted, self.pending_writes.submitted = self.pending_writes.submitted, self.log.last
         try:
-            return rightly(self, now, door)
+            return commit(self, now, replica_host)
         finally:
-            self.pending_writes.submitted = given
+            self.pending_writes.submitted = submitted
 
-    monkeypatch.setattr(Replica, "commit", at_once)
+    monkeypatch.setattr(Replica, "commit", commit_at_once)
     assert any("before its disk was given it" in str(play(draw(seed)).violation) for seed in range(100))
 
 
 @pytest.mark.serial
-def test_a_schedule_is_the_same_whatever_the_seed_of_hashes():
-    """Against sets gone over in their order: a seed that failed would not fail again."""
-    told = "from lemonlead.standins.simulated.schedules import *; print(sorted(play(draw(7)).counts.items()))"
+def test_schedule_is_the_same_for_all_hash_seeds():
+    """An iteration over a set in hash order would make a failed seed pass when it is played again."""
+    script = (
+        "from lemonlead.standins.simulated.schedules import *; print(sorted(play(draw(7)).counts.items()))"
+    )
     seen = {
         subprocess.run(
-            [sys.executable, "-c", told],
+            [sys.executable, "-c", script],
             env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True, check=True, text=True,
         ).stdout
@@ -312,7 +315,7 @@
     assert len(seen) == 1 and "acknowledged" in seen.pop()
 
 
-def test_the_command_plays_and_tells(capsys):
+def test_command_plays_and_reports(capsys):
     assert schedules.main(["--count", "2", "--jobs", "1", "--faults", "kill"]) == 0
     assert "schedules            2" in capsys.readouterr().out
     assert schedules.main(["--faults", "sunshine"]) == 2
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -1,5 +1,6 @@
-"""Faults put in on purpose, each a small subclass of what it spoils: a judge of the simulated world has to
-catch each within a few hundred drawn schedules. Against judges that see nothing."""
+"""Faulty variants of the ledger's classes, each a small subclass. An invariant checker of the simulated
+world has to catch each of them within a few hundred drawn schedules, which shows that the checkers see
+violations."""
 
 from dataclasses import replace
 
@@ -17,52 +18,52 @@
 from lemonlead.standins.simulated.hosts import default_dispatcher
 from lemonlead.standins.simulated.schedules import Schedule, InjectedFault, draw, plain_ledger, play, shrink
 
-MOST = 300  # schedules in which each has to be caught
+MAX_SCHEDULES = 300  # within which each faulty variant has to be caught
 
 
 def of_replica(kind):
-    """Members whose replica is of this class."""
+    """Returns the keyword of play() for members whose replica is of this class."""
 
-    def make(host, told, kept, state, now):
-        dispatcher = default_dispatcher(host, told, kept, state, now)
-        dispatcher.replica = kind(told, kept, now)
+    def make(host, config, stored, state, now):
+        dispatcher = default_dispatcher(host, config, stored, state, now)
+        dispatcher.replica = kind(config, stored, now)
         return dispatcher
 
     return {"make_dispatcher": make}
 
 
-def of_dispatcher(spoil):
-    """Members whose dispatcher was spoiled by `spoil(dispatcher, host)`."""
+def of_dispatcher(change):
+    """Returns the keyword of play() for members whose dispatcher is changed by `change(dispatcher, host)`."""
 
-    def make(host, told, kept, state, now):
-        dispatcher = default_dispatcher(host, told, kept, state, now)
-        spoil(dispatcher, host)
+    def make(host, config, stored, state, now):
+        dispatcher = default_dispatcher(host, config, stored, state, now)
+        change(dispatcher, host)
         return dispatcher
 
     return {"make_dispatcher": make}
 
 
-def of_office(kind):
-    """Members whose office, once they lead, is of this class."""
+def of_leader_state(kind):
+    """Returns the keyword of play() for members whose leader state is of this class."""
 
-    class Elected(Replica):
-        def decide(self, now, door):
+    class WithLeaderState(Replica):
+        def decide(self, now, replica_host):
             if type(self.leader_state) is LeaderState:
                 self.leader_state.__class__ = kind
-            return super().decide(now, door)
+            return super().decide(now, replica_host)
 
         tick = getattr(kind, "tick", Replica.tick)
 
-    return of_replica(Elected)
+    return of_replica(WithLeaderState)
 
 
-def of_following(kind):
-    class Follows(Replica):
-        def __init__(self, told, kept, now):
-            super().__init__(told, kept, now)
+def of_follower_state(kind):
+    class WithFollowerState(Replica):
+        def __init__(self, config, stored, now):
+            super().__init__(config, stored, now)
             self.follower_state.__class__ = kind
 
-    return of_replica(Follows)
+    return of_replica(WithFollowerState)
 
 
 class AcknowledgesBeforeSync(FollowerState):
@@ -74,7 +75,7 @@
 
 
 class SendsBeforeSync(Replica):
-    """Votes go out before they are on disk."""
+    """Sends votes before they are on disk."""
 
     def post(self, message, after=None):
         self.enqueue(message)
@@ -101,7 +102,7 @@
 
 class CommitsOldTerms(LeaderState):
     def advance_commit(self, now):
-        """As the office does, but for the term of the entry."""
+        """Commits like LeaderState, without the check of the entry's term."""
         replica = self.replica
         index = replica.majority(lambda name: self.peers[name].match_index, replica.pending_writes.on_disk)
         if index > replica.committed:
@@ -109,12 +110,12 @@
 
 
 class CountsLearners(Replica):
-    """And leaves them learners, so that it matters for long."""
+    """Counts learners as voters, and doesn't promote them, so that this lasts."""
 
-    def decide(self, now, door):
+    def decide(self, now, replica_host):
         if self.leader_state is not None:
             self.leader_state.promote_learner = lambda now: False
-        return super().decide(now, door)
+        return super().decide(now, replica_host)
 
     def majority(self, of, own):
         figures = sorted((own if name == self.name else of(name) for name in self.members), reverse=True)
@@ -134,22 +135,22 @@
 
 
 class ReadsWithoutRound(LeaderState):
-    """A leader that was paused, or cut off, and reads at once."""
+    """A leader reads at once after a pause or a cut."""
 
     def tick(self, now):
         self.now = max(now, self.now)
 
-    def decide(self, now, door):
+    def decide(self, now, replica_host):
         self.quorum_check_due = now + self.config.election
-        return super().decide(now, door)
+        return super().decide(now, replica_host)
 
     def confirm_rounds(self):
         super().confirm_rounds()
         self.confirmed_round = self.round
 
 
-class CutsWhatItHas(FollowerState):
-    """A late repeat cuts off what came after it."""
+class TruncatesOnDuplicates(FollowerState):
+    """A late duplicate truncates the entries after it."""
 
     def store(self, prev, entries):
         replica = self.replica
@@ -160,28 +161,28 @@
         return super().store(prev, entries)
 
 
-class SeatsWithoutFolder(Replica):
+class IgnoresFolders(Replica):
     def accepts(self, message):
         return message.to == self.name and message.sender != self.name
 
-    def own_membership(self, seats):
-        return seats.get(self.name)
+    def own_membership(self, members):
+        return members.get(self.name)
 
 
-class SaysNotDone(Replica):
-    """Whatever it does not know the end of is told as not done."""
+class ReportsNotDone(Replica):
+    """Reports commands with an unknown outcome as not done."""
 
     def refuse(self, ticket, outcome):
         super().refuse(ticket, "not done" if outcome else outcome)
 
 
-class TakesNoSnapshot(FollowerState):
+class IgnoresSnapshots(FollowerState):
     def handle_chunk(self, message):
         return None
 
 
-class Odd(Ledger):
-    """A state function that depends on the member."""
+class MemberDependentLedger(Ledger):
+    """A ledger whose state depends on the member."""
 
     def __init__(self, name):
         plain = plain_ledger()
@@ -197,17 +198,17 @@
 
 def reads_at_once(dispatcher, host):
     dispatcher.read = lambda now, ticket: dispatcher.ready_answers.append(
-        lambda door: door.readable(ticket, dispatcher.state, "")
+        lambda replica_host: replica_host.readable(ticket, dispatcher.state, "")
     )
 
 
 def forgets_ids(dispatcher, host):
-    """After a restart."""
+    """A restarted member forgets the ids of commands."""
     dispatcher.state = replace(dispatcher.state, answers=Map(), order=Map())
 
 
 def applies_twice(dispatcher, host):
-    """The first entry after a snapshot, with its id forgotten."""
+    """Applies the first entry after a snapshot twice, without its id."""
     commit, first = dispatcher.commit, [dispatcher.state.index + 1]
 
     def again(entries):
@@ -222,7 +223,7 @@
 
 
 def answers_at_once(dispatcher, host):
-    """Before anything is committed."""
+    """Answers a command before it is committed."""
     propose = dispatcher.replica.propose
 
     def command(now, wall_ms, data, ticket):
@@ -230,24 +231,24 @@
             return propose(now, wall_ms, data, ticket)
         propose(now, wall_ms, data, Change())
         at = dispatcher.replica.last
-        dispatcher.ready_answers.append(lambda door: door.answer(ticket, 200, {"at": at}))
+        dispatcher.ready_answers.append(lambda replica_host: replica_host.answer(ticket, 200, {"at": at}))
 
     dispatcher.replica.propose = command
 
 
-def goes_on_without_disk(dispatcher, host):
-    """A disk that failed is taken as one that wrote."""
+def ignores_disk_failure(dispatcher, host):
+    """Takes a failed write as written."""
     dispatcher.disk_failed = lambda now, why: dispatcher.written(
         now, dispatcher.replica.pending_writes.number
     )
 
 
-def odd(dispatcher, host):
-    dispatcher.ledger = Odd(host.name)
+def depends_on_member(dispatcher, host):
+    dispatcher.ledger = MemberDependentLedger(host.name)
 
 
-def same_folder(play):
-    """A wiped machine comes up under its old folder's id."""
+def reuses_folder_id(play):
+    """A wiped machine comes up with the id of its old folder."""
     cluster, plain = play.cluster, play.cluster.new_folder
 
     def new_folder(name):
@@ -258,56 +259,63 @@
 
 
 CUTS = ["cut", "cut_in", "cut_out", "kill", "pause", "split"]
-FAULTS = {
-    # fault: (judge that has to see it, how it is put in, troubles that bring it out, and the first seed
-    # where the first hundred were seen to show nothing)
-    "acknowledges before sync": ("Acknowledged", of_following(AcknowledgesBeforeSync), []),
+FAULTY_VARIANTS = {
+    # faulty variant: (checker that has to catch it, how it is injected, kinds of faults that expose it, and
+    # the first seed where earlier ones are known to show nothing)
+    "acknowledges before sync": ("Acknowledged", of_follower_state(AcknowledgesBeforeSync), []),
     "votes before sync": ("Votes", of_replica(SendsBeforeSync), []),
     "counts its own unsynced": ("Logs", of_replica(CountsOwnUnsynced), ["slow_disk"]),
     "votes twice in a term": ("Votes", of_replica(VotesTwice), ["all", "kill", "late", "hand_over"], 79),
     "votes for shorter logs": ("Leaders", of_replica(VotesForShortLogs), CUTS),
-    "commits by an old term": ("Logs", of_office(CommitsOldTerms), CUTS),
+    "commits by an old term": ("Logs", of_leader_state(CommitsOldTerms), CUTS),
     "counts a learner as voter": ("Logs", of_replica(CountsLearners), ["wipe", "cut", "cut_pair"]),
     "commits by a minority": ("Logs", of_replica(CountsMinority), []),
     "leads by a minority": ("Leaders", of_replica(ElectedByFew), CUTS),
-    "local reads as of now": ("Linearizability", of_dispatcher(reads_at_once), []),
-    "reads without a round": ("Linearizability", of_office(ReadsWithoutRound), ["cut"]),
-    "cuts off what is committed": ("Logs", of_following(CutsWhatItHas), ["late", "twice"]),
-    "seats without a folder": ("Votes", of_replica(SeatsWithoutFolder), ["impostor", "kill", "all"]),
-    "an old folder's id again": ("Votes", {"setup": same_folder}, ["impostor", "kill", "all"]),
-    "ids forgotten by a restart": ("SameState", of_dispatcher(forgets_ids), ["kill"]),
+    "reads without the leader": ("Linearizability", of_dispatcher(reads_at_once), []),
+    "reads without a round": ("Linearizability", of_leader_state(ReadsWithoutRound), ["cut"]),
+    "truncates committed entries": ("Logs", of_follower_state(TruncatesOnDuplicates), ["late", "twice"]),
+    "ignores folders": ("Votes", of_replica(IgnoresFolders), ["impostor", "kill", "all"]),
+    "reuses a folder id": ("Votes", {"setup": reuses_folder_id}, ["impostor", "kill", "all"]),
+    "forgets ids on restart": ("SameState", of_dispatcher(forgets_ids), ["kill"]),
     "applies twice after a snapshot": ("SameState", of_dispatcher(applies_twice), ["kill", "all"]),
-    "a state that depends on the member": ("SameState", of_dispatcher(odd), []),
+    "state depends on the member": ("SameState", of_dispatcher(depends_on_member), []),
     "answers before commit": ("CommandOutcomes", of_dispatcher(answers_at_once), []),
-    "goes on without its disk": ("Acknowledged", of_dispatcher(goes_on_without_disk), ["broken_disk"]),
-    "unknown told as not done": ("CommandOutcomes", of_replica(SaysNotDone), ["burst", "kill", "pause"], 78),
-    "takes no snapshot": ("Live", of_following(TakesNoSnapshot), ["wipe", "kill_long"]),
+    "ignores disk failure": ("Acknowledged", of_dispatcher(ignores_disk_failure), ["broken_disk"]),
+    "reports unknown as not done": (
+        "CommandOutcomes",
+        of_replica(ReportsNotDone),
+        ["burst", "kill", "pause"],
+        78,
+    ),
+    "ignores snapshots": ("Live", of_follower_state(IgnoresSnapshots), ["wipe", "kill_long"]),
 }
 
 
-@pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_put_in_on_purpose_is_caught(fault):
-    judge, put_in, kinds, first = (*FAULTS[fault], 0)[:4]
+@pytest.mark.parametrize("variant", FAULTY_VARIANTS)
+def test_faulty_variant_is_caught(variant):
+    checker, injected, kinds, first = (*FAULTY_VARIANTS[variant], 0)[:4]
     seen = set()
-    for seed in range(first, first + MOST):
-        broken = play(draw(seed, kinds), **put_in).violation
+    for seed in range(first, first + MAX_SCHEDULES):
+        broken = play(draw(seed, kinds), **injected).violation
         if broken is not None:
             seen.add(broken.checker)
-            if judge == broken.checker:
+            if checker == broken.checker:
                 return
-    pytest.fail(f"{judge} saw nothing in {MOST} schedules; others: {seen}")
+    pytest.fail(f"{checker} caught nothing in {MAX_SCHEDULES} schedules; others: {seen}")
 
 
-def test_a_fault_is_shrunk_to_a_schedule_that_plays_again():
-    judge, put_in, kinds = FAULTS["an old folder's id again"]
-    schedule = next(one for one in (draw(seed, kinds) for seed in range(MOST)) if breaks(one, judge, put_in))
-    short = shrink(schedule, lambda one: breaks(one, judge, put_in))
+def test_broken_schedule_shrinks_and_replays():
+    checker, injected, kinds = FAULTY_VARIANTS["reuses a folder id"]
+    schedule = next(
+        one for one in (draw(seed, kinds) for seed in range(MAX_SCHEDULES)) if breaks(one, checker, injected)
+    )
+    short = shrink(schedule, lambda one: breaks(one, checker, injected))
     assert len(short.faults) < len(schedule.faults)
     assert [fault.kind for fault in short.faults].count("impostor") == 1
-    again = eval(repr(short), {"Schedule": Schedule, "InjectedFault": InjectedFault})
-    assert again == short and breaks(again, judge, put_in) and not breaks(again, judge, {})
+    replayed = eval(repr(short), {"Schedule": Schedule, "InjectedFault": InjectedFault})
+    assert replayed == short and breaks(replayed, checker, injected) and not breaks(replayed, checker, {})
 
 
-def breaks(schedule, judge, put_in):
-    broken = play(schedule, **put_in).violation
-    return broken is not None and broken.checker == judge
+def breaks(schedule, checker, injected):
+    broken = play(schedule, **injected).violation
+    return broken is not None and broken.checker == checker
--- a/tests/test_simulated_whole.py
+++ b/tests/test_simulated_whole.py
@@ -1,5 +1,5 @@
-"""Two whole clusters in the simulated world: real replicas, drains, moves, gateways that follow, nodes that
-obey. Longer runs: `python -m benchmarks.schedules --whole`."""
+"""Two whole clusters in the simulated world, with replicas, drains, moves, gateways and nodes. Longer runs:
+`python -m benchmarks.schedules --whole`."""
 
 import pytest
 
@@ -14,18 +14,18 @@
 from lemonlead.standins.simulated.world import SECOND
 
 
-SHORT = 5_000  # milliseconds in which troubles begin
+SHORT_SPAN_MS = 5_000  # in which faults begin
 
 
-def stands(schedule):
-    """Plays it; fails with its shortest form where it breaks something."""
-    played = play(schedule, WholePlay, span=SHORT)
+def assert_unbroken(schedule):
+    """Plays the schedule; fails with a shortened form of it if it breaks an invariant."""
+    played = play(schedule, WholePlay, span=SHORT_SPAN_MS)
     if played.violation is not None:
-        judge = played.violation.checker
+        checker = played.violation.checker
 
         def fails(one):
-            broken = play(one, WholePlay, span=SHORT).violation
-            return broken is not None and broken.checker == judge
+            broken = play(one, WholePlay, span=SHORT_SPAN_MS).violation
+            return broken is not None and broken.checker == checker
 
         pytest.fail(f"{played.violation}\n{shrink(schedule, fails, 20)}")
     return played
@@ -33,20 +33,20 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_drawn_schedules_break_nothing(seed):
-    stands(draw(seed, span=SHORT))
+    assert_unbroken(draw(seed, span=SHORT_SPAN_MS))
 
 
-def test_the_command_plays_them_too(capsys):
+def test_command_plays_whole_clusters(capsys):
     assert schedules.main(["--whole", "--count", "1", "--jobs", "1", "--faults", "clusters"]) == 0
     assert "slowest to end" in capsys.readouterr().out
     assert schedules.main(["--faults", "clusters"]) == 2
 
 
-# ---- faults put in on purpose
+# ---- faulty gateways, nodes and rules, which a checker has to catch
 
 
-class Early(Gateway):
-    """Acknowledges what it heard, and obeys it only later."""
+class AcknowledgesEarly(Gateway):
+    """Acknowledges an update at once and applies it 2 s later."""
 
     def merge_update(self, update):
         if update.whole:
@@ -55,15 +55,15 @@
         return update
 
 
-class SlowToMove(Gateway):
-    """Obeys permits at once, and the shares of moves only later."""
+class DelaysMoves(Gateway):
+    """Applies permits at once and the shares of moves 4 s later."""
 
     def moves_changed(self, changes):
         self.world.after(4 * SECOND, super().moves_changed, changes)
 
 
-class Forgetful(Node):
-    """Obeys the first permit that it ever had, again and again."""
+class ReusesPermit(Node):
+    """Obeys its first permit again and again."""
 
     first = None
 
@@ -74,32 +74,32 @@
         super().permit_read(number, sent, at, self.first or permit)
 
 
-def frees_early(name):
-    """A destination that lets go what it holds as the requests come."""
-    made = assembly.make_ledger()
+def releases_early(name):
+    """Rules of a destination that releases its hold as the requests arrive."""
+    ledger = assembly.make_ledger()
 
-    def warm(draft, command):
-        told = rules.warm_hold(draft, command)
-        if told["warm"]:
-            rules.release_hold(draft, command.key, draft.get("holds", command.key), "")
-        return told
+    def warm(transaction, command):
+        answer = rules.warm_hold(transaction, command)
+        if answer["warm"]:
+            rules.release_hold(transaction, command.key, transaction.get("holds", command.key), "")
+        return answer
 
-    return Ledger({**made.rules, rules.HoldWarm: warm}, made.kinds, made.inner)
+    return Ledger({**ledger.rules, rules.HoldWarm: warm}, ledger.kinds, ledger.inner)
 
 
 @pytest.mark.parametrize(
-    "made, says",
+    "replacements, message",
     [
-        ({"gateway": Early}, "may send to it"),
-        ({"gateway": SlowToMove}, "let go while"),
-        ({"node": Forgetful}, "goes down"),
-        ({"ledger": frees_early}, "dropped there while its source"),
+        ({"gateway": AcknowledgesEarly}, "may send to it"),
+        ({"gateway": DelaysMoves}, "let go while"),
+        ({"node": ReusesPermit}, "goes down"),
+        ({"ledger": releases_early}, "dropped there while its source"),
     ],
 )
-def test_a_fault_put_in_on_purpose_is_caught(made, says):
+def test_faulty_class_is_caught(replacements, message):
     seen = []
     for seed in range(2, 30):
-        seen.append(str(play(draw(seed), WholePlay, **made).violation))
-        if says in seen[-1]:
+        seen.append(str(play(draw(seed), WholePlay, **replacements).violation))
+        if message in seen[-1]:
             return
     pytest.fail(str(seen))
