--- a/lemonlead/standins/distributed/gateways.py
+++ b/lemonlead/standins/distributed/gateways.py
@@ -19,17 +19,22 @@
     the class of its subscriber."""
 
     def __init__(self, play, name, region, scopes, relays, make_subscriber=Subscriber):
-        self.play, self.world, self.links, self.make_subscriber = (
-            play,
-            play.world,
-            play.links,
-            make_subscriber,
-        )
-        self.name, self.region, self.scopes, self.relays = name, region, scopes, relays
+        self.play = play
+        self.world = play.world
+        self.links = play.links
+        self.make_subscriber = make_subscriber
+        self.name = name
+        self.region = region
+        self.scopes = scopes
+        self.relays = relays
         self.rng = random.Random(f"gateway {play.schedule.seed} {name}")
         self.clock_offset = self.rng.randint(1, 10**6) * SECOND
         self.clock_rate = 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
-        self.clock_jump, self.incarnation, self.up, self.frozen, self.queued_inputs = 0, 0, False, False, []
+        self.clock_jump = 0
+        self.incarnation = 0
+        self.up = False
+        self.frozen = False
+        self.queued_inputs = []
 
     def now(self):
         return self.clock_offset + round(self.world.now * self.clock_rate) + self.clock_jump
@@ -45,13 +50,11 @@
         self.subscriber = self.make_subscriber(
             self.name, self.region, list(self.scopes), list(self.relays), self.rng.randrange(1 << 30)
         )
-        self.in_force, self.stream, self.pending_subscribe, self.pending_acknowledgement, self.next_wakeup = (
-            {},
-            None,
-            None,
-            None,
-            None,
-        )
+        self.in_force = {}
+        self.stream = None
+        self.pending_subscribe = None
+        self.pending_acknowledgement = None
+        self.next_wakeup = None
         self.cluster = ""  # whose state it has, by the first line that it accepted
         self.play.notify("gateway_started", self)
         self.turn()
--- a/lemonlead/standins/distributed/links.py
+++ b/lemonlead/standins/distributed/links.py
@@ -46,7 +46,10 @@
     def __init__(self, links, relay, gateway, incarnation, on_data, on_end, on_lost, on_room):
         self.links, self.world = links, links.world
         self.relay, self.gateway, self.incarnation = relay, gateway, incarnation
-        self.on_data, self.on_end, self.on_lost, self.on_room = on_data, on_end, on_lost, on_room
+        self.on_data = on_data
+        self.on_end = on_end
+        self.on_lost = on_lost
+        self.on_room = on_room
         self.unsent, self.bytes_in_flight, self.blocked_since = [], 0, None
         self.arrival_scheduled = False
         self.closed_by_sender = self.closed_by_reader = False  # at the relay, at the gateway
--- a/lemonlead/standins/distributed/log.py
+++ b/lemonlead/standins/distributed/log.py
@@ -11,7 +11,10 @@
     `reported_index`: the index up to which members report. `is_silent`: whether they report nothing."""
 
     def __init__(self, cluster):
-        self.cluster, self.entries, self.history, self.stamps = cluster, [], {}, {}
+        self.cluster = cluster
+        self.entries = []
+        self.history = {}
+        self.stamps = {}
         self.keys = {}  # scope to all keys that it ever had
         self.changed_indexes = {}  # scope to the indexes of its changes
         self.reported_index, self.is_silent = 0, False
--- a/lemonlead/standins/distributed/relays.py
+++ b/lemonlead/standins/distributed/relays.py
@@ -27,13 +27,19 @@
 
     def __init__(self, play, name, region, log, rate, burst, classes=None):
         self.play, self.world, self.links = play, play.world, play.links
-        self.name, self.region, self.log, self.own_log = name, region, log, log
+        self.name = name
+        self.region = region
+        self.log = log
+        self.own_log = log
         self.rate, self.burst = rate, burst
         self.classes = {"store": Store, "outbox": Outbox, "acknowledged": Acknowledgements, **(classes or {})}
         self.rng = random.Random(f"relay {play.schedule.seed} {name}")
         self.clock_offset = self.rng.randint(1, 10**6) * SECOND
         self.clock_rate = 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
-        self.clock_jump, self.incarnation, self.up, self.frozen = 0, 0, False, False
+        self.clock_jump = 0
+        self.incarnation = 0
+        self.up = False
+        self.frozen = False
         self.is_lagging = False  # it doesn't poll the log
         self.line_fault = None  # how lines are spoiled: (name, share of the lines)
         self.queued_inputs = []
@@ -51,7 +57,10 @@
         self.incarnation += 1
         self.store = self.classes["store"](self.log.cluster, kept=STORE_KEPT_CHANGES)
         self.acknowledged = self.classes["acknowledged"](LEASE, GRACE, self.now())
-        self.streams, self.outboxes, self.wakeups, self.last_contact = {}, {}, {}, {}
+        self.streams = {}
+        self.outboxes = {}
+        self.wakeups = {}
+        self.last_contact = {}
         self.log_read_at, self.started = self.now(), self.world.now
         if older:
             self.store.replace(self.log.cluster, older, self.log.state(older))
--- a/lemonlead/standins/simulated/calls.py
+++ b/lemonlead/standins/simulated/calls.py
@@ -13,8 +13,14 @@
     state that a read returns."""
 
     def __init__(self, cluster, endpoint, host, on_end, timeout, id="", part=""):
-        self.cluster, self.world, self.endpoint, self.host = cluster, cluster.world, endpoint, host
-        self.on_end, self.id, self.part, self.ended = on_end, id, part, False
+        self.cluster = cluster
+        self.world = cluster.world
+        self.endpoint = endpoint
+        self.host = host
+        self.on_end = on_end
+        self.id = id
+        self.part = part
+        self.ended = False
         self.world.after(timeout, self.end, 0, {})
 
     def send(self, input, *args):
--- a/lemonlead/standins/simulated/checks.py
+++ b/lemonlead/standins/simulated/checks.py
@@ -278,7 +278,8 @@
 
     def __init__(self, same_state):
         self.same_state = same_state  # SameState
-        self.sites, self.held = {}, {}  # site to units; reservation to (site, units)
+        self.sites = {}  # site to units
+        self.held = {}  # reservation to (site, units)
         self.codes, self.bodies, self.unchecked_answers = {}, {}, []
         self.tickets = []
 
--- a/lemonlead/standins/simulated/clients.py
+++ b/lemonlead/standins/simulated/clients.py
@@ -16,7 +16,10 @@
     """One call of a PendingRequest to one member. `answers`: how many responses the member gave."""
 
     def __init__(self, request, number):
-        self.request, self.number, self.answers, self.outcome = request, number, 0, UNKNOWN
+        self.request = request
+        self.number = number
+        self.answers = 0
+        self.outcome = UNKNOWN
 
     @property
     def id(self):
@@ -48,7 +51,11 @@
 
     def __init__(self, cluster, endpoint, id, data, on_end, site="", tries=MAX_TRIES, seed=0):
         self.cluster, self.world, self.endpoint = cluster, cluster.world, endpoint
-        self.id, self.data, self.on_end, self.site, self.tries = id, data, on_end, site, tries
+        self.id = id
+        self.data = data
+        self.on_end = on_end
+        self.site = site
+        self.tries = tries
         self.rng = random.Random(f"asking {seed} {endpoint} {id}")
         self.tickets, self.ended = [], False
 
@@ -98,10 +105,17 @@
     seventh command is sent again after its response, with the same id, to any member."""
 
     def __init__(self, cluster, name, site, seed, until, mean_gap=350 * MS):
-        self.cluster, self.name, self.site, self.until, self.mean_gap = cluster, name, site, until, mean_gap
+        self.cluster = cluster
+        self.name = name
+        self.site = site
+        self.until = until
+        self.mean_gap = mean_gap
         self.world = cluster.world
         self.rng = random.Random(f"client {seed} {name}")
-        self.seed, self.number, self.observed, self.requests = seed, 0, [], []
+        self.seed = seed
+        self.number = 0
+        self.observed = []
+        self.requests = []
 
     def start(self, world):
         self.schedule_next()
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -34,7 +34,11 @@
     names of its instances, which discovery reports as ready all the time."""
 
     def __init__(self, cluster, name, service, nodes, seed):
-        self.cluster, self.name, self.service, self.nodes, self.seed = cluster, name, service, nodes, seed
+        self.cluster = cluster
+        self.name = name
+        self.service = service
+        self.nodes = nodes
+        self.seed = seed
         self.world, self.endpoint, self.incarnation = cluster.world, name, 0
         self.rng = random.Random(f"gateway {seed} {name}")
         self.poll_listeners = []  # function(gateway, host, index), called as a poll reaches a member
@@ -50,7 +54,8 @@
         self.polling = LedgerPolling(self.name, boot, members, self.rng.random(), ("moves",), self.service)
         self.merge, self.parts, self.moves = Merge(), [], {}
         self.merge.listed([DiscoveredInstance(node) for node in self.nodes], {}, True)
-        self.has_state, self.sent_at = False, {}  # sent_at: command id to the time at which it was first sent
+        self.has_state = False
+        self.sent_at = {}  # command id to the time at which it was first sent
         self.leased_from = NEVER  # when the last call was sent that renewed its lease
         self.turn(self.incarnation)
 
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -64,12 +64,10 @@
         snapshot_every=10,
     ):
         self.world, self.id, self.ledger, self.checkers = world, id, ledger, list(checkers)
-        self.make_leader_tasks, self.make_dispatcher, self.make_disk, self.make_config = (
-            make_leader_tasks,
-            make_dispatcher,
-            make_disk,
-            make_config,
-        )
+        self.make_leader_tasks = make_leader_tasks
+        self.make_dispatcher = make_dispatcher
+        self.make_disk = make_disk
+        self.make_config = make_config
         self.snapshot_every = snapshot_every
         self.listeners = {}  # event to the methods of the checkers that override it
         self.hosts, self.folders = {}, 0
@@ -140,7 +138,10 @@
     """A machine. `dispatcher` is None while its process is down. `gone`: its disk is lost for good."""
 
     def __init__(self, cluster, name, disk):
-        self.cluster, self.world, self.name, self.disk = cluster, cluster.world, name, disk
+        self.cluster = cluster
+        self.world = cluster.world
+        self.name = name
+        self.disk = disk
         self.rng = random.Random(f"host {self.world.seed} {disk.folder}")
         self.clock_offset = self.rng.randint(0, 10**6) * SECOND
         self.clock_rate = 1 + self.rng.uniform(-0.01, 0.01)
@@ -172,13 +173,11 @@
         config = self.cluster.make_config(
             self.cluster.id, self.name, self.disk.folder, self.rng.randrange(1 << 30)
         )
-        self.incoming_chunks, self.queued_inputs, self.paused, self.next_wakeup, self.steps_until_kill = (
-            None,
-            [],
-            False,
-            None,
-            None,
-        )
+        self.incoming_chunks = None
+        self.queued_inputs = []
+        self.paused = False
+        self.next_wakeup = None
+        self.steps_until_kill = None
         self.dispatcher = self.cluster.make_dispatcher(self, config, stored, state, self.now())
         self.cluster.notify("host_started", self)
         self.turn()
@@ -375,7 +374,10 @@
     CALL_TIMEOUT = 1 * SECOND
 
     def __init__(self, world, host, call):
-        self.world, self.host, self.call, self.ended = world, host, call, False
+        self.world = world
+        self.host = host
+        self.call = call
+        self.ended = False
         self.incarnation = host.incarnation
 
     def start(self):
--- a/lemonlead/standins/simulated/nodes.py
+++ b/lemonlead/standins/simulated/nodes.py
@@ -16,7 +16,10 @@
     """`on_down`: function(node), called as the node goes down. `lease`: nanoseconds."""
 
     def __init__(self, cluster, name, lease, seed, on_down):
-        self.cluster, self.world, self.name, self.endpoint = cluster, cluster.world, name, name
+        self.cluster = cluster
+        self.world = cluster.world
+        self.name = name
+        self.endpoint = name
         self.lease, self.on_down = lease, on_down
         self.rng = random.Random(f"node {seed} {name}")
         self.state, self.report_number, self.poll_number = SERVING, 0, 0
--- a/lemonlead/standins/simulated/whole_checks.py
+++ b/lemonlead/standins/simulated/whole_checks.py
@@ -92,7 +92,10 @@
 
     def cluster_formed(self, cluster, state, base):
         settings = state.settings
-        self.state, self.term, self.answers, self.unchecked_answers = state, state.term, {}, []
+        self.state = state
+        self.term = state.term
+        self.answers = {}
+        self.unchecked_answers = []
         self.drains = drain_checks.Watch(
             settings.lease, settings.grace * CLOCK_MARGIN, settings.cold_share, settings.site_share
         )
