--- a/lemonlead/standins/distributed/gateways.py
+++ b/lemonlead/standins/distributed/gateways.py
@@ -71,8 +71,8 @@
 
     def resume(self):
         if self.frozen:
-            self.frozen, waiting, self.queued_inputs = False, self.queued_inputs, []
-            for incarnation, function, args in waiting:
+            self.frozen, queued, self.queued_inputs = False, self.queued_inputs, []
+            for incarnation, function, args in queued:
                 if incarnation == self.incarnation and self.up:
                     function(*args)
             if self.up:
--- a/lemonlead/standins/distributed/links.py
+++ b/lemonlead/standins/distributed/links.py
@@ -85,6 +85,7 @@
             self.links.carry(self.gateway, self.relay, self.gone)
 
     def gone(self):
+        """The relay learned that nobody reads the stream."""
         if not self.closed_by_sender:
             self.closed_by_sender = True
             self.unsent.clear()
@@ -96,6 +97,7 @@
             self.world.after(self.links.delay(), self.arrive)
 
     def arrive(self):
+        """Delivers the unsent data. Tries again later if the line is cut or the gateway is frozen."""
         self.arrival_scheduled, now = False, self.world.now
         if self.closed_by_reader:
             self.unsent.clear()
--- a/lemonlead/standins/distributed/relays.py
+++ b/lemonlead/standins/distributed/relays.py
@@ -83,9 +83,9 @@
 
     def resume(self):
         if self.frozen:
-            self.frozen, waiting, self.queued_inputs = False, self.queued_inputs, []
-            self.rng.shuffle(waiting)  # after a pause a process reads its sockets in any order
-            for incarnation, function, args in waiting:
+            self.frozen, queued, self.queued_inputs = False, self.queued_inputs, []
+            self.rng.shuffle(queued)  # after a pause a process reads its sockets in any order
+            for incarnation, function, args in queued:
                 if incarnation == self.incarnation and self.up:
                     function(*args)
 
@@ -184,8 +184,8 @@
             self.acknowledged.stream_ended(self.now(), stream.gateway, stream.subscription_id)
 
     def acknowledge(self, gateway, incarnation, body, answer):
-        """`last_contact` is for the checkers: gateway to the time, the process and the scopes of its last
-        request."""
+        """Takes an acknowledgement and notes the gateway's last contact, which only the checkers read: the
+        time, the process and the scopes."""
         request, good = parse_body(body, Acknowledgement), False
         if request.cluster == self.store.cluster:
             reported = request.complete, request.refused, request.stay
--- a/lemonlead/standins/distributed/schedules.py
+++ b/lemonlead/standins/distributed/schedules.py
@@ -4,10 +4,10 @@
 import random
 
 from lemonlead.standins.simulated import schedules as plain
-from lemonlead.standins.simulated.schedules import PlayResult, Schedule, InjectedFault, shrink
+from lemonlead.standins.simulated.schedules import InjectedFault, PlayResult, Schedule, shrink
 from lemonlead.standins.simulated.world import InvariantViolation, World
 
-from .checks import EQUAL_WITHIN, Everywhere, Checker, all_checkers
+from .checks import EQUAL_WITHIN, Checker, Everywhere, all_checkers
 from .gateways import Gateway
 from .links import MS, SECOND, Links
 from .log import SERVICES, Changes, Log
--- a/lemonlead/standins/simulated/checks.py
+++ b/lemonlead/standins/simulated/checks.py
@@ -86,12 +86,12 @@
         if write.base is not None:
             for index in [index for index in log if index <= write.base.index]:
                 del log[index]
-            committed_entry = self.committed.get(write.base.index)
+            base_entry = self.committed.get(write.base.index)
             if (
-                committed_entry is None
+                base_entry is None
                 and write.base.index > self.base.index
-                or committed_entry
-                and committed_entry.term != write.base.term
+                or base_entry
+                and base_entry.term != write.base.term
             ):
                 self.fail(f"{host.name} takes a snapshot as of {write.base.index}, never committed so")
             self.bases[folder] = write.base
@@ -129,6 +129,7 @@
         return {member[1] for member in json.loads(entry.data).values() if len(member) < 3 or member[2]}
 
     def majority(self, entry, voters):
+        """Returns whether the disks of a majority of the voters have held the entry or a snapshot of it."""
         held = self.ever_on_disk.get((entry.index, entry.term), ())
         have = sum(folder in held or self.snapshot_index.get(folder, 0) >= entry.index for folder in voters)
         return 2 * have > len(voters)
--- a/lemonlead/standins/simulated/gateways.py
+++ b/lemonlead/standins/simulated/gateways.py
@@ -80,31 +80,31 @@
         if incarnation != self.incarnation or self.polling.left:
             return
         now = self.world.now
-        command = self.polling.next(now)
-        if command is None:
+        request = self.polling.next(now)
+        if request is None:
             wake = max(self.polling.not_before - now, 10 * MS)
             return self.world.after(wake, self.turn, incarnation)
-        host = self.cluster.hosts.get(command.address.split(":")[0])
+        host = self.cluster.hosts.get(request.address.split(":")[0])
         if host is None:
             self.polling.failed(now)
             return self.turn(incarnation)
 
         def on_end(code, body):
             if incarnation == self.incarnation:
-                self.call_ended(command, now, code, body)
+                self.call_ended(request, now, code, body)
                 self.world.after(MS, self.turn, incarnation)
 
-        call = Call(self.cluster, self.endpoint, host, on_end, CALL_TIMEOUT, part=command.part)
-        if command.kind == STATE:
+        call = Call(self.cluster, self.endpoint, host, on_end, CALL_TIMEOUT, part=request.part)
+        if request.kind == STATE:
             call.send(host.read, call)
-        elif command.kind == EVENTS:
+        elif request.kind == EVENTS:
             call.send(
                 self.poll, host, self.polling.applied_index, self.polling.followed_since, call, incarnation
             )
         else:
-            call.id = json.loads(command.body)["id"]
+            call.id = json.loads(request.body)["id"]
             self.sent_at.setdefault(call.id, now)
-            call.send(host.command, command.body, call)
+            call.send(host.command, request.body, call)
 
     def poll(self, host, after, since, call, incarnation):
         if incarnation == self.incarnation:
@@ -112,7 +112,7 @@
                 listener(self, host, after)
         host.poll(after, self.name, call, since, responses.POLLED_PARTS)
 
-    def call_ended(self, command, sent, code, body):
+    def call_ended(self, request, sent, code, body):
         """Handles a response as the real driver does."""
         polling, now = self.polling, self.world.now
         if code == 0:
@@ -124,20 +124,20 @@
         if code == 200 and not polling.check_cluster(now, responses.cluster_id(body)):
             self.parts = []
             return None
-        if command.kind == FOLLOW:
+        if request.kind == FOLLOW:
             if code != 200:
                 return polling.follow_refused(now)
-            self.leased_from = self.sent_at[json.loads(command.body)["id"]]
+            self.leased_from = self.sent_at[json.loads(request.body)["id"]]
             return polling.follow_accepted(now, responses.parse_whole_number(body, "at"))
-        if command.kind == VOTE:
-            return polling.vote_answered(command.command_number)
-        if command.kind == STATE:
-            return self.state_received(command, body)
+        if request.kind == VOTE:
+            return polling.vote_answered(request.command_number)
+        if request.kind == STATE:
+            return self.state_received(request, body)
         return self.events_received(sent, body)
 
-    def state_received(self, command, body):
-        self.parts.append(responses.parse_state(body, command.part))
-        if self.polling.part_received(command.part):
+    def state_received(self, request, body):
+        self.parts.append(responses.parse_state(body, request.part))
+        if self.polling.part_received(request.part):
             parts, self.parts = self.parts, []
             if not self.apply(responses.join_updates(parts), ""):
                 self.polling.restart_from_state()
--- a/lemonlead/standins/simulated/hosts.py
+++ b/lemonlead/standins/simulated/hosts.py
@@ -201,8 +201,8 @@
     def resume(self):
         if not self.paused:
             return
-        self.paused, waiting, self.queued_inputs = False, self.queued_inputs, []
-        for incarnation, input, args in waiting:
+        self.paused, queued, self.queued_inputs = False, self.queued_inputs, []
+        for incarnation, input, args in queued:
             if incarnation == self.incarnation and self.dispatcher is not None and not self.paused:
                 input(*args)
         self.turn()
--- a/lemonlead/standins/simulated/schedules.py
+++ b/lemonlead/standins/simulated/schedules.py
@@ -9,7 +9,7 @@
 from lemonlead.ledger.state import Ledger
 
 from .checks import CommandOutcomes, Linearizability, all_checkers
-from .clients import PendingRequest, Client, Operator, command
+from .clients import Client, Operator, PendingRequest, command
 from .disks import DiskContents
 from .history import Undecided
 from .hosts import Cluster, Host, default_dispatcher
--- a/lemonlead/standins/simulated/whole.py
+++ b/lemonlead/standins/simulated/whole.py
@@ -10,7 +10,7 @@
 from lemonlead.member import assembly
 
 from . import schedules
-from .clients import PendingRequest, Operator
+from .clients import Operator, PendingRequest
 from .gateways import Gateway
 from .hosts import Cluster
 from .nodes import SERVING, Node
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -15,7 +15,7 @@
 from lemonlead.standins.distributed import links
 from lemonlead.standins.distributed.checks import deep_size
 from lemonlead.standins.distributed.log import MAX_KEPT_ENTRIES, Changes, Log
-from lemonlead.standins.distributed.schedules import KINDS, Schedule, InjectedFault, draw, play, shrink
+from lemonlead.standins.distributed.schedules import KINDS, InjectedFault, Schedule, draw, play, shrink
 from lemonlead.standins.simulated.world import World
 
 MAX_SCHEDULES = 30  # schedules within which each injected fault has to be caught
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -26,7 +26,7 @@
     find_inconsistent_call,
 )
 from lemonlead.standins.simulated.network import Network, garble, pack, unpack
-from lemonlead.standins.simulated.schedules import KINDS, Schedule, InjectedFault, draw, play, shrink
+from lemonlead.standins.simulated.schedules import KINDS, InjectedFault, Schedule, draw, play, shrink
 from lemonlead.standins.simulated.world import InvariantViolation
 
 
--- a/tests/test_simulated_faults.py
+++ b/tests/test_simulated_faults.py
@@ -16,7 +16,7 @@
 from lemonlead.ledger.replica import Replica
 from lemonlead.ledger.state import Ledger
 from lemonlead.standins.simulated.hosts import default_dispatcher
-from lemonlead.standins.simulated.schedules import Schedule, InjectedFault, draw, plain_ledger, play, shrink
+from lemonlead.standins.simulated.schedules import InjectedFault, Schedule, draw, plain_ledger, play, shrink
 
 MAX_SCHEDULES = 300  # within which each faulty variant has to be caught
 
