--- a/lemonlead/standins/simulated/whole_checks.py
+++ b/lemonlead/standins/simulated/whole_checks.py
@@ -21,7 +21,7 @@
 
     def __init__(self, names, settings, quorum):
         self.names, self.settings, self.quorum = names, settings, quorum
-        self.moves = move_checks.Watch(names)
+        self.moves = move_checks.MoveChecker(names)
         self.entries, self.gateways, self.nodes = {}, {name: [] for name in names}, {}
         self.services = {}  # service to its reservations, once all of them were made
 
@@ -96,7 +96,7 @@
         self.term = state.term
         self.answers = {}
         self.unchecked_answers = []
-        self.drains = drain_checks.Watch(
+        self.drains = drain_checks.DrainChecker(
             settings.lease, settings.grace * CLOCK_MARGIN, settings.cold_share, settings.site_share
         )
         self.cross_checks.entries[cluster.id] = self
@@ -105,14 +105,14 @@
         """A poll of a gateway reached a member."""
         leader = self.cluster.leader()
         if leader is host:
-            self.drains.heard(self.cluster.world.now, gateway.name, after)
+            self.drains.record_poll(self.cluster.world.now, gateway.name, after)
 
     def committed(self, entry):
         now, cross_checks = self.cluster.world.now, self.cross_checks
         self.state, applied = self.ledger.apply(self.state, entry)
         if entry.term != self.term:
             self.term = entry.term
-            self.drains.office, self.drains.acked = now, {}
+            self.drains.leader_start, self.drains.polls = now, {}
         command = json.loads(entry.data) if entry.what == COMMAND else {}
         if command.get("id"):
             self.answers.setdefault(command["id"], (applied.code, applied.body))
--- a/tests/test_member.py
+++ b/tests/test_member.py
@@ -45,7 +45,7 @@
 def run_with_changed_settings(cluster, capsys, replacements):
     """Starts a member with a changed settings file that it cannot use, and returns (exit code, its message).
     `replacements`: old text to new text."""
-    path = cluster.settings("g1")
+    path = cluster.write_settings("g1")
     changed = path.read_text()
     for old, new in replacements.items():
         assert old in changed
@@ -357,7 +357,7 @@
     assert (code, answer["outcome"], answer["error"]["type"]) == (503, "not done", "Outside")
     until(lambda: cluster.status(cluster.wait_leader())["bears"] == 0, "the member counts as lost")
 
-    cluster.place("g4")
+    cluster.assign_addresses("g4")
     address = cluster.addresses["g4"]
     not_running = cluster.run_command(id="add/0", kind="add", member="g4", address=address)
     assert not_running[0] == 409 and "--join" in not_running[1]["error"]["do"]
