--- a/lemonlead/commands/arguments.py
+++ b/lemonlead/commands/arguments.py
@@ -96,10 +96,10 @@
     if kind == DOUBLE and not math.isfinite(value):
         return "NaN" if value != value else "Infinity" if value > 0 else "-Infinity"
     if kind.name == "list":
-        return [to_json_value(item, kind.of) for item in value]
+        return [to_json_value(item, kind.item) for item in value]
     if kind.name == "map":
         return {
-            key if isinstance(key, str) else json.dumps(key): to_json_value(item, kind.of)
+            key if isinstance(key, str) else json.dumps(key): to_json_value(item, kind.item)
             for key, item in value.items()
         }
     return value
--- a/lemonlead/commands/rules.py
+++ b/lemonlead/commands/rules.py
@@ -186,7 +186,7 @@
     told = {
         "set": rules.cost,
         "rules": [{"rule": rule.name, "cost": rule.cost} for rule in dearest],
-        "index": rules.index.read(),
+        "index": rules.index.describe(),
     }
     if as_json:
         return click.echo(json.dumps(told))
--- a/lemonlead/gateway/request_rules.py
+++ b/lemonlead/gateway/request_rules.py
@@ -141,7 +141,7 @@
 
     def log_counts(self):
         """Logs the counts of the rule sets in force."""
-        active, (kinds, differences) = self.active_rules.active, self.active_rules.read()
+        active, (kinds, differences) = self.active_rules.active, self.active_rules.read_counts()
         counts_by_kind = {
             kind: " ".join(f"{name}:{count}" for name, count in list(counts.items())[:MAX_RULES_LOGGED])
             for kind, counts in kinds.items()
--- a/lemonlead/matching/__init__.py
+++ b/lemonlead/matching/__init__.py
@@ -1,10 +1,11 @@
-"""Expressions over requests, and ordered rules made of them.
+"""Expressions over requests, and ordered sets of rules made of them.
 
-An expression is read (`lexer`, `parser`), given a type and a worst-case cost (`checker`, by `kinds`,
-`declared` and `functions`) and made into something that runs (`exact`, `quick`; `expression` joins both).
-Rules (`rules`) are expressions with what they give a request; `index` finds the first that matches without
-asking all of them; `standing` holds the set in force and the one that is tried beside it.
+An expression is parsed (`lexer`, `parser`), checked for its type and worst-case cost (`checker`, with
+`kinds`, `request_fields` and `functions`) and compiled (`quick`, `exact`); `expression` combines these steps.
+A rule (`rules`) has an expression as its condition and further ones for what it gives a request. `index`
+finds the first rule that matches without evaluating all of them. `active_rules` holds the set in force and a
+shadow set that is compared with it.
 
-Nothing here but `load` reads a file, nothing a socket or a clock, and nothing sends or answers: what a rule
-gives is a request class, a key, a tenant and labels, and what it may never do is kept in `rules`. The
-gateway's way in is `lemonlead/gateway/request_rules.py`."""
+Only `load` reads files, and nothing here opens sockets, reads clocks or sends responses. A rule can give a
+request a request class, a key, a tenant and labels; `rules` enforces what no rule may do. The gateway uses
+this package through `lemonlead/gateway/request_rules.py`."""
--- a/lemonlead/matching/exact.py
+++ b/lemonlead/matching/exact.py
@@ -1,17 +1,18 @@
-"""A checked tree as closures: slower than `quick`, exact in all, and the one that says what went wrong.
+"""Compiles a checked tree to closures. They are slower than the code objects of `quick`, but follow the
+language exactly and report errors with their places.
 
-`&&` and `||` (and `all` and `exists`, which are chains of them) absorb an error on one side where the other
-side decides, as the language has it. So that an error costs no more than a value, inside it is one: each
-closure gives a value or an `Erred`, which is raised only at the end."""
+`&&` and `||` (and `all` and `exists`, which are chains of them) absorb an error of one operand if another
+operand decides the result. Each closure returns a value or an `Erred`, so that an error costs no more than a
+value; the error is raised only at the end."""
 
 import operator
 
 from . import tree
 from .faults import Erred
-from .functions import divided, ratio, remainder, within
+from .functions import divide, divide_floats, remainder, check_int64
 from .kinds import DOUBLE, DURATION, INT
 
-COMPARED = {
+COMPARISONS = {
     "==": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -20,37 +21,41 @@
     ">=": operator.ge,
 }
 ERRORS = (ArithmeticError, LookupError, ValueError, AttributeError)
-CHECKED = {
-    "+": lambda a, b: within(a + b),
-    "-": lambda a, b: within(a - b),
-    "*": lambda a, b: within(a * b),
-    "/": divided,
+INT_OPERATORS = {
+    "+": lambda a, b: check_int64(a + b),
+    "-": lambda a, b: check_int64(a - b),
+    "*": lambda a, b: check_int64(a * b),
+    "/": divide,
     "%": remainder,
 }
-FLOATS = {"+": operator.add, "-": operator.sub, "*": operator.mul, "/": ratio}
+FLOAT_OPERATORS = {"+": operator.add, "-": operator.sub, "*": operator.mul, "/": divide_floats}
 UNSET = object()
 
 
 def compile_tree(node):
-    """A function of a request (`declared.Asked`) that gives the value, or raises Erred."""
-    run = closure(node)
+    """Returns a function that evaluates the expression for a request (`RequestFields`). It raises Erred if
+    the expression has no value."""
+    run = compile_node(node)
 
     def value(lookup):
-        found = run({"lookup": lookup})
-        if type(found) is Erred:
-            raise Erred(found.message, found.line, found.column)  # a new one: those inside are shared
-        return found
+        result = run({"lookup": lookup})
+        if type(result) is Erred:
+            raise Erred(
+                result.message, result.line, result.column
+            )  # a new object, because some of the others are shared
+        return result
 
     return value
 
 
-def erred(node, error):
+def to_erred(node, error):
+    """Converts a Python exception to an Erred at the place of the node."""
     message = f"no entry {str(error.args[0])[:40]!r}" if isinstance(error, KeyError) else str(error)[:100]
     return Erred(message or type(error).__name__, node.line, node.column)
 
 
-def one(node, run, apply):
-    """`apply` to a value, once there is one."""
+def apply_one(node, run, apply):
+    """Returns a closure that applies a function to the value of `run`."""
 
     def at(names):
         value = run(names)
@@ -59,12 +64,12 @@
         try:
             return apply(value)
         except ERRORS as error:
-            return erred(node, error)
+            return to_erred(node, error)
 
     return at
 
 
-def two(node, left, right, apply):
+def apply_two(node, left, right, apply):
     def at(names):
         first = left(names)
         if type(first) is Erred:
@@ -75,12 +80,12 @@
         try:
             return apply(first, second)
         except ERRORS as error:
-            return erred(node, error)
+            return to_erred(node, error)
 
     return at
 
 
-def many(node, runs, apply):
+def apply_many(node, runs, apply):
     def at(names):
         values = []
         for run in runs:
@@ -91,107 +96,111 @@
         try:
             return apply(*values)
         except ERRORS as error:
-            return erred(node, error)
+            return to_erred(node, error)
 
     return at
 
 
-def closure(node):
-    """A function of the names in force: `lookup`, and what comprehensions bind."""
+def compile_node(node):
+    """Returns a closure whose argument holds the values by name: `lookup`, and what comprehensions bind."""
     match node:
         case tree.Literal(value=value):
             return lambda names: value
         case tree.Name(name=name):
             return lambda names: names[name]
         case tree.Field():
-            return field(node)
+            return read_field(node)
         case tree.Has(target=target, name=name):
             if target.kind.name == "map":
-                return one(node, closure(target), lambda value: name in value)
-            return one(node, closure(target), lambda value: hasattr(value, name))
+                return apply_one(node, compile_node(target), lambda value: name in value)
+            return apply_one(node, compile_node(target), lambda value: hasattr(value, name))
         case tree.Index(target=target, index=index):
-            apply = operator.getitem if target.kind.name == "map" else part
-            return two(node, closure(target), closure(index), apply)
+            apply = operator.getitem if target.kind.name == "map" else item_at
+            return apply_two(node, compile_node(target), compile_node(index), apply)
         case tree.Call():
             return call(node)
-        case tree.Unary(sign="!", operand=operand):
-            return one(node, closure(operand), operator.not_)
+        case tree.Unary(operator="!", operand=operand):
+            return apply_one(node, compile_node(operand), operator.not_)
         case tree.Unary(operand=operand):
-            whole = node.kind in (INT, DURATION)
-            return one(node, closure(operand), (lambda value: within(-value)) if whole else operator.neg)
+            is_int = node.kind in (INT, DURATION)
+            return apply_one(
+                node, compile_node(operand), (lambda value: check_int64(-value)) if is_int else operator.neg
+            )
         case tree.Binary():
             return binary(node)
-        case tree.Logic(sign=sign, operands=operands):
-            runs = [closure(operand) for operand in operands]
-            return lambda names: chain((run(names) for run in runs), sign == "||")
-        case tree.Choice():
-            return choice(closure(node.test), closure(node.yes), closure(node.no))
-        case tree.ListOf(items=items):
-            return many(node, [closure(item) for item in items], lambda *values: list(values))
-        case tree.MapOf(keys=keys, items=items):
-            runs = [closure(part) for pair in zip(keys, items, strict=True) for part in pair]
-            return many(node, runs, lambda *values: dict(zip(values[::2], values[1::2], strict=True)))
-        case tree.Each():
-            return each(node)
+        case tree.Logic(operator=sign, operands=operands):
+            runs = [compile_node(operand) for operand in operands]
+            return lambda names: evaluate_chain((run(names) for run in runs), sign == "||")
+        case tree.Conditional():
+            return conditional(
+                compile_node(node.condition), compile_node(node.if_true), compile_node(node.if_false)
+            )
+        case tree.ListLiteral(items=items):
+            return apply_many(node, [compile_node(item) for item in items], lambda *values: list(values))
+        case tree.MapLiteral(keys=keys, items=items):
+            runs = [compile_node(part) for pair in zip(keys, items, strict=True) for part in pair]
+            return apply_many(node, runs, lambda *values: dict(zip(values[::2], values[1::2], strict=True)))
+        case tree.Comprehension():
+            return comprehension(node)
     raise TypeError(node)
 
 
-def field(node):
-    run, name = closure(node.target), node.name
+def read_field(node):
+    run, name = compile_node(node.target), node.name
     if node.target.kind.name == "map":
-        return one(node, run, lambda value: value[name])
-    unset = Erred(f"lookup.{name} is past its declared bound, or not UTF-8", node.line, node.column)
+        return apply_one(node, run, lambda value: value[name])
+    missing = Erred(f"lookup.{name} is past its declared bound, or not UTF-8", node.line, node.column)
 
     def at(names):
         value = getattr(run(names), name, UNSET)
-        return unset if value is UNSET else value
+        return missing if value is UNSET else value
 
     return at
 
 
-def part(items, place):
+def item_at(items, place):
     if not 0 <= place < len(items):
         raise IndexError(f"no part {place} of {len(items)}")
     return items[place]
 
 
 def call(node):
-    values = [*([node.target] if node.target else []), *node.given]
-    runs = [closure(value) for value in values]
+    values = [*([node.target] if node.target else []), *node.arguments]
+    runs = [compile_node(value) for value in values]
     if node.function.literal:
-        made = node.function.made(node.given[-1].value)
-        runs[-1] = lambda names: made
-    return many(node, runs, node.function.run)
+        prepared = node.function.prepare(node.arguments[-1].value)
+        runs[-1] = lambda names: prepared
+    return apply_many(node, runs, node.function.run)
 
 
 def binary(node):
-    left, right = closure(node.left), closure(node.right)
-    if node.sign == "in":
+    left, right = compile_node(node.left), compile_node(node.right)
+    if node.operator == "in":
         apply = lambda value, held: value in held  # noqa: E731
-    elif node.sign in COMPARED:
-        apply = COMPARED[node.sign]
+    elif node.operator in COMPARISONS:
+        apply = COMPARISONS[node.operator]
     elif node.kind == DOUBLE:
-        apply = FLOATS[node.sign]
+        apply = FLOAT_OPERATORS[node.operator]
     elif node.kind in (INT, DURATION):
-        apply = CHECKED[node.sign]
+        apply = INT_OPERATORS[node.operator]
     else:
         apply = operator.add
-    return two(node, left, right, apply)
+    return apply_two(node, left, right, apply)
 
 
-def choice(test, yes, no):
+def conditional(condition, if_true, if_false):
     def at(names):
-        value = test(names)
+        value = condition(names)
         if type(value) is Erred:
             return value
-        return yes(names) if value else no(names)
+        return if_true(names) if value else if_false(names)
 
     return at
 
 
-def chain(values, decides):
-    """`||` where `decides` is True, `&&` where it is False: the first value that decides is the result,
-    whatever erred before it; without one, the first error is."""
+def evaluate_chain(values, decides):
+    """Evaluates `||` (`decides` is True) or `&&` (`decides` is False). The first value equal to `decides` is
+    the result, even after errors. Otherwise the first error is the result, if there is one."""
     error = None
     for value in values:
         if value is decides:
@@ -201,9 +210,9 @@
     return (not decides) if error is None else error
 
 
-def each(node):
-    over, name, body = closure(node.over), node.name, closure(node.body)
-    test = closure(node.test) if node.test is not None else None
+def comprehension(node):
+    over, name, body = compile_node(node.over), node.name, compile_node(node.body)
+    condition = compile_node(node.condition) if node.condition is not None else None
 
     def at(names):
         items = over(names)
@@ -211,10 +220,10 @@
             return items
         inner = ({**names, name: item} for item in items)
         if node.macro in ("exists", "all"):
-            return chain((body(bound) for bound in inner), node.macro == "exists")
-        made = []
+            return evaluate_chain((body(bound) for bound in inner), node.macro == "exists")
+        prepared = []
         for bound in inner:
-            fits = True if test is None else test(bound)
+            fits = True if condition is None else condition(bound)
             if type(fits) is Erred:
                 return fits
             if not fits:
@@ -223,9 +232,9 @@
             if type(value) is Erred:
                 return value
             if node.macro == "map":
-                made.append(value)
+                prepared.append(value)
             elif value:
-                made.append(bound[name])
-        return len(made) == 1 if node.macro == "exists_one" else made
+                prepared.append(bound[name])
+        return len(prepared) == 1 if node.macro == "exists_one" else prepared
 
     return at
--- a/lemonlead/matching/expression.py
+++ b/lemonlead/matching/expression.py
@@ -1,49 +1,53 @@
-"""An expression as the rest of the program has it: checked, with its type and cost, and ready to run."""
+"""Compiled expressions: checked, with their type and cost, and ready to evaluate."""
 
 import hashlib
 
 from . import exact, quick, tree
-from .checker import check, whole_cost
+from .checker import check, worst_case_cost
 from .faults import COST, TYPE, Fault
 from .parser import parse
 
-MOST_COST = 1_000_000  # steps past which nothing is made ready to run, whatever ceiling a set names
+MAX_COST = 1_000_000  # steps; the limit for every expression, whatever ceiling a rule set declares
 
 
 class Expression:
-    """`Expression(text, declared)` raises Fault where the text is not one. `kind` is its type, `cost` the
-    steps of one evaluation at worst, with what the request declares as its bounds."""
+    """An expression. The constructor raises Fault if the text is not a valid one, or not of the expected
+    type.
+
+    `kind` is its type. `cost` is the maximum number of steps of one evaluation for requests within the
+    limits."""
 
     __slots__ = ("text", "tree", "kind", "cost", "quick", "exact")
 
-    def __init__(self, text, limits, wanted=None):
+    def __init__(self, text, limits, expected_kind=None):
         self.text, self.tree = text, parse(text)
-        self.kind, self.cost = check(self.tree, limits), whole_cost(self.tree)
-        if self.cost > MOST_COST:
-            raise Fault(COST, f"may cost {self.cost} steps, {MOST_COST} allowed", *self.place())
-        if wanted is not None and self.kind != wanted:
-            raise Fault(TYPE, f"the expression is {self.kind}, {wanted} was expected", *self.place())
+        self.kind, self.cost = check(self.tree, limits), worst_case_cost(self.tree)
+        if self.cost > MAX_COST:
+            raise Fault(COST, f"may cost {self.cost} steps, {MAX_COST} allowed", *self.first_position())
+        if expected_kind is not None and self.kind != expected_kind:
+            raise Fault(
+                TYPE, f"the expression is {self.kind}, {expected_kind} was expected", *self.first_position()
+            )
         if self.kind.name == "lookup":
-            raise Fault(TYPE, "a lookup is no value: name one of its fields", *self.place())
-        self.quick, self.exact = (
-            quick.compile_tree(self.tree),
-            None,
-        )  # the exact form is made at the first error
+            raise Fault(TYPE, "a lookup is not a value: name one of its fields", *self.first_position())
+        # The exact form is compiled at the first error.
+        self.quick, self.exact = quick.compile_tree(self.tree), None
 
-    def place(self):
+    def first_position(self):
+        """Returns the line and column at which the expression begins."""
         first = min((node.line, node.column) for node in tree.walk(self.tree))
         return first
 
-    def value(self, asked):
-        """The value for a request; Erred where it has none."""
+    def value(self, request):
+        """Returns the value for a request. Raises Erred if it has none."""
         try:
-            return self.quick(asked)
+            return self.quick(request)
         except exact.ERRORS:
             if self.exact is None:
                 self.exact = exact.compile_tree(self.tree)
-            return self.exact(asked)
+            return self.exact(request)
 
 
 def digest(text):
-    """Twelve hexadecimal digits by which two texts are told apart."""
+    """Returns a short digest of a text: twelve hexadecimal digits."""
     return hashlib.sha256(text.encode()).hexdigest()[:12]
--- a/lemonlead/matching/faults.py
+++ b/lemonlead/matching/faults.py
@@ -1,21 +1,31 @@
-"""What is wrong with an expression, and where."""
+"""Faults of expressions: what is wrong, and at which place in the text."""
 
-SYNTAX, NAME, TYPE, COST, VALUE = "syntax", "name", "type", "cost", "value"
+# Codes of faults
+SYNTAX = "syntax"
+NAME = "name"
+TYPE = "type"
+COST = "cost"
+VALUE = "value"
 
 
 class Fault(Exception):
-    """One fault: its code (one of those above), what is wrong, and the line and column, both from 1."""
+    """A fault of an expression: its code (one of the above), a message, and the line and column, both counted
+    from 1."""
 
     def __init__(self, code, message, line=1, column=1):
         super().__init__(message)
-        self.code, self.message, self.line, self.column = code, message, line, column
+        self.code = code
+        self.message = message
+        self.line = line
+        self.column = column
 
     def as_dict(self):
         return {"code": self.code, "line": self.line, "column": self.column, "message": self.message}
 
 
 class Erred(Fault):
-    """An expression that was admitted gave no value for this request: division by zero, no such index, ..."""
+    """A valid expression has no value for a request, for example because of a division by zero or a missing
+    list index."""
 
     def __init__(self, message, line=1, column=1):
         super().__init__(VALUE, message, line, column)
--- a/lemonlead/matching/functions.py
+++ b/lemonlead/matching/functions.py
@@ -1,7 +1,7 @@
-"""The functions of the language: types, what they cost at worst, how large their results are, what they do.
+"""The functions of the language: their types, worst-case costs, bounds of their results, and implementations.
 
-Costs are in steps: one step is about what evaluating `lookup.repeat` takes, with the call. The figures were
-measured (`benchmarks/matching.py` prints time by cost for each function) and rounded up."""
+Costs are in steps. One step is about the time that evaluating `lookup.repeat` takes, the call included.
+`benchmarks/matching.py` prints the ratio of time to cost for each function."""
 
 import re
 from dataclasses import dataclass
@@ -17,38 +17,43 @@
     BYTES,
     DOUBLE,
     DURATION,
-    HIGHEST,
+    MAX_INT64,
     INT,
-    LOWEST,
+    MIN_INT64,
     STRING,
     Bounds,
     list_of,
 )
 
-LONGEST_PATTERN, PATTERN_MEMORY = 256, 1 << 18  # code points; bytes that RE2 may use for one pattern
-STRINGS = list_of(STRING)
+MAX_PATTERN_LENGTH = 256  # code points
+MAX_PATTERN_BYTES = 1 << 18  # memory that RE2 may use for one pattern
+STRING_LIST = list_of(STRING)
 UNITS = {"ns": 1, "us": 10**3, "ms": 10**6, "s": 10**9, "m": 60 * 10**9, "h": 3600 * 10**9}
-TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ns|us|ms|s|m|h)")
+DURATION_PART = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ns|us|ms|s|m|h)")
 
 
 @dataclass(frozen=True, slots=True)
 class Function:
-    """`on` is the type that it is called on, None where it stands alone. `cost` and `bounds` are called with
-    the bounds of all values, `bounds` may be None for what is bounded by its type. `inline`: the same as
-    `run` in Python's words. `literal`: its last value must be a literal, which `made` turns into what `run`
+    """One overload of a function.
+
+    `receiver` is the type of the value it is called on, None if it is not called on a value. `parameters` are
+    the types of its arguments, `result` is the type of its result. `cost` and `bounds` are functions of the
+    bounds of all values; `bounds` is None if the type of the result already bounds it. `run` computes the
+    result, and `inline` is a Python expression that does the same. `may_err`: it may have no result. If
+    `literal` is set, the last argument must be a literal, which `prepare` converts into the value that `run`
     gets."""
 
     name: str
-    on: object
-    takes: tuple
-    gives: object
+    receiver: object
+    parameters: tuple
+    result: object
     cost: object
     run: object
     bounds: object = None
     inline: str = ""
-    errs: bool = False
+    may_err: bool = False
     literal: bool = False
-    made: object = None
+    prepare: object = None
 
 
 def substring(text, start, end=None):
@@ -59,6 +64,7 @@
 
 
 def split(text, by, most=-1):
+    """Splits into at most `most` parts, or all if it is negative; an empty separator splits characters."""
     if most == 0:
         return []
     if not by:
@@ -67,80 +73,81 @@
     return text.split(by, most - 1 if most > 0 else -1)
 
 
-def hashed(value):
-    """XXH3 of the value's bytes in UTF-8, without its highest bit: 0 to 2**63 - 1."""
+def hash_value(value):
+    """Returns XXH3 of the value's bytes (in UTF-8) without its lowest bit: 0 to 2**63 - 1."""
     return xxhash.xxh3_64_intdigest(value.encode() if isinstance(value, str) else value) >> 1
 
 
-def pattern(text):
-    """A pattern made ready; Fault if it is none, or too large to be matched in its time."""
-    if len(text) > LONGEST_PATTERN:
-        raise Fault(COST, f"a pattern of {len(text)} characters, {LONGEST_PATTERN} allowed")
+def compile_pattern(text):
+    """Compiles a pattern. Raises Fault if it is invalid, or too large to be matched within its cost."""
+    if len(text) > MAX_PATTERN_LENGTH:
+        raise Fault(COST, f"a pattern of {len(text)} characters, {MAX_PATTERN_LENGTH} allowed")
     options = re2.Options()
-    options.max_mem, options.log_errors, options.never_capture = PATTERN_MEMORY, False, True
+    options.max_mem, options.log_errors, options.never_capture = MAX_PATTERN_BYTES, False, True
     try:
-        made = re2.compile(text, options)
+        compiled = re2.compile(text, options)
     except re2.error as error:
         reason = error.args[0].decode("utf-8", "replace") if isinstance(error.args[0], bytes) else str(error)
         large = "too large" in reason or "repetition size" in reason
-        raise Fault(COST if large else VALUE, f"no pattern of RE2: {reason}") from None
-    return made
+        raise Fault(COST if large else VALUE, f"not a valid RE2 pattern: {reason}") from None
+    return compiled
 
 
-def matches(text, made):
-    return made.search(text) is not None
+def matches(text, pattern):
+    return pattern.search(text) is not None
 
 
-def length(text):
-    """A duration in nanoseconds from text such as 1.5s, 250ms or -1h30m; ValueError if it is none."""
-    found, body = 0, text.removeprefix("-")
+def parse_duration(text):
+    """Returns the nanoseconds of a duration such as 1.5s, 250ms or -1h30m. Raises ValueError if it is
+    invalid."""
+    nanoseconds, body = 0, text.removeprefix("-")
     if body in ("0", "+0"):
         return 0
-    if not body or len(body) > 64 or TIME.sub("", body):
-        raise ValueError(f"no duration: {text[:40]!r} (as in 1.5s, 250ms, 1h30m)")
+    if not body or len(body) > 64 or DURATION_PART.sub("", body):
+        raise ValueError(f"not a duration: {text[:40]!r} (as in 1.5s, 250ms, 1h30m)")
     try:
-        found = sum(int(Decimal(number) * UNITS[unit]) for number, unit in TIME.findall(body))
+        nanoseconds = sum(int(Decimal(number) * UNITS[unit]) for number, unit in DURATION_PART.findall(body))
     except InvalidOperation:
-        found = HIGHEST + 1
-    if found > HIGHEST:
-        raise ValueError(f"a duration past 64 bits: {text[:40]!r}")
-    return -found if text.startswith("-") else found
+        nanoseconds = MAX_INT64 + 1
+    if nanoseconds > MAX_INT64:
+        raise ValueError(f"a duration of more than 64 bits: {text[:40]!r}")
+    return -nanoseconds if text.startswith("-") else nanoseconds
 
 
-def duration(text):
+def prepare_duration(text):
     try:
-        return length(text)
+        return parse_duration(text)
     except ValueError as error:
         raise Fault(VALUE, str(error)) from None
 
 
-def whole(value):
+def to_int(value):
     if isinstance(value, str):
         if not re.fullmatch(r"-?[0-9]{1,19}", value, re.ASCII):
             raise ValueError(f"no integer: {value[:40]!r}")
         value = int(value)
     elif value != value or abs(value) >= 2.0**63:
         raise ValueError("no integer of 64 bits")
-    return within(int(value))
+    return check_int64(int(value))
 
 
-def within(number):
-    """The number, if it has 64 bits."""
-    if not LOWEST <= number <= HIGHEST:
+def check_int64(number):
+    """Returns the number. Raises OverflowError if it has more than 64 bits."""
+    if not MIN_INT64 <= number <= MAX_INT64:
         raise OverflowError("past 64 bits")
     return number
 
 
-def decoded(data):
+def decode_utf8(data):
     return data.decode()
 
 
-def divided(left, right):
-    """Integer division toward zero, as the language has it."""
+def divide(left, right):
+    """Divides integers and rounds toward zero, as the language does."""
     if right == 0:
         raise ZeroDivisionError("division by zero")
     quotient = abs(left) // abs(right)
-    return within(quotient if (left < 0) == (right < 0) else -quotient)
+    return check_int64(quotient if (left < 0) == (right < 0) else -quotient)
 
 
 def remainder(left, right):
@@ -150,7 +157,7 @@
     return -rest if left < 0 else rest
 
 
-def ratio(left, right):
+def divide_floats(left, right):
     if right != 0:
         return left / right
     if left == 0 or left != left:
@@ -159,59 +166,59 @@
     return float("-inf") if negative else float("inf")
 
 
-def scan(text, *_):
+def scan_cost(text, *_):
     return 2 + text.size // 128
 
 
-def find(text, part):
-    """A search that may look at each place for each letter of a short part, or for a hundred of a long
-    one."""
+def search_cost(text, part):
+    """The cost of a substring search, which may compare up to 100 characters of the part at each position."""
     return 3 + text.size // 32 + text.size * min(part.size, 100) // 192
 
 
-def run_pattern(text, made):
-    """RE2 is linear in the text, but at worst each letter costs it a look at each part of its program: a text
-    can be made for that. A usual pattern of twenty parts takes far less."""
-    return 24 + text.size * made.programsize // 12
+def pattern_cost(text, pattern):
+    """The cost of an RE2 match: linear in the text, but each character may cost a step through the whole
+    program, and an adversarial text reaches that. Usual patterns, with programs of about 20 instructions,
+    take far less."""
+    return 24 + text.size * pattern.programsize // 12
 
 
-def sized(value, *_):
+def size_bounds(value, *_):
     return Bounds(low=0, high=value.size)
 
 
-def cut(text, *_):
+def substring_bounds(text, *_):
     return Bounds(text.size)
 
 
-def parts(text, by, most=None):
+def split_bounds(text, by, most=None):
     items = text.size + 1 if most is None or most.low < 0 else min(text.size + 1, max(most.high, 0))
-    return Bounds(items, of=Bounds(text.size), total=text.size)
+    return Bounds(items, item=Bounds(text.size), total=text.size)
 
 
-def together(items, by=None):
-    held = items.total if items.total is not None else items.size * (items.of.size if items.of else 0)
-    return Bounds(held + items.size * (by.size if by else 0))
+def join_bounds(items, by=None):
+    total = items.total if items.total is not None else items.size * (items.item.size if items.item else 0)
+    return Bounds(total + items.size * (by.size if by else 0))
 
 
-def copied(value, *_):
+def copy_cost(value, *_):
     return 3 + value.size // 64
 
 
-def spread(text, *_):
+def split_cost(text, *_):
     return 6 + text.size // 4
 
 
-def glued(items, *_):
-    return 4 + items.size // 2 + items.whole() // 64
+def join_cost(items, *_):
+    return 4 + items.size // 2 + items.total_size() // 64
 
 
 ALL = [
-    Function("contains", STRING, (STRING,), BOOL, find, lambda a, b: b in a, inline="({1} in {0})"),
-    Function("contains", BYTES, (BYTES,), BOOL, find, lambda a, b: b in a, inline="({1} in {0})"),
-    Function("startsWith", STRING, (STRING,), BOOL, scan, str.startswith, inline="{0}.startswith({1})"),
-    Function("startsWith", BYTES, (BYTES,), BOOL, scan, bytes.startswith, inline="{0}.startswith({1})"),
-    Function("endsWith", STRING, (STRING,), BOOL, scan, str.endswith, inline="{0}.endswith({1})"),
-    Function("endsWith", BYTES, (BYTES,), BOOL, scan, bytes.endswith, inline="{0}.endswith({1})"),
+    Function("contains", STRING, (STRING,), BOOL, search_cost, lambda a, b: b in a, inline="({1} in {0})"),
+    Function("contains", BYTES, (BYTES,), BOOL, search_cost, lambda a, b: b in a, inline="({1} in {0})"),
+    Function("startsWith", STRING, (STRING,), BOOL, scan_cost, str.startswith, inline="{0}.startswith({1})"),
+    Function("startsWith", BYTES, (BYTES,), BOOL, scan_cost, bytes.startswith, inline="{0}.startswith({1})"),
+    Function("endsWith", STRING, (STRING,), BOOL, scan_cost, str.endswith, inline="{0}.endswith({1})"),
+    Function("endsWith", BYTES, (BYTES,), BOOL, scan_cost, bytes.endswith, inline="{0}.endswith({1})"),
     Function(
         "lower",
         STRING,
@@ -232,23 +239,39 @@
         lambda a: Bounds(3 * a.size),
         inline="{0}.upper()",
     ),
-    Function("substring", STRING, (INT,), STRING, lambda a, *_: 8 + a.size // 64, substring, cut, errs=True),
     Function(
-        "substring", STRING, (INT, INT), STRING, lambda a, *_: 8 + a.size // 64, substring, cut, errs=True
+        "substring",
+        STRING,
+        (INT,),
+        STRING,
+        lambda a, *_: 8 + a.size // 64,
+        substring,
+        substring_bounds,
+        may_err=True,
+    ),
+    Function(
+        "substring",
+        STRING,
+        (INT, INT),
+        STRING,
+        lambda a, *_: 8 + a.size // 64,
+        substring,
+        substring_bounds,
+        may_err=True,
     ),
-    Function("split", STRING, (STRING,), STRINGS, spread, split, parts),
-    Function("split", STRING, (STRING, INT), STRINGS, spread, split, parts),
-    Function("join", STRINGS, (), STRING, glued, lambda a: "".join(a), together),
-    Function("join", STRINGS, (STRING,), STRING, glued, lambda a, b: b.join(a), together),
+    Function("split", STRING, (STRING,), STRING_LIST, split_cost, split, split_bounds),
+    Function("split", STRING, (STRING, INT), STRING_LIST, split_cost, split, split_bounds),
+    Function("join", STRING_LIST, (), STRING, join_cost, lambda a: "".join(a), join_bounds),
+    Function("join", STRING_LIST, (STRING,), STRING, join_cost, lambda a, b: b.join(a), join_bounds),
     Function(
         "matches",
         STRING,
         (STRING,),
         BOOL,
-        run_pattern,
+        pattern_cost,
         matches,
         literal=True,
-        made=pattern,
+        prepare=compile_pattern,
         inline="({1}.search({0}) is not None)",
     ),
     Function(
@@ -256,10 +279,10 @@
         None,
         (STRING, STRING),
         BOOL,
-        run_pattern,
+        pattern_cost,
         matches,
         literal=True,
-        made=pattern,
+        prepare=compile_pattern,
         inline="({1}.search({0}) is not None)",
     ),
     Function(
@@ -268,9 +291,9 @@
         (STRING,),
         DURATION,
         lambda *_: 1,
-        lambda made: made,
+        lambda prepared: prepared,
         literal=True,
-        made=duration,
+        prepare=prepare_duration,
         inline="{0}",
     ),
     Function(
@@ -279,11 +302,17 @@
         (STRING,),
         INT,
         lambda a: 6 + a.size // 64,
-        hashed,
-        lambda a: Bounds(low=0, high=HIGHEST),
+        hash_value,
+        lambda a: Bounds(low=0, high=MAX_INT64),
     ),
     Function(
-        "hash", None, (BYTES,), INT, lambda a: 6 + a.size // 64, hashed, lambda a: Bounds(low=0, high=HIGHEST)
+        "hash",
+        None,
+        (BYTES,),
+        INT,
+        lambda a: 6 + a.size // 64,
+        hash_value,
+        lambda a: Bounds(low=0, high=MAX_INT64),
     ),
     Function(
         "hash",
@@ -291,14 +320,14 @@
         (INT,),
         INT,
         lambda a: 6,
-        lambda number: hashed(number.to_bytes(8, "big", signed=True)),
-        lambda a: Bounds(low=0, high=HIGHEST),
+        lambda number: hash_value(number.to_bytes(8, "big", signed=True)),
+        lambda a: Bounds(low=0, high=MAX_INT64),
     ),
-    Function("int", None, (STRING,), INT, lambda a: 30, whole, errs=True),
-    Function("int", None, (DOUBLE,), INT, lambda a: 12, whole, errs=True),
+    Function("int", None, (STRING,), INT, lambda a: 30, to_int, may_err=True),
+    Function("int", None, (DOUBLE,), INT, lambda a: 12, to_int, may_err=True),
     Function("double", None, (INT,), DOUBLE, lambda a: 3, float, inline="float({0})"),
     Function("string", None, (INT,), STRING, lambda a: 4, str, lambda a: Bounds(20), inline="str({0})"),
-    Function("string", None, (BYTES,), STRING, copied, decoded, cut, errs=True),
+    Function("string", None, (BYTES,), STRING, copy_cost, decode_utf8, substring_bounds, may_err=True),
     Function(
         "bytes",
         None,
@@ -311,43 +340,48 @@
     ),
 ]
 for _name, _kind in (("size", STRING), ("size", BYTES)):
-    ALL.append(Function(_name, _kind, (), INT, lambda a: 2, len, sized, inline="len({0})"))
-    ALL.append(Function(_name, None, (_kind,), INT, lambda a: 2, len, sized, inline="len({0})"))
+    ALL.append(Function(_name, _kind, (), INT, lambda a: 2, len, size_bounds, inline="len({0})"))
+    ALL.append(Function(_name, None, (_kind,), INT, lambda a: 2, len, size_bounds, inline="len({0})"))
 NAMES = frozenset(function.name for function in ALL)
 
 
-def held(on):
-    """`size` of a list or map of any kind."""
-    return Function("size", on, (), INT, lambda a: 2, len, sized, inline="len({0})")
+def container_size(receiver):
+    """Returns the function `size` for a list or map type."""
+    return Function("size", receiver, (), INT, lambda a: 2, len, size_bounds, inline="len({0})")
 
 
-def find_function(name, on, given):
-    """The function of this name for these types; Fault (without a place) that says what would do."""
-    if name == "size" and (on or given[:1]) and len(given) == (on is None):
-        target = on or given[0]
+def find_function(name, receiver, arguments):
+    """Returns the overload of a function for these types, or None if no function has the name. Raises Fault
+    (without a place) that lists the overloads if none fits."""
+    if name == "size" and (receiver or arguments[:1]) and len(arguments) == (receiver is None):
+        target = receiver or arguments[0]
         if target.name in ("list", "map"):
-            return held(target)
+            return container_size(target)
     for function in ALL:
-        fits = function.name == name and len(function.takes) == len(given)
+        fits = function.name == name and len(function.parameters) == len(arguments)
         same = (
-            function.on == on
-            or on is not None
-            and on.name == "list"
-            and function.on == STRINGS
-            and (on.of.name in ("string", "nothing"))
+            function.receiver == receiver
+            or receiver is not None
+            and receiver.name == "list"
+            and function.receiver == STRING_LIST
+            and (receiver.item.name in ("string", "nothing"))
         )
-        if fits and same and all(want == kind for want, kind in zip(function.takes, given, strict=True)):
+        if (
+            fits
+            and same
+            and all(want == kind for want, kind in zip(function.parameters, arguments, strict=True))
+        ):
             return function
     if name not in NAMES:
         return None
     forms = [
-        (f"{f.on}." if f.on else "") + f"{name}({', '.join(map(str, f.takes))})"
+        (f"{f.receiver}." if f.receiver else "") + f"{name}({', '.join(map(str, f.parameters))})"
         for f in ALL
         if f.name == name
     ]
-    said = (f"{on}." if on else "") + f"{name}({', '.join(map(str, given))})"
+    said = (f"{receiver}." if receiver else "") + f"{name}({', '.join(map(str, arguments))})"
     raise Fault(TYPE, f"no {said}; there is {', '.join(forms)}")
 
 
-def bounds_of(function, values):
+def result_bounds(function, values):
     return function.bounds(*values) if function.bounds is not None else ANY
--- a/lemonlead/matching/kinds.py
+++ b/lemonlead/matching/kinds.py
@@ -1,27 +1,29 @@
-"""Types of values, and the bounds within which a value of one is known to lie."""
+"""Types of values, and static bounds of values: how large a value can be at most."""
 
 from dataclasses import dataclass
 
-LOWEST, HIGHEST = -(2**63), 2**63 - 1  # of int; of duration in nanoseconds
+# Limits of int, and of duration in nanoseconds
+MIN_INT64 = -(2**63)
+MAX_INT64 = 2**63 - 1
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A type. `of` is what a list or map holds, `key` what a map is asked by."""
+    """The type of a value. `item` is the type of the items of a list or map, `key` that of a map's keys."""
 
     name: str
-    of: "Kind | None" = None
+    item: "Kind | None" = None
     key: "Kind | None" = None
 
     def __str__(self):
         if self.name == "map":
-            return f"map({self.key}, {self.of})"
-        return f"list({self.of})" if self.name == "list" else self.name
+            return f"map({self.key}, {self.item})"
+        return f"list({self.item})" if self.name == "list" else self.name
 
 
 BOOL, INT, DOUBLE, STRING = Kind("bool"), Kind("int"), Kind("double"), Kind("string")
 BYTES, DURATION, NULL = Kind("bytes"), Kind("duration"), Kind("null")
-NOTHING = Kind("nothing")  # what an empty list holds: fits with any
+NOTHING = Kind("nothing")  # type of the items of an empty list; compatible with every type
 ORDERED = (BOOL, INT, DOUBLE, STRING, BYTES, DURATION)
 
 
@@ -33,47 +35,50 @@
     return Kind("map", kind, key)
 
 
-def joined(one, other):
-    """The type of what may be either; None if they do not fit."""
+def common_kind(one, other):
+    """Returns the type that values of both types share, or None if the types are incompatible."""
     if one == other or other == NOTHING:
         return one
     if one == NOTHING:
         return other
     if one.name == other.name and one.name in ("list", "map"):
-        of = joined(one.of, other.of)
-        key = joined(one.key, other.key) if one.name == "map" else None
-        if of is not None and (one.name == "list" or key is not None):
-            return Kind(one.name, of, key)
+        item = common_kind(one.item, other.item)
+        key = common_kind(one.key, other.key) if one.name == "map" else None
+        if item is not None and (one.name == "list" or key is not None):
+            return Kind(one.name, item, key)
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """`size`: the most code points, bytes or items. `low`, `high`: of an int or duration. `values`: all
-    strings that it may be, where they are few. `of`, `key`: of what a list or map holds; `total`: the most of
-    all its items together, where that is less than of each."""
+    """Bounds of a value.
+
+    `size` is the maximum number of code points, bytes or items. `low` and `high` are the limits of an int or
+    duration. `values` holds all possible strings if there are few. `item` and `key` are the bounds of the
+    items and keys of a list or map. `total` is the maximum size of all items together, where that is less
+    than `size` times the maximum size of one item."""
 
     size: int = 0
-    low: int = LOWEST
-    high: int = HIGHEST
-    of: "Bounds | None" = None
+    low: int = MIN_INT64
+    high: int = MAX_INT64
+    item: "Bounds | None" = None
     key: "Bounds | None" = None
     values: frozenset | None = None
     total: int | None = None
 
-    def whole(self):
-        """The most code points, bytes and items of the value with all that it holds."""
+    def total_size(self):
+        """Returns the maximum number of code points, bytes and items of the value and everything in it."""
         if self.total is not None:
             return self.size + self.total
-        inner = (self.of.whole() if self.of else 0) + (self.key.whole() if self.key else 0)
-        return self.size * (1 + inner) if self.of else self.size
+        inner = (self.item.total_size() if self.item else 0) + (self.key.total_size() if self.key else 0)
+        return self.size * (1 + inner) if self.item else self.size
 
 
 ANY = Bounds()
 
 
-def either(one, other):
-    """The bounds of what may be either."""
+def union_bounds(one, other):
+    """Returns bounds that hold for values of both."""
     if one is None or other is None:
         return one or other
     values = one.values | other.values if one.values is not None and other.values is not None else None
@@ -82,8 +87,8 @@
         max(one.size, other.size),
         min(one.low, other.low),
         max(one.high, other.high),
-        either(one.of, other.of),
-        either(one.key, other.key),
+        union_bounds(one.item, other.item),
+        union_bounds(one.key, other.key),
         values,
         total,
     )
--- a/lemonlead/matching/lexer.py
+++ b/lemonlead/matching/lexer.py
@@ -1,13 +1,22 @@
-"""Text into tokens, as the Common Expression Language has them."""
+"""Splits the text of an expression into tokens, by the lexical rules of the Common Expression Language."""
 
 import re
 from dataclasses import dataclass
 
 from .faults import SYNTAX, Fault
 
-LONGEST = 8192  # code points of an expression
-INT, DOUBLE, STRING, BYTES, NAME, SIGN, END = "int", "double", "string", "bytes", "name", "sign", "end"
-TOKEN = re.compile(
+MAX_EXPRESSION_LENGTH = 8192  # code points
+
+# Kinds of tokens
+INT = "int"
+DOUBLE = "double"
+STRING = "string"
+BYTES = "bytes"
+NAME = "name"
+SIGN = "sign"  # an operator or a punctuation mark
+END = "end"
+
+TOKEN_PATTERN = re.compile(
     r"""(?P<space>[ \t\r\n\f]+|//[^\n]*)
     |(?P<double>\d+\.\d+(?:[eE][+-]?\d+)?|\d+[eE][+-]?\d+|\.\d+(?:[eE][+-]?\d+)?)
     |(?P<int>0[xX][0-9a-fA-F]+|\d+)(?P<unsigned>[uU])?
@@ -17,9 +26,9 @@
     |(?P<sign>&&|\|\||==|!=|<=|>=|[-+*/%<>!?:.,()\[\]{}])""",
     re.VERBOSE | re.DOTALL,
 )
-CODES = r"\\(x[0-9a-fA-F]{2}|u[0-9a-fA-F]{4}|U[0-9a-fA-F]{8}|[0-3][0-7]{2}|.?)"
-ESCAPE, OCTETS = re.compile(CODES, re.DOTALL), re.compile(CODES.encode(), re.DOTALL)
-PLAIN = {
+ESCAPE_CODES = r"\\(x[0-9a-fA-F]{2}|u[0-9a-fA-F]{4}|U[0-9a-fA-F]{8}|[0-3][0-7]{2}|.?)"
+TEXT_ESCAPE, BYTES_ESCAPE = re.compile(ESCAPE_CODES, re.DOTALL), re.compile(ESCAPE_CODES.encode(), re.DOTALL)
+SIMPLE_ESCAPES = {
     "a": "\a",
     "b": "\b",
     "f": "\f",
@@ -39,85 +48,95 @@
 class Token:
     kind: str
     value: object
-    at: tuple  # line and column, both from 1
+    position: tuple  # line and column, both counted from 1
 
 
-def places(text):
-    """A function from an offset to its line and column."""
-    starts = [0, *(match.end() for match in re.finditer("\n", text))]
+def position_finder(text):
+    """Returns a function that converts an offset in the text to its line and column."""
+    line_starts = [0, *(match.end() for match in re.finditer("\n", text))]
 
-    def place(offset):
-        low, high = 0, len(starts)
+    def position_of(offset):
+        low, high = 0, len(line_starts)
         while high - low > 1:
             middle = (low + high) // 2
-            low, high = (middle, high) if starts[middle] <= offset else (low, middle)
-        return low + 1, offset - starts[low] + 1
+            low, high = (middle, high) if line_starts[middle] <= offset else (low, middle)
+        return low + 1, offset - line_starts[low] + 1
 
-    return place
+    return position_of
 
 
-def tokens(text):
-    """All tokens of an expression, END last; Fault with the place of what is none."""
-    if len(text) > LONGEST:
-        raise Fault(SYNTAX, f"{len(text)} characters, {LONGEST} allowed")
-    place, found, offset = places(text), [], 0
+def tokenize(text):
+    """Returns all tokens of an expression, the last of kind END. Raises Fault at text that is not a token."""
+    if len(text) > MAX_EXPRESSION_LENGTH:
+        raise Fault(SYNTAX, f"{len(text)} characters, {MAX_EXPRESSION_LENGTH} allowed")
+    position_of, result, offset = position_finder(text), [], 0
     while offset < len(text):
-        match = TOKEN.match(text, offset)
-        at = place(offset)
+        match = TOKEN_PATTERN.match(text, offset)
+        position = position_of(offset)
         if match is None:
-            what = "a string without its end" if text[offset] in "'\"" else f"no token: {text[offset]!r}"
-            raise Fault(SYNTAX, what, *at)
+            what = (
+                "a string without a closing quote"
+                if text[offset] in "'\""
+                else f"not a token: {text[offset]!r}"
+            )
+            raise Fault(SYNTAX, what, *position)
         offset = match.end()
         kind = match.lastgroup if match.lastgroup != "unsigned" else "int"
         if kind == "space":
             continue
         if match["unsigned"]:
-            raise Fault(SYNTAX, "unsigned integers are not part of this language", *at)
+            raise Fault(SYNTAX, "unsigned integers are not part of this language", *position)
         if kind == "string":
-            found.append(string(match["prefix"] or "", match["string"], at))
+            result.append(parse_string(match["prefix"] or "", match["string"], position))
         elif kind == "double":
-            found.append(Token(DOUBLE, float(match[0]), at))
+            result.append(Token(DOUBLE, float(match[0]), position))
         elif kind == "int":
-            found.append(Token(INT, whole(match["int"], at), at))
+            result.append(Token(INT, parse_integer(match["int"], position), position))
         else:
-            found.append(Token(NAME if kind == "name" else SIGN, match[0], at))
-    found.append(Token(END, "the end", place(len(text))))
-    return found
+            result.append(Token(NAME if kind == "name" else SIGN, match[0], position))
+    result.append(Token(END, "the end", position_of(len(text))))
+    return result
 
 
-def whole(digits, at):
-    """An integer, at most 2**63, which only a minus makes fit; the parser looks at that."""
+def parse_integer(digits, position):
+    """Returns an integer of at most 2**63. The parser accepts 2**63 itself only after a minus."""
     number = int(digits, 16) if digits[:2] in ("0x", "0X") else int(digits[:21])
     if len(digits) > 20 or number > 2**63:
-        raise Fault(SYNTAX, "an integer past 64 bits", *at)
+        raise Fault(SYNTAX, "an integer of more than 64 bits", *position)
     return number
 
 
-def string(prefix, quoted, at):
+def parse_string(prefix, quoted, position):
+    """Returns the token of a string or bytes literal. `prefix`: r (raw), b (bytes), both or empty."""
     width = 3 if quoted[:3] in ('"""', "'''") and len(quoted) >= 6 else 1
     body, raw = quoted[width:-width], "r" in prefix.lower()
     if "b" in prefix.lower():
         data = body.encode("utf-8", "surrogatepass")
-        return Token(BYTES, data if raw else OCTETS.sub(lambda match: octets(match[1], at), data), at)
-    body = body if raw else ESCAPE.sub(lambda match: escaped(match[1], at), body)
+        return Token(
+            BYTES,
+            data if raw else BYTES_ESCAPE.sub(lambda match: unescape_bytes(match[1], position), data),
+            position,
+        )
+    body = body if raw else TEXT_ESCAPE.sub(lambda match: unescape(match[1], position), body)
     if any(0xD800 <= ord(letter) < 0xE000 for letter in body):
-        raise Fault(SYNTAX, "half a character of UTF-16", *at)
-    return Token(STRING, body, at)
+        raise Fault(SYNTAX, "an unpaired UTF-16 surrogate", *position)
+    return Token(STRING, body, position)
 
 
-def octets(code, at):
-    """What an escape stands for in bytes: \\x and octal are one octet, the others a character in UTF-8."""
+def unescape_bytes(code, position):
+    """Returns the bytes of an escape: one byte for \\x and octal escapes, else a character in UTF-8."""
     if len(code) > 1 and code[:1] in (b"x", b"0", b"1", b"2", b"3"):
         return bytes([int(code, 8) if code[:1] != b"x" else int(code[1:], 16)])
-    return escaped(code.decode("utf-8", "replace"), at).encode()
+    return unescape(code.decode("utf-8", "replace"), position).encode()
 
 
-def escaped(code, at):
-    if code in PLAIN:
-        return PLAIN[code]
+def unescape(code, position):
+    """Returns the character of an escape, given without its backslash."""
+    if code in SIMPLE_ESCAPES:
+        return SIMPLE_ESCAPES[code]
     if not code or code[0] not in "xuU0123" or len(code) == 1:
-        raise Fault(SYNTAX, f"no escape: \\{code}", *at)
+        raise Fault(SYNTAX, f"not an escape sequence: \\{code}", *position)
     number = int(code, 8) if code[0] in "0123" else int(code[1:], 16)
     if number > 0x10FFFF or 0xD800 <= number < 0xE000:
-        raise Fault(SYNTAX, f"no character: \\{code}", *at)
+        raise Fault(SYNTAX, f"not a character: \\{code}", *position)
     return chr(number)
--- a/lemonlead/matching/load.py
+++ b/lemonlead/matching/load.py
@@ -1,5 +1,4 @@
-"""A set of rules from a file of settings. All that is wrong with it is told at once, each fault in its
-place."""
+"""Loads a set of rules from a settings file, and reports all its faults at once, each with its place."""
 
 from .. import settings
 from .request_fields import RequestLimits
@@ -10,21 +9,21 @@
 
 
 class InvalidRulesFile(Exception):
-    """A file that gives no set: `faults` as (place, code, message), in their order."""
+    """A file that contains no valid set of rules. `faults` holds (place, code, message), in order."""
 
     def __init__(self, faults):
         self.faults = faults
-        more = f" and {len(faults) - 1} more" if len(faults) > 1 else ""
-        super().__init__(f"{lines(faults[:1])[0]}{more}")
+        suffix = f" and {len(faults) - 1} more" if len(faults) > 1 else ""
+        super().__init__(f"{lines(faults[:1])[0]}{suffix}")
 
 
 def lines(faults):
-    """One line a fault: FILE:LINE:COL: CODE message."""
+    """Returns one line for each fault: FILE:LINE:COL: CODE message."""
     return [f"{place}: {code} {message}" for place, code, message in faults]
 
 
 def read(path, max_bytes):
-    """The file's values and their places; Unfit."""
+    """Reads the file as a `SettingsFile`. Raises InvalidRulesFile."""
     try:
         return settings.read(path, settings.schema_text("rules"), max_bytes=max_bytes)
     except settings.InvalidFile as error:
@@ -32,25 +31,25 @@
 
 
 def load(path, request_classes=None, tenants=None, max_bytes=settings.MAX_FILE_SIZE):
-    """The set that a file gives, for these request classes (at.RequestClass by name) and tenants; without
-    them names of request classes and tenants are not looked at. `room`: the most bytes of its files. Raises
-    Unfit."""
+    """Loads a set of rules for these request classes (at.RequestClass by name) and tenants. Without them,
+    names of request classes and tenants are not checked. `max_bytes` limits the total size of the files that
+    are read. Raises InvalidRulesFile."""
     file = read(path, max_bytes)
-    told = file.value
-    written = [
+    values = file.value
+    sources = [
         RuleSource(rule["name"], *(rule.get(part) for part in PARTS[:-1]), labels=rule.get("labels", {}))
-        for rule in told["rules"]
+        for rule in values["rules"]
     ]
-    limits = RequestLimits(**told["bounds"], request_classes=tuple(request_classes or ()))
+    limits = RequestLimits(**values["bounds"], request_classes=tuple(request_classes or ()))
     try:
         return RuleSet(
-            told["version"],
-            written,
+            values["version"],
+            sources,
             request_classes or {},
             tenants,
             limits,
-            told["ceilings"]["rule"],
-            told["ceilings"]["set"],
+            values["ceilings"]["rule"],
+            values["ceilings"]["set"],
         )
     except InvalidRuleSet as error:
         raise InvalidRulesFile(
@@ -60,7 +59,7 @@
                     if part
                     else file.place("version"),
                     fault.code,
-                    f"rule {written[number].name}: {part}: {fault.message}" if written else fault.message,
+                    f"rule {sources[number].name}: {part}: {fault.message}" if sources else fault.message,
                 )
                 for number, part, fault in error.faults
             ]
--- a/lemonlead/matching/parser.py
+++ b/lemonlead/matching/parser.py
@@ -1,196 +1,220 @@
-"""Tokens into a tree. Nesting and the number of nodes are bounded, so nothing after it can run away."""
+"""Parses tokens into a syntax tree.
+
+Nesting and the number of nodes are limited, which bounds the work and the recursion of all later steps."""
 
 from . import lexer, tree
 from .faults import SYNTAX, Fault
-from .kinds import BOOL, BYTES, DOUBLE, HIGHEST, INT, NULL, STRING
+from .kinds import BOOL, BYTES, DOUBLE, MAX_INT64, INT, NULL, STRING
 
-DEEPEST, MOST_NODES = 40, 2000
-LEVELS = (("<", "<=", ">", ">=", "==", "!=", "in"), ("+", "-"), ("*", "/", "%"))
+MAX_DEPTH = 40  # levels of nesting
+MAX_NODES = 2000
+# Binary operators, from the lowest precedence to the highest
+PRECEDENCE_LEVELS = (("<", "<=", ">", ">=", "==", "!=", "in"), ("+", "-"), ("*", "/", "%"))
 MACROS = ("exists", "all", "exists_one", "filter", "map")
 RESERVED = frozenset(
     ("as", "break", "const", "continue", "else", "for", "function", "if", "import", "let", "loop", "package")
     + ("namespace", "return", "var", "void", "while")
 )
-OF = {lexer.INT: INT, lexer.DOUBLE: DOUBLE, lexer.STRING: STRING, lexer.BYTES: BYTES}
-WORDS = {"true": (True, BOOL), "false": (False, BOOL), "null": (None, NULL)}
+LITERAL_KINDS = {lexer.INT: INT, lexer.DOUBLE: DOUBLE, lexer.STRING: STRING, lexer.BYTES: BYTES}
+CONSTANTS = {"true": (True, BOOL), "false": (False, BOOL), "null": (None, NULL)}
 
 
 def parse(text):
-    """The tree of an expression; Fault where it is none."""
-    return Parser(lexer.tokens(text)).whole()
+    """Returns the syntax tree of an expression. Raises Fault if the text is not a valid expression."""
+    return Parser(lexer.tokenize(text)).parse_expression()
 
 
 class Parser:
-    def __init__(self, found):
-        self.tokens, self.next, self.open, self.nodes = found, 0, 0, 0
+    """A recursive-descent parser. Each method below `parse_expression` parses one form and returns its
+    node."""
+
+    def __init__(self, tokens):
+        self.tokens = tokens
+        self.next_index = 0
+        self.open_conditionals = 0
+        self.node_count = 0
 
     @property
     def token(self):
-        return self.tokens[self.next]
+        return self.tokens[self.next_index]
 
-    def sees(self, *signs):
+    def next_is(self, *signs):
+        """Returns whether the next token is one of these operators or punctuation marks."""
         token = self.token
         return token.value in signs and (
             token.kind == lexer.SIGN or token.kind == lexer.NAME and token.value == "in"
         )
 
-    def take(self):
-        self.next += 1
-        return self.tokens[self.next - 1]
+    def advance(self):
+        self.next_index += 1
+        return self.tokens[self.next_index - 1]
 
-    def want(self, sign):
-        if not self.sees(sign):
-            raise Fault(SYNTAX, f"{self.seen()} where {sign!r} was expected", *self.token.at)
-        return self.take()
+    def expect(self, operator):
+        if not self.next_is(operator):
+            raise Fault(
+                SYNTAX, f"{self.describe_next()} where {operator!r} was expected", *self.token.position
+            )
+        return self.advance()
 
-    def seen(self):
+    def describe_next(self):
         return self.token.value if self.token.kind == lexer.END else repr(self.token.value)[:40]
 
-    def made(self, kind, at, *values):
-        node = kind(at, *values)
-        self.nodes += 1
-        if node.depth > DEEPEST:
-            raise Fault(SYNTAX, f"nested deeper than {DEEPEST}", *at)
-        if self.nodes > MOST_NODES:
-            raise Fault(SYNTAX, f"more than {MOST_NODES} parts", *at)
+    def add_node(self, kind, start, *values):
+        node = kind(start, *values)
+        self.node_count += 1
+        if node.depth > MAX_DEPTH:
+            raise Fault(SYNTAX, f"nested deeper than {MAX_DEPTH}", *start)
+        if self.node_count > MAX_NODES:
+            raise Fault(SYNTAX, f"more than {MAX_NODES} parts", *start)
         return node
 
-    def whole(self):
-        node = self.choice()
+    def parse_expression(self):
+        node = self.conditional()
         if self.token.kind != lexer.END:
-            raise Fault(SYNTAX, f"{self.seen()} after the end of the expression", *self.token.at)
+            raise Fault(
+                SYNTAX, f"{self.describe_next()} after the end of the expression", *self.token.position
+            )
         return node
 
-    def choice(self):
-        self.open += 1
-        if self.open > DEEPEST:
-            raise Fault(SYNTAX, f"nested deeper than {DEEPEST}", *self.token.at)
+    def conditional(self):
+        self.open_conditionals += 1
+        if self.open_conditionals > MAX_DEPTH:
+            raise Fault(SYNTAX, f"nested deeper than {MAX_DEPTH}", *self.token.position)
         node = self.logic("||")
-        if self.sees("?"):
-            at = self.take().at
-            yes = self.logic("||")
-            self.want(":")
-            node = self.made(tree.Choice, at, node, yes, self.choice())
-        self.open -= 1
+        if self.next_is("?"):
+            start = self.advance().position
+            if_true = self.logic("||")
+            self.expect(":")
+            node = self.add_node(tree.Conditional, start, node, if_true, self.conditional())
+        self.open_conditionals -= 1
         return node
 
-    def logic(self, sign):
-        operand = self.operand_of(sign)
-        operands, at = [operand], self.token.at
-        while self.sees(sign):
-            self.take()
-            operands.append(self.operand_of(sign))
-        return self.made(tree.Logic, at, sign, operands) if len(operands) > 1 else operand
+    def logic(self, operator):
+        operand = self.operand_of(operator)
+        operands, start = [operand], self.token.position
+        while self.next_is(operator):
+            self.advance()
+            operands.append(self.operand_of(operator))
+        return self.add_node(tree.Logic, start, operator, operands) if len(operands) > 1 else operand
 
-    def operand_of(self, sign):
-        return self.logic("&&") if sign == "||" else self.level(0)
+    def operand_of(self, operator):
+        return self.logic("&&") if operator == "||" else self.binary(0)
 
-    def level(self, number):
-        if number == len(LEVELS):
+    def binary(self, number):
+        if number == len(PRECEDENCE_LEVELS):
             return self.unary()
-        node = self.level(number + 1)
-        while self.sees(*LEVELS[number]):
-            sign = self.take()
-            node = self.made(tree.Binary, sign.at, sign.value, node, self.level(number + 1))
+        node = self.binary(number + 1)
+        while self.next_is(*PRECEDENCE_LEVELS[number]):
+            operator = self.advance()
+            node = self.add_node(
+                tree.Binary, operator.position, operator.value, node, self.binary(number + 1)
+            )
         return node
 
     def unary(self):
         signs = []
-        while self.sees("!", "-"):
-            signs.append(self.take())
-            if len(signs) > DEEPEST:
-                raise Fault(SYNTAX, f"nested deeper than {DEEPEST}", *self.token.at)
+        while self.next_is("!", "-"):
+            signs.append(self.advance())
+            if len(signs) > MAX_DEPTH:
+                raise Fault(SYNTAX, f"nested deeper than {MAX_DEPTH}", *self.token.position)
         minus = bool(signs) and signs[-1].value == "-" and self.token.kind in (lexer.INT, lexer.DOUBLE)
         if minus:
-            sign, token = signs.pop(), self.take()
-            node = self.member(self.made(tree.Literal, sign.at, -token.value, OF[token.kind]))
+            operator, token = signs.pop(), self.advance()
+            node = self.postfix(
+                self.add_node(tree.Literal, operator.position, -token.value, LITERAL_KINDS[token.kind])
+            )
         else:
-            node = self.member(self.primary())
-        for sign in reversed(signs):
-            node = self.made(tree.Unary, sign.at, sign.value, node)
+            node = self.postfix(self.primary())
+        for operator in reversed(signs):
+            node = self.add_node(tree.Unary, operator.position, operator.value, node)
         return node
 
-    def member(self, node):
-        while self.sees(".", "["):
-            at = self.take().at
-            if self.tokens[self.next - 1].value == "[":
-                node = self.made(tree.Index, at, node, self.choice())
-                self.want("]")
+    def postfix(self, node):
+        while self.next_is(".", "["):
+            start = self.advance().position
+            if self.tokens[self.next_index - 1].value == "[":
+                node = self.add_node(tree.Index, start, node, self.conditional())
+                self.expect("]")
                 continue
-            name, at = self.name(), self.tokens[self.next - 1].at
-            if not self.sees("("):
-                node = self.made(tree.Field, at, node, name)
+            name, start = self.parse_name(), self.tokens[self.next_index - 1].position
+            if not self.next_is("("):
+                node = self.add_node(tree.Field, start, node, name)
             elif name in MACROS:
-                node = self.each(name, at, node)
+                node = self.comprehension(name, start, node)
             else:
-                node = self.made(tree.Call, at, name, node, self.listed("(", ")"), None)
+                node = self.add_node(tree.Call, start, name, node, self.comma_separated("(", ")"), None)
         return node
 
-    def name(self):
-        token = self.take()
-        if token.kind != lexer.NAME or token.value in RESERVED or token.value in WORDS or token.value == "in":
-            self.next -= 1
-            raise Fault(SYNTAX, f"{self.seen()} where a name was expected", *token.at)
+    def parse_name(self):
+        token = self.advance()
+        if (
+            token.kind != lexer.NAME
+            or token.value in RESERVED
+            or token.value in CONSTANTS
+            or token.value == "in"
+        ):
+            self.next_index -= 1
+            raise Fault(SYNTAX, f"{self.describe_next()} where a name was expected", *token.position)
         return token.value
 
-    def listed(self, first, last):
-        self.want(first)
+    def comma_separated(self, first, last):
+        self.expect(first)
         items = []
-        while not self.sees(last):
-            items.append(self.choice())
-            if not self.sees(last):
-                self.want(",")
-        self.take()
+        while not self.next_is(last):
+            items.append(self.conditional())
+            if not self.next_is(last):
+                self.expect(",")
+        self.advance()
         return items
 
-    def each(self, macro, at, over):
-        self.want("(")
-        name = self.name()
-        self.want(",")
-        test, body = None, self.choice()
-        if macro == "map" and self.sees(","):
-            self.take()
-            test, body = body, self.choice()
-        self.want(")")
-        return self.made(tree.Each, at, macro, over, name, test, body)
+    def comprehension(self, macro, start, over):
+        self.expect("(")
+        name = self.parse_name()
+        self.expect(",")
+        condition, body = None, self.conditional()
+        if macro == "map" and self.next_is(","):
+            self.advance()
+            condition, body = body, self.conditional()
+        self.expect(")")
+        return self.add_node(tree.Comprehension, start, macro, over, name, condition, body)
 
     def primary(self):
         token = self.token
-        if token.kind in OF:
-            self.take()
-            if token.kind == lexer.INT and token.value > HIGHEST:
-                raise Fault(SYNTAX, "an integer past 64 bits", *token.at)
-            return self.made(tree.Literal, token.at, token.value, OF[token.kind])
-        if self.sees("("):
-            self.take()
-            node = self.choice()
-            self.want(")")
+        if token.kind in LITERAL_KINDS:
+            self.advance()
+            if token.kind == lexer.INT and token.value > MAX_INT64:
+                raise Fault(SYNTAX, "an integer of more than 64 bits", *token.position)
+            return self.add_node(tree.Literal, token.position, token.value, LITERAL_KINDS[token.kind])
+        if self.next_is("("):
+            self.advance()
+            node = self.conditional()
+            self.expect(")")
             return node
-        if self.sees("["):
-            return self.made(tree.ListOf, token.at, self.listed("[", "]"))
-        if self.sees("{"):
-            return self.map_of(token.at)
-        if token.kind == lexer.NAME and token.value in WORDS:
-            self.take()
-            return self.made(tree.Literal, token.at, *WORDS[token.value])
-        name = self.name()
-        if not self.sees("("):
-            return self.made(tree.Name, token.at, name)
+        if self.next_is("["):
+            return self.add_node(tree.ListLiteral, token.position, self.comma_separated("[", "]"))
+        if self.next_is("{"):
+            return self.map_literal(token.position)
+        if token.kind == lexer.NAME and token.value in CONSTANTS:
+            self.advance()
+            return self.add_node(tree.Literal, token.position, *CONSTANTS[token.value])
+        name = self.parse_name()
+        if not self.next_is("("):
+            return self.add_node(tree.Name, token.position, name)
         if name != "has":
-            return self.made(tree.Call, token.at, name, None, self.listed("(", ")"), None)
-        given = self.listed("(", ")")
-        if len(given) != 1 or not isinstance(given[0], tree.Field):
-            raise Fault(SYNTAX, "has() takes one field, as in has(a.b)", *token.at)
-        return self.made(tree.Has, token.at, given[0].target, given[0].name)
-
-    def map_of(self, at):
-        self.want("{")
+            return self.add_node(tree.Call, token.position, name, None, self.comma_separated("(", ")"), None)
+        arguments = self.comma_separated("(", ")")
+        if len(arguments) != 1 or not isinstance(arguments[0], tree.Field):
+            raise Fault(SYNTAX, "has() takes one field, as in has(a.b)", *token.position)
+        return self.add_node(tree.Has, token.position, arguments[0].target, arguments[0].name)
+
+    def map_literal(self, start):
+        self.expect("{")
         keys, items = [], []
-        while not self.sees("}"):
-            keys.append(self.choice())
-            self.want(":")
-            items.append(self.choice())
-            if not self.sees("}"):
-                self.want(",")
-        self.take()
-        return self.made(tree.MapOf, at, keys, items)
+        while not self.next_is("}"):
+            keys.append(self.conditional())
+            self.expect(":")
+            items.append(self.conditional())
+            if not self.next_is("}"):
+                self.expect(",")
+        self.advance()
+        return self.add_node(tree.MapLiteral, start, keys, items)
--- a/lemonlead/matching/quick.py
+++ b/lemonlead/matching/quick.py
@@ -1,37 +1,39 @@
-"""A checked tree as one code object of Python's, in which `&&` and `||` are `and` and `or`.
+"""Compiles a checked tree to one Python code object, in which `&&` and `||` are `and` and `or`.
 
-As long as nothing errs its value is the exact one: an operand is asked only while those before it did not
-decide. What raises is evaluated anew by `exact`. Only names and numbers made here stand in the text that is
-compiled; all literals of the expression's are passed as constants."""
+Its value is exact unless an error occurs: an operand is evaluated only if those before it did not decide. An
+expression that raises is evaluated again by `exact`. The compiled source text contains only generated names
+and numbers, and field names that the checker has verified; all other literals are passed as constants."""
 
 from . import tree
-from .checker import constant, plain
-from .exact import part
-from .functions import divided, ratio, remainder, within
+from .checker import is_constant, is_plain_division
+from .exact import item_at
+from .functions import divide, divide_floats, remainder, check_int64
 from .kinds import DOUBLE, DURATION, INT, ORDERED
 
-COMPARED = {"==", "!=", "<", "<=", ">", ">="}
+COMPARISONS = {"==", "!=", "<", "<=", ">", ">="}
 
 
 def compile_tree(node):
-    """A function of a request that gives the value, or raises anything of `exact.ERRORS`."""
+    """Returns a function that evaluates the expression for a request. It may raise any of `exact.ERRORS`."""
     return Writer().function(node)
 
 
 class Writer:
+    """Writes the Python source of a tree and collects the constants that it uses."""
+
     def __init__(self):
         self.constants = {
-            "within": within,
-            "divided": divided,
-            "ratio": ratio,
+            "within": check_int64,
+            "divided": divide,
+            "ratio": divide_floats,
             "remainder": remainder,
-            "part": part,
+            "part": item_at,
         }
         self.names = {"lookup": "lookup"}
 
     def function(self, node):
         text = f"lambda lookup: {self.write(node)}"
-        return eval(compile(text, "<expression>", "eval"), {"__builtins__": USED, **self.constants})
+        return eval(compile(text, "<expression>", "eval"), {"__builtins__": BUILTINS, **self.constants})
 
     def constant(self, value):
         if value is None or isinstance(value, bool):
@@ -62,60 +64,67 @@
                 return f"part({self.write(target)}, {self.write(index)})"
             case tree.Call():
                 return self.call(node)
-            case tree.Unary(sign="!", operand=operand):
+            case tree.Unary(operator="!", operand=operand):
                 return f"(not {self.write(operand)})"
             case tree.Unary(operand=operand):
                 return self.within(node, f"-{self.write(operand)}")
             case tree.Binary():
                 return self.binary(node)
-            case tree.Logic(sign=sign, operands=operands):
-                return "(" + (" or " if sign == "||" else " and ").join(map(self.write, operands)) + ")"
-            case tree.Choice():
-                return f"({self.write(node.yes)} if {self.write(node.test)} else {self.write(node.no)})"
-            case tree.ListOf(items=items):
+            case tree.Logic(operator=operator, operands=operands):
+                return "(" + (" or " if operator == "||" else " and ").join(map(self.write, operands)) + ")"
+            case tree.Conditional():
+                return (
+                    f"({self.write(node.if_true)} if {self.write(node.condition)}"
+                    f" else {self.write(node.if_false)})"
+                )
+            case tree.ListLiteral(items=items):
                 return f"[{', '.join(map(self.write, items))}]"
-            case tree.MapOf(keys=keys, items=items):
+            case tree.MapLiteral(keys=keys, items=items):
                 pairs = zip(map(self.write, keys), map(self.write, items), strict=True)
                 return "{" + ", ".join(f"{key}: {item}" for key, item in pairs) + "}"
-            case tree.Each():
-                return self.each(node)
+            case tree.Comprehension():
+                return self.comprehension(node)
         raise TypeError(node)
 
     def within(self, node, text):
-        """The text, looked at for 64 bits where the checker does not know it to fit."""
-        return f"within({text})" if node.own and node.kind in (INT, DURATION) else f"({text})"
+        """Returns the source with a check for 64 bits, unless the checker has shown that the result fits."""
+        return f"within({text})" if node.may_err_itself and node.kind in (INT, DURATION) else f"({text})"
 
     def call(self, node):
-        function, values = node.function, [*([node.target] if node.target else []), *node.given]
+        function, values = node.function, [*([node.target] if node.target else []), *node.arguments]
         texts = [self.write(value) for value in (values[:-1] if function.literal else values)]
         if function.literal:
-            texts.append(self.constant(function.made(values[-1].value)))
+            texts.append(self.constant(function.prepare(values[-1].value)))
         if function.inline:
             return function.inline.format(*texts)
         return f"{self.constant(function.run)}({', '.join(texts)})"
 
     def binary(self, node):
-        left, sign, right = self.write(node.left), node.sign, self.write(node.right)
-        if sign == "in":
-            if isinstance(node.right, tree.ListOf) and constant(node.right) and node.left.kind in ORDERED:
+        left, operator, right = self.write(node.left), node.operator, self.write(node.right)
+        if operator == "in":
+            if (
+                isinstance(node.right, tree.ListLiteral)
+                and is_constant(node.right)
+                and node.left.kind in ORDERED
+            ):
                 right = self.constant(frozenset(item.value for item in node.right.items))
             return f"({left} in {right})"
-        if sign in COMPARED:
-            return f"({left} {sign} {right})"
+        if operator in COMPARISONS:
+            return f"({left} {operator} {right})"
         if node.kind == DOUBLE:
-            return f"ratio({left}, {right})" if sign == "/" else f"({left} {sign} {right})"
-        if node.kind not in (INT, DURATION) or sign in "+-*":
-            return self.within(node, f"{left} {sign} {right}")
-        if plain(node):
-            return f"({left} {'//' if sign == '/' else '%'} {right})"
-        return f"{'divided' if sign == '/' else 'remainder'}({left}, {right})"
-
-    def each(self, node):
+            return f"ratio({left}, {right})" if operator == "/" else f"({left} {operator} {right})"
+        if node.kind not in (INT, DURATION) or operator in "+-*":
+            return self.within(node, f"{left} {operator} {right}")
+        if is_plain_division(node):
+            return f"({left} {'//' if operator == '/' else '%'} {right})"
+        return f"{'divided' if operator == '/' else 'remainder'}({left}, {right})"
+
+    def comprehension(self, node):
         over = self.write(node.over)
         name = f"v{len(self.names)}"
         self.names = {**self.names, node.name: name}
         body = self.write(node.body)
-        test = f" if {self.write(node.test)}" if node.test is not None else ""
+        condition = f" if {self.write(node.condition)}" if node.condition is not None else ""
         self.names = {known: value for known, value in self.names.items() if known != node.name}
         match node.macro:
             case "exists":
@@ -126,7 +135,7 @@
                 return f"(sum([1 for {name} in {over} if {body}]) == 1)"
             case "filter":
                 return f"[{name} for {name} in {over} if {body}]"
-        return f"[{body} for {name} in {over}{test}]"
+        return f"[{body} for {name} in {over}{condition}]"
 
 
-USED = {"len": len, "any": any, "all": all, "sum": sum, "str": str, "float": float, "hasattr": hasattr}
+BUILTINS = {"len": len, "any": any, "all": all, "sum": sum, "str": str, "float": float, "hasattr": hasattr}
--- a/lemonlead/matching/tree.py
+++ b/lemonlead/matching/tree.py
@@ -1,25 +1,45 @@
-"""Expressions as trees. The parser makes them; the checker fills in `kind`, `bounds`, `cost` and `errs`."""
+"""Syntax trees of expressions. The parser makes them; the checker fills in the fields that `Node`
+describes."""
 
 from .kinds import ANY
 
 
 class Node:
-    """`cost` is the whole worst case of this node and all below it, `errs` whether it may give no value,
-    `own` whether that may be by its own doing, `raises` how many errors one evaluation may raise and
-    absorb."""
-
-    __slots__ = ("line", "column", "depth", "kind", "bounds", "cost", "errs", "own", "raises")
-    parts = ()  # names of the slots that hold a node or a list of them
-
-    def __init__(self, at, *values):
-        self.line, self.column = at
-        self.kind, self.bounds, self.cost, self.errs, self.own, self.raises = None, ANY, 0, False, False, 0
+    """A node of a tree, at a line and column.
+
+    The checker sets the type (`kind`), the bounds, and: `cost`, the worst-case cost of this node and all its
+    descendants; `may_err`, whether it may have no value; `may_err_itself`, whether its own operation may
+    fail; `max_errors`, how many errors one evaluation may raise and absorb."""
+
+    __slots__ = (
+        "line",
+        "column",
+        "depth",
+        "kind",
+        "bounds",
+        "cost",
+        "may_err",
+        "may_err_itself",
+        "max_errors",
+    )
+    child_slots = ()  # names of the slots that hold a node or a list of nodes
+
+    def __init__(self, position, *values):
+        self.line, self.column = position
+        self.kind, self.bounds, self.cost, self.may_err, self.may_err_itself, self.max_errors = (
+            None,
+            ANY,
+            0,
+            False,
+            False,
+            0,
+        )
         for name, value in zip(self.__slots__, values, strict=True):
             setattr(self, name, value)
         self.depth = 1 + max((child.depth for child in self.children()), default=0)
 
     def children(self):
-        for name in self.parts:
+        for name in self.child_slots:
             value = getattr(self, name)
             if isinstance(value, Node):
                 yield value
@@ -28,7 +48,7 @@
 
 
 class Literal(Node):
-    __slots__ = ("value", "of")
+    __slots__ = ("value", "literal_kind")
 
 
 class Name(Node):
@@ -37,111 +57,130 @@
 
 class Field(Node):
     __slots__ = ("target", "name")
-    parts = ("target",)
+    child_slots = ("target",)
 
 
 class Has(Node):
     __slots__ = ("target", "name")
-    parts = ("target",)
+    child_slots = ("target",)
 
 
 class Index(Node):
     __slots__ = ("target", "index")
-    parts = ("target", "index")
+    child_slots = ("target", "index")
 
 
 class Call(Node):
-    """`target` is None where the function stands alone; the checker sets `function`."""
+    """A function call. `target` is None if the function is not called on a value. The checker sets
+    `function`."""
 
-    __slots__ = ("name", "target", "given", "function")
-    parts = ("target", "given")
+    __slots__ = ("name", "target", "arguments", "function")
+    child_slots = ("target", "arguments")
 
 
 class Unary(Node):
-    __slots__ = ("sign", "operand")
-    parts = ("operand",)
+    __slots__ = ("operator", "operand")
+    child_slots = ("operand",)
 
 
 class Binary(Node):
-    """Arithmetic, comparison and `in`."""
+    """Arithmetic, a comparison, or `in`."""
 
-    __slots__ = ("sign", "left", "right")
-    parts = ("left", "right")
+    __slots__ = ("operator", "left", "right")
+    child_slots = ("left", "right")
 
 
 class Logic(Node):
-    """`&&` or `||` over two operands or more: a chain is one node."""
+    """`&&` or `||` over two or more operands; `a && b && c` is one node."""
 
-    __slots__ = ("sign", "operands")
-    parts = ("operands",)
+    __slots__ = ("operator", "operands")
+    child_slots = ("operands",)
 
 
-class Choice(Node):
-    __slots__ = ("test", "yes", "no")
-    parts = ("test", "yes", "no")
+class Conditional(Node):
+    __slots__ = ("condition", "if_true", "if_false")
+    child_slots = ("condition", "if_true", "if_false")
 
 
-class ListOf(Node):
+class ListLiteral(Node):
     __slots__ = ("items",)
-    parts = ("items",)
+    child_slots = ("items",)
 
 
-class MapOf(Node):
+class MapLiteral(Node):
     __slots__ = ("keys", "items")
-    parts = ("keys", "items")
+    child_slots = ("keys", "items")
 
 
-class Each(Node):
-    """`over.macro(name, body)`; `test` is the condition of a `map` with three parts."""
+class Comprehension(Node):
+    """`over.macro(name, body)`. `condition` is set for a `map` with three arguments: `map(name, condition,
+    body)`."""
 
-    __slots__ = ("macro", "over", "name", "test", "body")
-    parts = ("over", "test", "body")
+    __slots__ = ("macro", "over", "name", "condition", "body")
+    child_slots = ("over", "condition", "body")
 
 
 def walk(node):
-    """The node and all below it."""
-    open_nodes = [node]
-    while open_nodes:
-        node = open_nodes.pop()
+    """Yields the node and all its descendants."""
+    pending = [node]
+    while pending:
+        node = pending.pop()
         yield node
-        open_nodes.extend(node.children())
+        pending.extend(node.children())
 
 
-def text(node):
-    """The expression in one agreed form: trees that mean the same by their shape have the same text."""
+def canonical_text(node):
+    """Returns the expression in a canonical form: trees of the same structure have the same text."""
     match node:
         case Literal():
-            return f"{node.of}:{node.value!r}"
+            return f"{node.literal_kind}:{node.value!r}"
         case Name():
             return node.name
         case Field():
-            return f"{text(node.target)}.{node.name}"
+            return f"{canonical_text(node.target)}.{node.name}"
         case Has():
-            return f"has({text(node.target)}.{node.name})"
+            return f"has({canonical_text(node.target)}.{node.name})"
         case Index(target=target, index=Literal(value=str() as name)):
-            return f"{text(target)}.{name}" if name.isidentifier() else f"{text(target)}[{name!r}]"
+            return (
+                f"{canonical_text(target)}.{name}"
+                if name.isidentifier()
+                else f"{canonical_text(target)}[{name!r}]"
+            )
         case Index():
-            return f"{text(node.target)}[{text(node.index)}]"
+            return f"{canonical_text(node.target)}[{canonical_text(node.index)}]"
         case Call():
-            given = ",".join(map(text, node.given))
-            return f"{node.name}({text(node.target)};{given})" if node.target else f"{node.name}({given})"
+            arguments = ",".join(map(canonical_text, node.arguments))
+            return (
+                f"{node.name}({canonical_text(node.target)};{arguments})"
+                if node.target
+                else f"{node.name}({arguments})"
+            )
         case Unary():
-            return f"{node.sign}({text(node.operand)})"
+            return f"{node.operator}({canonical_text(node.operand)})"
         case Binary():
-            return f"({text(node.left)}{node.sign}{text(node.right)})"
+            return f"({canonical_text(node.left)}{node.operator}{canonical_text(node.right)})"
         case Logic():
-            return "(" + node.sign.join(map(text, node.operands)) + ")"
-        case Choice():
-            return f"({text(node.test)}?{text(node.yes)}:{text(node.no)})"
-        case ListOf():
-            return "[" + ",".join(map(text, node.items)) + "]"
-        case MapOf():
+            return "(" + node.operator.join(map(canonical_text, node.operands)) + ")"
+        case Conditional():
+            return (
+                f"({canonical_text(node.condition)}?{canonical_text(node.if_true)}"
+                f":{canonical_text(node.if_false)})"
+            )
+        case ListLiteral():
+            return "[" + ",".join(map(canonical_text, node.items)) + "]"
+        case MapLiteral():
             return (
                 "{"
-                + ",".join(f"{text(k)}:{text(v)}" for k, v in zip(node.keys, node.items, strict=True))
+                + ",".join(
+                    f"{canonical_text(k)}:{canonical_text(v)}"
+                    for k, v in zip(node.keys, node.items, strict=True)
+                )
                 + "}"
             )
-        case Each():
-            test = text(node.test) + "," if node.test else ""
-            return f"{node.macro}({text(node.over)},{node.name},{test}{text(node.body)})"
+        case Comprehension():
+            condition = canonical_text(node.condition) + "," if node.condition else ""
+            return (
+                f"{node.macro}({canonical_text(node.over)},{node.name}"
+                f",{condition}{canonical_text(node.body)})"
+            )
     raise TypeError(node)
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -301,7 +301,7 @@
             )
         case "list":
             return len(value) <= bounds.size and all(
-                bounded(item, kind.of, bounds.of or kinds.ANY) for item in value
+                bounded(item, kind.item, bounds.item or kinds.ANY) for item in value
             )
         case "bool":
             return type(value) is bool
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -118,9 +118,9 @@
         ("lookup.lane != 'buy' && lookup.lane != 'stream' && lookup.stamped", "'reserve'", "zoned"),
         ("!(lookup.lane != 'reserve')", "'fitment'", "weaken"),
         ("lookup.lane == 'buy'", "lookup.repeat ? lookup.lane : 'reserve'", "weaken"),
-        ("true", "lookup.key", "cannot be told"),
-        ("true", "'fit' + 'ment'", "cannot be told"),
-        ("true", "['fitment'][0]", "cannot be told"),
+        ("true", "lookup.key", "cannot be determined"),
+        ("true", "'fit' + 'ment'", "cannot be determined"),
+        ("true", "['fitment'][0]", "cannot be determined"),
         ("lookup.lane == 'buy'", "'nothing'", "no lane 'nothing'"),
         ("lookup.lane == 'fitment'", "lookup.repeat ? 'nothing' : 'fitment'", "no lane 'nothing'"),
     ],
@@ -345,7 +345,7 @@
 
 def test_the_part_that_leaves_out_most_is_chosen():
     made = rules(*({"when": f"lookup.lane == 'fitment' && lookup.key == 'k{n}'"} for n in range(50)))
-    assert made.index.read()["groups"] == [{"kind": "equality", "subject": "lookup.key", "rules": 50}]
+    assert made.index.describe()["groups"] == [{"kind": "equality", "subject": "lookup.key", "rules": 50}]
     assert list(made.index.candidates(asked(b"k7"))) == [7]
 
 
@@ -409,7 +409,7 @@
         one = seen(customer=customer)
         assert made.may_try_shadow(0)
         made.try_shadow(one, made.apply(one))
-    kinds, differences = made.read()
+    kinds, differences = made.read_counts()
     assert kinds["matched"] == {"r0": 2} and kinds["shadow"] == {"asked": 2, "differs": 1, "erred": 0}
     assert differences == [("r0", "r1", 1)]
 
@@ -423,12 +423,12 @@
             made.charge_shadow(2_000_000)
     spent = asked_times * 2_000_000
     assert 0 < spent <= 0.01 * S + MAX_BUDGET_NS + 2_000_000
-    assert made.read()[0]["shadow"] == {"skipped": 1000 - asked_times, "asked": asked_times}
+    assert made.read_counts()[0]["shadow"] == {"skipped": 1000 - asked_times, "asked": asked_times}
 
 
 def test_a_budget_does_not_grow_while_nothing_is_asked_and_never_goes_back_in_time():
     made = Budget(0.5, 0)
-    assert made.has_time(100 * S) and made.left == MAX_BUDGET_NS
+    assert made.has_time(100 * S) and made.left_ns == MAX_BUDGET_NS
     made.charge(MAX_BUDGET_NS)
     assert not made.has_time(50 * S) and not made.has_time(100 * S) and made.has_time(100 * S + 1000)
 
@@ -447,7 +447,7 @@
     for number in range(1000):
         if count := made.errors_to_log(number * ERROR_LOG_INTERVAL_NS // 100):
             told.append(count)
-    assert len(told) == 10 and sum(told) + made.unlogged == 1000
+    assert len(told) == 10 and sum(told) + made.unlogged_errors == 1000
 
 
 def test_requests_are_judged_by_one_whole_set_while_sets_change():
