--- a/lemonlead/settings/__init__.py
+++ b/lemonlead/settings/__init__.py
@@ -1,8 +1,8 @@
-"""Settings of ours as typed records, in a stated subset of CUE: one form for types, defaults and values.
+"""Settings files as typed records, in a subset of CUE: one language for types, defaults and values.
 
-`read(path, schema)` gives a file, with all that it includes, unified with a schema: plain values and the
-place of each. All faults of a file are raised at once as `Unfit`, and nothing of an unfit file is used. What
-the platform tells stays JSON and does not come through here. No decision is made here."""
+`read(path, schema)` unifies a file and everything that it includes with a schema, and returns plain values
+and the place of each. All faults of a file are raised at once as `InvalidFile`, and nothing of such a file is
+used. The platform's settings are JSON and are not read here. No decisions are made here."""
 
 from .faults import Fault, InvalidFile
 from .load import SettingsFile, read, schema_text
--- a/lemonlead/settings/faults.py
+++ b/lemonlead/settings/faults.py
@@ -1,11 +1,11 @@
-"""What is wrong with a settings file, where, and what would do."""
+"""Faults of settings files: what was found at which place, and what is allowed there."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A place in a file: line and column count from 1."""
+    """A place in a file. Line and column are counted from 1."""
 
     file: str
     line: int
@@ -17,7 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`path`: the field, as in `rules[3].when`. `other`: the place that this one conflicts with."""
+    """A fault at a place. `path` is the field, as in `rules[3].when`, and `other` the place of a conflicting
+    value or constraint."""
 
     place: Place
     path: str
@@ -48,7 +49,7 @@
 
 
 class InvalidFile(Exception):
-    """A file that cannot be used, with all its faults in the order of their places."""
+    """A file that cannot be used, with all its faults, sorted by place."""
 
     def __init__(self, faults):
         self.faults = sorted(faults, key=lambda f: (f.place.file, f.place.line, f.place.column, f.path))
--- a/lemonlead/settings/tree.py
+++ b/lemonlead/settings/tree.py
@@ -1,4 +1,4 @@
-"""Settings as trees, as the parser makes them. Each node knows its place."""
+"""Syntax trees of settings files, made by the parser. Each node has its place."""
 
 from dataclasses import dataclass, field
 
@@ -10,36 +10,42 @@
     place: Place
     value: object
     kind: str  # "int", "float", "string", "bool", "null", "duration"
-    raw: str = ""  # of a string: as it is written, with its quotes
+    raw: str = ""  # of a string: its source text, with quotes
 
 
 @dataclass(slots=True, eq=False)
 class Bound:
+    """A comparison or pattern that a value must satisfy, such as `<=10`."""
+
     place: Place
-    sign: str
+    operator: str
     limit: object
 
 
 @dataclass(slots=True, eq=False)
 class Ref:
+    """A reference to a type, field or definition, such as `#Rule` or `a.b`."""
+
     place: Place
     path: list
 
 
 @dataclass(slots=True, eq=False)
-class Both:
+class Conjunction:
     place: Place
     parts: list
 
 
 @dataclass(slots=True, eq=False)
-class Either:
+class Disjunction:
     place: Place
-    choices: list  # of (whether it is the default, what)
+    choices: list  # of (whether it is the default, node)
 
 
 @dataclass(slots=True, eq=False)
 class Label:
+    """The name of a field."""
+
     place: Place
     name: str
     optional: bool = False
@@ -48,8 +54,8 @@
 @dataclass(slots=True, eq=False)
 class Struct:
     place: Place
-    fields: list = field(default_factory=list)  # of (Label, what)
-    patterns: list = field(default_factory=list)  # of (what the name must be, what)
+    fields: list = field(default_factory=list)  # of (Label, node)
+    patterns: list = field(default_factory=list)  # of (constraint on the name, node)
     open: bool = False
     includes: list = field(default_factory=list)  # of (place, path)
 
@@ -58,12 +64,12 @@
 class List:
     place: Place
     items: list
-    rest: object = None  # what further items are; None: there are none
+    rest: object = None  # constraint on further items
     open: bool = False
 
 
-def told(node):
-    """What it allows, in words, for a fault."""
+def describe(node):
+    """Returns the text of a constraint, for a fault."""
     match node:
         case Literal(kind="duration"):
             return f"{node.value}ns"
@@ -76,15 +82,15 @@
                 else str(node.value)
             )
         case Bound():
-            return f"{node.sign}{told(node.limit)}"
+            return f"{node.operator}{describe(node.limit)}"
         case Ref():
             return ".".join(node.path)
-        case Both():
-            return " & ".join(map(told, node.parts))
-        case Either():
-            return " | ".join(("*" if default else "") + told(part) for default, part in node.choices)
+        case Conjunction():
+            return " & ".join(map(describe, node.parts))
+        case Disjunction():
+            return " | ".join(("*" if default else "") + describe(part) for default, part in node.choices)
         case Struct():
             return "{" + ", ".join(label.name for label, _ in node.fields[:12]) + "}"
         case List():
-            return f"[...{told(node.rest)}]" if node.rest is not None else "a list"
+            return f"[...{describe(node.rest)}]" if node.rest is not None else "a list"
     return "?"
--- a/lemonlead/settings/unify.py
+++ b/lemonlead/settings/unify.py
@@ -1,8 +1,7 @@
-"""Unification: what several records say of one field, made into one value, or a fault with both places.
+"""Unification: combines all constraints on a field into one value, or reports a conflict with both places.
 
-A field's value is what all that is said of it agrees on: types and bounds narrow it, literals fix it, a
-disjunction is tried choice by choice. What is left without a literal takes its default, or is missing. The
-work is bounded."""
+Types and bounds restrict a field's value, literals determine it, and the choices of a disjunction are tried
+one by one. A field without a literal takes its default, or is missing. The work is bounded."""
 
 import re2
 
@@ -19,54 +18,63 @@
     "duration": ("duration",),
     "_": ("int", "float", "string", "bool", "null", "duration", "struct", "list"),
 }
-MOST_STEPS, MOST_FAULTS, MOST_ITEMS, DEEPEST = 2_000_000, 200, 200_000, 40
+MAX_STEPS = 2_000_000
+MAX_FAULTS = 200  # reported for a file
+MAX_ITEMS = 200_000  # of a list
+MAX_DEPTH = 40  # nested values, and chained references
 MISSING = object()
 
 
 class Scope:
-    """The fields of one struct literal, by which references inside it are resolved, and the scope around
-    it."""
+    """The fields of one struct literal, to which references inside it are resolved, and the enclosing
+    scope."""
 
-    def __init__(self, around=None):
-        self.around, self.names = around, {}
+    def __init__(self, outer=None):
+        self.outer, self.names = outer, {}
 
     def find(self, name):
         scope = self
         while scope is not None:
             if name in scope.names:
                 return scope.names[name]
-            scope = scope.around
+            scope = scope.outer
         return None
 
 
-class Said:
-    """One thing that is said of a field: a node, the scope it stands in, and the definition that closes
-    it."""
+class Constraint:
+    """One constraint on a field: a node, the scope that contains it, and the definition that closes its
+    struct, if any."""
 
-    __slots__ = ("node", "scope", "closed")
+    __slots__ = ("node", "scope", "definition")
 
-    def __init__(self, node, scope, closed=None):
-        self.node, self.scope, self.closed = node, scope, closed
+    def __init__(self, node, scope, definition=None):
+        self.node, self.scope, self.definition = node, scope, definition
 
 
-class TooMuch(Exception):
-    pass
+class LimitExceeded(Exception):
+    """The work takes more steps than allowed, or the values are nested too deeply."""
 
 
-def unify(structs, own):
-    """The value of files' top structs together, the first of them the schema, whose fields alone are allowed;
-    the literal of each field by its path. `own`: the name of the file that faults of missing fields name."""
-    top, unifier = Scope(), Unifier(own)
+def unify(structs, own_file):
+    """Unifies the top-level structs of files. The first is the schema, and only its fields are allowed.
+
+    Returns the value, and the literal of each field by its path. Raises InvalidFile. `own_file` is the name
+    of the user's file, which faults about missing fields refer to."""
+    top, unifier = Scope(), Unifier(own_file)
     for struct in structs:
         for label, node in struct.fields:
             top.names.setdefault(label.name, []).append(
-                Said(node, top, struct if label.name[0] == "#" else None)
+                Constraint(node, top, struct if label.name[0] == "#" else None)
             )
-    said = [Said(struct, top, structs[0] if struct is structs[0] else None) for struct in structs]
+    constraints = [
+        Constraint(struct, top, structs[0] if struct is structs[0] else None) for struct in structs
+    ]
     try:
-        value = unifier.value(said, "", 0, top)
-    except TooMuch:
-        unifier.faults.append(Fault(Place(own, 1, 1), "", "more than can be unified", f"{MOST_STEPS} steps"))
+        value = unifier.value(constraints, "", 0, top)
+    except LimitExceeded:
+        unifier.faults.append(
+            Fault(Place(own_file, 1, 1), "", "more than can be unified", f"{MAX_STEPS} steps")
+        )
         value = None
     if unifier.faults:
         raise InvalidFile(unifier.faults)
@@ -74,183 +82,237 @@
 
 
 class Unifier:
-    def __init__(self, own):
-        self.own, self.faults, self.literals, self.steps, self.patterns = own, [], {}, 0, {}
+    """Unifies constraints, and collects faults and the literals that determine the values."""
+
+    def __init__(self, own_file):
+        self.own_file, self.faults, self.literals, self.steps, self.patterns = own_file, [], {}, 0, {}
 
     def fault(self, place, path, found, allowed, other=None, code="value"):
-        if len(self.faults) < MOST_FAULTS:
+        if len(self.faults) < MAX_FAULTS:
             self.faults.append(Fault(place, path[:200], found[:120], allowed[:200], other, code))
         return MISSING
 
     # ---- one field
 
-    def value(self, said, path, depth, top=None):
-        self.steps += 1 + len(said)
-        if self.steps > MOST_STEPS or depth > DEEPEST:
-            raise TooMuch
-        flat = []
-        for one in said:
-            self.flatten(one, flat, path, ())
-        for place, one in enumerate(flat):
-            if isinstance(one.node, tree.Either):
-                return self.either(one, flat[:place] + flat[place + 1 :], path, depth)
-        kinds = {self.sort(one.node): one for one in flat}
-        kinds.pop("any", None)
-        if len(kinds) > 1:
-            (first, one), (second, other), *_ = sorted(
-                kinds.items(), key=lambda item: item[1].node.place.file != self.own
+    def value(self, constraints, path, depth, top=None):
+        """Returns the value that satisfies all constraints, or MISSING."""
+        self.steps += 1 + len(constraints)
+        if self.steps > MAX_STEPS or depth > MAX_DEPTH:
+            raise LimitExceeded
+        flattened = []
+        for constraint in constraints:
+            self.flatten(constraint, flattened, path, ())
+        for place, constraint in enumerate(flattened):
+            if isinstance(constraint.node, tree.Disjunction):
+                return self.disjunction(constraint, flattened[:place] + flattened[place + 1 :], path, depth)
+        by_type = {self.node_type(constraint.node): constraint for constraint in flattened}
+        by_type.pop("any", None)
+        if len(by_type) > 1:
+            (first, constraint), (second, other), *_ = sorted(
+                by_type.items(), key=lambda item: item[1].node.place.file != self.own_file
+            )
+            found = tree.describe(constraint.node) if first == "scalar" else f"a {first}"
+            return self.fault(constraint.node.place, path, found, f"a {second}", other.node.place, "type")
+        if "struct" in by_type:
+            return self.struct(
+                [constraint for constraint in flattened if isinstance(constraint.node, tree.Struct)],
+                path,
+                depth,
+                top,
             )
-            found = tree.told(one.node) if first == "scalar" else f"a {first}"
-            return self.fault(one.node.place, path, found, f"a {second}", other.node.place, "type")
-        if "struct" in kinds:
-            return self.struct([one for one in flat if isinstance(one.node, tree.Struct)], path, depth, top)
-        if "list" in kinds:
-            return self.list([one for one in flat if isinstance(one.node, tree.List)], path, depth)
-        return self.scalar(flat, path)
-
-    def sort(self, node):
+        if "list" in by_type:
+            return self.list(
+                [constraint for constraint in flattened if isinstance(constraint.node, tree.List)],
+                path,
+                depth,
+            )
+        return self.scalar(flattened, path)
+
+    def node_type(self, node):
         if isinstance(node, tree.Struct):
             return "struct"
         if isinstance(node, tree.List):
             return "list"
         return "any" if isinstance(node, tree.Ref) and node.path == ["_"] else "scalar"
 
-    def flatten(self, one, flat, path, through):
-        """Takes conjunctions apart and follows references; one that leads to itself is a fault."""
-        node = one.node
+    def flatten(self, constraint, flattened, path, visited):
+        """Splits conjunctions and follows references. A reference cycle is a fault."""
+        node = constraint.node
         self.steps += 1
-        if self.steps > MOST_STEPS:
-            raise TooMuch
-        if isinstance(node, tree.Both):
+        if self.steps > MAX_STEPS:
+            raise LimitExceeded
+        if isinstance(node, tree.Conjunction):
             for part in node.parts:
-                self.flatten(Said(part, one.scope, one.closed), flat, path, through)
-        elif isinstance(node, tree.Ref) and (found := self.resolve(node, one.scope)) is not None:
-            if node in through or len(through) > DEEPEST:
-                self.fault(node.place, path, f"{tree.told(node)}, which leads to itself", "a value")
+                self.flatten(
+                    Constraint(part, constraint.scope, constraint.definition), flattened, path, visited
+                )
+        elif isinstance(node, tree.Ref) and (found := self.resolve(node, constraint.scope)) is not None:
+            if node in visited or len(visited) > MAX_DEPTH:
+                self.fault(node.place, path, f"{tree.describe(node)}, which leads to itself", "a value")
                 return
             for other in found:
-                closed = other.closed or one.closed
-                self.flatten(Said(other.node, other.scope, closed), flat, path, (*through, node))
+                definition = other.definition or constraint.definition
+                self.flatten(
+                    Constraint(other.node, other.scope, definition), flattened, path, (*visited, node)
+                )
         elif isinstance(node, tree.Ref) and (len(node.path) > 1 or node.path[0] not in TYPES):
             self.fault(
                 node.place,
                 path,
-                f"the reference {tree.told(node)}",
+                f"the reference {tree.describe(node)}",
                 "a field or definition that exists",
                 code="name",
             )
         else:
-            flat.append(one)
+            flattened.append(constraint)
 
     def resolve(self, ref, scope):
         found = scope.find(ref.path[0])
         for name in ref.path[1:]:
             inner = []
-            for one in found or ():
-                flat = []
-                self.flatten(one, flat, "", (ref,))
-                for part in flat:
+            for constraint in found or ():
+                flattened = []
+                self.flatten(constraint, flattened, "", (ref,))
+                for part in flattened:
                     if isinstance(part.node, tree.Struct):
-                        made = self.scope_of(part)
+                        result = self.scope_of(part)
                         inner += [
-                            Said(node, made, part.closed)
+                            Constraint(node, result, part.definition)
                             for label, node in part.node.fields
                             if label.name == name
                         ]
             found = inner
         return found or None
 
-    def scope_of(self, one):
-        made = Scope(one.scope)
-        for label, node in one.node.fields:
-            made.names.setdefault(label.name, []).append(Said(node, made, one.closed))
-        return made
+    def scope_of(self, constraint):
+        result = Scope(constraint.scope)
+        for label, node in constraint.node.fields:
+            result.names.setdefault(label.name, []).append(Constraint(node, result, constraint.definition))
+        return result
 
     # ---- disjunctions
 
-    def either(self, one, rest, path, depth):
-        fits, refused = [], []
-        for default, node in one.node.choices:
-            trial = Unifier(self.own)
+    def disjunction(self, constraint, others, path, depth):
+        """Tries each choice together with the other constraints. Defaults take precedence."""
+        accepted, rejected = [], []
+        for default, node in constraint.node.choices:
+            trial = Unifier(self.own_file)
             trial.steps, trial.patterns = self.steps, self.patterns
-            value = trial.value([*rest, Said(node, one.scope, one.closed)], path, depth + 1)
+            value = trial.value(
+                [*others, Constraint(node, constraint.scope, constraint.definition)], path, depth + 1
+            )
             self.steps = trial.steps
             if trial.faults:
-                refused.append(trial.faults)
+                rejected.append(trial.faults)
             else:
-                fits.append((default, value, trial.literals))
-        chosen = [fit for fit in fits if fit[0]] or fits
-        if chosen and all(fit[1] == chosen[0][1] and type(fit[1]) is type(chosen[0][1]) for fit in chosen):
+                accepted.append((default, value, trial.literals))
+        chosen = [choice for choice in accepted if choice[0]] or accepted
+        if chosen and all(
+            choice[1] == chosen[0][1] and type(choice[1]) is type(chosen[0][1]) for choice in chosen
+        ):
             self.literals.update(chosen[0][2])
             return chosen[0][1]
         if chosen:
             return self.fault(
-                self.place_of(rest, one), path, "no value that decides", tree.told(one.node), one.node.place
+                self.place_of(others, constraint),
+                path,
+                "no value that decides",
+                tree.describe(constraint.node),
+                constraint.node.place,
             )
-        close = max(refused, key=lambda faults: max(len(fault.path) for fault in faults))
-        if max(len(fault.path) for fault in close) > len(path):  # the choice that went furthest says more
-            self.faults += close[: MOST_FAULTS - len(self.faults)]
+        closest = max(rejected, key=lambda faults: max(len(fault.path) for fault in faults))
+        if max(len(fault.path) for fault in closest) > len(
+            path
+        ):  # the choice that matched deepest has the most useful faults
+            self.faults += closest[: MAX_FAULTS - len(self.faults)]
             return MISSING
-        given = next((other.node for other in rest if isinstance(other.node, tree.Literal)), None)
-        found = tree.told(given) if given else "nothing" if not rest else tree.told(rest[0].node)
-        return self.fault(self.place_of(rest, one), path, found, tree.told(one.node), one.node.place)
-
-    def place_of(self, said, otherwise):
-        """Where the user's own file speaks of it, else where the schema does."""
-        nodes = [one.node for one in said]
-        own = [node.place for node in nodes if isinstance(node, tree.Literal)] or [
-            node.place for node in nodes if node.place.file == self.own
+        given = next((other.node for other in others if isinstance(other.node, tree.Literal)), None)
+        found = tree.describe(given) if given else "nothing" if not others else tree.describe(others[0].node)
+        return self.fault(
+            self.place_of(others, constraint),
+            path,
+            found,
+            tree.describe(constraint.node),
+            constraint.node.place,
+        )
+
+    def place_of(self, constraints, otherwise):
+        """Returns the place of the constraint in the user's own file, else that in the schema."""
+        nodes = [constraint.node for constraint in constraints]
+        own_file = [node.place for node in nodes if isinstance(node, tree.Literal)] or [
+            node.place for node in nodes if node.place.file == self.own_file
         ]
-        return own[0] if own else otherwise.node.place
+        return own_file[0] if own_file else otherwise.node.place
 
     # ---- structs and lists
 
-    def struct(self, said, path, depth, top):
+    def struct(self, constraints, path, depth, top):
         fields, groups = {}, {}
-        for one in said:
-            scope = top if top is not None else self.scope_of(one)
-            for label, node in one.node.fields:
+        for constraint in constraints:
+            scope = top if top is not None else self.scope_of(constraint)
+            for label, node in constraint.node.fields:
                 if label.name[0] not in "#_":
-                    fields.setdefault(label.name, []).append((label, Said(node, scope, one.closed)))
-            if one.closed is not None:
-                groups.setdefault(one.closed, []).append((one, scope))
-        self.allow(fields, groups, path)
+                    fields.setdefault(label.name, []).append(
+                        (label, Constraint(node, scope, constraint.definition))
+                    )
+            if constraint.definition is not None:
+                groups.setdefault(constraint.definition, []).append((constraint, scope))
+        self.check_allowed_fields(fields, groups, path)
         for name, parts in fields.items():
-            for one in said:
-                for wanted, node in one.node.patterns:
-                    if self.names(wanted, name):
-                        scope = top if top is not None else self.scope_of(one)
-                        parts.append((tree.Label(node.place, name, True), Said(node, scope, one.closed)))
-        made = {}
-        home = next(
-            (one.node.place for one in reversed(said) if one.node.place.file == self.own), said[-1].node.place
+            for constraint in constraints:
+                for pattern_node, node in constraint.node.patterns:
+                    if self.matches_pattern(pattern_node, name):
+                        scope = top if top is not None else self.scope_of(constraint)
+                        parts.append(
+                            (
+                                tree.Label(node.place, name, True),
+                                Constraint(node, scope, constraint.definition),
+                            )
+                        )
+        result = {}
+        struct_place = next(
+            (
+                constraint.node.place
+                for constraint in reversed(constraints)
+                if constraint.node.place.file == self.own_file
+            ),
+            constraints[-1].node.place,
         )
         for name, parts in fields.items():
             if all(label.optional for label, _ in parts):
                 continue
-            here = f"{path}.{name}" if path else name
+            field_path = f"{path}.{name}" if path else name
             before = len(self.faults)
-            value = self.value([one for _, one in parts], here, depth + 1)
+            value = self.value([constraint for _, constraint in parts], field_path, depth + 1)
             if value is MISSING and len(self.faults) == before:
-                allowed = " & ".join(dict.fromkeys(tree.told(one.node) for _, one in parts))
-                self.fault(home, here, "nothing", allowed, parts[0][0].place)
-            made[name] = value
-        return made
+                allowed = " & ".join(dict.fromkeys(tree.describe(constraint.node) for _, constraint in parts))
+                self.fault(struct_place, field_path, "nothing", allowed, parts[0][0].place)
+            result[name] = value
+        return result
 
-    def allow(self, fields, groups, path):
-        """A closed struct has the fields that its definition names, and no others."""
+    def check_allowed_fields(self, fields, groups, path):
+        """Reports fields that a closed struct's definition does not name."""
         for parts in groups.values():
-            if any(one.node.open for one, _ in parts):
+            if any(constraint.node.open for constraint, _ in parts):
                 continue
-            known = {label.name for one, _ in parts for label, _ in one.node.fields}
-            for name in [name for name in fields if name not in known]:
+            field_names = {label.name for constraint, _ in parts for label, _ in constraint.node.fields}
+            for name in [name for name in fields if name not in field_names]:
                 if all(label.optional for label, _ in fields[name]):
                     continue
-                if any(self.names(wanted, name) for one, _ in parts for wanted, _ in one.node.patterns):
+                if any(
+                    self.matches_pattern(pattern_node, name)
+                    for constraint, _ in parts
+                    for pattern_node, _ in constraint.node.patterns
+                ):
                     continue
-                wanted = [f"[{tree.told(node)}]" for one, _ in parts for node, _ in one.node.patterns]
+                pattern_node = [
+                    f"[{tree.describe(node)}]"
+                    for constraint, _ in parts
+                    for node, _ in constraint.node.patterns
+                ]
                 allowed = (
-                    ", ".join(sorted(name for name in known if name[0] not in "#_") + wanted) or "no field"
+                    ", ".join(sorted(name for name in field_names if name[0] not in "#_") + pattern_node)
+                    or "no field"
                 )
                 for label, _ in fields.pop(name):
                     self.fault(
@@ -262,97 +324,116 @@
                         "name",
                     )
 
-    def names(self, wanted, name):
-        match wanted:
+    def matches_pattern(self, pattern_node, name):
+        """Returns whether a field's name matches the name pattern of a struct."""
+        match pattern_node:
             case tree.Ref(path=["string"]):
                 return True
-            case tree.Bound(sign="=~", limit=tree.Literal(kind="string", value=value)):
-                return self.pattern(value, wanted.place).search(name) is not None
+            case tree.Bound(operator="=~", limit=tree.Literal(kind="string", value=value)):
+                return self.pattern(value, pattern_node.place).search(name) is not None
             case tree.Literal(value=value):
                 return value == name
         return False
 
-    def list(self, said, path, depth):
-        closed = next((one.node for one in said if not one.node.open), None)
-        if closed is None:
-            return MISSING  # nobody has written it: a file that was cut short must not pass as an empty list
-        length = len(closed.items)
-        for node in (one.node for one in said):
+    def list(self, constraints, path, depth):
+        closed_list = next((constraint.node for constraint in constraints if not constraint.node.open), None)
+        if closed_list is None:
+            return MISSING  # no file sets it; a truncated file must not be read as an empty list
+        length = len(closed_list.items)
+        for node in (constraint.node for constraint in constraints):
             if len(node.items) != length and not (node.open and len(node.items) < length):
-                one, other = sorted((closed, node), key=lambda node: node.place.file != self.own)
+                one, other = sorted((closed_list, node), key=lambda node: node.place.file != self.own_file)
                 return self.fault(
                     one.place, path, f"{len(one.items)} items", f"{len(other.items)}", other.place
                 )
-        if length > MOST_ITEMS:
-            return self.fault(said[0].node.place, path, f"{length} items", f"{MOST_ITEMS} at most")
-        made = []
+        if length > MAX_ITEMS:
+            return self.fault(constraints[0].node.place, path, f"{length} items", f"{MAX_ITEMS} at most")
+        result = []
         for number in range(length):
             parts = []
-            for one in said:
-                node = one.node.items[number] if number < len(one.node.items) else one.node.rest
+            for constraint in constraints:
+                node = (
+                    constraint.node.items[number]
+                    if number < len(constraint.node.items)
+                    else constraint.node.rest
+                )
                 if node is not None:
-                    parts.append(Said(node, one.scope, one.closed))
-            before, here = len(self.faults), f"{path}[{number}]"
-            value = self.value(parts, here, depth + 1)
+                    parts.append(Constraint(node, constraint.scope, constraint.definition))
+            before, field_path = len(self.faults), f"{path}[{number}]"
+            value = self.value(parts, field_path, depth + 1)
             if value is MISSING and len(self.faults) == before:
                 self.fault(
-                    parts[0].node.place, here, "nothing", " & ".join(tree.told(part.node) for part in parts)
+                    parts[0].node.place,
+                    field_path,
+                    "nothing",
+                    " & ".join(tree.describe(part.node) for part in parts),
                 )
-            made.append(value)
-        return made
+            result.append(value)
+        return result
 
     # ---- scalars
 
-    def scalar(self, said, path):
-        literals = [one.node for one in said if isinstance(one.node, tree.Literal)]
+    def scalar(self, constraints, path):
+        literals = [
+            constraint.node for constraint in constraints if isinstance(constraint.node, tree.Literal)
+        ]
         if not literals:
             return MISSING
-        literals.sort(key=lambda node: node.place.file != self.own)
+        literals.sort(key=lambda node: node.place.file != self.own_file)
         first = literals[0]
         for other in literals[1:]:
-            alike = first.kind == other.kind or {first.kind, other.kind} == {"int", "float"}
-            if not alike or first.value != other.value:
-                return self.fault(first.place, path, tree.told(first), tree.told(other), other.place)
+            comparable = first.kind == other.kind or {first.kind, other.kind} == {"int", "float"}
+            if not comparable or first.value != other.value:
+                return self.fault(first.place, path, tree.describe(first), tree.describe(other), other.place)
         value = first.value
-        for one in said:
-            node = one.node
+        for constraint in constraints:
+            node = constraint.node
             if isinstance(node, tree.Ref) and first.kind not in TYPES[node.path[0]]:
                 return self.fault(
-                    first.place, path, f"{first.kind} {tree.told(first)}", node.path[0], node.place, "type"
+                    first.place,
+                    path,
+                    f"{first.kind} {tree.describe(first)}",
+                    node.path[0],
+                    node.place,
+                    "type",
                 )
             if isinstance(node, tree.Ref) and node.path == ["float"] and first.kind == "int":
                 value = float(value)
-            if isinstance(node, tree.Bound) and not self.keeps(first, node, one.scope):
-                return self.fault(first.place, path, tree.told(first), tree.told(node), node.place)
+            if isinstance(node, tree.Bound) and not self.satisfies(first, node, constraint.scope):
+                return self.fault(first.place, path, tree.describe(first), tree.describe(node), node.place)
         self.literals[path] = first
         return value
 
-    def keeps(self, literal, bound, scope):
+    def satisfies(self, literal, bound, scope):
+        """Returns whether a literal is within a bound, whose limit may be a reference."""
         limit = bound.limit
         if isinstance(limit, tree.Ref):
-            flat = []
-            self.flatten(Said(limit, scope), flat, "", ())
-            limit = next((one.node for one in flat if isinstance(one.node, tree.Literal)), None)
+            flattened = []
+            self.flatten(Constraint(limit, scope), flattened, "", ())
+            limit = next(
+                (constraint.node for constraint in flattened if isinstance(constraint.node, tree.Literal)),
+                None,
+            )
             if limit is None:
                 return False
-        if bound.sign in ("=~", "!~"):
+        if bound.operator in ("=~", "!~"):
             if literal.kind != "string" or limit.kind != "string":
                 return False
             return (self.pattern(limit.value, bound.place).search(literal.value) is not None) == (
-                bound.sign == "=~"
+                bound.operator == "=~"
             )
-        alike = literal.kind == limit.kind or {literal.kind, limit.kind} <= {"int", "float"}
-        if bound.sign == "!=":
-            return not alike or literal.value != limit.value
-        if not alike or literal.kind in ("bool", "null"):
+        comparable = literal.kind == limit.kind or {literal.kind, limit.kind} <= {"int", "float"}
+        if bound.operator == "!=":
+            return not comparable or literal.value != limit.value
+        if not comparable or literal.kind in ("bool", "null"):
             return False
         value, other = literal.value, limit.value
         return {">=": value >= other, "<=": value <= other, ">": value > other, "<": value < other}[
-            bound.sign
+            bound.operator
         ]
 
     def pattern(self, text, place):
-        """A pattern of RE2; one that is none is a fault of the file that has it."""
+        """Compiles an RE2 pattern. Raises InvalidFile, with the pattern's place, if it is invalid."""
         if text not in self.patterns:
             options = re2.Options()
             options.log_errors, options.max_mem = False, 1 << 20
