--- a/lemonlead/commands/__init__.py
+++ b/lemonlead/commands/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: `lemonlead COMMAND`. Each command is in a file of its own and imports what it needs when
-it runs.
+"""The command line: `lemonlead COMMAND`. Each command is in a module of its own, which is imported when the
+command runs.
 
-Exit codes of all commands: 0 fine, 1 the answer is no, 2 misuse or input that cannot be used."""
+Exit codes of all commands: 0 success, 1 a negative result, 2 a usage error or invalid input."""
 
 import importlib
 
@@ -17,18 +17,18 @@
     "try": "attempt",
 }
 HELP = {
-    "gateway": "Run one gateway, as its environment and configuration say.",
+    "gateway": "Run one gateway, configured by its environment and configuration file.",
     "rules": "Check, evaluate and measure rules over requests.",
     "settings": "Check and show settings files.",
-    "capacity": "Say what a fleet can bear: what breaks first, how many instances, what losses do.",
-    "member": "Run one member of a cluster: a ledger that several gateways hold together.",
-    "relay": "Run one relay: it tells gateways what changes in the ledger, by scope.",
-    "try": "Start a gateway among stand-ins, ask some requests, show where each went.",
+    "capacity": "Plan a fleet's capacity: what breaks first, how many instances it needs, what losses do.",
+    "member": "Run one member of a cluster, which holds a ledger shared by gateways.",
+    "relay": "Run one relay, which sends gateways the changes of the ledger, by scope.",
+    "try": "Start a gateway among stand-ins, send some requests, show where each went.",
 }
 
 
-class Lazy(click.Group):
-    """Imports a command's file once that command is named."""
+class LazyGroup(click.Group):
+    """Imports the module of a command when the command is used."""
 
     def list_commands(self, context):
         return list(COMMANDS)
@@ -43,7 +43,7 @@
             formatter.write_dl(list(HELP.items()))
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main():
     """lemonlead: a request router and release judge.
 
--- a/lemonlead/commands/arguments.py
+++ b/lemonlead/commands/arguments.py
@@ -1,4 +1,4 @@
-"""What commands are given by words and files, read with one clear error each; and how values are shown."""
+"""Arguments of commands: reads requests and configurations, with one usage error each, and formats values."""
 
 import base64
 import json
@@ -23,70 +23,70 @@
     "body_size": int,
     "attributes": dict,
 }
-FAR = 10**9  # the most of wait_ms and work_us, as on the wire
+MAX_TIME_FIELD = 10**9  # of wait_ms and work_us, as in the protocol
 
 
 def parse_lookup(text):
-    """A request's fields from JSON; a usage error that names what is wrong."""
+    """Reads a request's fields from JSON. Raises a usage error that names the fault."""
     try:
-        told = json.loads(text) if text else {}
+        fields = json.loads(text) if text else {}
     except (ValueError, RecursionError) as error:
-        raise click.UsageError(f"--lookup: no JSON: {error}") from None
-    if not isinstance(told, dict):
+        raise click.UsageError(f"--lookup: not valid JSON: {error}") from None
+    if not isinstance(fields, dict):
         raise click.UsageError('--lookup: a JSON object was expected, as in {"key": "north/42"}')
-    for name, value in told.items():
+    for name, value in fields.items():
         if name not in FIELDS:
             raise click.UsageError(f"--lookup: no field {name!r}; there is {', '.join(FIELDS)}")
         if not isinstance(value, FIELDS[name]) or isinstance(value, bool) != (FIELDS[name] is bool):
             wanted = getattr(FIELDS[name], "__name__", "number")
             raise click.UsageError(f"--lookup: {name} is {json.dumps(value)[:40]}, {wanted} was expected")
-        if isinstance(value, int | float) and not 0 <= value <= FAR:
-            raise click.UsageError(f"--lookup: {name} is {value}, 0 to {FAR} was expected")
-    for name, value in told.get("attributes", {}).items():
+        if isinstance(value, int | float) and not 0 <= value <= MAX_TIME_FIELD:
+            raise click.UsageError(f"--lookup: {name} is {value}, 0 to {MAX_TIME_FIELD} was expected")
+    for name, value in fields.get("attributes", {}).items():
         if not isinstance(value, str):
             raise click.UsageError(
                 f"--lookup: attributes.{name} is {json.dumps(value)[:40]}, a string was expected"
             )
-    return told
+    return fields
 
 
-def request_fields(told, limits):
-    """The request as expressions see it."""
+def request_fields(fields, limits):
+    """Returns the request as expressions read it."""
     return RequestFields(
         limits,
-        told.get("command", "Q.ASK"),
-        told.get("key", ""),
-        told.get("lane", ""),
-        told.get("customer", ""),
-        ms_to_ns(float(told.get("wait_ms", 0))),
-        int(told.get("work_us", 0) * 1000),
-        told.get("repeat", False),
-        told.get("stamped", False),
-        told.get("body_size", 0),
-        told.get("attributes", {}),
+        fields.get("command", "Q.ASK"),
+        fields.get("key", ""),
+        fields.get("lane", ""),
+        fields.get("customer", ""),
+        ms_to_ns(float(fields.get("wait_ms", 0))),
+        int(fields.get("work_us", 0) * 1000),
+        fields.get("repeat", False),
+        fields.get("stamped", False),
+        fields.get("body_size", 0),
+        fields.get("attributes", {}),
     )
 
 
 def read_platform(path):
-    """Request classes by name and tenants' names from a gateway's configuration, or from its `settings`
-    object alone; (None, None) without a path."""
+    """Returns the request classes by name and the names of tenants from a gateway's configuration, or from a
+    file with its `settings` object only; (None, None) without a path."""
     if path is None:
         return None, None
     try:
         config = json.loads(Path(path).read_text())
-        told = config.get("settings", config)
-        start = start_from_settings(told, 0, 0)
+        settings = config.get("settings", config)
+        start = start_from_settings(settings, 0, 0)
         request_classes = {
-            lane["Name"]: start.request_classes[number] for number, lane in enumerate(told["Lanes"])
+            lane["Name"]: start.request_classes[number] for number, lane in enumerate(settings["Lanes"])
         }
-        return request_classes, [tenant["Name"] for tenant in told.get("Projects", [])]
+        return request_classes, [tenant["Name"] for tenant in settings.get("Projects", [])]
     except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise click.UsageError(f"--settings {path}: {type(error).__name__}: {error}") from None
 
 
 def to_json_value(value, kind):
-    """A value as JSON has it: a duration as seconds with an s, bytes in base64, doubles that are no number by
-    name."""
+    """Converts a value for JSON: a duration to seconds with an s, bytes to base64, non-finite doubles to
+    their names."""
     if kind == DURATION:
         whole, part = divmod(abs(value), 10**9)
         text = f"{whole}.{part:09d}".rstrip("0").rstrip(".")
--- a/lemonlead/commands/attempt.py
+++ b/lemonlead/commands/attempt.py
@@ -1,4 +1,4 @@
-"""`lemonlead try`: a gateway among stand-ins, a few requests, and where each went."""
+"""`lemonlead try`: runs a gateway among stand-ins, sends it a few requests and shows where each went."""
 
 import json
 import os
@@ -41,12 +41,12 @@
 
 
 @click.command(name="try")
-@click.option("--rules", "file", metavar="FILE", help="A set of rules in place of the one shown.")
-@click.option("--json", "as_json", is_flag=True, help="For machines.")
+@click.option("--rules", "file", metavar="FILE", help="A set of rules to use instead of the built-in one.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(file, as_json):
-    """Start three stand-in instances, discovery, a platform and a gateway on loopback, ask some requests,
-    show where each went and which rule it matched, and stop. Nothing else is needed, and nothing is left
-    behind.
+    """Start three stand-in instances, discovery, a platform and a gateway on loopback, send some requests,
+    show where each went and which rule it matched, and stop. The command needs nothing else, and removes its
+    files.
 
     Example: lemonlead try
     """
@@ -59,16 +59,16 @@
     with tempfile.TemporaryDirectory(prefix="lemonlead-try-") as folder:
         config = Path(folder) / "classes.json"
         config.write_text(json.dumps({**SETTINGS, **settings}))
-        match_rule = judged_by(rules, Path(folder), config)
-        with gateway(Path(folder), *machines, settings=settings, rules=rules) as ran:
-            rows = [ask(ran.client(), machines, match_rule, lane, key) for lane, key in REQUESTS]
-            counts = ran.counters()
-            ran.process.send_signal(signal.SIGTERM)
-            code = ran.process.wait(30)
-            reasons = sorted(set(re.findall(r"reason=(\S+)", ran.log())))
-    told = {"requests": rows, "counters": counts, "exit": code, "reasons": reasons}
+        match_rule = make_matcher(rules, Path(folder), config)
+        with gateway(Path(folder), *machines, settings=settings, rules=rules) as running:
+            rows = [send_request(running.client(), machines, match_rule, lane, key) for lane, key in REQUESTS]
+            counts = running.counters()
+            running.process.send_signal(signal.SIGTERM)
+            code = running.process.wait(30)
+            reasons = sorted(set(re.findall(r"reason=(\S+)", running.log())))
+    output = {"requests": rows, "counters": counts, "exit": code, "reasons": reasons}
     if as_json:
-        return click.echo(json.dumps(told))
+        return click.echo(json.dumps(output))
     click.echo("A gateway among stand-ins\n")
     names = ("lane", "key", "rule", "treated_as", "went_to", "ms", "answer")
     shown = [[row[name] for name in names] for row in rows]
@@ -79,9 +79,9 @@
     )
 
 
-def judged_by(rules, folder, config):
-    """What the rules give a request, reckoned here beside the gateway; None where they are unfit (it then
-    says so)."""
+def make_matcher(rules, folder, config):
+    """Returns a function that gives the rule and the request class for a request, computed here in addition
+    to the gateway. Raises a usage error if the rules are invalid."""
     from ..matching import load
     from . import arguments
 
@@ -93,27 +93,27 @@
         raise click.UsageError("\n".join(load.lines(error.faults))) from None
 
     def match_rule(lane, key):
-        told = {"lane": lane, "key": key, "customer": "acme", "stamped": lane == "hold"}
-        result = made.first_match(arguments.request_fields(told, made.limits))
+        fields = {"lane": lane, "key": key, "customer": "acme", "stamped": lane == "hold"}
+        result = made.first_match(arguments.request_fields(fields, made.limits))
         return result.rule and result.rule.name, result.lane_name or lane
 
     return match_rule
 
 
-def ask(client, machines, match_rule, lane, key):
+def send_request(client, machines, match_rule, lane, key):
     before = [len(machine.got) for machine in machines]
     began = time.monotonic()
     idempotency_key = {"k": os.urandom(4).hex()} if lane == "hold" else {}
     answer = client.ask(key.encode(), lane, **idempotency_key).read()
     took = time.monotonic() - began
-    went = [f"i{n}" for n, machine in enumerate(machines) if len(machine.got) > before[n]]
+    went_to = [f"i{n}" for n, machine in enumerate(machines) if len(machine.got) > before[n]]
     rule, treated = match_rule(lane, key)
     return {
         "lane": lane,
         "key": key,
         "rule": rule or "-",
         "treated_as": treated,
-        "went_to": " ".join(went) or "-",
+        "went_to": " ".join(went_to) or "-",
         "ms": round(took * 1e3, 1),
         "answer": answer.decode("utf-8", "replace") if answer is not None else None,
     }
--- a/lemonlead/commands/capacity.py
+++ b/lemonlead/commands/capacity.py
@@ -1,4 +1,4 @@
-"""`lemonlead capacity`: what a fleet can bear."""
+"""`lemonlead capacity`: plans the capacity of a fleet."""
 
 import html
 import json
@@ -13,33 +13,35 @@
 from ..planning import answers, fleet
 
 FILE = click.argument("file", type=click.Path(exists=True, dir_okay=False))
-JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 SEED = click.option(
-    "--seed", default=1, type=click.IntRange(0), help="Of chance; the same gives the same day."
-)
-GROWTH = click.option(
-    "--growth", default=1.0, type=click.FloatRange(0.001, 1000), help="So many times the load."
+    "--seed",
+    default=1,
+    type=click.IntRange(0),
+    help="Random seed; the same seed gives the same simulated day.",
 )
+GROWTH = click.option("--growth", default=1.0, type=click.FloatRange(0.001, 1000), help="Factor on the load.")
 
 
 @click.group(name="capacity")
 def command():
-    """Say what of a fleet breaks first, how many instances a goal needs, and what losses do."""
+    """Print what breaks first in a fleet, how many instances a goal needs, and what losses do."""
 
 
-def read(file, as_json, kind=fleet):
+def read_or_exit(file, as_json, kind=fleet):
+    """Reads a file with the module `kind`. If it is invalid, prints all its faults and exits with 2."""
     try:
         return kind.read(file)
     except settings.InvalidFile as error:
-        told = {"faults": [fault.as_dict() for fault in error.faults]}
+        output = {"faults": [fault.as_dict() for fault in error.faults]}
         lines = [f"{fault.place}: {fault.code} {fault.message}" for fault in error.faults]
-        click.echo(json.dumps(told) if as_json else "\n".join(lines))
+        click.echo(json.dumps(output) if as_json else "\n".join(lines))
         sys.exit(2)
 
 
-def show(told, as_json, rows, *more):
+def show(output, as_json, rows, *more):
     if as_json:
-        return click.echo(json.dumps(told))
+        return click.echo(json.dumps(output))
     click.echo(tabulate(rows, headers="keys", floatfmt=".4g"))
     for line in more:
         click.echo(line)
@@ -50,26 +52,28 @@
 @FILE
 @JSON
 def breaks(file, as_json):
-    """Say at which growth of the load each resource is full and each goal missed, the first of them first.
+    """Print at which growth of the load each resource is full and each goal is missed, in order.
 
     Example: lemonlead capacity breaks deploy/capacity/fleet.cue
     """
-    rows = answers.breaks(read(file, as_json))
+    rows = answers.breaks(read_or_exit(file, as_json))
     first = rows[0] if rows else {"what": "nothing", "growth": answers.MOST_GROWTH}
     show({"breaks": rows}, as_json, rows, f"\nfirst: {first['what']} at {first['growth']:.2f} times the load")
 
 
 @command.command()
 @FILE
-@click.option("--lost", default=0, type=click.IntRange(0, 3), help="Any so many sites may be gone.")
-@click.option("--work", default=1.0, type=click.FloatRange(0.1, 100), help="So many times the work a lookup.")
+@click.option(
+    "--lost", default=0, type=click.IntRange(0, 3), help="How many sites, any of them, may be lost."
+)
+@click.option("--work", default=1.0, type=click.FloatRange(0.1, 100), help="Factor on the work of a request.")
 @JSON
 def size(file, lost, work, as_json):
-    """Say the fewest instances that meet the fleet's goal, by site and kind. Exit 1 where no number does.
+    """Print the fewest instances that meet the fleet's goal, by site and kind. Exit with 1 if no number does.
 
     Example: lemonlead capacity size deploy/capacity/fleet.cue --lost 1 --work 2.5
     """
-    found, why = answers.size(read(file, as_json), lost, work)
+    found, why = answers.size(read_or_exit(file, as_json), lost, work)
     rows = [{"site": site, **counts} for site, counts in (found or {}).items()]
     show({"instances": found, "why": why}, as_json, rows, "", why)
     sys.exit(found is None)
@@ -82,14 +86,14 @@
 @GROWTH
 @JSON
 def lose(file, site, seed, growth, as_json):
-    """Play the loss of a site: service before, while it is gone, while it comes back cold, and after.
+    """Simulate the loss of a site: service before, while it is gone, while it comes back cold, and after.
 
     Example: lemonlead capacity lose deploy/capacity/fleet.cue ebene
     """
-    given = read(file, as_json)
-    if site not in given.sites:
-        raise click.UsageError(f"no site {site!r} (there is {', '.join(given.sites)})")
-    rows, _ = answers.lose(given.grown(growth), site, seed)
+    fleet_model = read_or_exit(file, as_json)
+    if site not in fleet_model.sites:
+        raise click.UsageError(f"no site {site!r} (there is {', '.join(fleet_model.sites)})")
+    rows, _ = answers.lose(fleet_model.grown(growth), site, seed)
     show({"parts": rows}, as_json, rows)
 
 
@@ -100,43 +104,47 @@
     default=2.5,
     type=click.FloatRange(0.1, 100),
     show_default=True,
-    help="So many times the work under the build.",
+    help="Factor on the work under the build.",
 )
 @SEED
 @GROWTH
 @JSON
 def release(file, work, seed, growth, as_json):
-    """Play a build that needs more work: service by stage, and whether the gateways send it back.
+    """Simulate a build that needs more work: service by stage, and whether the gateways roll it back.
 
     Example: lemonlead capacity release deploy/capacity/fleet.cue --work 2.5
     """
-    rows, _ = answers.release(read(file, as_json).grown(growth), work, seed)
+    rows, _ = answers.release(read_or_exit(file, as_json).grown(growth), work, seed)
     show({"parts": rows}, as_json, rows)
 
 
 @command.command()
 @FILE
-@click.option("--seeds", default=3, type=click.IntRange(1, 100), show_default=True, help="Days played.")
+@click.option(
+    "--seeds", default=3, type=click.IntRange(1, 100), show_default=True, help="Number of simulated days."
+)
 @GROWTH
 @JSON
 def predict(file, seeds, growth, as_json):
-    """Predict service under the load as it is: days played with the balancers, closed forms beside them.
+    """Predict service under the present load: by simulated days with the balancers, and by closed forms.
 
     Example: lemonlead capacity predict deploy/capacity/fleet.cue --growth 1.5
     """
-    told = predicted(read(file, as_json).grown(growth), seeds)
+    output = predict_in_processes(read_or_exit(file, as_json).grown(growth), seeds)
     show(
-        told,
+        output,
         as_json,
-        [{key: value for key, value in told.items() if key != "played"}],
-        f"days: {told['played']}",
+        [{key: value for key, value in output.items() if key != "played"}],
+        f"days: {output['played']}",
     )
 
 
-def predicted(given, seeds):
-    """As `answers.predict`, the days in processes of their own."""
+def predict_in_processes(fleet_model, seeds):
+    """Does the same as `answers.predict`, with each day in a process of its own."""
     with ProcessPoolExecutor() as pool:
-        each = list(pool.map(answers.predict, [given] * seeds, [(seed,) for seed in range(1, seeds + 1)]))
+        each = list(
+            pool.map(answers.predict, [fleet_model] * seeds, [(seed,) for seed in range(1, seeds + 1)])
+        )
     played = [one["played"][0] for one in each]
     return {**each[0], "played": played, "mean": round(sum(played) / seeds, 4)}
 
@@ -152,16 +160,16 @@
     """
     rows = []
     for file in (one, other):
-        given = read(file, as_json)
-        first = (answers.breaks(given) or [{"what": "nothing", "growth": answers.MOST_GROWTH}])[0]
-        told = predicted(given, 3)
+        fleet_model = read_or_exit(file, as_json)
+        first = (answers.breaks(fleet_model) or [{"what": "nothing", "growth": answers.MOST_GROWTH}])[0]
+        output = predict_in_processes(fleet_model, 3)
         rows.append(
             {
                 "fleet": file,
-                "service": told["mean"],
+                "service": output["mean"],
                 "first to break": first["what"],
                 "at growth": round(first["growth"], 2),
-                "instances": sum(count for _, _, count in given.machines()),
+                "instances": sum(count for _, _, count in fleet_model.machines()),
             }
         )
     show({"fleets": rows}, as_json, rows)
@@ -174,24 +182,24 @@
 @click.option("--seconds", default=25, type=click.IntRange(10, 300), show_default=True)
 @JSON
 def check(file, growth, seed, seconds, as_json):
-    """Play the fleet on loopback, with real gateways among stand-ins, and put what is predicted beside it.
-    Exit 1 where they are over 5 points apart. It wants a computer that does little else.
+    """Run the fleet on loopback, with real gateways among stand-ins, and compare it with the prediction. Exit
+    with 1 if they differ by more than 5 percentage points. Needs an otherwise idle computer.
 
     Example: lemonlead capacity check deploy/capacity/fleet.cue --growth 1.5
     """
     from ..planning import loopback
 
-    given = read(file, as_json).grown(growth)
-    click.echo(f"playing {seconds} s on loopback ...", err=True)
-    measured = loopback.measure(given, seed, seconds)
-    told = predicted(given, 3)
-    told = {
+    fleet_model = read_or_exit(file, as_json).grown(growth)
+    click.echo(f"running {seconds} s on loopback ...", err=True)
+    measured = loopback.measure(fleet_model, seed, seconds)
+    output = predict_in_processes(fleet_model, 3)
+    output = {
         "measured": measured,
-        "predicted": told["mean"],
-        "apart_by": round(abs(measured - told["mean"]), 4),
+        "predicted": output["mean"],
+        "apart_by": round(abs(measured - output["mean"]), 4),
     }
-    show(told, as_json, [told])
-    sys.exit(told["apart_by"] > 0.05)
+    show(output, as_json, [output])
+    sys.exit(output["apart_by"] > 0.05)
 
 
 @command.command()
@@ -199,29 +207,29 @@
 @click.argument("page", type=click.Path(dir_okay=False))
 @SEED
 def report(file, page, seed):
-    """Write one HTML page: what breaks, what each site's loss does, and what a bad build does, second by
+    """Write one HTML page: what breaks, what the loss of each site and a bad build do, second by
     second.
 
     Example: lemonlead capacity report deploy/capacity/fleet.cue report.html
     """
-    given, parts = read(file, False), []
-    parts.append(section("What breaks first", answers.breaks(given)))
-    for site in given.sites if len(given.sites) > 1 else ():
-        click.echo(f"playing the loss of {site} ...", err=True)
-        rows, seconds = answers.lose(given, site, seed)
+    fleet_model, parts = read_or_exit(file, False), []
+    parts.append(section("What breaks first", answers.breaks(fleet_model)))
+    for site in fleet_model.sites if len(fleet_model.sites) > 1 else ():
+        click.echo(f"simulating the loss of {site} ...", err=True)
+        rows, seconds = answers.lose(fleet_model, site, seed)
         parts.append(section(f"Site {site} is lost", rows, chart(seconds)))
-    click.echo("playing a bad build ...", err=True)
-    rows, seconds = answers.release(given, 2.5, seed)
+    click.echo("simulating a bad build ...", err=True)
+    rows, seconds = answers.release(fleet_model, 2.5, seed)
     parts.append(section("A build that needs 2.5 times the work", rows, chart(seconds)))
     Path(page).write_text(PAGE.format(file=html.escape(file), body="\n".join(parts)))
     click.echo(page)
 
 
-def unfit(file, path, found, expected, as_json):
-    """Tells one fault, and ends."""
-    told = {"file": file, "path": path, "found": found, "allowed": expected}
+def exit_with_fault(file, path, found, expected, as_json):
+    """Prints one fault, and exits with 2."""
+    output = {"file": file, "path": path, "found": found, "allowed": expected}
     text = f"{file}: {path}: found {found}, expected {expected}"
-    click.echo(json.dumps({"faults": [told]}) if as_json else text)
+    click.echo(json.dumps({"faults": [output]}) if as_json else text)
     sys.exit(2)
 
 
@@ -233,42 +241,42 @@
     default="docs/capacity/slopes.json",
     show_default=True,
     type=click.Path(exists=True, dir_okay=False),
-    help="What was measured, as benchmarks.slopes writes it.",
+    help="The measured slopes, as benchmarks.slopes writes them.",
 )
 @click.option(
     "--page",
-    "to",
+    "page_file",
     default="docs/CAPACITY.md",
     show_default=True,
     type=click.Path(dir_okay=False),
     help="The page to write.",
 )
 @JSON
-def fleet_to_come(file, measured, to, as_json):
-    """Work out what a fleet to come needs of each role, by slopes that were measured, and write the page.
+def fleet_to_come(file, measured, page_file, as_json):
+    """Compute how much of each role a future fleet needs, from measured slopes, and write the page.
 
     Example: lemonlead capacity fleet deploy/capacity/fleet-2028.cue --page docs/CAPACITY.md
     """
     from ..planning import page, slopes, targets
 
-    wanted = read(file, as_json, targets)
+    targets_wanted = read_or_exit(file, as_json, targets)
     try:
         found = slopes.read(Path(measured).read_bytes())
     except slopes.Unfit as error:
-        unfit(measured, error.path, str(error.found), error.expected, as_json)
-    text = page.page(wanted, found)
+        exit_with_fault(measured, error.path, str(error.found), error.expected, as_json)
+    text = page.page(targets_wanted, found)
     try:
-        Path(to).write_text(text)
+        Path(page_file).write_text(text)
     except OSError as error:
-        unfit(to, "the page", error.strerror, "a place that can be written", as_json)
+        exit_with_fault(page_file, "the page", error.strerror, "a place that can be written", as_json)
     if not as_json:
-        return click.echo(to)
+        return click.echo(page_file)
     return click.echo(
         json.dumps(
             {
-                "page": to,
-                "wanted": page.wanted(wanted, found),
-                "roles": page.size_rows(wanted, found),
+                "page": page_file,
+                "wanted": page.wanted(targets_wanted, found),
+                "roles": page.size_rows(targets_wanted, found),
             }
         )
     )
@@ -283,13 +291,13 @@
 """
 
 
-def section(title, rows, drawn=""):
+def section(title, rows, drawing=""):
     table = tabulate(rows, headers="keys", tablefmt="html", floatfmt=".4g")
-    return f"<h2>{html.escape(title)}</h2>{table}{drawn}"
+    return f"<h2>{html.escape(title)}</h2>{table}{drawing}"
 
 
 def chart(seconds, width=720, height=160):
-    """Service by second, as a line from 0 (below) to 1."""
+    """Returns an SVG chart of service by second, from 0 (bottom) to 1."""
     shares = [second.answered / second.worth if second.worth else 1.0 for second in seconds]
     step = width / max(len(shares) - 1, 1)
     line = " ".join(
--- a/lemonlead/commands/relay.py
+++ b/lemonlead/commands/relay.py
@@ -1,4 +1,4 @@
-"""`lemonlead relay`."""
+"""`lemonlead relay`: runs a relay."""
 
 import sys
 
@@ -8,7 +8,7 @@
 @click.command(name="relay")
 @click.argument("file", type=click.Path())
 def command(file):
-    """Run one relay in the foreground, as FILE says: it tells gateways what changes in the ledger.
+    """Run one relay in the foreground, configured by FILE. It sends gateways the changes of the ledger.
 
     Example: lemonlead relay deploy/cluster/r1.cue
     """
--- a/lemonlead/commands/rules.py
+++ b/lemonlead/commands/rules.py
@@ -1,4 +1,4 @@
-"""`lemonlead rules`: expressions and sets of rules, without a gateway."""
+"""`lemonlead rules`: checks, evaluates and measures expressions and sets of rules, without a gateway."""
 
 import json
 import sys
@@ -22,8 +22,8 @@
     "--settings", metavar="FILE", help="A gateway's configuration: its request classes and tenants."
 )
 FILE = click.Path(exists=True, dir_okay=False)
-JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
-MOST_SHOWN = 50
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+MAX_ROWS = 50  # shown to people; --json prints all
 
 
 @click.group(name="rules")
@@ -31,21 +31,21 @@
     """Check, evaluate and measure rules over requests."""
 
 
-def say(told, as_json, lines=()):
-    """One object for machines, lines for people."""
-    click.echo(json.dumps(told) if as_json else "\n".join(lines))
+def print_output(output, as_json, lines=()):
+    """Prints one JSON object, or lines of text for people."""
+    click.echo(json.dumps(output) if as_json else "\n".join(lines))
 
 
-def loaded(file, settings, as_json, code=2):
-    """The set, or the end of the command, by this exit code, with all that is wrong with it."""
+def load_or_exit(file, settings, as_json, code=2):
+    """Returns the rule set of a file. If it is invalid, prints all its faults and exits with this code."""
     request_classes, tenants = arguments.read_platform(settings)
-    waiting = threading.Timer(2.0, lambda: click.echo(f"reading {file} ...", err=True))
-    waiting.daemon = True
-    waiting.start()
+    notice = threading.Timer(2.0, lambda: click.echo(f"reading {file} ...", err=True))
+    notice.daemon = True
+    notice.start()
     try:
         return load.load(file, request_classes, tenants)
     except load.InvalidRulesFile as error:
-        say(
+        print_output(
             {
                 "faults": [
                     {
@@ -63,7 +63,7 @@
         )
         sys.exit(code)
     finally:
-        waiting.cancel()
+        notice.cancel()
 
 
 @command.command(name="eval", context_settings={"ignore_unknown_options": True})
@@ -71,21 +71,21 @@
 @LOOKUP
 @JSON
 def evaluate(text, lookup, as_json):
-    """Evaluate one expression, and say its type and what it may cost.
+    """Evaluate one expression, and print its type and its maximum cost.
 
     Example: lemonlead rules eval "lookup.wait > duration('1s')" --lookup '{"wait_ms": 1500}' --json
     """
     limits = RequestLimits()
-    asked = arguments.request_fields(arguments.parse_lookup(lookup), limits)
+    request = arguments.request_fields(arguments.parse_lookup(lookup), limits)
     try:
         expression = Expression(text, limits)
-        value = arguments.to_json_value(expression.value(asked), expression.kind)
+        value = arguments.to_json_value(expression.value(request), expression.kind)
     except Fault as fault:
-        said = f"{fault.line}:{fault.column}: {fault.code} {fault.message}"
-        say({"error": fault.as_dict()}, as_json, [said])
+        text_line = f"{fault.line}:{fault.column}: {fault.code} {fault.message}"
+        print_output({"error": fault.as_dict()}, as_json, [text_line])
         sys.exit(1)
-    told = {"type": str(expression.kind), "cost": expression.cost, "value": value}
-    say(told, as_json, [json.dumps(value), f"{expression.kind}, at most {expression.cost} steps"])
+    output = {"type": str(expression.kind), "cost": expression.cost, "value": value}
+    print_output(output, as_json, [json.dumps(value), f"{expression.kind}, at most {expression.cost} steps"])
 
 
 @command.command()
@@ -93,13 +93,12 @@
 @SETTINGS
 @JSON
 def check(file, settings, as_json):
-    """Check a set of rules: one line a fault. Without --settings names of request classes and tenants are not
-    looked at.
+    """Check a set of rules, and print one line for each fault. Without --settings, names of request classes
+    and tenants are not checked.
 
-    Example: lemonlead rules check deploy/rules/rules.cue --settings config.json
-    """
-    rules = loaded(file, settings, as_json, code=1)
-    told = {
+    Example: lemonlead rules check deploy/rules/rules.cue --settings config.json"""
+    rules = load_or_exit(file, settings, as_json, code=1)
+    output = {
         "faults": [],
         "version": rules.version,
         "digest": rules.digest,
@@ -107,9 +106,9 @@
         "cost": rules.cost,
         "request_classes_checked": bool(rules.request_classes),
     }
-    note = "" if rules.request_classes else " (request classes and tenants were not looked at: no --settings)"
-    say(
-        told,
+    note = "" if rules.request_classes else " (request classes and tenants were not checked: no --settings)"
+    print_output(
+        output,
         as_json,
         [
             f"fine: {len(rules.rules)} rules, version {rules.version}, digest {rules.digest}, at most "
@@ -124,24 +123,24 @@
 @LOOKUP
 @JSON
 def explain(file, settings, lookup, as_json):
-    """Say which rule a request matches, and why those before it do not. Exit 1 if none does.
+    """Print which rule a request matches, and why the rules before it do not match. Exit with 1 if none does.
 
     Example: lemonlead rules explain rules.cue --settings config.json --lookup '{"lane": "look", "key": "a"}'
     """
-    rules = loaded(file, settings, as_json)
-    asked = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
-    result = rules.first_match(asked)
-    found = set(rules.index.candidates(asked))
-    looked = []
+    rules = load_or_exit(file, settings, as_json)
+    request = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
+    result = rules.first_match(request)
+    found = set(rules.index.candidates(request))
+    evaluated = []
     for place, rule in enumerate(rules.rules):
         try:
-            value, why = rule.when.value(asked), ""
+            value, why = rule.when.value(request), ""
             if value and rule is not result.rule:
-                rules.result_for(rule, asked)
+                rules.result_for(rule, request)
         except Erred as fault:
             value, why = None, f"{fault.line}:{fault.column}: {fault.message}"
         ending = "erred" if value is None else "matches" if value else "does not match"
-        looked.append({"rule": rule.name, "ending": ending, "why": why, "asked": place in found})
+        evaluated.append({"rule": rule.name, "ending": ending, "why": why, "asked": place in found})
         if rule is result.rule:
             break
     gives = {
@@ -149,26 +148,26 @@
         "key": result.key and result.key.decode(),
         "customer": result.customer,
     }
-    told = {
+    output = {
         "rule": result.rule and result.rule.name,
         "gives": gives,
-        "looked_at": looked,
+        "looked_at": evaluated,
         "labels": result.rule.labels if result.rule else {},
     }
-    shown = looked if len(looked) <= MOST_SHOWN else looked[-MOST_SHOWN:]
+    shown = evaluated if len(evaluated) <= MAX_ROWS else evaluated[-MAX_ROWS:]
     lines = (
-        [f"{len(looked) - len(shown)} rules before these were looked at"] if len(shown) < len(looked) else []
+        [f"{len(evaluated) - len(shown)} earlier rules are not shown"] if len(shown) < len(evaluated) else []
     )
     lines += [
         f"{row['rule']}: {row['ending']}{' (' + row['why'] + ')' if row['why'] else ''}"
-        + ("" if row["asked"] else ", left out by the index")
+        + ("" if row["asked"] else ", excluded by the index")
         for row in shown
     ]
-    gave = ", ".join(f"{name} {value}" for name, value in gives.items() if value is not None)
+    given = ", ".join(f"{name} {value}" for name, value in gives.items() if value is not None)
     lines.append(
-        f"gives {gave or 'nothing'}" if result.rule else "no rule matches: the request goes as it was asked"
+        f"gives {given or 'nothing'}" if result.rule else "no rule matches: the request is not changed"
     )
-    say(told, as_json, lines)
+    print_output(output, as_json, lines)
     sys.exit(result.rule is None)
 
 
@@ -177,43 +176,48 @@
 @SETTINGS
 @JSON
 def cost(file, settings, as_json):
-    """Say what each rule and the whole set may cost a request, the dearest first, and how the set is indexed.
+    """Print the maximum cost of each rule and of the whole set for a request, the costliest first, and how
+    the set is indexed.
 
-    Example: lemonlead rules cost deploy/rules/rules.cue
-    """
-    rules = loaded(file, settings, as_json)
-    dearest = sorted(rules.rules, key=lambda rule: -rule.cost)
-    told = {
+    Example: lemonlead rules cost deploy/rules/rules.cue"""
+    rules = load_or_exit(file, settings, as_json)
+    costliest = sorted(rules.rules, key=lambda rule: -rule.cost)
+    output = {
         "set": rules.cost,
-        "rules": [{"rule": rule.name, "cost": rule.cost} for rule in dearest],
+        "rules": [{"rule": rule.name, "cost": rule.cost} for rule in costliest],
         "index": rules.index.describe(),
     }
     if as_json:
-        return click.echo(json.dumps(told))
-    rows = [(rule.name, rule.cost) for rule in dearest[:MOST_SHOWN]]
-    groups = [(group["kind"], group["subject"], group["rules"]) for group in told["index"]["groups"]]
-    always = told["index"]["always"]
-    click.echo(f"{file}: {rules.cost} steps a request at most; asked each time: {always} rules\n")
+        return click.echo(json.dumps(output))
+    rows = [(rule.name, rule.cost) for rule in costliest[:MAX_ROWS]]
+    groups = [(group["kind"], group["subject"], group["rules"]) for group in output["index"]["groups"]]
+    always = output["index"]["always"]
+    click.echo(f"{file}: {rules.cost} steps a request at most; always evaluated: {always} rules\n")
     click.echo(tabulate(rows, ["rule", "steps at most"]) + "\n")
-    click.echo(tabulate(groups, ["how", "what it looks at", "rules"]))
+    click.echo(tabulate(groups, ["how", "subject", "rules"]))
 
 
 @command.command()
 @click.argument("old", type=FILE)
 @click.argument("new", type=FILE)
-@click.option("--lookups", metavar="FILE", help="One request in JSON a line, to see what each set gives it.")
+@click.option(
+    "--lookups",
+    metavar="FILE",
+    help="A file with one request in JSON a line, for which the results of both sets are compared.",
+)
 @SETTINGS
 @JSON
 def diff(old, new, lookups, settings, as_json):
-    """Say how two sets differ, by rule, and for given requests by what they get. Exit 1 if they do.
+    """Print how two sets differ, by rule, and for given requests by what they get. Exit with 1 if they
+    differ.
 
-    Example: lemonlead rules diff old.cue new.cue --lookups sample.jsonl --settings config.json
-    """
+    Example: lemonlead rules diff old.cue new.cue --lookups sample.jsonl --settings config.json"""
     from ..matching.active_rules import outcome
 
-    one, other = loaded(old, settings, as_json), loaded(new, settings, as_json)
+    old_rules, new_rules = load_or_exit(old, settings, as_json), load_or_exit(new, settings, as_json)
     texts = [
-        {rule.name: (number, said(rule)) for number, rule in enumerate(rules.rules)} for rules in (one, other)
+        {rule.name: (number, source_of(rule)) for number, rule in enumerate(rules.rules)}
+        for rules in (old_rules, new_rules)
     ]
     changes = [{"rule": name, "change": "removed"} for name in texts[0] if name not in texts[1]]
     changes += [{"rule": name, "change": "added"} for name in texts[1] if name not in texts[0]]
@@ -230,37 +234,38 @@
         try:
             with open(lookups, encoding="utf-8") as lines:
                 for count, line in enumerate(filter(str.strip, lines), 1):  # noqa: B007
-                    told = arguments.parse_lookup(line)
+                    output = arguments.parse_lookup(line)
                     results = [
-                        rules.first_match(arguments.request_fields(told, rules.limits))
-                        for rules in (one, other)
+                        rules.first_match(arguments.request_fields(output, rules.limits))
+                        for rules in (old_rules, new_rules)
                     ]
                     if outcome(results[0]) != outcome(results[1]) and len(rows) < 1000:
                         rows.append(
                             {
-                                "lookup": told,
+                                "lookup": output,
                                 "old": results[0].rule and results[0].rule.name,
                                 "new": results[1].rule and results[1].rule.name,
                             }
                         )
         except (OSError, UnicodeDecodeError) as error:
             raise click.UsageError(f"--lookups {lookups}: {error}") from None
-    say(
+    print_output(
         {"rules": changes, "requests": count, "differ": rows},
         as_json,
         [
             *(f"{row['change']} {row['rule']}".strip() for row in changes),
             *(
                 f"{json.dumps(row['lookup'])}: {row['old']} before, {row['new']} now"
-                for row in rows[:MOST_SHOWN]
+                for row in rows[:MAX_ROWS]
             ),
-            f"{len(changes)} changes of rules, {len(rows)} of {count} requests get something else",
+            f"{len(changes)} changes of rules, {len(rows)} of {count} requests get another result",
         ],
     )
     sys.exit(bool(changes or rows))
 
 
-def said(rule):
+def source_of(rule):
+    """Returns what defines a rule, to compare it with another."""
     return rule.when.text, {name: expression.text for name, expression in rule.gives.items()}, rule.labels
 
 
@@ -268,34 +273,36 @@
 @click.argument("file", type=FILE)
 @SETTINGS
 @LOOKUP
-@click.option("--seconds", default=1.0, type=click.FloatRange(0.05, 60), help="For each of both ways.")
+@click.option("--seconds", default=1.0, type=click.FloatRange(0.05, 60), help="For each of the two ways.")
 @JSON
 def bench(file, settings, lookup, seconds, as_json):
-    """Measure one request against a set: by the index, and by each rule in its order.
+    """Measure the time to match one request, with the index and by trying each rule in order.
 
     Example: lemonlead rules bench rules.cue --lookup '{"key": "north/42"}'
     """
-    rules = loaded(file, settings, as_json)
-    asked = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
+    rules = load_or_exit(file, settings, as_json)
+    request = arguments.request_fields(arguments.parse_lookup(lookup), rules.limits)
     times = {}
     for name, first_match in (("indexed", rules.first_match), ("plain", rules.first_match_unindexed)):
         began, runs, best = time.perf_counter(), 1, None
         while time.perf_counter() - began < seconds:
-            took = timeit.timeit(lambda first_match=first_match: first_match(asked), number=runs) / runs
-            best = took if best is None else min(best, took)
-            runs = max(1, min(10_000, int(0.02 / max(took, 1e-7))))
+            seconds_per_run = (
+                timeit.timeit(lambda first_match=first_match: first_match(request), number=runs) / runs
+            )
+            best = seconds_per_run if best is None else min(best, seconds_per_run)
+            runs = max(1, min(10_000, int(0.02 / max(seconds_per_run, 1e-7))))
         times[name] = best * 1e6
-    told = {
+    output = {
         "rules": len(rules.rules),
         "indexed_us": round(times["indexed"], 3),
         "plain_us": round(times["plain"], 3),
         "ratio": round(times["plain"] / times["indexed"], 2),
     }
-    say(
-        told,
+    print_output(
+        output,
         as_json,
         [
             f"{len(rules.rules)} rules: {times['indexed']:.2f} us by the index, {times['plain']:.2f} us in "
-            f"order, ratio {told['ratio']}"
+            f"order, ratio {output['ratio']}"
         ],
     )
--- a/lemonlead/commands/settings.py
+++ b/lemonlead/commands/settings.py
@@ -1,4 +1,4 @@
-"""`lemonlead settings`: files of typed records."""
+"""`lemonlead settings`: checks and shows settings files."""
 
 import json
 import sys
@@ -13,9 +13,9 @@
     type=click.Choice(SCHEMAS),
     default="gateway",
     show_default=True,
-    help="What kind of file it is.",
+    help="The schema of the file.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="For machines.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group(name="settings")
@@ -23,7 +23,8 @@
     """Check and show settings files."""
 
 
-def read(file, schema, as_json):
+def read_or_exit(file, schema, as_json):
+    """Returns the file's contents. If it is invalid, prints all its faults and exits with 1."""
     try:
         return settings.read(file, settings.schema_text(schema), f"schema:{schema}")
     except settings.InvalidFile as error:
@@ -41,13 +42,15 @@
 @SCHEMA
 @JSON
 def check(file, schema, as_json):
-    """Check a file: one line a fault, all of them at once.
+    """Check a file, and print one line for each fault.
 
     Example: lemonlead settings check deploy/rules/gateway.cue
     """
-    told = read(file, schema, as_json)
+    file_contents = read_or_exit(file, schema, as_json)
     click.echo(
-        json.dumps({"faults": [], "digest": told.digest}) if as_json else f"fine: digest {told.digest}"
+        json.dumps({"faults": [], "digest": file_contents.digest})
+        if as_json
+        else f"fine: digest {file_contents.digest}"
     )
 
 
@@ -56,14 +59,14 @@
 @SCHEMA
 @JSON
 def show(file, schema, as_json):
-    """Show what a file says once all is unified, with the place of each value. Durations are in nanoseconds.
+    """Show the values of a file after unification, with the place of each. Durations are in nanoseconds.
 
     Example: lemonlead settings show deploy/rules/rules.cue --schema rules
     """
-    told = read(file, schema, as_json)
+    file_contents = read_or_exit(file, schema, as_json)
     if as_json:
-        return click.echo(json.dumps(told.value))
-    for path, literal in told.literals.items():
+        return click.echo(json.dumps(file_contents.value))
+    for path, literal in file_contents.literals.items():
         click.echo(f"{path} = {json.dumps(literal.value)}  ({literal.place})")
 
 
