--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what each command prints, for people and machines, and its exit codes."""
+"""Tests of the command line: output as text and as JSON, and exit codes."""
 
 import json
 import subprocess
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, lookup, told",
+    "text, lookup, output",
     [
         ("1 + 1", None, {"type": "int", "cost": 3, "value": 2}),
         ("lookup.wait", {"wait_ms": 1500.5}, {"type": "duration", "cost": 2, "value": "1.5005s"}),
@@ -54,11 +54,11 @@
         ),
     ],
 )
-def test_eval_prints_type_cost_and_value(run, text, lookup, told):
-    done = run("rules", "eval", text, "--json", *(["--lookup", json.dumps(lookup)] if lookup else []))
-    assert done.exit_code == 0
-    found = json.loads(done.output)
-    assert {**found, **told} == found and set(found) == {"type", "cost", "value"}
+def test_eval_prints_type_cost_and_value(run, text, lookup, output):
+    finished = run("rules", "eval", text, "--json", *(["--lookup", json.dumps(lookup)] if lookup else []))
+    assert finished.exit_code == 0
+    found = json.loads(finished.output)
+    assert {**found, **output} == found and set(found) == {"type", "cost", "value"}
 
 
 @pytest.mark.parametrize(
@@ -73,10 +73,10 @@
         ("(" * 100_000, "syntax", 1, 1),
     ],
 )
-def test_eval_tells_errors_by_code_and_place_with_exit_1(run, text, code, line, column):
-    done = run("rules", "eval", text, "--json")
-    assert done.exit_code == 1
-    error = json.loads(done.output)["error"]
+def test_eval_reports_errors_by_code_and_place_with_exit_1(run, text, code, line, column):
+    finished = run("rules", "eval", text, "--json")
+    assert finished.exit_code == 1
+    error = json.loads(finished.output)["error"]
     assert (error["code"], error["line"], error["column"]) == (code, line, column) and error["message"]
 
 
@@ -96,82 +96,88 @@
         "[" * 100_000,
     ],
 )
-def test_a_request_that_is_none_is_misuse(run, lookup):
-    done = run("rules", "eval", "true", "--lookup", lookup)
-    assert done.exit_code == 2 and "--lookup" in done.output and "Traceback" not in done.output
+def test_invalid_lookups_are_usage_errors(run, lookup):
+    finished = run("rules", "eval", "true", "--lookup", lookup)
+    assert finished.exit_code == 2 and "--lookup" in finished.output and "Traceback" not in finished.output
 
 
-def test_check_prints_a_line_a_fault(run):
+def test_check_prints_one_line_for_each_fault(run):
     assert run("rules", "check", "good.cue").exit_code == 0
-    done = run("rules", "check", "bad.cue")
-    assert done.exit_code == 1 and done.output.splitlines() == [
+    finished = run("rules", "check", "bad.cue")
+    assert finished.exit_code == 1 and finished.output.splitlines() == [
         "bad.cue:3:21: type rule a: when: the expression is string, bool was expected",
         "bad.cue:4:24: syntax rule b: when: the end where a name was expected",
         "bad.cue:4:34: name rule b: lane: no such name: x (there is lookup)",
     ]
-    told = json.loads(run("rules", "check", "bad.cue", "--json").output)["faults"]
-    assert [(fault["line"], fault["column"], fault["code"]) for fault in told] == [
+    output = json.loads(run("rules", "check", "bad.cue", "--json").output)["faults"]
+    assert [(fault["line"], fault["column"], fault["code"]) for fault in output] == [
         (3, 21, "type"),
         (4, 24, "syntax"),
         (4, 34, "name"),
     ]
 
 
-def test_check_with_settings_looks_at_request_classes(run, tmp_path):
+def test_check_with_settings_checks_request_classes(run, tmp_path):
     assert run("rules", "check", "good.cue", "--settings", "config.json").exit_code == 0
     (tmp_path / "lane.cue").write_text(GOOD.replace("buy", "sell"))
     assert run("rules", "check", "lane.cue").exit_code == 0
-    done = run("rules", "check", "lane.cue", "--settings", "config.json")
-    assert done.exit_code == 1 and "no lane 'sell'" in done.output
+    finished = run("rules", "check", "lane.cue", "--settings", "config.json")
+    assert finished.exit_code == 1 and "no lane 'sell'" in finished.output
     assert run("rules", "check", "good.cue", "--settings", "none.json").exit_code == 2
     assert run("rules", "check", "none.cue").exit_code == 2
-    assert run("rules", "cost", "bad.cue").exit_code == 2  # it cannot be used for what is asked
+    assert run("rules", "cost", "bad.cue").exit_code == 2  # an invalid file is an input error here
 
 
-def test_explain_says_which_rule_and_why_not(run, tmp_path):
+def test_explain_prints_the_rule_and_why_others_do_not_match(run, tmp_path):
     (tmp_path / "two.cue").write_text(
         GOOD.replace("rules: [", 'rules: [\n{name: "e", when: "1 / lookup.body_size > 0"},')
     )
     lookup = ["--settings", "config.json", "--lookup", '{"key": "nx", "lane": "look"}']
-    done = run("rules", "explain", "two.cue", *lookup)
-    assert done.exit_code == 0 and "division by zero" in done.output and "gives lane buy" in done.output
-    told = json.loads(run("rules", "explain", "two.cue", *lookup, "--json").output)
-    assert told["rule"] == "n" and [row["ending"] for row in told["looked_at"]] == ["erred", "matches"]
+    finished = run("rules", "explain", "two.cue", *lookup)
+    assert (
+        finished.exit_code == 0
+        and "division by zero" in finished.output
+        and "gives lane buy" in finished.output
+    )
+    output = json.loads(run("rules", "explain", "two.cue", *lookup, "--json").output)
+    assert output["rule"] == "n" and [row["ending"] for row in output["looked_at"]] == ["erred", "matches"]
     assert run("rules", "explain", "good.cue", "--lookup", '{"key": "x"}').exit_code == 1
 
 
 def test_cost_and_bench_measure_a_set(run):
-    told = json.loads(run("rules", "cost", "good.cue", "--json").output)
+    output = json.loads(run("rules", "cost", "good.cue", "--json").output)
     assert (
-        told["rules"][0]["rule"] == "n"
-        and told["set"] >= told["rules"][0]["cost"]
-        and told["index"]["always"] == 0
+        output["rules"][0]["rule"] == "n"
+        and output["set"] >= output["rules"][0]["cost"]
+        and output["index"]["always"] == 0
     )
     assert "steps" in run("rules", "cost", "good.cue").output
-    told = json.loads(run("rules", "bench", "good.cue", "--seconds", "0.05", "--json").output)
-    assert told["indexed_us"] > 0 and told["plain_us"] > 0
+    output = json.loads(run("rules", "bench", "good.cue", "--seconds", "0.05", "--json").output)
+    assert output["indexed_us"] > 0 and output["plain_us"] > 0
 
 
-def test_diff_tells_rules_and_requests_that_differ(run, tmp_path):
+def test_diff_prints_rules_and_requests_that_differ(run, tmp_path):
     (tmp_path / "new.cue").write_text(
         GOOD.replace("'n'", "'m'").replace("]\n", '\t{name: "x", when: "false"},\n]\n')
     )
     (tmp_path / "sample").write_text('{"key": "n1"}\n\n{"key": "z"}\n')
-    done = run("rules", "diff", "good.cue", "new.cue", "--lookups", "sample", "--json")
-    told = json.loads(done.output)
+    finished = run("rules", "diff", "good.cue", "new.cue", "--lookups", "sample", "--json")
+    output = json.loads(finished.output)
     assert (
-        done.exit_code == 1
-        and told["requests"] == 2
-        and [row["lookup"]["key"] for row in told["differ"]] == ["n1"]
+        finished.exit_code == 1
+        and output["requests"] == 2
+        and [row["lookup"]["key"] for row in output["differ"]] == ["n1"]
     )
-    assert {(row["rule"], row["change"]) for row in told["rules"]} == {("x", "added"), ("n", "changed")}
+    assert {(row["rule"], row["change"]) for row in output["rules"]} == {("x", "added"), ("n", "changed")}
     assert run("rules", "diff", "good.cue", "good.cue", "--lookups", "sample").exit_code == 0
 
 
-def test_settings_are_checked_shown_and_their_schemas_printed(run, tmp_path):
+def test_settings_commands_check_show_and_print_schemas(run, tmp_path):
     assert run("settings", "check", "good.cue", "--schema", "rules").exit_code == 0
-    done = run("settings", "check", "good.cue")
-    assert done.exit_code == 1 and "good.cue:1:1: name version: found the field version" in done.output
+    finished = run("settings", "check", "good.cue")
+    assert (
+        finished.exit_code == 1 and "good.cue:1:1: name version: found the field version" in finished.output
+    )
     assert (
         json.loads(run("settings", "show", "good.cue", "--schema", "rules", "--json").output)["rules"][0][
             "name"
@@ -187,29 +193,29 @@
 
 
 @pytest.mark.parametrize("words", [["rules"], ["rules", "check"], ["settings"], ["gateway"], ["try"], []])
-def test_each_command_has_help_and_knows_misuse(run, words):
-    done = run(*words, "--help")
-    assert done.exit_code == 0 and ("Example:" in done.output or "Commands:" in done.output)
+def test_commands_have_help_and_reject_unknown_flags(run, words):
+    finished = run(*words, "--help")
+    assert finished.exit_code == 0 and ("Example:" in finished.output or "Commands:" in finished.output)
     assert run(*words, "--nothing").exit_code == 2
 
 
-def test_try_shows_where_each_request_went_and_leaves_nothing_behind():
-    done = subprocess.run(
+def test_try_shows_where_each_request_went():
+    finished = subprocess.run(
         [sys.executable, "-m", "lemonlead", "try", "--json"], capture_output=True, text=True, timeout=120
     )
-    told = json.loads(done.stdout)
-    assert done.returncode == 0 and told["exit"] == 0
-    assert all(row["answer"] == row["key"] and row["went_to"] for row in told["requests"])
-    assert {row["rule"] for row in told["requests"]} >= {"big-customer", "careful"}
+    output = json.loads(finished.stdout)
+    assert finished.returncode == 0 and output["exit"] == 0
+    assert all(row["answer"] == row["key"] and row["went_to"] for row in output["requests"])
+    assert {row["rule"] for row in output["requests"]} >= {"big-customer", "careful"}
 
 
 @pytest.mark.parametrize(
-    "module, kept_out",
+    "module, modules_not_imported",
     [
         ("lemonlead.commands", "lark re2 structlog xxhash tabulate"),
         ("lemonlead.gateway.__main__", "lark re2 click xxhash tabulate rich"),
     ],
 )
-def test_what_a_command_does_not_need_is_not_imported(module, kept_out):
-    code = f"import sys, {module}; print(sorted(set({kept_out.split()!r}) & set(sys.modules)))"
+def test_commands_import_only_what_they_need(module, modules_not_imported):
+    code = f"import sys, {module}; print(sorted(set({modules_not_imported.split()!r}) & set(sys.modules)))"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -1,4 +1,4 @@
-"""The expression language: what it means, what it refuses, and that it keeps what its costs promise."""
+"""Tests of the expression language: values, rejected expressions, and whether costs bound the run time."""
 
 import math
 import random
@@ -16,7 +16,7 @@
 from lemonlead.standins import expressions
 
 DECLARED = RequestLimits(key=1024, request_classes=("fitment", "reserve"))
-ASKED = RequestFields(
+REQUEST = RequestFields(
     DECLARED,
     "Q.ASK",
     b"north/42",
@@ -31,12 +31,12 @@
 )
 
 
-def value(text, asked=ASKED):
-    return Expression(text, DECLARED).value(asked)
+def value(text, request=REQUEST):
+    return Expression(text, DECLARED).value(request)
 
 
 @pytest.mark.parametrize(
-    "text, wanted",
+    "text, expected",
     [
         ("1 + 2 * 3 - 4 / 2 % 3", 5),
         ("-7 / 2", -3),
@@ -118,13 +118,13 @@
         ("1 < 2 // a comment\n && true", True),
     ],
 )
-def test_an_expression_has_its_value(text, wanted):
-    found = value(text)
-    assert found == wanted and type(found) is type(wanted)
+def test_expression_values(text, expected):
+    actual = value(text)
+    assert actual == expected and type(actual) is type(expected)
 
 
 @pytest.mark.parametrize(
-    "text, column, words",
+    "text, column, message_part",
     [
         ("1 / 0", 3, "zero"),
         ("1 % 0", 3, "zero"),
@@ -150,11 +150,11 @@
         ("1 / 0 == 1 ? 1 : 2", 3, "zero"),
     ],
 )
-def test_what_has_no_value_says_where_and_why(text, column, words):
+def test_evaluation_errors_have_place_and_reason(text, column, message_part):
     with pytest.raises(Erred) as raised:
         value(text)
     assert (raised.value.code, raised.value.line, raised.value.column) == ("value", 1, column)
-    assert words in raised.value.message
+    assert message_part in raised.value.message
 
 
 @pytest.mark.parametrize(
@@ -199,26 +199,26 @@
         ("lookup.key\n.nothing()", "name", 2, 2),
     ],
 )
-def test_what_is_no_expression_is_refused_with_its_place(text, code, line, column):
+def test_invalid_expressions_are_rejected_with_their_place(text, code, line, column):
     with pytest.raises(Fault) as raised:
         Expression(text, DECLARED)
     assert (raised.value.code, raised.value.line, raised.value.column) == (code, line, column)
 
 
 @pytest.mark.parametrize("key", [b"\xff\xfe", b"k" * 1025, b"k" * 65536])
-def test_a_key_that_is_not_utf8_or_past_its_bound_has_no_value_and_the_rest_has(key):
-    asked = RequestFields(DECLARED, "Q.ASK", key, "fitment", "acme")
+def test_invalid_key_is_unset_and_other_fields_are_readable(key):
+    request = RequestFields(DECLARED, "Q.ASK", key, "fitment", "acme")
     with pytest.raises(Erred, match="bound, or not UTF-8"):
-        value("lookup.key == 'a'", asked)
-    assert value("lookup.key == 'a' || lookup.lane == 'fitment'", asked)
-    assert not value("has(lookup.key)", asked) and not value("lookup.key == 'a' && false", asked)
+        value("lookup.key == 'a'", request)
+    assert value("lookup.key == 'a' || lookup.lane == 'fitment'", request)
+    assert not value("has(lookup.key)", request) and not value("lookup.key == 'a' && false", request)
 
 
 @pytest.mark.parametrize(
-    "text, most", [("true", 1), ("lookup.lane == 'fitment'", 8), ("lookup.wait > duration('1s')", 8)]
+    "text, max_cost", [("true", 1), ("lookup.lane == 'fitment'", 8), ("lookup.wait > duration('1s')", 8)]
 )
-def test_what_is_cheap_is_reckoned_cheap(text, most):
-    assert Expression(text, DECLARED).cost <= most
+def test_cheap_expressions_have_low_costs(text, max_cost):
+    assert Expression(text, DECLARED).cost <= max_cost
 
 
 @pytest.mark.parametrize(
@@ -236,8 +236,8 @@
     assert Expression(small, DECLARED).cost < Expression(large, DECLARED).cost
 
 
-def admitted(text):
-    """The expression, if it may stand in a rule."""
+def compile_if_allowed(text):
+    """Returns the expression, or None if a rule can't contain it."""
     try:
         made = Expression(text, DECLARED)
         return made if made.cost <= DEFAULT_RULE_COST else None
@@ -250,45 +250,43 @@
         return None
 
 
-def ended(run, asked):
-    """The value, or that there is none."""
+def evaluate(run, request):
+    """Returns the value, or the error."""
     try:
-        return "value", run(asked)
+        return "value", run(request)
     except Erred as fault:
         return "erred", (fault.line, fault.column, fault.message)
 
 
-def same(one, other):
-    return one == other or repr(one) == repr(other)  # no number equals itself where it is NaN
+def same_value(one, other):
+    return one == other or repr(one) == repr(other)  # NaN is not equal to itself
 
 
 @settings(max_examples=400, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.sampled_from(expressions.SORTS), st.integers(1, 6))
-def test_expressions_drawn_by_type_are_admitted_or_too_dear_and_both_ways_to_run_them_agree(
-    seed, kind, depth
-):
+def test_quick_and_exact_forms_agree_on_random_expressions(seed, kind, depth):
     text = expressions.draw(random.Random(seed), kind, depth)
     try:
         made = Expression(text, DECLARED)
-    except Fault as fault:  # no type errors: the grammar draws by type
+    except Fault as fault:  # no type errors, because expressions are generated by type
         assert fault.code in ("cost", "syntax"), (text, fault.message)
         return
     names = {"strings": "list(string)", "ints": "list(int)"}
     assert str(made.kind) in (names.get(kind, kind), "list(nothing)")
-    for asked in expressions.lookups(DECLARED):
-        found, slow = ended(made.value, asked), ended(exact.compile_tree(made.tree), asked)
-        assert same(found, slow), text
+    for request in expressions.lookups(DECLARED):
+        actual, slow = evaluate(made.value, request), evaluate(exact.compile_tree(made.tree), request)
+        assert same_value(actual, slow), text
         try:
-            direct = quick.compile_tree(made.tree)(asked)
+            direct = quick.compile_tree(made.tree)(request)
         except exact.ERRORS:
             continue
-        assert same(("value", direct), found), text
-        if found[0] == "value":
-            assert bounded(direct, made.kind, made.tree.bounds), text
+        assert same_value(("value", direct), actual), text
+        if actual[0] == "value":
+            assert is_within_bounds(direct, made.kind, made.tree.bounds), text
 
 
-def bounded(value, kind, bounds):
-    """Whether a value is of the type and within the bounds that were reckoned before it was known."""
+def is_within_bounds(value, kind, bounds):
+    """Returns whether a value has the type and lies within the bounds that the checker computed."""
     match kind.name:
         case "int" | "duration":
             return type(value) is int and bounds.low <= value <= bounds.high and abs(value) <= 2**63
@@ -301,7 +299,7 @@
             )
         case "list":
             return len(value) <= bounds.size and all(
-                bounded(item, kind.item, bounds.item or kinds.ANY) for item in value
+                is_within_bounds(item, kind.item, bounds.item or kinds.ANY) for item in value
             )
         case "bool":
             return type(value) is bool
@@ -312,45 +310,45 @@
 
 
 def test_there_are_enough_hostile_expressions():
-    assert len(HOSTILE) >= 200 and sum(admitted(text) is None for text in HOSTILE) >= 100
+    assert len(HOSTILE) >= 200 and sum(compile_if_allowed(text) is None for text in HOSTILE) >= 100
 
 
-def step():
-    """Seconds that one step takes here and now, at least."""
+def measure_step():
+    """Returns the seconds that one step takes at present on this machine, as a minimum."""
     made = Expression("lookup.repeat", DECLARED)
-    return least(lambda: [made.value(ASKED) for _ in range(100)]) / 100
+    return minimum_time(lambda: [made.value(REQUEST) for _ in range(100)]) / 100
 
 
-def least(run, times=5):
-    found = []
+def minimum_time(run, times=5):
+    actual = []
     for _ in range(times):
-        began = time.thread_time()
+        started = time.thread_time()
         run()
-        found.append(time.thread_time() - began)
-    return min(found)
+        actual.append(time.thread_time() - started)
+    return min(actual)
 
 
-def test_hostile_expressions_are_refused_at_once_or_keep_their_costs():
-    """The cost is a ceiling, in steps of the same run. The slack is for a busy machine."""
-    unit, slack, loading = step(), 4.0, 2000 * step()
+def test_hostile_expressions_are_rejected_or_within_their_cost():
+    """The cost is an upper limit, in steps measured in the same run. The slack allows for a busy machine."""
+    unit, slack, loading = measure_step(), 4.0, 2000 * measure_step()
     for text in HOSTILE:
-        began = time.thread_time()
-        made = admitted(text)
-        assert time.thread_time() - began < max(1.0, 100 * loading), text[:80]
+        started = time.thread_time()
+        made = compile_if_allowed(text)
+        assert time.thread_time() - started < max(1.0, 100 * loading), text[:80]
         if made is None:
             continue
-        for asked in expressions.lookups(DECLARED):
-            took = least(lambda made=made, asked=asked: ended(made.value, asked), 3)
-            assert took <= slack * unit * max(made.cost, 20), (text[:80], made.cost, took / unit)
+        for request in expressions.lookups(DECLARED):
+            seconds = minimum_time(lambda made=made, request=request: evaluate(made.value, request), 3)
+            assert seconds <= slack * unit * max(made.cost, 20), (text[:80], made.cost, seconds / unit)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.text(max_size=60), st.integers(0, 2**32))
-def test_any_text_is_refused_with_a_place_or_is_an_expression(noise, seed):
+def test_random_texts_are_rejected_or_valid(noise, seed):
     rng = random.Random(seed)
     text = expressions.draw(rng, "bool", 3)
     cut = rng.randrange(len(text) + 1)
     for broken in (noise, text[:cut], text[:cut] + noise[:3] + text[cut:], text[:cut] * 2):
-        made = admitted(broken)
+        made = compile_if_allowed(broken)
         if made is not None:
-            ended(made.value, ASKED)
+            evaluate(made.value, REQUEST)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules: what they give, what none may ever give, the index against plain order, and the sets in force."""
+"""Tests of rules: results, forbidden results, the index compared with plain order, and the sets in force."""
 
 import random
 import threading
@@ -38,11 +38,11 @@
     "stream": request_class(6, at.IDEMPOTENT, streamed=True),
 }
 PLAIN = {name: REQUEST_CLASSES[name] for name in ("fitment", "stock")}
-CUSTOMERS = ["acme", "others"]
+TENANTS = ["acme", "others"]
 DECLARED = RequestLimits(request_classes=tuple(REQUEST_CLASSES))
 
 
-def rules(*written, request_classes=REQUEST_CLASSES, tenants=CUSTOMERS, version="1", **more):
+def rules(*written, request_classes=REQUEST_CLASSES, tenants=TENANTS, version="1", **more):
     named = [RuleSource(**{"name": f"r{number}", **one}) for number, one in enumerate(written)]
     return RuleSet(
         version,
@@ -54,11 +54,11 @@
     )
 
 
-def asked(key=b"north/42", lane="fitment", **more):
+def make_request(key=b"north/42", lane="fitment", **more):
     return RequestFields(DECLARED, "Q.ASK", key, lane, **{"customer": "acme", "wait": S, **more})
 
 
-def test_the_first_rule_that_matches_gives_what_it_says():
+def test_first_matching_rule_gives_its_result():
     made = rules(
         {"when": "lookup.key == 'none'", "lane": "'stock'"},
         {
@@ -71,19 +71,19 @@
         {"when": "true", "lane": "'fitment'"},
         request_classes=PLAIN,
     )
-    given = made.first_match(asked())
+    given = made.first_match(make_request())
     assert (given.rule.name, given.lane, given.key, given.customer) == (
         "r1",
         REQUEST_CLASSES["stock"],
         b"42",
         "others",
     )
-    assert made.first_match(asked(b"x")).lane is REQUEST_CLASSES["fitment"]
-    assert rules({"when": "false"}).first_match(asked()) is NO_RESULT
+    assert made.first_match(make_request(b"x")).lane is REQUEST_CLASSES["fitment"]
+    assert rules({"when": "false"}).first_match(make_request()) is NO_RESULT
 
 
 @pytest.mark.parametrize(
-    "was, becomes, stamped, may",
+    "current, replacement, stamped, allowed",
     [
         ("fitment", "stock", False, True),
         ("fitment", "reserve", False, False),
@@ -102,12 +102,12 @@
         ("stream", "fitment", False, False),
     ],
 )
-def test_an_effect_is_never_weakened(was, becomes, stamped, may):
-    assert may_replace(REQUEST_CLASSES[was], REQUEST_CLASSES[becomes], stamped) is may
+def test_may_replace_never_weakens_an_effect(current, replacement, stamped, allowed):
+    assert may_replace(REQUEST_CLASSES[current], REQUEST_CLASSES[replacement], stamped) is allowed
 
 
 @pytest.mark.parametrize(
-    "when, lane, words",
+    "when, lane, message_part",
     [
         ("lookup.lane == 'reserve'", "'fitment'", "weaken"),
         ("true", "lookup.lane == 'reserve' ? 'stock' : lookup.lane", "weaken"),
@@ -125,13 +125,11 @@
         ("lookup.lane == 'fitment'", "lookup.repeat ? 'nothing' : 'fitment'", "no lane 'nothing'"),
     ],
 )
-def test_a_rule_that_could_weaken_an_effect_or_name_no_request_class_is_refused_when_it_is_loaded(
-    when, lane, words
-):
+def test_rules_that_may_weaken_effects_or_name_no_class_are_rejected(when, lane, message_part):
     with pytest.raises(InvalidRuleSet) as raised:
         rules({"when": when, "lane": lane})
     ((number, part, fault),) = raised.value.faults
-    assert (number, part) == (0, "lane") and words in fault.message
+    assert (number, part) == (0, "lane") and message_part in fault.message
 
 
 @pytest.mark.parametrize(
@@ -152,26 +150,26 @@
         ),
     ],
 )
-def test_a_rule_that_keeps_or_strengthens_effects_is_admitted(when, lane):
+def test_rules_that_keep_or_strengthen_effects_are_accepted(when, lane):
     made = rules({"when": when, "lane": lane})
-    for name, was in REQUEST_CLASSES.items():
-        for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
-            given = made.first_match(asked(lane=name, stamped=stamped))
-            assert given.rule is None or may_replace(was, given.lane, stamped)
+    for name, current in REQUEST_CLASSES.items():
+        for stamped in (True,) if current.effect == at.DEDUPLICATED else (True, False):
+            given = made.first_match(make_request(lane=name, stamped=stamped))
+            assert given.rule is None or may_replace(current, given.lane, stamped)
 
 
-def test_what_passes_the_look_when_loaded_is_looked_at_again_for_each_request():
-    """As though the first look had a hole."""
+def test_results_are_checked_again_for_each_request():
+    """Simulates a gap in the check of the load: a class changes its effect after it."""
     made = rules({"when": "lookup.lane == 'reserve'", "lane": "'buy'"}, {"when": "true", "key": "'later'"})
     made.request_classes = {**REQUEST_CLASSES, "buy": REQUEST_CLASSES["fitment"]}
     errors = []
-    given = made.first_match(asked(lane="reserve", stamped=True), errors)
+    given = made.first_match(make_request(lane="reserve", stamped=True), errors)
     assert [(rule.name, fault.code) for rule, fault in errors] == [("r0", "value")] and given.key == b"later"
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32))
-def test_no_drawn_rule_that_is_admitted_weakens_an_effect(seed):
+def test_accepted_random_rules_never_weaken_an_effect(seed):
     rng = random.Random(seed)
 
     def lane_of(depth):
@@ -198,12 +196,14 @@
         made = rules({"when": test_of(3), "lane": lane_of(2)})
     except InvalidRuleSet:
         return
-    for name, was in REQUEST_CLASSES.items():
-        for stamped in (True,) if was.effect == at.DEDUPLICATED else (True, False):
+    for name, current in REQUEST_CLASSES.items():
+        for stamped in (True,) if current.effect == at.DEDUPLICATED else (True, False):
             for repeat in (True, False):
-                given = made.first_match(asked(lane=name, stamped=stamped, repeat=repeat), errors := [])
+                given = made.first_match(
+                    make_request(lane=name, stamped=stamped, repeat=repeat), errors := []
+                )
                 assert not errors
-                assert given.lane is None or may_replace(was, given.lane, stamped)
+                assert given.lane is None or may_replace(current, given.lane, stamped)
 
 
 @pytest.mark.parametrize(
@@ -220,7 +220,7 @@
         ({"when": "true", "name": ""}, "name", "value"),
     ],
 )
-def test_each_part_of_a_rule_is_looked_at(rule, part, code):
+def test_each_part_of_a_rule_is_checked(rule, part, code):
     try:
         rules(rule)
     except InvalidRuleSet as error:
@@ -229,7 +229,7 @@
         assert part is None
 
 
-def test_a_set_that_is_fit_but_for_its_900th_rule_is_refused_for_that_rule_alone():
+def test_one_invalid_rule_of_a_thousand_is_the_only_fault():
     written = [{"when": f"lookup.key == 'k{n}'"} for n in range(1000)]
     written[899] = {"when": "lookup.key == 899"}
     with pytest.raises(InvalidRuleSet) as raised:
@@ -237,7 +237,7 @@
     assert [(number, fault.code) for number, _, fault in raised.value.faults] == [(899, "type")]
 
 
-def test_all_faults_of_a_set_are_told_at_once_and_names_are_given_once():
+def test_all_faults_of_a_set_are_reported_at_once():
     with pytest.raises(InvalidRuleSet) as raised:
         rules({"when": "1"}, {"when": "x", "lane": "2"}, {"when": "true", "name": "r0"})
     assert [(number, part) for number, part, _ in raised.value.faults] == [
@@ -248,7 +248,7 @@
     ]
 
 
-def test_a_set_may_cost_no_more_than_its_ceiling_however_many_rules_it_has():
+def test_set_cost_limit_applies_to_the_whole_set():
     cheap = [{"when": f"lookup.key == 'k{n}'"} for n in range(2000)]
     dear = [{"when": f"lookup.key.contains('k{n}')"} for n in range(200)]
     assert rules(*cheap).cost < 2000
@@ -259,29 +259,29 @@
 @pytest.mark.parametrize(
     "key, lane", [(b"\xff", None), (b"k" * 2000, None), (b"1/0", REQUEST_CLASSES["stock"])]
 )
-def test_a_rule_that_errs_does_not_match_and_is_told_of(key, lane):
+def test_rule_that_errs_does_not_match_and_is_reported(key, lane):
     made = rules(
         {"when": "!(1 / int(lookup.key.split('/', 2)[1]) <= 0)"},
         {"when": "lookup.key.startsWith('1')", "lane": "'stock'"},
         request_classes=PLAIN,
     )
     errors = []
-    assert made.first_match(asked(key), errors).lane is lane
+    assert made.first_match(make_request(key), errors).lane is lane
     assert errors[0][0].name == "r0"
 
 
-def test_a_key_too_long_is_not_given():
+def test_result_with_too_long_key_is_an_error():
     made = rules({"when": "true", "key": "lookup.key + lookup.key + lookup.key"})
     errors = []
-    assert made.first_match(asked(b"k" * 400), errors) is NO_RESULT and len(errors) == 1
-    assert made.first_match(asked(b"k" * 300)).key == b"k" * 900
+    assert made.first_match(make_request(b"k" * 400), errors) is NO_RESULT and len(errors) == 1
+    assert made.first_match(make_request(b"k" * 300)).key == b"k" * 900
 
 
 # ---- the index
 
 
-def drawn(rng):
-    """A condition of the kinds that are indexed, and of some that are not."""
+def random_condition(rng):
+    """Returns a condition, of a kind that is indexed or of one that is not."""
     number = rng.randrange(12)
     few = rng.choice(("lookup.key", "lookup.customer", "lookup.attributes.zone", "lookup.command"))
     return rng.choice(
@@ -314,15 +314,18 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 2**32), st.integers(1, 40))
-def test_the_index_gives_the_same_first_match_as_the_plain_order(seed, count):
+def test_index_and_plain_order_find_the_same_rule(seed, count):
     rng = random.Random(seed)
     written = [
-        {"when": " && ".join(drawn(rng) for _ in range(rng.choice((1, 1, 2, 3)))), "key": f"'{number}'"}
+        {
+            "when": " && ".join(random_condition(rng) for _ in range(rng.choice((1, 1, 2, 3)))),
+            "key": f"'{number}'",
+        }
         for number in range(count)
     ]
     made = rules(*written, max_set_cost=10**9, max_rule_cost=10**9)
     for _ in range(40):
-        one = asked(
+        one = make_request(
             rng.choice((f"k{rng.randrange(14)}".encode(), b"", b"\xff", b"x" * 2000)),
             rng.choice(list(REQUEST_CLASSES)),
             customer=rng.choice(("acme", "k3", "k11")),
@@ -335,37 +338,37 @@
         assert (found.rule and found.rule.number, found.key) == (plain.rule and plain.rule.number, plain.key)
 
 
-def test_a_rule_that_the_index_finds_sooner_does_not_come_before_an_earlier_one():
+def test_index_keeps_the_order_of_rules():
     made = rules(
         {"when": "lookup.key.contains('b')", "key": "'first'"},
         {"when": "lookup.key == 'abc'", "key": "'second'"},
     )
-    assert made.first_match(asked(b"abc")).key == b"first"
+    assert made.first_match(make_request(b"abc")).key == b"first"
 
 
-def test_the_part_that_leaves_out_most_is_chosen():
+def test_index_uses_the_most_selective_condition():
     made = rules(*({"when": f"lookup.lane == 'fitment' && lookup.key == 'k{n}'"} for n in range(50)))
     assert made.index.describe()["groups"] == [{"kind": "equality", "subject": "lookup.key", "rules": 50}]
-    assert list(made.index.candidates(asked(b"k7"))) == [7]
+    assert list(made.index.candidates(make_request(b"k7"))) == [7]
 
 
-def test_a_trie_finds_all_prefixes_in_order():
-    trie, words = Trie(), ["", "a", "ab", "abc", "abd", "b", "ab", "é", "éa"]
-    for number, word in enumerate(words):
+def test_trie_finds_all_prefixes_in_order():
+    trie, message_part = Trie(), ["", "a", "ab", "abc", "abd", "b", "ab", "é", "éa"]
+    for number, word in enumerate(message_part):
         trie.add(number, word)
     for text in ("", "a", "abc", "abx", "abdz", "b", "éab", "z", "ac"):
-        assert list(trie.find(text)) == [n for n, word in enumerate(words) if text.startswith(word)]
+        assert list(trie.find(text)) == [n for n, word in enumerate(message_part) if text.startswith(word)]
 
 
-def test_intervals_find_all_ranges_and_leave_out_what_would_take_too_much_room():
+def test_intervals_find_all_ranges_within_their_size_limit():
     made, rng = Intervals(), random.Random(5)
     ranges = [tuple(sorted((rng.randrange(100), rng.randrange(100)))) for _ in range(60)] + [(5, 4)]
     for number, one in enumerate(ranges):
         made.add(number, one)
     made.build()
     for value in range(-1, 101):
-        wanted = {n for n, (low, high) in enumerate(ranges) if low <= value <= high}
-        assert set(made.find(value)) == wanted - set(made.left_out)
+        expected = {n for n, (low, high) in enumerate(ranges) if low <= value <= high}
+        assert set(made.find(value)) == expected - set(made.left_out)
     wide = Intervals()
     for number in range(400):
         wide.add(number, (number, 1000 - number))
@@ -373,31 +376,31 @@
     assert wide.left_out and sum(map(len, wide.rules)) <= 64 * 400
 
 
-def test_a_set_of_patterns_that_runs_out_of_memory_has_all_its_rules_asked():
+def test_all_patterns_are_candidates_if_re2_runs_out_of_memory():
     made = Patterns()
     made.add(0, "a")
     made.add(1, "b")
     made.build()
     assert made.find("xb") == [1] and made.find("ba") == [0, 1]
-    made.sentinel = 99  # as though the set had found nothing at all
+    made.sentinel = 99  # simulates a set that does not even find the empty pattern
     assert made.find("xb") == [0, 1]
 
 
 # ---- the sets in force
 
 
-def active_rules(active, shadow=None, share=0.1):
+def make_active_rules(active, shadow=None, share=0.1):
     made = ActiveRules()
     made.activate(active, shadow, share, 0)
     return made
 
 
-def seen(**more):
+def fields_for(**more):
     return lambda limits: RequestFields(limits, "Q.ASK", b"north/42", "fitment", **more)
 
 
-def test_differences_of_a_set_on_trial_are_counted_by_rule():
-    made = active_rules(
+def test_differences_of_a_shadow_set_are_counted_by_rule():
+    made = make_active_rules(
         rules({"when": "true", "lane": "'stock'"}, request_classes=PLAIN),
         rules(
             {"when": "lookup.customer == 'acme'", "lane": "'stock'", "name": "alike"},
@@ -406,7 +409,7 @@
         ),
     )
     for customer in ("acme", "others"):
-        one = seen(customer=customer)
+        one = fields_for(customer=customer)
         assert made.may_try_shadow(0)
         made.try_shadow(one, made.apply(one))
     kinds, differences = made.read_counts()
@@ -414,43 +417,43 @@
     assert differences == [("r0", "r1", 1)]
 
 
-def test_a_set_on_trial_that_is_dearer_than_its_budget_is_skipped():
-    made = active_rules(rules({"when": "true"}), rules({"when": "true"}), share=0.01)
-    asked_times = 0
-    for now in range(0, S, S // 1000):  # a request each ms, each of which would take 2 ms
+def test_shadow_set_is_skipped_if_its_budget_is_spent():
+    made = make_active_rules(rules({"when": "true"}), rules({"when": "true"}), share=0.01)
+    tries = 0
+    for now in range(0, S, S // 1000):  # one request each ms, for which the shadow set takes 2 ms
         if made.may_try_shadow(now):
-            asked_times += 1
+            tries += 1
             made.charge_shadow(2_000_000)
-    spent = asked_times * 2_000_000
+    spent = tries * 2_000_000
     assert 0 < spent <= 0.01 * S + MAX_BUDGET_NS + 2_000_000
-    assert made.read_counts()[0]["shadow"] == {"skipped": 1000 - asked_times, "asked": asked_times}
+    assert made.read_counts()[0]["shadow"] == {"skipped": 1000 - tries, "asked": tries}
 
 
-def test_a_budget_does_not_grow_while_nothing_is_asked_and_never_goes_back_in_time():
+def test_budget_is_capped_and_ignores_earlier_times():
     made = Budget(0.5, 0)
     assert made.has_time(100 * S) and made.left_ns == MAX_BUDGET_NS
     made.charge(MAX_BUDGET_NS)
     assert not made.has_time(50 * S) and not made.has_time(100 * S) and made.has_time(100 * S + 1000)
 
 
-def test_pairs_of_rules_that_differ_are_bounded():
+def test_number_of_counted_rule_pairs_is_limited():
     written = [{"when": f"lookup.key == 'k{n}'", "key": "'x'"} for n in range(MAX_RULE_PAIRS + 10)]
-    made = active_rules(rules(*written), rules({"when": "true"}))
+    made = make_active_rules(rules(*written), rules({"when": "true"}))
     for number in range(MAX_RULE_PAIRS + 10):
         one = lambda limits, number=number: RequestFields(limits, "Q.ASK", f"k{number}", "fitment")  # noqa: E731
         made.try_shadow(one, made.apply(one))
     assert len(made.differences) == MAX_RULE_PAIRS + 1 and made.differences["others", "others"] == 10
 
 
-def test_errors_are_logged_at_a_bounded_rate_and_none_is_forgotten():
-    made, told = active_rules(rules({"when": "true"})), []
+def test_error_logging_is_rate_limited_and_counts_every_error():
+    made, reported = make_active_rules(rules({"when": "true"})), []
     for number in range(1000):
         if count := made.errors_to_log(number * ERROR_LOG_INTERVAL_NS // 100):
-            told.append(count)
-    assert len(told) == 10 and sum(told) + made.unlogged_errors == 1000
+            reported.append(count)
+    assert len(reported) == 10 and sum(reported) + made.unlogged_errors == 1000
 
 
-def test_requests_are_judged_by_one_whole_set_while_sets_change():
+def test_each_request_is_matched_by_one_set_during_changes():
     sets = [
         rules(
             {"when": "lookup.repeat", "key": f"'{n}'", "customer": f"'{n}'"},
@@ -459,16 +462,16 @@
         )
         for n in range(20)
     ]
-    made, ended, mixed = active_rules(sets[0]), threading.Event(), []
+    made, ended, mixed_results = make_active_rules(sets[0]), threading.Event(), []
 
-    def go_on(repeat):
-        one, count = seen(repeat=repeat), 0
+    def match_repeatedly(repeat):
+        one, count = fields_for(repeat=repeat), 0
         while not ended.is_set() or count < 100:
             given, count = made.apply(one), count + 1
             if given.rule is None or given.key.decode() != given.customer:
-                mixed.append(given)
+                mixed_results.append(given)
 
-    threads = [threading.Thread(target=go_on, args=(bool(n % 2),)) for n in range(4)]
+    threads = [threading.Thread(target=match_repeatedly, args=(bool(n % 2),)) for n in range(4)]
     for thread in threads:
         thread.start()
     for number in range(2000):
@@ -476,18 +479,18 @@
     ended.set()
     for thread in threads:
         thread.join()
-    assert not mixed
+    assert not mixed_results
 
 
-def test_no_expression_of_a_set_reads_more_than_its_own_bounds():
-    """A set put in force meanwhile may declare less than the one before it."""
+def test_expressions_read_within_the_limits_of_their_own_set():
+    """A newly active set may declare lower limits than the one before it."""
     short = RuleSet("2", [RuleSource("all", "!(lookup.key.size() <= 4)")], {}, None, RequestLimits(key=4))
-    made, errors = active_rules(short), []
-    made.apply(seen(), lambda rule, fault: errors.append(fault))
+    made, errors = make_active_rules(short), []
+    made.apply(fields_for(), lambda rule, fault: errors.append(fault))
     assert isinstance(errors[0], Erred)
 
 
-def test_rules_drawn_at_random_never_raise_anything_but_what_they_may():
+def test_random_rules_raise_only_expected_errors():
     rng = random.Random(11)
     for _ in range(60):
         written = [
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,5 +1,5 @@
-"""Settings: what a file may say, that all its faults are told with their places, and that no bytes pass by
-that."""
+"""Tests of settings files: unification with schemas, faults with their places, and damaged or costly
+files."""
 
 import random
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, schema, wanted",
+    "text, schema, expected",
     [
         ("a: 1", "a: int", {"a": 1}),
         ("a: 1", "a: float", {"a": 1.0}),
@@ -75,11 +75,11 @@
         ("a: 5 & int & >=5", "a: _", {"a": 5}),
     ],
 )
-def test_a_file_is_unified_with_its_schema(tmp_path, text, schema, wanted):
-    if wanted is None:
+def test_files_are_unified_with_their_schema(tmp_path, text, schema, expected):
+    if expected is None:
         assert faults(tmp_path, text, schema)[0].found == "the field m"
     else:
-        assert read(tmp_path, text, schema).value == wanted
+        assert read(tmp_path, text, schema).value == expected
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
         ('include "none.cue"\na: 1', "a: int", 1, 9, "", None, "a file of text"),
     ],
 )
-def test_a_fault_says_where_what_was_found_and_what_would_do(
+def test_faults_have_place_found_and_allowed_values(
     tmp_path, text, schema, line, column, path, found, allowed
 ):
     fault = faults(tmp_path, text, schema)[0]
@@ -115,7 +115,7 @@
     assert found in (None, fault.found) and allowed in (None, fault.allowed)
 
 
-def test_all_faults_of_a_file_are_told_in_one_go_in_their_order(tmp_path):
+def test_all_faults_of_a_file_are_reported_in_order(tmp_path):
     found = faults(
         tmp_path,
         'count: 99\nshare: "x"\nlanes: [{name: "A", goal: 0s}, {nme: "b", goal: 1s, effect: 0}]\nmore: 1\n',
@@ -132,29 +132,33 @@
     ]
 
 
-def test_a_conflict_is_told_with_both_places(tmp_path):
+def test_conflicts_are_reported_with_both_places(tmp_path):
     (fault,) = faults(tmp_path, 'include "other.cue"\ncount: 4', "count: int", other="\ncount: 5")
     assert (fault.place.file.rsplit("/", 1)[1], fault.place.line, fault.place.column) == ("file.cue", 2, 8)
     assert (fault.other.file.rsplit("/", 1)[1], fault.other.line, fault.other.column) == ("other.cue", 2, 8)
 
 
-def test_files_include_others_once_each_though_in_a_circle(tmp_path):
-    made = read(
+def test_cyclic_includes_read_each_file_once(tmp_path):
+    contents = read(
         tmp_path,
         'include "one.cue"\ninclude "two.cue"\nlanes: [#L]',
         one='include "two.cue"\n#L: {name: "a", goal: 1s, ...}',
         two='include "one.cue"\ncount: 2',
     )
-    assert made.value["count"] == 2 and made.value["lanes"][0]["name"] == "a" and len(made.files) == 3
+    assert (
+        contents.value["count"] == 2
+        and contents.value["lanes"][0]["name"] == "a"
+        and len(contents.files) == 3
+    )
 
 
-def test_the_digest_is_of_all_files(tmp_path):
+def test_digest_covers_included_files(tmp_path):
     first = read(tmp_path, 'include "one.cue"\nlanes: []', one="count: 2").digest
     assert read(tmp_path, 'include "one.cue"\nlanes: []', one="count: 4").digest != first
 
 
 @pytest.mark.parametrize(
-    "text, line, column, wanted",
+    "text, line, column, expected",
     [
         ('a: "lookup.x"', 1, 3, (1, 7)),
         ('a: "\\"x\\" y"', 1, 5, (1, 11)),
@@ -163,12 +167,12 @@
         ('a: "a\\nbc"', 2, 2, (1, 9)),
     ],
 )
-def test_a_place_in_a_string_is_found_in_its_file(tmp_path, text, line, column, wanted):
+def test_places_in_strings_are_mapped_to_the_file(tmp_path, text, line, column, expected):
     place = read(tmp_path, text, "a: string").place("a", line, column)
-    assert (place.line, place.column) == wanted
+    assert (place.line, place.column) == expected
 
 
-WHOLE = """version: "1"
+RULES_FILE = """version: "1"
 ceilings: {rule: 500, set: 2Ki} // both
 rules: [
 	{name: "one", when: "lookup.key == 'é'", labels: {a: "b"}},
@@ -180,15 +184,15 @@
 """
 
 
-def test_a_file_cut_short_anywhere_is_unfit_unless_only_white_space_is_lost(tmp_path):
-    schema, data = settings.schema_text("rules"), WHOLE.encode()
+def test_truncated_files_are_invalid(tmp_path):
+    schema, data = settings.schema_text("rules"), RULES_FILE.encode()
     assert len(read(tmp_path, data, schema).value["rules"]) == 2
     for length in range(len(data.rstrip())):
         assert faults(tmp_path, data[:length], schema), length
 
 
-def test_any_bytes_are_unfit_or_read_and_never_raise_anything_else(tmp_path):
-    rng, schema, data = random.Random(3), settings.schema_text("rules"), WHOLE.encode()
+def test_damaged_files_are_read_or_raise_invalid_file(tmp_path):
+    rng, schema, data = random.Random(3), settings.schema_text("rules"), RULES_FILE.encode()
     outcomes = {True: 0, False: 0}
     for number in range(600):
         broken = bytearray(data)
@@ -234,17 +238,17 @@
     ],
     ids=[f"n{n}" for n in range(12)],
 )
-def test_what_was_made_to_be_dear_ends_soon_with_a_fault(tmp_path, text):
+def test_costly_files_are_rejected_quickly(tmp_path, text):
     assert faults(tmp_path, text, "a: int")
 
 
-def test_the_schemas_are_fit_and_say_their_own_defaults(tmp_path):
-    told = read(tmp_path, 'version: "1"\nrules: []', settings.schema_text("rules")).value
-    assert told["ceilings"] == {"rule": 2000, "set": 20000} and told["bounds"]["key"] == 256
+def test_schemas_are_valid_and_set_defaults(tmp_path):
+    value = read(tmp_path, 'version: "1"\nrules: []', settings.schema_text("rules")).value
+    assert value["ceilings"] == {"rule": 2000, "set": 20000} and value["bounds"]["key"] == 256
     assert read(tmp_path, "", settings.schema_text("gateway")).value == {}
 
 
-def test_files_that_take_more_room_than_there_is_are_not_read(tmp_path):
+def test_files_larger_than_the_limit_are_not_read(tmp_path):
     (tmp_path / "more.cue").write_text("// " + "x" * 500)
     (tmp_path / "file.cue").write_text('include "more.cue"\na: 1')
     assert settings.read(tmp_path / "file.cue", "a: int", max_bytes=600).value == {"a": 1}
