--- a/lemonlead/commands/capacity.py
+++ b/lemonlead/commands/capacity.py
@@ -56,8 +56,8 @@
 
     Example: lemonlead capacity breaks deploy/capacity/fleet.cue
     """
-    rows = answers.breaks(read_or_exit(file, as_json))
-    first = rows[0] if rows else {"what": "nothing", "growth": answers.MOST_GROWTH}
+    rows = answers.breaking_points(read_or_exit(file, as_json))
+    first = rows[0] if rows else {"what": "nothing", "growth": answers.MAX_GROWTH}
     show({"breaks": rows}, as_json, rows, f"\nfirst: {first['what']} at {first['growth']:.2f} times the load")
 
 
@@ -73,7 +73,7 @@
 
     Example: lemonlead capacity size deploy/capacity/fleet.cue --lost 1 --work 2.5
     """
-    found, why = answers.size(read_or_exit(file, as_json), lost, work)
+    found, why = answers.smallest_size(read_or_exit(file, as_json), lost, work)
     rows = [{"site": site, **counts} for site, counts in (found or {}).items()]
     show({"instances": found, "why": why}, as_json, rows, "", why)
     sys.exit(found is None)
@@ -93,7 +93,7 @@
     fleet_model = read_or_exit(file, as_json)
     if site not in fleet_model.sites:
         raise click.UsageError(f"no site {site!r} (there is {', '.join(fleet_model.sites)})")
-    rows, _ = answers.lose(fleet_model.grown(growth), site, seed)
+    rows, _ = answers.play_site_loss(fleet_model.with_load_factor(growth), site, seed)
     show({"parts": rows}, as_json, rows)
 
 
@@ -114,7 +114,7 @@
 
     Example: lemonlead capacity release deploy/capacity/fleet.cue --work 2.5
     """
-    rows, _ = answers.release(read_or_exit(file, as_json).grown(growth), work, seed)
+    rows, _ = answers.play_release(read_or_exit(file, as_json).with_load_factor(growth), work, seed)
     show({"parts": rows}, as_json, rows)
 
 
@@ -130,7 +130,7 @@
 
     Example: lemonlead capacity predict deploy/capacity/fleet.cue --growth 1.5
     """
-    output = predict_in_processes(read_or_exit(file, as_json).grown(growth), seeds)
+    output = predict_in_processes(read_or_exit(file, as_json).with_load_factor(growth), seeds)
     show(
         output,
         as_json,
@@ -140,10 +140,12 @@
 
 
 def predict_in_processes(fleet_model, seeds):
-    """Does the same as `answers.predict`, with each day in a process of its own."""
+    """Does the same as `answers.predict_service`, with each day in a process of its own."""
     with ProcessPoolExecutor() as pool:
         each = list(
-            pool.map(answers.predict, [fleet_model] * seeds, [(seed,) for seed in range(1, seeds + 1)])
+            pool.map(
+                answers.predict_service, [fleet_model] * seeds, [(seed,) for seed in range(1, seeds + 1)]
+            )
         )
     played = [one["played"][0] for one in each]
     return {**each[0], "played": played, "mean": round(sum(played) / seeds, 4)}
@@ -161,7 +163,9 @@
     rows = []
     for file in (one, other):
         fleet_model = read_or_exit(file, as_json)
-        first = (answers.breaks(fleet_model) or [{"what": "nothing", "growth": answers.MOST_GROWTH}])[0]
+        first = (answers.breaking_points(fleet_model) or [{"what": "nothing", "growth": answers.MAX_GROWTH}])[
+            0
+        ]
         output = predict_in_processes(fleet_model, 3)
         rows.append(
             {
@@ -169,7 +173,7 @@
                 "service": output["mean"],
                 "first to break": first["what"],
                 "at growth": round(first["growth"], 2),
-                "instances": sum(count for _, _, count in fleet_model.machines()),
+                "instances": sum(count for _, _, count in fleet_model.machine_counts()),
             }
         )
     show({"fleets": rows}, as_json, rows)
@@ -189,7 +193,7 @@
     """
     from ..planning import loopback
 
-    fleet_model = read_or_exit(file, as_json).grown(growth)
+    fleet_model = read_or_exit(file, as_json).with_load_factor(growth)
     click.echo(f"running {seconds} s on loopback ...", err=True)
     measured = loopback.measure(fleet_model, seed, seconds)
     output = predict_in_processes(fleet_model, 3)
@@ -213,13 +217,13 @@
     Example: lemonlead capacity report deploy/capacity/fleet.cue report.html
     """
     fleet_model, parts = read_or_exit(file, False), []
-    parts.append(section("What breaks first", answers.breaks(fleet_model)))
+    parts.append(section("What breaks first", answers.breaking_points(fleet_model)))
     for site in fleet_model.sites if len(fleet_model.sites) > 1 else ():
         click.echo(f"simulating the loss of {site} ...", err=True)
-        rows, seconds = answers.lose(fleet_model, site, seed)
+        rows, seconds = answers.play_site_loss(fleet_model, site, seed)
         parts.append(section(f"Site {site} is lost", rows, chart(seconds)))
     click.echo("simulating a bad build ...", err=True)
-    rows, seconds = answers.release(fleet_model, 2.5, seed)
+    rows, seconds = answers.play_release(fleet_model, 2.5, seed)
     parts.append(section("A build that needs 2.5 times the work", rows, chart(seconds)))
     Path(page).write_text(PAGE.format(file=html.escape(file), body="\n".join(parts)))
     click.echo(page)
@@ -262,9 +266,9 @@
     targets_wanted = read_or_exit(file, as_json, targets)
     try:
         found = slopes.read(Path(measured).read_bytes())
-    except slopes.Unfit as error:
+    except slopes.InvalidSlopes as error:
         exit_with_fault(measured, error.path, str(error.found), error.expected, as_json)
-    text = page.page(targets_wanted, found)
+    text = page.render(targets_wanted, found)
     try:
         Path(page_file).write_text(text)
     except OSError as error:
@@ -275,7 +279,7 @@
         json.dumps(
             {
                 "page": page_file,
-                "wanted": page.wanted(targets_wanted, found),
+                "wanted": page.target_rows(targets_wanted, found),
                 "roles": page.size_rows(targets_wanted, found),
             }
         )
@@ -298,7 +302,7 @@
 
 def chart(seconds, width=720, height=160):
     """Returns an SVG chart of service by second, from 0 (bottom) to 1."""
-    shares = [second.answered / second.worth if second.worth else 1.0 for second in seconds]
+    shares = [second.answered_revenue / second.revenue if second.revenue else 1.0 for second in seconds]
     step = width / max(len(shares) - 1, 1)
     line = " ".join(
         f"{n * step:.1f},{height - 10 - share * (height - 20):.1f}" for n, share in enumerate(shares)
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -22,8 +22,8 @@
 from aiohttp import web
 
 from ..ledger.faults import Unusable
-from ..member.memory import settle_memory
-from ..member.run import Lines, bound, descriptors, log_lines
+from ..member.memory import freeze_memory
+from ..member.run import LogOutput, bind_listener, configure_log, raise_descriptor_limit
 from . import records, relay_settings
 from .acknowledgements import Acknowledgements
 from .faults import NoState, NotNow, NotSubscribed, Senseless, TooMany, TooYoung
@@ -106,12 +106,12 @@
 
     async def start(self, listener=None):
         """Starts to answer calls and to follow the source. Raises Unusable when the relay can't listen."""
-        listener = listener or bound(self.settings.listen)
+        listener = listener or bind_listener(self.settings.listen)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.settings.bounds.waiting // 2)
         self.max_connections = max(
             min(
                 CONNECTIONS_PER_GATEWAY * self.settings.bounds.subscribers + SPARE_DESCRIPTORS,
-                descriptors() - SPARE_DESCRIPTORS,
+                raise_descriptor_limit() - SPARE_DESCRIPTORS,
             ),
             SPARE_DESCRIPTORS,
         )
@@ -175,7 +175,7 @@
         again."""
         before = self.store.cluster
         self.store.replace(cluster, index, scopes)
-        settle_memory()
+        freeze_memory()
         if before and cluster != before:
             self.acknowledgements.reset_complete()
             self.end_streams()
@@ -350,7 +350,7 @@
     def figures(self):
         """Returns all counters and the current length of each table."""
         now = {"cluster": self.store.cluster, "at": self.store.index, "subscribers": len(self.streams)}
-        now.update(connections=len(self.runner.server.connections), lines_lost=Lines.lost)
+        now.update(connections=len(self.runner.server.connections), lines_lost=LogOutput.lines_lost)
         return {**now, **self.counts, **{f"ledger_{n}": c for n, c in self.source.figures().items()}}
 
 
@@ -372,11 +372,11 @@
     """Runs the relay that a settings file describes. Returns the exit code."""
     try:
         settings = relay_settings.read(path)
-        listener = bound(settings.listen)
+        listener = bind_listener(settings.listen)
     except Unusable as error:
         print(f"lemonlead relay: {path}: {error.says}; {error.do}", file=sys.stderr)
         return 2
-    log_lines()
+    configure_log()
     return asyncio.run(run(settings, listener))
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,7 +19,7 @@
 import pytest
 from days import Day, S
 from helpers import MS, NOW, Dispatcher, balancer, request_class, line, request, sent
-from lemonlead import interface as at
+from lemonlead import interface
 from lemonlead.balance import Balancer
 from lemonlead.gateway import discovery as drivers
 from lemonlead.gateway import resp, managed_connection
@@ -34,7 +34,7 @@
 from lemonlead.standins import clients
 from lemonlead.standins.discovery import DiscoveryServer, entry
 from lemonlead.standins.fleet import SETTINGS, gateway
-from lemonlead.standins.instances import InstanceServer, gives
+from lemonlead.standins.instances import InstanceServer, value_response
 from lemonlead.standins.server import Server, until
 from lemonlead.start_settings import start_from_settings
 
@@ -53,10 +53,10 @@
 
 def test_gateway_uses_an_indented_list(tmp_path):
     old = InstanceServer().start()
-    new = InstanceServer(lambda words: gives(b"new")).start()
+    new = InstanceServer(lambda words: value_response(b"new")).start()
     with gateway(tmp_path, old, new, entries=[entry("i0", old)]) as ran:
         ran.discovery.indent = 2
-        ran.discovery.tell(entry("i1", new), full=True, version=5)
+        ran.discovery.publish(entry("i1", new), full=True, version=5)
         client = ran.client()
         until(lambda: client.ask().read() == b"new")
         assert "reason=malformed" not in ran.log()
@@ -64,9 +64,9 @@
 
 def test_pushed_list_replaces_the_stored_one_before_any_request(tmp_path):
     old = InstanceServer().start()
-    new = InstanceServer(lambda words: gives(b"new")).start()
+    new = InstanceServer(lambda words: value_response(b"new")).start()
     discovery = DiscoveryServer().start()
-    discovery.tell(entry("i0", old, "draining"), entry("i1", new), version=5)
+    discovery.publish(entry("i0", old, "draining"), entry("i1", new), version=5)
     settings = {"Discovery": "push", "Balancers": 200}  # this many spread their first call over 2 s
     with gateway(tmp_path, old, new, entries=[entry("i0", old)], settings=settings, source=discovery) as ran:
         assert [ran.client().ask().read() for _ in range(5)] == 5 * [b"new"] and not old.got
@@ -118,10 +118,10 @@
     monkeypatch.setattr(drivers, "SILENCE_TIMEOUT_SECONDS", 0.2)
     server = DiscoveryServer().start()
     made, lists, failures = watching(server.address)
-    server.tell(entry("a", server), full=True, version=2)
+    server.publish(entry("a", server), full=True, version=2)
     until(lambda: lists == [["a"]])
     server.silent.set()
-    server.tell(entry("b", server), version=3)  # no watch receives this
+    server.publish(entry("b", server), version=3)  # no watch receives this
     until(lambda: failures)
     assert made.counters.read() == {"lists told": 1, "watches ended: silent": 1}
     server.silent.clear()
@@ -183,9 +183,10 @@
 def test_list_is_called_for_within_six_seconds_of_silence():
     made, *_ = driver()
     made.connection.reset_pause()  # it had received a list before
+    # The rest is left for the network.
     assert (
         drivers.SILENCE_TIMEOUT_SECONDS + pauses(made.connection, False)[0] + longest_list_call_delay() < 5.7
-    )  # the rest is left for the network
+    )
 
 
 @pytest.mark.parametrize("within", [1000, 2000, 10_000])
@@ -199,14 +200,14 @@
     longest = max(pauses(made.connection, True) + pauses(made.connection, False))
     assert 2.0 + longest + longest_list_call_delay() <= 4 * within / 1e3
     rules = dict(now=NOW, balancers=200, ask_for_list=True, max_list_call_gap=within * MS)
-    firsts = [Balancer(at.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
+    firsts = [Balancer(interface.StartSettings(seed=seed, **rules)).list_call_at for seed in range(200)]
     assert max(firsts) <= NOW + within * MS // 2 and len(set(firsts)) > 100
 
 
 def test_new_discovery_address_is_called_at_once_after_sighup():
     full, server = Full().start(), DiscoveryServer().start()
     made, lists, _ = watching(full.address)
-    server.tell(entry("a", server), full=True, version=2)
+    server.publish(entry("a", server), full=True, version=2)
     made.connection.pause = managed_connection.MAX_CROWDED_PAUSE_SECONDS
     until(lambda: full.calls)
     made.change_address(address(server.address))
@@ -301,9 +302,8 @@
         for thread in threads:
             thread.join(60)
         assert {words[1] for words in server.got} == answered  # each request that was read was answered
-        assert (
-            len(asked) >= len(answered) + 6
-        )  # the last request of each thread met a closing connection or none
+        # The last request of each thread met a closing connection or none.
+        assert len(asked) >= len(answered) + 6
 
 
 # ---- the load of a cold instance from all gateways
@@ -340,11 +340,11 @@
 def test_cold_instances_get_no_more_than_they_can_bear(died, came_back, fleet_of):
     """A third of the instances come back cold after 3 s; seven in ten of 150 gateways die and come back."""
     day = Day(fleet_of(), 5, length=6)
-    day.lose("two", S, 3 * S, gateways=False)
+    day.lose_site("two", S, 3 * S, gateways=False)
     if died:
         dead = day.random.sample(range(150), 105)
-        day.at(int(died * S), day.kill, dead)
-        day.at(int(came_back * S), day.revive, dead)
+        day.schedule(int(died * S), day.kill, dead)
+        day.schedule(int(came_back * S), day.revive, dead)
     day.run_to_end()
     assert len(day.sent) == 7 and sum(map(len, day.sent.values())) > 70  # they do get requests
     assert day.cold_overload() < 1
@@ -449,7 +449,8 @@
 @pytest.mark.parametrize("pace", [0.5, 0.6, 0.8, 1.5])
 def test_class_of_least_revenue_is_let_in_half_as_often_as_average(pace):
     request_classes = [
-        at.RequestClass(n, at.IDEMPOTENT, S, 4 * S, revenue) for n, revenue in enumerate((0.01, 1.0, 1.99))
+        interface.RequestClass(n, interface.IDEMPOTENT, S, 4 * S, revenue)
+        for n, revenue in enumerate((0.01, 1.0, 1.99))
     ]
     made = balancer([line(1)], request_classes=request_classes, balancers=200)
     made.latency_ratio, let_in = pace, []
@@ -461,8 +462,10 @@
 # ---- requests that were never sent, and new connections closed without an answer
 
 
-@pytest.mark.parametrize("effect", [at.IDEMPOTENT, at.DEDUPLICATED, at.NON_IDEMPOTENT])
-@pytest.mark.parametrize("ends", [(), (at.NOT_SENT,), (at.UNCONNECTED, at.NOT_SENT), (at.REJECTED,)])
+@pytest.mark.parametrize("effect", [interface.IDEMPOTENT, interface.DEDUPLICATED, interface.NON_IDEMPOTENT])
+@pytest.mark.parametrize(
+    "ends", [(), (interface.NOT_SENT,), (interface.UNCONNECTED, interface.NOT_SENT), (interface.REJECTED,)]
+)
 def test_requests_that_were_not_sent_are_rejected_not_aborted(effect, ends):
     on, dispatcher = request_class(effect=effect, repeat_scope="zone"), Dispatcher()
     made = balancer([line(1)], request_classes=[on])
@@ -473,13 +476,15 @@
     assert dispatcher.calls[0][0] == "reject"
 
 
-@pytest.mark.parametrize("ends, counted", [((), 1), ((at.UNCONNECTED,), 1), ((at.UNCONNECTED, at.RESET), 0)])
+@pytest.mark.parametrize(
+    "ends, counted", [((), 1), ((interface.UNCONNECTED,), 1), ((interface.UNCONNECTED, interface.RESET), 0)]
+)
 def test_gateway_counts_aborted_requests_that_were_not_sent(ends, counted):
     made = DispatcherOfGateway(
-        at.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
+        interface.StartSettings(now=NOW, seed=1, request_classes=[request_class()]), Quiet(), Counters()
     )
     asked = request()
-    asked.attempts = [at.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
+    asked.attempts = [interface.Attempt(asked, number, None, NOW, end) for number, end in enumerate(ends)]
     made.pending_requests[asked] = SimpleNamespace(client=SimpleNamespace(flush=None))
     made.abort(asked)
     assert made.counters.read().get("aborted unsent", 0) == counted
