--- a/lemonlead/matching/active_rules.py
+++ b/lemonlead/matching/active_rules.py
@@ -25,12 +25,14 @@
         self.updated_at = now
 
     def has_time(self, now):
+        """Returns whether any time is left."""
         self.left_ns = min(self.left_ns + max(now - self.updated_at, 0) * self.share, MAX_BUDGET_NS)
         self.updated_at = max(self.updated_at, now)
         return self.left_ns > 0
 
-    def charge(self, length):
-        self.left_ns -= length
+    def charge(self, duration_ns):
+        """Subtracts time that was used."""
+        self.left_ns -= duration_ns
 
 
 class ActiveRules:
@@ -133,6 +135,7 @@
 
 
 def outcome(result):
+    """Returns what a result gives a request, to compare it with another."""
     return (
         result.lane_name,
         result.key,
--- a/lemonlead/matching/functions.py
+++ b/lemonlead/matching/functions.py
@@ -379,8 +379,8 @@
         for f in ALL
         if f.name == name
     ]
-    said = (f"{receiver}." if receiver else "") + f"{name}({', '.join(map(str, arguments))})"
-    raise Fault(TYPE, f"no {said}; there is {', '.join(forms)}")
+    call = (f"{receiver}." if receiver else "") + f"{name}({', '.join(map(str, arguments))})"
+    raise Fault(TYPE, f"no {call}; there is {', '.join(forms)}")
 
 
 def result_bounds(function, values):
--- a/lemonlead/matching/index.py
+++ b/lemonlead/matching/index.py
@@ -169,13 +169,13 @@
 
     def groups(self):
         """Yields the rules on each path from the root to a leaf."""
-        open_nodes = [(self.root, ())]
-        while open_nodes:
-            node, above = open_nodes.pop()
-            here = (*above, *node[2])
+        pending = [(self.root, ())]
+        while pending:
+            node, ancestor_rules = pending.pop()
+            path_rules = (*ancestor_rules, *node[2])
             if not node[1]:
-                yield here
-            open_nodes.extend((child, here) for child in node[1].values())
+                yield path_rules
+            pending.extend((child, path_rules) for child in node[1].values())
 
 
 def common_prefix_length(one, other):
@@ -195,25 +195,25 @@
         self.ranges.append((*low_high, number))
 
     def build(self):
-        cuts = sorted(
+        boundaries = sorted(
             {
                 MIN_INT64,
                 *(low for low, high, _ in self.ranges if low <= high),
                 *(high + 1 for low, high, _ in self.ranges if low <= high),
             }
         )
-        self.starts, self.rules = cuts, [[] for _ in cuts]
+        self.starts, self.rules = boundaries, [[] for _ in boundaries]
         entries_left = MAX_ENTRIES_PER_RANGE * max(len(self.ranges), 1)
         for low, high, number in self.ranges:
             if low > high:
                 continue
-            first, last = bisect_right(cuts, low) - 1, bisect_right(cuts, high)
+            first, last = bisect_right(boundaries, low) - 1, bisect_right(boundaries, high)
             entries_left -= last - first
             if entries_left < 0:
                 self.left_out.append(number)
                 continue
-            for piece in self.rules[first:last]:
-                piece.append(number)
+            for segment in self.rules[first:last]:
+                segment.append(number)
         self.ranges = []
 
     def find(self, value):
--- a/lemonlead/matching/parser.py
+++ b/lemonlead/matching/parser.py
@@ -46,26 +46,28 @@
         )
 
     def advance(self):
+        """Consumes and returns the next token."""
         self.next_index += 1
         return self.tokens[self.next_index - 1]
 
-    def expect(self, operator):
-        if not self.next_is(operator):
-            raise Fault(
-                SYNTAX, f"{self.describe_next()} where {operator!r} was expected", *self.token.position
-            )
+    def expect(self, sign):
+        """Consumes and returns the next token. Raises Fault if it is not this sign."""
+        if not self.next_is(sign):
+            raise Fault(SYNTAX, f"{self.describe_next()} where {sign!r} was expected", *self.token.position)
         return self.advance()
 
     def describe_next(self):
+        """Returns the next token as text for a message."""
         return self.token.value if self.token.kind == lexer.END else repr(self.token.value)[:40]
 
-    def add_node(self, kind, start, *values):
-        node = kind(start, *values)
+    def add_node(self, node_class, start, *values):
+        """Makes a node. Raises Fault if the tree becomes too deep or too large."""
+        node = node_class(start, *values)
         self.node_count += 1
         if node.depth > MAX_DEPTH:
             raise Fault(SYNTAX, f"nested deeper than {MAX_DEPTH}", *start)
         if self.node_count > MAX_NODES:
-            raise Fault(SYNTAX, f"more than {MAX_NODES} parts", *start)
+            raise Fault(SYNTAX, f"more than {MAX_NODES} nodes", *start)
         return node
 
     def parse_expression(self):
@@ -101,6 +103,7 @@
         return self.logic("&&") if operator == "||" else self.binary(0)
 
     def binary(self, number):
+        """Parses the binary operators of precedence level `number` and above."""
         if number == len(PRECEDENCE_LEVELS):
             return self.unary()
         node = self.binary(number + 1)
@@ -130,6 +133,7 @@
         return node
 
     def postfix(self, node):
+        """Parses the fields, indexes and calls that follow an operand."""
         while self.next_is(".", "["):
             start = self.advance().position
             if self.tokens[self.next_index - 1].value == "[":
@@ -158,6 +162,7 @@
         return token.value
 
     def comma_separated(self, first, last):
+        """Parses expressions between two brackets."""
         self.expect(first)
         items = []
         while not self.next_is(last):
--- a/lemonlead/settings/parser.py
+++ b/lemonlead/settings/parser.py
@@ -181,6 +181,7 @@
         return made
 
     def literal(self, token, place):
+        """Converts a string or a number, which may have a unit of time or a factor such as Ki."""
         if token.type != "NUMBER":
             return tree.Literal(place, unquote(token, self), "string", str(token))
         text = str(token).replace("_", "")
--- a/lemonlead/settings/unify.py
+++ b/lemonlead/settings/unify.py
@@ -129,6 +129,7 @@
         return self.scalar(flattened, path)
 
     def node_type(self, node):
+        """Returns which type of value a node requires: struct, list, scalar or any."""
         if isinstance(node, tree.Struct):
             return "struct"
         if isinstance(node, tree.List):
@@ -167,6 +168,7 @@
             flattened.append(constraint)
 
     def resolve(self, ref, scope):
+        """Returns the constraints on the field or definition that a reference names, or None."""
         found = scope.find(ref.path[0])
         for name in ref.path[1:]:
             inner = []
@@ -175,9 +177,9 @@
                 self.flatten(constraint, flattened, "", (ref,))
                 for part in flattened:
                     if isinstance(part.node, tree.Struct):
-                        result = self.scope_of(part)
+                        inner_scope = self.scope_of(part)
                         inner += [
-                            Constraint(node, result, part.definition)
+                            Constraint(node, inner_scope, part.definition)
                             for label, node in part.node.fields
                             if label.name == name
                         ]
@@ -185,10 +187,13 @@
         return found or None
 
     def scope_of(self, constraint):
-        result = Scope(constraint.scope)
+        """Returns a scope with the fields of a struct."""
+        inner_scope = Scope(constraint.scope)
         for label, node in constraint.node.fields:
-            result.names.setdefault(label.name, []).append(Constraint(node, result, constraint.definition))
-        return result
+            inner_scope.names.setdefault(label.name, []).append(
+                Constraint(node, inner_scope, constraint.definition)
+            )
+        return inner_scope
 
     # ---- disjunctions
 
@@ -247,6 +252,8 @@
     # ---- structs and lists
 
     def struct(self, constraints, path, depth, top):
+        """Unifies structs field by field. `top` is their scope, if they are the top-level structs of
+        files."""
         fields, groups = {}, {}
         for constraint in constraints:
             scope = top if top is not None else self.scope_of(constraint)
@@ -336,6 +343,7 @@
         return False
 
     def list(self, constraints, path, depth):
+        """Unifies lists item by item."""
         closed_list = next((constraint.node for constraint in constraints if not constraint.node.open), None)
         if closed_list is None:
             return MISSING  # no file sets it; a truncated file must not be read as an empty list
@@ -374,6 +382,7 @@
     # ---- scalars
 
     def scalar(self, constraints, path):
+        """Returns the value of the literals, if they agree and satisfy all types and bounds."""
         literals = [
             constraint.node for constraint in constraints if isinstance(constraint.node, tree.Literal)
         ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,7 @@
 }
 PLAIN = {name: REQUEST_CLASSES[name] for name in ("fitment", "stock")}
 TENANTS = ["acme", "others"]
-DECLARED = RequestLimits(request_classes=tuple(REQUEST_CLASSES))
+LIMITS = RequestLimits(request_classes=tuple(REQUEST_CLASSES))
 
 
 def rules(*written, request_classes=REQUEST_CLASSES, tenants=TENANTS, version="1", **more):
@@ -55,7 +55,7 @@
 
 
 def make_request(key=b"north/42", lane="fitment", **more):
-    return RequestFields(DECLARED, "Q.ASK", key, lane, **{"customer": "acme", "wait": S, **more})
+    return RequestFields(LIMITS, "Q.ASK", key, lane, **{"customer": "acme", "wait": S, **more})
 
 
 def test_first_matching_rule_gives_its_result():
@@ -250,10 +250,10 @@
 
 def test_set_cost_limit_applies_to_the_whole_set():
     cheap = [{"when": f"lookup.key == 'k{n}'"} for n in range(2000)]
-    dear = [{"when": f"lookup.key.contains('k{n}')"} for n in range(200)]
+    costly = [{"when": f"lookup.key.contains('k{n}')"} for n in range(200)]
     assert rules(*cheap).cost < 2000
     with pytest.raises(InvalidRuleSet, match="the set may cost"):
-        rules(*dear)
+        rules(*costly)
 
 
 @pytest.mark.parametrize(
@@ -502,5 +502,5 @@
         except InvalidRuleSet as error:
             assert {fault.code for _, _, fault in error.faults} <= {"cost", "syntax"}
             continue
-        for one in expressions.lookups(DECLARED):
+        for one in expressions.lookups(LIMITS):
             assert made.first_match(one).rule is made.first_match_unindexed(one).rule
