--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -192,7 +192,7 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * S,
-            release=at.Release(window=4 * S, free_attempts=50, vote_lifetime=4 * S),
+            release=at.Release(window=4 * S, attempts_above_cap=50, vote_lifetime=4 * S),
         )
     )
     lines = [
@@ -218,7 +218,7 @@
 
     def tick(n):
         made.pair_started_at = None
-        made.tick(now)
+        made.update_pair(now)
 
     got = {MODULE + "change": spent(100, change) / 2, MODULE + "tick": spent(100, tick)}
     spent(200, request)
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -110,7 +110,7 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * S,
-            release=at.Release(window=4 * S, free_attempts=50, vote_lifetime=4 * S),
+            release=at.Release(window=4 * S, attempts_above_cap=50, vote_lifetime=4 * S),
         )
     )
     rows = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(20)]
@@ -132,7 +132,8 @@
     request = min(spent(300, lambda n: asks(size + n, n)) for _ in range(3))
     balancer.lower_quartiles["tenant", 0] = 0.9  # it alone waits
     waiting = min(
-        spent(20, lambda n: balancer.waits(at.Request(n, request_class, 0, 0, now, now, 0))) for _ in range(3)
+        spent(20, lambda n: balancer.is_throttled_everywhere(at.Request(n, request_class, 0, 0, now, now, 0)))
+        for _ in range(3)
     )
     assert len(names) == size
     return {
--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -39,7 +39,7 @@
     VERDICT_ROLL_BACK,
     Attempt,
 )
-from .records import Builds, InstanceGroup, InstanceState, RequestTimers, recent
+from .records import Builds, InstanceGroup, InstanceState, RequestTimers, prune_and_count
 from .significance import probability_bound, smoothed
 
 # Times are nanoseconds.
@@ -54,8 +54,10 @@
 LATENCY_TOLERANCE = 1.0  # ratio; a larger increase of the time to answer is a breach
 SERVICE_TIME_TOLERANCE = 0.5  # ratio; the same for the service time that instances report
 ERROR_TOLERANCE = 0.02  # share of answers; a larger increase of errors is a breach
-WORK_PER_OBJECTIVE = 6  # a request without a hint is expected to need 1/6 of its latency objective
-LOOKS_PER_TRIAL = 8  # looks at thin evidence in one trial, which share the probability of a false alarm
+OBJECTIVE_PER_WORK = 6  # a request without a hint is expected to need 1/6 of its latency objective
+INTERIM_TESTS_PER_TRIAL = (
+    8  # looks at thin evidence in one trial, which share the probability of a false alarm
+)
 MIN_WRONG_ANSWERS = 3  # this many wrong answers make a build bad, at over twice the rate of other builds
 LATENCY_RATIO_AGE = 2000 * MS  # a lower ratio after this long without an answer replaces the average
 # Of the mean revenue: when requests are shed, those worth least are let in half as often as the average ones.
@@ -65,15 +67,15 @@
 OVERDUE_FACTOR = 2.5  # of the usual time for an attempt's work; one answer in twenty or thirty takes longer
 LOSS_COST = 4  # added cost factor of a zone and kind to which all recent attempts were lost on the way
 RETRIES_PER_REQUEST = 0.1  # limits second attempts, so that they don't feed an overload
-MIN_STRETCH = 24  # instances of the ring that a balancer uses; more if it can use each of them often
+MIN_SUBSET_SIZE = 24  # instances of the ring that a balancer uses; more if it can use each of them often
 GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' stretches evenly over the ring
-NEWS_DELAY = 500 * MS  # time that a balancer has to act on news before it counts as known
+PROPAGATION_GRACE = 500 * MS  # time that a balancer has to act on news before it counts as known
 RESTARTED_LIST_AGE = 2000 * MS  # the shortest time for which a list of unknown age is taken to be complete
-QUIET_SHARE = 8  # such a list is complete for 1/8 of the time since the last start of an instance
+QUIET_TIME_DIVISOR = 8  # such a list is complete for 1/8 of the time since the last start of an instance
 DRAIN_ANSWER_TIME = 3000 * MS  # an instance may still answer for this long after its drain was announced
 STALE_TIME = 5000 * MS  # an instance's own latency counts half when its last answer is this old
-WAIT_SAMPLES = 8  # outcomes that show that a request class or tenant waits
-SERVICE_TIME_METRIC = (-1, "strain")  # earlier builds' service time by what it was before the trial
+THROTTLE_SAMPLES = 8  # outcomes that show that a request class or tenant waits
+BASELINE_SLOWDOWN_METRIC = (-1, "strain")  # earlier builds' service time by what it was before the trial
 
 
 class Balancer:
@@ -101,7 +103,7 @@
         self.attempts_cap = start.attempts_cap
         self.retry_after_cap = start.retry_after_cap
         self.connect_time = start.connect_time
-        self.repeat_margin = 2 * start.step  # before an instance stops dropping repeats
+        self.dedup_margin = 2 * start.step  # before an instance stops dropping repeats
         self.max_list_call_gap = start.max_list_call_gap
         self.cold_time = start.cold_time
         self.cold_share = max(start.cold_share, 0.01)
@@ -113,20 +115,20 @@
         )
         # By number of the request class: the work of a request without a hint, smoothed (ns).
         self.class_work = {
-            request_class.number: request_class.latency_objective / WORK_PER_OBJECTIVE
+            request_class.number: request_class.latency_objective / OBJECTIVE_PER_WORK
             for request_class in request_classes
         }
         # The share of an instance's load that other balancers send, which this one can't see.
-        self.unseen_share = max(0.0, 1 - WORK_PER_OBJECTIVE / balancers)
+        self.unseen_share = max(0.0, 1 - OBJECTIVE_PER_WORK / balancers)
 
         # Settings of releases.
         self.builds = Builds(*release.caps[:1] or [0.0], MAX_PAIRS, MAX_RECENT_OUTCOMES)
         self.sent_window = release.window + 2 * start.step
         self.arrivals_window = release.window - 2 * start.step
-        self.free_attempts = release.free_attempts
+        self.attempts_above_cap = release.attempts_above_cap
         self.cap_per_class = release.per_class
-        self.guarded_stages = release.guarded_stages
-        self.forward_only = release.forward_only
+        self.idempotent_only_stages = release.idempotent_only_stages
+        self.never_return_to_older_build = release.never_return_to_older_build
         self.automatic_stages = release.control == "automatic"
         self.vote_lifetime = release.vote_lifetime
         self.min_stage_time = release.bake + 2 * TRIAL_WARM_UP
@@ -139,7 +141,9 @@
         # How often one balancer may call a sound build bad. As many votes as a rollback needs are then all
         # wrong only very rarely.
         self.false_alarm_probability = (
-            max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2 / balancers / LOOKS_PER_TRIAL
+            max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2
+            / balancers
+            / INTERIM_TESTS_PER_TRIAL
         )
         self.vote_answer_time = (
             release.vote_timeout + start.step + int(balancers * 1e9 / (release.votes_per_s or 1))
@@ -166,10 +170,10 @@
         # By request class and by tenant (see `latency_keys`).
         self.latency_ratios = {}  # the last times to answer by latency objective
         self.lower_quartiles = {}  # the lower quartile of those
-        self.wait_tested_at = {}  # when a request of a class or tenant that waits was last let in
+        self.last_throttle_probe_at = {}  # when a request of a class or tenant that waits was last let in
 
         # What is left to do.
-        self.due = deque()  # requests to decide on
+        self.requests_to_decide = deque()  # requests to decide on
         self.log_lines = deque()
         self.timers = RequestTimers()
 
@@ -179,8 +183,8 @@
         self.next_judging = start.now
         self.list_call_at = first_call if start.ask_for_list else None
         # News that was not received counts as known after this time.
-        self.assumed_known_after = (
-            start.assumed_known_after - NEWS_DELAY if start.assumed_known_after else inf
+        self.max_unconfirmed_list_age = (
+            start.max_unconfirmed_list_age - PROPAGATION_GRACE if start.max_unconfirmed_list_age else inf
         )
         self.list_current_at = -inf  # the list in hand holds all that was known at this time
 
@@ -192,7 +196,7 @@
         self.has_new_outcomes = False  # outcomes came since the open pair was last judged
         self.vote_check_due = False  # a vote may be due
         self.trial_share = 0.0  # share of the load that instances on trial should get
-        self.baseline_time = 0.0  # median time by work of the last pair without a trial
+        self.baseline_time_per_work = 0.0  # median time by work of the last pair without a trial
         self.last_vote = None  # (build, stage, verdict)
         self.next_vote_at = start.now
         self.vote_busy_until = start.now  # the answer to the last vote is awaited until then
@@ -213,10 +217,10 @@
                 group = self.groups.setdefault((line.zone, line.kind), InstanceGroup())
                 # Each balancer starts at a random point of its share, so that they don't all send to a cold
                 # instance at once.
-                cold_work_due = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
+                cold_work_interval = self.rng.random() * self.mean_work * max(len(self.instances), len(lines))
                 self.instances.put(
                     InstanceState(
-                        line, self.builds[line.build], group, now, 3.0, self.accepted_work, cold_work_due
+                        line, self.builds[line.build], group, now, 3.0, self.accepted_work, cold_work_interval
                     )
                 )
             self.instances[line.id].ready = line.state == READY
@@ -225,11 +229,11 @@
         self.instances.commit(
             [id for id in candidates if id not in listed_ids or not self.instances[id].ready]
         )
-        if self.list_current_at == -inf and self.assumed_known_after < inf and self.list_call_at:
+        if self.list_current_at == -inf and self.max_unconfirmed_list_age < inf and self.list_call_at:
             # The first list after a start: how long it is taken to be complete.
-            complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_SHARE
-            complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.assumed_known_after)
-            self.list_current_at = now - self.assumed_known_after + complete_for
+            complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_TIME_DIVISOR
+            complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.max_unconfirmed_list_age)
+            self.list_current_at = now - self.max_unconfirmed_list_age + complete_for
             call_delay = (self.list_call_at - now) * complete_for // RESTARTED_LIST_AGE
             # The call that confirms it is made within that time.
             self.list_call_at = now + min(call_delay, self.max_list_call_gap // 2 or call_delay)
@@ -253,7 +257,7 @@
         request.work = request.work or int(self.class_work[request.request_class.number])
         for key in self.cap_keys(request):
             self.arrivals.setdefault(key, deque()).append(now)
-            recent(self.arrivals[key], now - self.arrivals_window)
+            prune_and_count(self.arrivals[key], now - self.arrivals_window)
         self.mean_work += 0.01 * (request.work - self.mean_work)
         self.request_gap = self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap)
         self.last_arrival = now
@@ -264,7 +268,7 @@
             # Instances on trial get as much load as earlier ones, by what each can do: only outcomes under
             # like load can be compared.
             def rate(instance):
-                return self.capacity_share(instance, now) / (instance.group.slowness or 1.0)
+                return self.capacity_share(instance, now) / (instance.group.time_per_work or 1.0)
 
             def group_key(instance):
                 return instance.group, instance.started if self.warmth(instance, now) < 1 else 0
@@ -273,9 +277,9 @@
                 self.trial_build, rate, group_key, now // STALE_TIME
             )
             self.trial_build.attempt_credit = min(self.trial_build.attempt_credit + self.trial_share, 2.0)
-        self.due.append(request)
+        self.requests_to_decide.append(request)
 
-    def request_left(self, now, request):
+    def request_closed(self, now, request):
         """The client left, or its answer is being streamed to it: either way nothing is left to decide."""
         request.finished = True
 
@@ -293,24 +297,24 @@
         written_off = instance.in_flight.pop(attempt, attempt) is not None
         instance.held_work -= 0 if written_off else request.work
         request.finished = request.finished or over
-        self.due.extend([] if request.finished else [request])
+        self.requests_to_decide.extend([] if request.finished else [request])
         number = request_class.number
         objective = max(request_class.latency_objective, 1)
-        waits = self.waits(request)
+        throttled = self.is_throttled_everywhere(request)
         slow = took > objective
         answered = end in (SUCCEEDED, ERRED, REJECTED)
         if end in (SUCCEEDED, ERRED, TIMED_OUT):
             for key in latency_keys(request):
-                ratios = self.latency_ratios.setdefault(key, deque(maxlen=WAIT_SAMPLES))
+                ratios = self.latency_ratios.setdefault(key, deque(maxlen=THROTTLE_SAMPLES))
                 if took < 0.4 * objective and self.lower_quartiles.get(key, 0.0) > 0.8:
                     # The class or tenant waits no longer. Few of its requests are let in, so the old times
                     # would stay for long.
                     ratios.clear()
                 ratios.append(took / objective)
                 self.lower_quartiles[key] = (
-                    sorted(ratios)[WAIT_SAMPLES // 4] if len(ratios) == WAIT_SAMPLES else 0.5
+                    sorted(ratios)[THROTTLE_SAMPLES // 4] if len(ratios) == THROTTLE_SAMPLES else 0.5
                 )
-        silent = instance.last_heard_at <= attempt.sent_at and end in (TIMED_OUT, CANCELLED)
+        silent = instance.quiet_since <= attempt.sent_at and end in (TIMED_OUT, CANCELLED)
         self.unconnected_share += 0.1 * ((end == UNCONNECTED) - self.unconnected_share)
         # Without an answer it is not known whether a connection stays open.
         self.instances.keep_open(instance, now + self.idle_time if answered else 0)
@@ -319,15 +323,15 @@
         if answered or end in (UNREADABLE, BAD_REQUEST):
             # An unreadable answer or a bad request shows only that the instance is reachable. This could hide
             # a build whose answers are unreadable.
-            instance.last_heard_at = now
-            instance.newest_answered = max(instance.newest_answered, attempt.sent_at)
+            instance.quiet_since = now
+            instance.newest_answered_sent_at = max(instance.newest_answered_sent_at, attempt.sent_at)
             instance.path_failures = 0
             instance.answer_count = instance.answer_count + 1
             instance.error_count = instance.error_count + (end == ERRED)
             instance.avoided_until = 0
         elif end in (UNCONNECTED, RESET) or silent and end == TIMED_OUT and not written_off:
             self.record_path_failure(instance, now, 0.5 if end == RESET else 1)
-        if not waits and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
+        if not throttled and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
             # An error counts as the whole objective: otherwise an instance that fails at once would look fast
             # and draw all requests. This may idle an instance that fails only one kind of request.
             spent = objective if end in (ERRED, REJECTED) else took
@@ -343,13 +347,19 @@
             # A light request that waited in a queue says little about the time by work.
             weight = min(request.work / self.mean_work, 1) ** (1 - self.unseen_share)
             for known, rate in ((instance.group, 0.1), (instance, 0.15)):
-                known.slowness += (
-                    rate * weight * (ratio_to_work - known.slowness) if known.slowness else ratio_to_work
+                known.time_per_work += (
+                    rate * weight * (ratio_to_work - known.time_per_work)
+                    if known.time_per_work
+                    else ratio_to_work
                 )
             self.class_work[number] += 0.01 * (request.work - self.class_work[number])
         # The limit of requests in flight prevents queues at an instance, whatever fills them. It never falls
         # below 1, so that instances that are slow but idle still get requests.
-        if end == REJECTED or not waits and instance.slowness * self.class_work[number] > objective / 2.5:
+        if (
+            end == REJECTED
+            or not throttled
+            and instance.time_per_work * self.class_work[number] > objective / 2.5
+        ):
             # One overload lowers it once, however many attempts it delays.
             if now - instance.limit_lowered_at > 200 * MS:
                 instance.limit_lowered_at = now
@@ -361,15 +371,15 @@
             instance.build.answer_count = instance.build.answer_count + 1
             group = instance.group
             group.answer_time = smoothed(group.answer_time, took, 0.05)
-            group.answer_work = smoothed(group.answer_work, max(request.work, 1), 0.05)
-        if end == SUCCEEDED and self.forward_only and request.key:
+            group.mean_answered_work = smoothed(group.mean_answered_work, max(request.work, 1), 0.05)
+        if end == SUCCEEDED and self.never_return_to_older_build and request.key:
             instance.build.answered_keys.update({request.key, request.client_key or request.key})
         # Answers speak for or against the build, and so does a request that waited in vain while others got
         # answers. Failures of the network don't.
         caused_by_build = (
             end in (SUCCEEDED, ERRED) or slow and not over and (self.unseen_share > 0.5 or not silent)
         )
-        if self.pair_started_at is not None and not waits and caused_by_build:
+        if self.pair_started_at is not None and not throttled and caused_by_build:
             self.record_outcome(now, instance, request, end, took)
         if service_time := report.get("svc_ms"):
             instance.service_time = smoothed(instance.service_time, service_time, 0.3)
@@ -444,8 +454,8 @@
     def decide(self, now, host):
         """Makes one decision and carries it out through `host`; returns False if there is none to make."""
         if now >= self.next_judging:
-            self.tick(now)
-        self.due.extend(self.timers.pop_due(now))
+            self.update_pair(now)
+        self.requests_to_decide.extend(self.timers.pop_due(now))
         if self.log_lines:
             host.log(self.log_lines.popleft())
             return True
@@ -458,8 +468,10 @@
         self.vote_check_due = False
         if vote_check_due and self.cast_vote(now, host):
             return True
-        while self.due:
-            if not (request := self.due.popleft()).finished and self.decide_request(request, now, host):
+        while self.requests_to_decide:
+            if not (request := self.requests_to_decide.popleft()).finished and self.decide_request(
+                request, now, host
+            ):
                 return True
         return False
 
@@ -492,7 +504,7 @@
         """Sends the request to an instance; returns True."""
         self.retry_budget -= any(attempt.end == REJECTED for attempt in request.attempts[-1:])
         request.attempts.append(attempt := Attempt(request, len(request.attempts), instance, now))
-        instance.last_heard_at = instance.last_heard_at if instance.in_flight else now
+        instance.quiet_since = instance.quiet_since if instance.in_flight else now
         instance.in_flight[attempt] = None
         instance.held_work += request.work
         if self.on_trial(instance.build):
@@ -500,8 +512,8 @@
             for key in self.cap_keys(request):
                 instance.build.sent_times.setdefault(key, deque()).append(now)
             instance.build.attempt_credit = max(instance.build.attempt_credit - 1.0, -3.0)
-        instance.cold_since_work = self.accepted_work
-        instance.cold_work_due = request.work * len(self.instances)
+        instance.accepted_work_at_last_request = self.accepted_work
+        instance.cold_work_interval = request.work * len(self.instances)
         host.attempt(request, instance.id, request.deadline - now)
         instance.connection_free_at = attempt.connection_free_at
         self.timers.add(self.overdue_at(attempt), request)
@@ -516,10 +528,10 @@
         """
         last = in_flight[-1]
         instance = in_flight[-1].instance
-        if now < self.overdue_at(last) or self.waits(request):
+        if now < self.overdue_at(last) or self.is_throttled_everywhere(request):
             return False
-        lost = instance.newest_answered > last.sent_at
-        silent = instance.last_heard_at <= last.sent_at
+        lost = instance.newest_answered_sent_at > last.sent_at
+        silent = instance.quiet_since <= last.sent_at
         if (lost or silent) and instance.in_flight.pop(last, last) is None:
             # The attempt is written off: it no longer counts as work held by the instance.
             instance.held_work -= request.work
@@ -550,8 +562,8 @@
         group = attempt.instance.group
         # Half of the usual time is waiting, which heavy and light requests share.
         usual_time = (
-            group.answer_time * (1 + request.work / group.answer_work) / 2
-            if group.answer_work
+            group.answer_time * (1 + request.work / group.mean_answered_work) / 2
+            if group.mean_answered_work
             else request.work
         )
         return attempt.sent_at + max(
@@ -596,7 +608,7 @@
             # Connections are scarce or slow, or instances died: keep to those with an open connection.
             pool = pool.open(now) or pool
         if not whole and len(pool) > (
-            stretch := max(MIN_STRETCH, int(self.idle_time / 8 / (self.request_gap + 1)))
+            stretch := max(MIN_SUBSET_SIZE, int(self.idle_time / 8 / (self.request_gap + 1)))
         ):
             # With many balancers and instances each attempt would need a new connection. Keeping to a part
             # of the ring avoids that, at the price of some imbalance.
@@ -621,18 +633,18 @@
         of its own requests as answers get slower, those of the lowest revenue first. It could reject a
         request for which another instance has room.
         """
-        if self.waits(request):
+        if self.is_throttled_everywhere(request):
             # The request would only occupy a slot. One is let in every two objectives, to see when this ends.
             keys = latency_keys(request)
             pause = 2 * request.request_class.latency_objective
-            if now < max(self.wait_tested_at.get(key, 0) for key in keys) + pause:
+            if now < max(self.last_throttle_probe_at.get(key, 0) for key in keys) + pause:
                 return True
-            self.wait_tested_at.update(dict.fromkeys(keys, now))
+            self.last_throttle_probe_at.update(dict.fromkeys(keys, now))
         excess = min(SHED_SLOPE * (self.latency_ratio - SHED_THRESHOLD), 0.9) * self.unseen_share
         weight = max(request.request_class.revenue / self.mean_revenue, MIN_REVENUE_WEIGHT)
         return excess > 0 and self.rng.random() < excess**weight
 
-    def waits(self, request):
+    def is_throttled_everywhere(self, request):
         """Returns whether only the request's class or tenant waits, and does so at all instances.
 
         Its times then say nothing about an instance or a build.
@@ -648,14 +660,16 @@
         attempts of its own it finds a lost zone sooner than each lost instance. The time until a connection
         is free is added.
         """
-        slowness = instance.group.slowness or 1.0
-        if instance.slowness:
-            slowness += (instance.slowness - slowness) / (1 + (now - instance.last_heard_at) / STALE_TIME)
+        time_per_work = instance.group.time_per_work or 1.0
+        if instance.time_per_work:
+            time_per_work += (instance.time_per_work - time_per_work) / (
+                1 + (now - instance.quiet_since) / STALE_TIME
+            )
         zone_factor = 1.0 if instance.zone == self.zone else self.cross_zone_factor
         variation = self.rng.uniform(0.9, 1.1) * self.rng.expovariate(1.0) ** (self.unseen_share / 2)
         time = (
             (1 + LOSS_COST * instance.group.loss_rate)
-            * slowness
+            * time_per_work
             * (request.work + instance.held_work)
             * zone_factor
             * variation
@@ -672,10 +686,10 @@
         )
         if barred or under_test or self.avoids_build(instance.build, request_class):
             return False
-        quiet_time = now - instance.last_heard_at if instance.in_flight else 0
+        quiet_time = now - instance.quiet_since if instance.in_flight else 0
         # Below 300 ms `retry_overdue` goes by the latency objective alone.
         return quiet_time <= max(
-            4 * (instance.group.slowness or 2.0) * self.class_work[request_class.number], 300 * MS
+            4 * (instance.group.time_per_work or 2.0) * self.class_work[request_class.number], 300 * MS
         )
 
     def avoids_build(self, build, request_class):
@@ -711,11 +725,11 @@
             same_scope = scope == "all" or all(
                 getattr(other.instance, scope) == getattr(instance, scope) for other in may_have_run
             )
-            if not same_scope or now >= self.repeat_deadline(may_have_run) - self.connect_time:
+            if not same_scope or now >= self.dedup_deadline(may_have_run) - self.connect_time:
                 return False
         if (share := self.capacity_share(instance, now)) < 1 and (
-            self.accepted_work - instance.cold_since_work
-        ) * share < instance.cold_work_due:
+            self.accepted_work - instance.accepted_work_at_last_request
+        ) * share < instance.cold_work_interval:
             return False
         fit = not self.returns_to_older_build(request, instance)
         return fit and (
@@ -730,12 +744,16 @@
         DRAIN_ANSWER_TIME before. It could leave no usable instance.
         """
         proven_until = (
-            instance.proven_up_until(max(self.list_current_at, now - self.assumed_known_after - NEWS_DELAY))
+            instance.proven_up_until(
+                max(self.list_current_at, now - self.max_unconfirmed_list_age - PROPAGATION_GRACE)
+            )
             - DRAIN_ANSWER_TIME
         )
-        return instance.ready and now - max(self.list_current_at, proven_until) <= self.assumed_known_after
+        return (
+            instance.ready and now - max(self.list_current_at, proven_until) <= self.max_unconfirmed_list_age
+        )
 
-    def may_begin(self, now, attempt):
+    def write_deadline(self, now, attempt):
         """Returns by when the last byte of an attempt has to be written, or 0 if it may not begin.
 
         A host whose attempts may wait for a connection calls this before it writes the first byte.
@@ -747,7 +765,7 @@
             other for other in request.attempts if other is not attempt and other.end not in NEVER_RAN
         ]
         if may_have_run and request.request_class.effect == DEDUPLICATED:
-            deadline = min(deadline, self.repeat_deadline(may_have_run))
+            deadline = min(deadline, self.dedup_deadline(may_have_run))
         fit = not request.finished and now < deadline and self.instances.get(instance.id) is instance
         fit = fit and self.listing_valid(instance, now) and not self.returns_to_older_build(request, instance)
         if fit and self.on_trial(instance.build):
@@ -774,10 +792,10 @@
         )
         return older and not reported.answered_keys.isdisjoint(keys)
 
-    def repeat_deadline(self, may_have_run):
+    def dedup_deadline(self, may_have_run):
         """Returns until when instances drop repeats of these attempts."""
         return (
-            may_have_run[0].sent_at + may_have_run[0].request.request_class.repeat_window - self.repeat_margin
+            may_have_run[0].sent_at + may_have_run[0].request.request_class.repeat_window - self.dedup_margin
         )
 
     def within_exposure_cap(self, build, request, now):
@@ -786,12 +804,14 @@
         The window is a little wider for attempts than for requests. A lowered cap holds at once.
         """
         stage = build.stage if build is self.reported_build else 0
-        if build.cap <= 0 or (stage < self.guarded_stages and request.request_class.effect != IDEMPOTENT):
+        if build.cap <= 0 or (
+            stage < self.idempotent_only_stages and request.request_class.effect != IDEMPOTENT
+        ):
             return False
         for key in self.cap_keys(request):
-            sent = recent(build.sent_times.get(key, ()), now - self.sent_window - 1)
-            arrived = recent(self.arrivals.get(key, ()), now - self.arrivals_window)
-            if sent + 1 > self.free_attempts + build.cap * arrived:
+            sent = prune_and_count(build.sent_times.get(key, ()), now - self.sent_window - 1)
+            arrived = prune_and_count(self.arrivals.get(key, ()), now - self.arrivals_window)
+            if sent + 1 > self.attempts_above_cap + build.cap * arrived:
                 return False
         return True
 
@@ -875,7 +895,7 @@
             outcome = (took * warmth / max(request.work, 1), end == ERRED, instance)
             self.pair_outcomes.setdefault((of_judged, request.request_class.number), []).append(outcome)
 
-    def tick(self, now):
+    def update_pair(self, now):
         """Opens a pair, or closes and judges it once it is complete."""
         self.next_judging = now + JUDGE_INTERVAL
         self.vote_check_due = True
@@ -897,7 +917,7 @@
                 alone or len(earlier) >= MIN_PAIR_OUTCOMES
             ):
                 if build is None:
-                    self.baseline_time = median_time(earlier)
+                    self.baseline_time_per_work = median_time_per_work(earlier)
                 else:
                     build.pairs.append(self.compare(build, ours, earlier))
                     build.recent_outcomes.extend(ours)
@@ -939,8 +959,8 @@
         )
         figures = {(-1, "errors"): error_figures(ours, earlier)}
         if ours and len(earlier) >= MIN_PAIR_OUTCOMES:
-            earlier_time = median_time(earlier)
-            our_time = median_time(earlier if alike else ours)
+            earlier_time = median_time_per_work(earlier)
+            our_time = median_time_per_work(earlier if alike else ours)
             slow_counts = [
                 sum(time > earlier_time * (1 + LATENCY_TOLERANCE) for time, *_ in sample)
                 for sample in (earlier, () if alike else ours)
@@ -960,12 +980,14 @@
             if instance.usual_service_time and instance.build is not build
         )
         if (
-            self.baseline_time
+            self.baseline_time_per_work
             and len(earlier) >= MIN_PAIR_OUTCOMES
             and 2 * len(increases) >= len(self.instances) > 2
         ):
-            increase = min(increases[len(increases) // 4], median_time(earlier) / self.baseline_time)
-            figures[SERVICE_TIME_METRIC] = (1.0, increase, 0, 0, 1.0)
+            increase = min(
+                increases[len(increases) // 4], median_time_per_work(earlier) / self.baseline_time_per_work
+            )
+            figures[BASELINE_SLOWDOWN_METRIC] = (1.0, increase, 0, 0, 1.0)
         return figures
 
     def judge(self, build, pairs):
@@ -997,7 +1019,7 @@
             earlier, ours = (median(figures[side] for figures in seen) for side in (0, 1))
             spread = max(abs(figures[0] - earlier) for figures in seen)
             timed = key[1] != "errors"
-            tolerance = SERVICE_TIME_TOLERANCE if key == SERVICE_TIME_METRIC else LATENCY_TOLERANCE
+            tolerance = SERVICE_TIME_TOLERANCE if key == BASELINE_SLOWDOWN_METRIC else LATENCY_TOLERANCE
             bound = max(tolerance * earlier if timed else ERROR_TOLERANCE, spread)
             breached = sum(figures[1] - figures[0] > bound for figures in seen)
             if ours - earlier > bound:
@@ -1074,7 +1096,7 @@
     return (("class", request.request_class.number), ("tenant", request.tenant))
 
 
-def median_time(outcomes):
+def median_time_per_work(outcomes):
     """Returns the median time by work of these outcomes."""
     return median(time for time, _, _ in outcomes)
 
--- a/lemonlead/following/driver.py
+++ b/lemonlead/following/driver.py
@@ -233,8 +233,8 @@
 
     def apply_update(self, update, leader):
         """Returns whether the balancer was updated. Only then does the next poll acknowledge the update: from
-        then on `may_begin` of the dispatcher lets no attempt begin on an instance that the ledger took out of
-        service."""
+        then on `write_deadline` of the dispatcher lets no attempt begin on an instance that the ledger took
+        out of service."""
         self.dispatcher.handle(self.update_balancer, update)
         if self.applied[0] != update.cluster or self.applied[1] < update.index:
             return False
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -214,7 +214,7 @@
         if (time_now := time.monotonic()) >= until + LAST_RESPONSES_SECONDS:
             break
         if time_now >= soon:
-            server.finish_late_requests(late if time_now < until else 0)
+            server.abort_requests_after(late if time_now < until else 0)
         time.sleep(POLL_SECONDS)
     return finish(dispatcher, log, follower, until + LAST_RESPONSES_SECONDS)
 
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -532,7 +532,7 @@
                 client.close_when_idle("stopping")
         return bool(clients)
 
-    def finish_late_requests(self, since):
+    def abort_requests_after(self, since):
         """Answers each request that arrived after `since` at once, together with the earlier ones on the same
         connection, and stops reading there. A connection that is never idle would otherwise still have
         unanswered requests at SIGKILL. Some of the aborted requests might have been served."""
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -122,7 +122,7 @@
                 self.ids.discard(request.id)
                 self.count("left", request)
                 self.drop_unwritten(request)
-                self.balancer.request_left(time_now, request)
+                self.balancer.request_closed(time_now, request)
 
     def attempt_ended(self, time_now, attempt, end, value):
         if end == at.SUCCEEDED and attempt.request in self.pending_requests:
@@ -138,13 +138,17 @@
         """Reports the state of the newest build, as the platform sent it."""
         (self.service or self.balancer).stage_reported(time_now, *release_state)
 
-    def may_begin(self, attempt):
+    def write_deadline(self, attempt):
         """Returns the time, in nanoseconds, by which the attempt's last byte must be written, or 0 if the
         attempt may not begin. Waits until the updates of the list that have arrived are processed."""
         if self.list_source is not None:
             self.list_source.wait_until_processed(attempt.request.deadline)
         with self.lock:
-            return self.balancer.may_begin(now(), attempt) if attempt.request in self.pending_requests else 0
+            return (
+                self.balancer.write_deadline(now(), attempt)
+                if attempt.request in self.pending_requests
+                else 0
+            )
 
     def count(self, what, request):
         self.counters.add(what)
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -252,7 +252,9 @@
                 ):
                     self.counters.add("connections rested")
                 by = (
-                    0 if made is None or in_flight.cancelled else self.dispatcher.may_begin(in_flight.attempt)
+                    0
+                    if made is None or in_flight.cancelled
+                    else self.dispatcher.write_deadline(in_flight.attempt)
                 )
                 if not by:
                     return at.NOT_SENT, None
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -76,10 +76,10 @@
     vote_timeout: int = 0  # of a call to the release platform
     votes_per_s: float = 0.0  # that the platform takes from all gateways
     window: int = 0  # of the exposure cap
-    free_attempts: float = 0.0  # in a window, beyond the cap
+    attempts_above_cap: float = 0.0  # in a window, beyond the cap
     per_class: bool = False  # the cap counts each request class apart
-    guarded_stages: int = 0  # in these first stages a build on trial gets idempotent requests only
-    forward_only: bool = False  # a key that a build has answered must not go to an older one
+    idempotent_only_stages: int = 0  # in these first stages a build on trial gets idempotent requests only
+    never_return_to_older_build: bool = False  # a key that a build has answered must not go to an older one
     caps: list = field(default_factory=list)  # by stage: the share of requests that a build on trial may get
     steps: list = field(default_factory=list)  # by stage: the share of instances that run it
     old_price: float = 0.0
@@ -105,7 +105,7 @@
     # Without a watch or call for this long, the gateway counts as knowing everything listed; 0: no such rule.
     max_list_call_gap: int = 0
     # News counts as known this long after discovery has it, received or not; 0: only once it is received.
-    assumed_known_after: int = 0
+    max_unconfirmed_list_age: int = 0
     attempts_cap: int = 1  # attempts that a request may get
     may_cancel: bool = False
     may_duplicate: bool = False  # a request may have several attempts in flight
--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -128,7 +128,7 @@
     def gave_up(self, request):
         if (client_request := self.open_requests.pop(request, None)) is not None:
             self.world.request_ended(client_request, "given up", 0)
-            self.tell(self.balancer.request_left, request)
+            self.tell(self.balancer.request_closed, request)
 
 
 @dataclass
@@ -206,7 +206,7 @@
             vote_timeout=800 * NS_PER_MS,
             votes_per_s=75.0,
             window=fleet.window,
-            free_attempts=fleet.free_attempts,
+            attempts_above_cap=fleet.free_attempts,
             caps=list(fleet.traffic_caps),
             steps=list(fleet.stage_shares),
         )
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -12,7 +12,7 @@
 from .interface import ON_TRIAL
 
 
-def recent(times, since):
+def prune_and_count(times, since):
     """Drops the times up to `since` from the front of a deque and returns how many are left."""
     while times and times[0] <= since:
         times.popleft()
@@ -25,13 +25,13 @@
     They stand in for the figures of instances that have not answered recently.
     """
 
-    __slots__ = "slowness", "loss_rate", "answer_time", "answer_work"
+    __slots__ = "time_per_work", "loss_rate", "answer_time", "mean_answered_work"
 
     def __init__(self):
-        self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.time_per_work = 0.0  # time to answer by work, smoothed; 0: not known yet
         self.loss_rate = 0.0  # share of attempts that were lost on the way, smoothed
         self.answer_time = 0.0  # time that successful answers took, smoothed (ns)
-        self.answer_work = 0.0  # their work, smoothed (ns)
+        self.mean_answered_work = 0.0  # their work, smoothed (ns)
 
 
 class InstanceState:
@@ -49,9 +49,9 @@
         "ready",
         "in_flight",
         "held_work",
-        "last_heard_at",
-        "newest_answered",
-        "slowness",
+        "quiet_since",
+        "newest_answered_sent_at",
+        "time_per_work",
         "request_limit",
         "limit_lowered_at",
         "service_time",
@@ -61,14 +61,16 @@
         "connection_open_until",
         "path_failures",
         "avoided_until",
-        "cold_since_work",
-        "cold_work_due",
+        "accepted_work_at_last_request",
+        "cold_work_interval",
         "up_from",
         "up_until",
         "connection_free_at",
     )
 
-    def __init__(self, line, build, group, now, request_limit, cold_since_work, cold_work_due):
+    def __init__(
+        self, line, build, group, now, request_limit, accepted_work_at_last_request, cold_work_interval
+    ):
         self.id = line.id
         self.zone = line.zone
         self.kind = line.kind
@@ -79,12 +81,12 @@
         self.ring_position = 0  # the same at every balancer; set by `InstanceTable.put`
         self.ready = True
         self.held_work = 0  # work of the attempts in flight
-        self.last_heard_at = now  # time of its last answer, or of the first attempt after it was idle
-        self.newest_answered = 0  # when the latest of the attempts that it answered was sent
+        self.quiet_since = now  # time of its last answer, or of the first attempt after it was idle
+        self.newest_answered_sent_at = 0  # when the latest of the attempts that it answered was sent
         # Between these two times it was up without a break, as the connections to it show.
         self.up_from = 0
         self.up_until = 0
-        self.slowness = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.time_per_work = 0.0  # time to answer by work, smoothed; 0: not known yet
         self.request_limit = request_limit  # requests of mean work that it may hold for this balancer
         self.limit_lowered_at = 0
         self.service_time = 0.0  # as it reports it, smoothed (ms)
@@ -97,8 +99,8 @@
         self.avoided_until = 0
         # While it is cold: the balancer's accepted work when it last got a request, and how much more work
         # has to be accepted before the next one.
-        self.cold_since_work = cold_since_work
-        self.cold_work_due = cold_work_due
+        self.accepted_work_at_last_request = accepted_work_at_last_request
+        self.cold_work_interval = cold_work_interval
 
     def __getattr__(self, name):
         """Creates `in_flight` (attempts in flight, the oldest first) on first use: few instances need it."""
@@ -179,7 +181,7 @@
     def __init__(self):
         self.heap = []
         self.sequence = count()
-        self.max_size = 1000
+        self.cleanup_size = 1000
 
     def __len__(self):
         return len(self.heap)
@@ -188,10 +190,10 @@
         return iter(self.heap)
 
     def add(self, at, request):
-        if len(self.heap) >= self.max_size:
+        if len(self.heap) >= self.cleanup_size:
             self.heap = [timer for timer in self.heap if not timer[2].finished]
             heapq.heapify(self.heap)
-            self.max_size = 2 * len(self.heap) + 1000
+            self.cleanup_size = 2 * len(self.heap) + 1000
         heapq.heappush(self.heap, (at, next(self.sequence), request))
 
     def first(self, default):
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -180,7 +180,7 @@
 
     def first_byte(self, hosted, id, instance, lag, number):
         if (attempt := hosted.attempts.get((id, number))) is not None:
-            hosted.balancer.request_left(self.now, attempt.request)
+            hosted.balancer.request_closed(self.now, attempt.request)
 
     def reply(self, hosted, id, number, lag, ended, instance, code, count, *gauge):
         attempt = hosted.attempts.pop((id, number), None)
@@ -194,7 +194,7 @@
 
     def left(self, hosted, id):
         if (request := hosted.requests.pop(id, None)) is not None:
-            hosted.balancer.request_left(self.now, request)
+            hosted.balancer.request_closed(self.now, request)
 
     def wakeup(self, hosted, token):
         # A timer that was replaced by an earlier one must not set another. The protocol's clock is rounded.
--- a/tests/any_settings.py
+++ b/tests/any_settings.py
@@ -221,7 +221,7 @@
     def leave(self, request):
         if self.open.pop(request.id, None) is not None:
             self.note("final", request.id, "left")
-            self.balancer.request_left(self.now, request)
+            self.balancer.request_closed(self.now, request)
 
     # ---- the host of the balancer
 
@@ -237,7 +237,7 @@
         request = attempt.request
         cancelled = self.in_flight.get(attempt) == "cancelled"
         if asked and (
-            cancelled or request.id not in self.open or not self.balancer.may_begin(self.now, attempt)
+            cancelled or request.id not in self.open or not self.balancer.write_deadline(self.now, attempt)
         ):
             return self.after(0, self.end, attempt, interface.NOT_SENT)
         self.in_flight[attempt] = "written"
@@ -263,7 +263,7 @@
     def first_byte(self, attempt):
         if attempt in self.in_flight and self.open.pop(attempt.request.id, None) is not None:
             self.note("final", attempt.request.id, "streamed")
-            self.balancer.request_left(self.now, attempt.request)
+            self.balancer.request_closed(self.now, attempt.request)
 
     def end(self, attempt, end):
         if self.in_flight.pop(attempt, None) is None:
--- a/tests/days.py
+++ b/tests/days.py
@@ -38,7 +38,7 @@
     def request_arrived(self, now, request):
         self.due.append(request)
 
-    def request_left(self, now, request):
+    def request_closed(self, now, request):
         request.finished = True
 
     def attempt_ended(self, now, attempt, end, took, over, report):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,7 +53,7 @@
 def balancer(lines=(), request_classes=None, told=(1, 0, interface.RELEASED, 1.0), release=None, **more):
     release = release or interface.Release(
         window=2000 * MS,
-        free_attempts=2,
+        attempts_above_cap=2,
         caps=[0.1, 0.5, 1.0],
         steps=[0.1, 0.5, 1.0],
         vote_lifetime=4000 * MS,
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -215,9 +215,9 @@
 
 def test_waiting_attempt_does_not_return_a_key_to_an_older_build():
     made, attempts = with_waiting_attempts({"ForwardOnly": True, "SpareTries": 1000.0})
-    assert made.may_begin(BEGIN, attempts[1])
+    assert made.write_deadline(BEGIN, attempts[1])
     made.attempt_ended(BEGIN + MS, attempts[2], interface.SUCCEEDED, MS, True, {})
-    assert not made.may_begin(BEGIN + MS, attempts[1])
+    assert not made.write_deadline(BEGIN + MS, attempts[1])
 
 
 def test_waiting_attempt_counts_in_the_window_in_which_it_begins():
@@ -227,9 +227,9 @@
     made.stage_reported(BEGIN, 2, 0, interface.ON_TRIAL, 0.0001, 0)
     other = interface.Request(3, attempts[2].request.request_class, 0, b"", BEGIN, BEGIN + 60_000 * MS)
     late = BEGIN + 5000 * MS
-    assert made.may_begin(late, attempts[2])
+    assert made.write_deadline(late, attempts[2])
     assert not made.may_attempt(other, made.instances["i2"], late)
-    assert made.may_begin(late + MS, attempts[2])  # asked again for the same attempt, it counts once
+    assert made.write_deadline(late + MS, attempts[2])  # asked again for the same attempt, it counts once
 
 
 # ---- each check finds an injected fault
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -6,7 +6,7 @@
 from helpers import MS, NOW, Dispatcher, balancer, judged, line, request, request_class, sent
 
 from lemonlead import interface
-from lemonlead.balance import MIN_STRETCH, Balancer, without_faulty_instance
+from lemonlead.balance import MIN_SUBSET_SIZE, Balancer, without_faulty_instance
 from lemonlead.significance import probability_bound
 
 DEDUPLICATED_ZONE = request_class(1, interface.DEDUPLICATED, repeat_scope="zone", repeat_window=4000 * MS)
@@ -159,7 +159,7 @@
 )
 def test_attempts_to_a_build_on_trial_stay_within_the_cap(told, on, attempts, arrived, allowed):
     made = trial()
-    made.guarded_stages = 1
+    made.idempotent_only_stages = 1
     made.stage_reported(NOW, *told, 0)
     for number in range(arrived):
         made.request_arrived(NOW, request(number, on=on))
@@ -213,7 +213,7 @@
 )
 def test_build_is_bad_when_most_pairs_breach(on, off, services, bad):
     made = balancer([line(n) for n in range(4)] + [line(9, build=2)], told=(2, 0, interface.ON_TRIAL, 0.1))
-    made.baseline_time = 1.2
+    made.baseline_time_per_work = 1.2
     for member in made.instances.values():
         member.service_time, member.usual_service_time = (
             services[member.build is not made.judged_build],
@@ -350,12 +350,12 @@
 def test_unreadable_answers_count_against_no_instance_or_build(end, again):
     made = balancer([line(1), line(2, build=2)], told=(2, 0, interface.ON_TRIAL, 0.5))
     made.pair_started_at, member = NOW, made.instances[2]
-    member.slowness, asked = 1.0, request()
+    member.time_per_work, asked = 1.0, request()
     made.attempt_ended(NOW, sent(asked, member), end, MS, False, {})
     assert (
         member.path_failures,
         member.error_count,
-        member.slowness,
+        member.time_per_work,
         member.request_limit,
         made.pair_outcomes,
     ) == (0, 0, 1.0, 3.0, {})
@@ -384,9 +384,9 @@
 def test_one_queued_light_request_makes_no_instance_slow():
     made = balancer([line(1), line(2)])
     member = made.instances[1]
-    member.slowness = member.group.slowness = 2.0
+    member.time_per_work = member.group.time_per_work = 2.0
     made.attempt_ended(NOW, sent(request(work=MS), member), interface.SUCCEEDED, 300 * MS, False, {})
-    assert member.slowness <= 3.0 and member.group.slowness <= 3.0
+    assert member.time_per_work <= 3.0 and member.group.time_per_work <= 3.0
 
 
 @pytest.mark.parametrize(
@@ -404,8 +404,8 @@
     made = balancer([line(1), line(2)])
     made.retry_budget, member, asked = budget, made.instances[1], request()
     attempt = sent(asked, member)
-    member.last_heard_at, member.newest_answered = NOW + heard, NOW + newest
-    made.due.append(asked)
+    member.quiet_since, member.newest_answered_sent_at = NOW + heard, NOW + newest
+    made.requests_to_decide.append(asked)
     assert (Dispatcher().pull(made, made.overdue_at(attempt)) == [("attempt", 1, 2)]) is again
     assert (member.held_work, member.path_failures, made.retry_budget) == (
         held,
@@ -413,7 +413,7 @@
         budget - (again and not newest),
     )
     made.attempt_ended(NOW + 4000 * MS, attempt, interface.TIMED_OUT, 4000 * MS, True, {})
-    assert member.held_work == 0 and (member.slowness == 0) is (held == 0)
+    assert member.held_work == 0 and (member.time_per_work == 0) is (held == 0)
 
 
 def test_state_of_older_builds_and_requests_is_dropped():
@@ -528,7 +528,7 @@
     """Guards against a pair without outcomes on trial, as when the instances on trial are gone again."""
     made = balancer([line(1), line(2)], told=(2, 0, interface.ON_TRIAL, 0.1))
     made.pair_started_at, made.pair_outcomes = NOW, {(False, 0): outcomes()}
-    made.tick(NOW + 2 * SECOND)
+    made.update_pair(NOW + 2 * SECOND)
     assert not made.judged_build.pairs
 
 
@@ -570,7 +570,7 @@
         for asked, took in ((request(number), 100), (request(100 + number, on=on), 1500)):
             member = made.instances[1 + number % 2]
             made.attempt_ended(NOW, sent(asked, member), interface.SUCCEEDED, took * MS, True, {})
-    assert all(member.slowness < 2 < member.request_limit for member in made.instances.values())
+    assert all(member.time_per_work < 2 < member.request_limit for member in made.instances.values())
     for number in range(10):
         made.request_arrived(NOW, request(200 + number, on=on))
     calls = [call[0] for call in dispatcher.pull(made, NOW)]
@@ -598,8 +598,8 @@
 @pytest.mark.parametrize("age, known", [(0, True), (60 * SECOND, False)])
 def test_old_latency_of_an_instance_yields_to_its_groups(age, known):
     made = balancer([line(1), line(2)])
-    member, member.group.slowness = made.instances[1], 1.0
-    member.slowness, member.last_heard_at = 10.0, NOW - age
+    member, member.group.time_per_work = made.instances[1], 1.0
+    member.time_per_work, member.quiet_since = 10.0, NOW - age
     assert (made.cost(member, request(), NOW) > 5 * made.cost(made.instances[2], request(), NOW)) is known
 
 
@@ -608,7 +608,7 @@
     member, attempt = made.instances[1], sent(asked, made.instances[1])
     attempt.connection_free_at = NOW + 10 * MS
     made.attempt_ended(NOW, attempt, interface.SUCCEEDED, MS, True, {})
-    member.slowness, member.group.slowness = 0.001, 0.002
+    member.time_per_work, member.group.time_per_work = 0.001, 0.002
     random_state = made.rng.getstate()
     cost = []
     for now in (NOW, NOW + 4 * MS, NOW + 10 * MS, NOW + 11 * MS):
@@ -658,7 +658,7 @@
         ),
         # It was restarted.
         (1, lambda made, asked: made.list_received(NOW, [line(1, started=NOW)], False, True), False),
-        (1, lambda made, asked: made.request_left(NOW, asked), False),
+        (1, lambda made, asked: made.request_closed(NOW, asked), False),
         (1, lambda made, asked: setattr(asked, "deadline", NOW), False),
         (3, lambda made, asked: None, True),
         (3, lambda made, asked: made.stage_reported(NOW, 2, 0, interface.ON_TRIAL, 0.0, 0), False),
@@ -671,7 +671,7 @@
     made.builds[2].sent_times[0] = deque([NOW])
     attempt = sent(asked, made.instances[member])
     changed(made, asked)
-    assert made.may_begin(NOW, attempt) == (asked.deadline if allowed else 0)
+    assert made.write_deadline(NOW, attempt) == (asked.deadline if allowed else 0)
 
 
 def test_timers_of_finished_requests_are_dropped():
@@ -681,7 +681,7 @@
         made.request_arrived(NOW, asked := open_ones[number] if number < 3 else request(left=days))
         asked.finished = number >= 3
     assert len(made.timers) <= 1000 and {wake[2] for wake in made.timers} >= set(open_ones)
-    made.due.clear()
+    made.requests_to_decide.clear()
     dispatcher.pull(made, NOW + days)
     assert all(asked.finished for asked in open_ones)
 
@@ -694,7 +694,7 @@
     for attempt in attempts:
         attempt.counted_from = NOW
     for attempt in attempts * 2:  # asked twice, as after the end of a connection, it counts once
-        assert made.may_begin(begun, attempt) == attempt.request.deadline
+        assert made.write_deadline(begun, attempt) == attempt.request.deadline
     assert list(build.sent_times[0]) == [begun] * 2
     assert not made.within_exposure_cap(build, request(), begun + 2010 * MS)  # the window and two steps
     assert made.within_exposure_cap(build, request(), begun + 2011 * MS)
@@ -708,9 +708,9 @@
         sent(asked, made.instances[2], at_time=NOW + MS),
     )
     last = NOW + 1990 * MS  # two steps of margin
-    assert made.may_begin(last - 1, again) == last and made.may_begin(last, again) == 0
+    assert made.write_deadline(last - 1, again) == last and made.write_deadline(last, again) == 0
     first.end = interface.REJECTED  # it did not run, so there is no repeat
-    assert made.may_begin(last, again) == asked.deadline
+    assert made.write_deadline(last, again) == asked.deadline
 
 
 # ---- requests to which rules gave another request class or key
@@ -724,7 +724,9 @@
 
 def test_cap_per_class_counts_the_class_named_and_the_class_given():
     one, other = request_class(0), request_class(1)
-    release = interface.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
+    release = interface.Release(
+        window=2000 * MS, attempts_above_cap=2, caps=[0.5], steps=[0.5], per_class=True
+    )
     made = balancer([line(1), line(2, build=2)], [one, other], (2, 0, interface.ON_TRIAL, 0.5), release)
     build = made.builds[2]
     for number in range(8):  # sent by clients as class `one`, treated as class `other`
@@ -751,7 +753,9 @@
 
 @pytest.mark.parametrize("key", [b"asked", b"given"])
 def test_forward_only_holds_for_the_clients_key_and_the_key_given(key):
-    release = interface.Release(window=2000 * MS, free_attempts=9, caps=[1.0], steps=[1.0], forward_only=True)
+    release = interface.Release(
+        window=2000 * MS, attempts_above_cap=9, caps=[1.0], steps=[1.0], never_return_to_older_build=True
+    )
     made = balancer([line(1), line(2, build=2)], None, (2, 0, interface.ON_TRIAL, 1.0), release)
     first = request(1, key=b"given")
     first.client_key = b"asked"
@@ -763,7 +767,9 @@
 
 
 def test_without_rules_requests_count_for_their_class_only():
-    release = interface.Release(window=2000 * MS, free_attempts=2, caps=[0.5], steps=[0.5], per_class=True)
+    release = interface.Release(
+        window=2000 * MS, attempts_above_cap=2, caps=[0.5], steps=[0.5], per_class=True
+    )
     made = balancer([line(1)], [request_class(0), request_class(1)], release=release)
     made.request_arrived(NOW, request(1, request_class(1)))
     assert list(made.arrivals) == [1]
@@ -784,20 +790,20 @@
 def test_many_balancers_cover_all_instances_evenly(balancers, instances):
     covered = Counter()
     for made in fleet_of(balancers, instances):
-        stretch = {member.id for member in made.ring[:MIN_STRETCH]}
+        stretch = {member.id for member in made.ring[:MIN_SUBSET_SIZE]}
         assert {made.choose(request(n), NOW).id for n in range(5)} <= stretch
-        covered.update(member.id for member in made.ring[:MIN_STRETCH])
-    mean = balancers * MIN_STRETCH / instances
+        covered.update(member.id for member in made.ring[:MIN_SUBSET_SIZE])
+    mean = balancers * MIN_SUBSET_SIZE / instances
     assert len(covered) == instances
     assert all(abs(count - mean) <= 3 for count in covered.values())
 
 
 def test_avoided_instances_are_replaced_by_the_next_on_the_ring():
     made = fleet_of(40, 60)[7]
-    for member in made.ring[: MIN_STRETCH - 1]:
+    for member in made.ring[: MIN_SUBSET_SIZE - 1]:
         member.avoided_until = NOW + SECOND
     assert {made.choose(request(n), NOW) for n in range(400)} <= set(
-        made.ring[MIN_STRETCH - 1 : 2 * MIN_STRETCH - 1]
+        made.ring[MIN_SUBSET_SIZE - 1 : 2 * MIN_SUBSET_SIZE - 1]
     )
 
 
@@ -806,16 +812,16 @@
     made = fleet_of(40, 60)[7]
     for n in range(200):
         made.request_arrived(NOW + n * gap, request(n))
-    made.due.clear()
+    made.requests_to_decide.clear()
     stretch = {made.choose(request(n), NOW).id for n in range(1000)}
     assert (len(stretch) == 60) is all_of_them
 
 
 def test_list_change_moves_the_stretch_by_little():
     made = fleet_of(192, 96)[100]
-    before = {member.id for member in made.ring[:MIN_STRETCH]}
+    before = {member.id for member in made.ring[:MIN_SUBSET_SIZE]}
     made.list_received(NOW, [line(f"new-{n}") for n in range(8)], False, True)
-    assert len(before & {member.id for member in made.ring[:MIN_STRETCH]}) >= MIN_STRETCH - 6
+    assert len(before & {member.id for member in made.ring[:MIN_SUBSET_SIZE]}) >= MIN_SUBSET_SIZE - 6
 
 
 @pytest.mark.parametrize("gap, shed", [(100 * MS, True), (2 * SECOND, False)])
@@ -835,8 +841,8 @@
     made = balancer([line(1), line(2)], balancers=balancers)
     member, asked = made.instances[1], request()
     attempt = sent(asked, member)
-    made.due.append(asked)
-    member.last_heard_at = NOW
+    made.requests_to_decide.append(asked)
+    member.quiet_since = NOW
     Dispatcher().pull(made, NOW + 600 * MS)
     assert made.usable(member, request(2), NOW + 3 * SECOND) is not left
     made.attempt_ended(NOW + 800 * MS, attempt, interface.SUCCEEDED, 800 * MS, False, {})
@@ -905,9 +911,9 @@
         made.attempt_ended(
             NOW, sent(request(n), made.instances[1]), interface.SUCCEEDED, 3 * SECOND, False, {}
         )
-    assert made.waits(asked)
+    assert made.is_throttled_everywhere(asked)
     made.attempt_ended(NOW, sent(asked, made.instances[1]), interface.SUCCEEDED, took * MS, False, {})
-    assert made.waits(request()) is waits
+    assert made.is_throttled_everywhere(request()) is waits
 
 
 def test_one_late_answer_after_a_pause_is_no_overload():
@@ -939,7 +945,7 @@
         "groups": len(made.groups),
         "builds": len(made.builds),
         "timers": len(made.timers),
-        "due": len(made.due),
+        "due": len(made.requests_to_decide),
         "log lines": len(made.log_lines),
         "latency ratios": len(made.latency_ratios),
         "arrivals": sum(map(len, made.arrivals.values())),
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -242,7 +242,7 @@
     made.wait_until_ended()
     (first,) = ask.request.attempts
     (connection,) = made.unused(first.instance.id)
-    first.instance.slowness, first.instance.group.slowness = (
+    first.instance.time_per_work, first.instance.group.time_per_work = (
         0.001,
         0.002,
     )  # half of the other's, by less than the reuse delay
@@ -267,7 +267,7 @@
     quick = made.balancer.instances["i0"]
 
     def chosen():
-        quick.slowness, quick.group.slowness = (
+        quick.time_per_work, quick.group.time_per_work = (
             0.001,
             0.004,
         )  # a quarter of the other's, by far less than the reuse delay
@@ -419,10 +419,10 @@
     assert not made.unused() and made.instances.open_connections == (by == "an answer")
 
 
-@pytest.mark.parametrize("at_point", ["may_begin", "forwarded_words"])
+@pytest.mark.parametrize("at_point", ["write_deadline", "forwarded_words"])
 def test_attempt_is_not_written_once_request_is_answered(gateway, monkeypatch, at_point):
     made = gateway(server := InstanceServer().start())
-    owner = made.dispatcher if at_point == "may_begin" else instances
+    owner = made.dispatcher if at_point == "write_deadline" else instances
     halt = Pause(monkeypatch, owner, at_point, after=True)
     ask = made.ask()
     assert halt.reached.wait(60)
@@ -438,7 +438,7 @@
     )
 
 
-@pytest.mark.parametrize("point", ["connect", "may_begin"])
+@pytest.mark.parametrize("point", ["connect", "write_deadline"])
 @pytest.mark.parametrize("since, build", [(0, 1), (5, 1), (0, 2)])
 def test_moved_instance_gets_nothing_at_its_old_address(gateway, monkeypatch, point, since, build):
     made = gateway(old := InstanceServer().start())
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -257,7 +257,7 @@
         close=lambda: None,
         close_idle=lambda: True,
         closed=threading.Event(),
-        finish_late_requests=lambda since: seen.append((clock.at, since / 1e9)),
+        abort_requests_after=lambda since: seen.append((clock.at, since / 1e9)),
     )
     dispatcher = SimpleNamespace(lock=threading.Lock(), pending_requests={}, counters=Counters())
     assert program.stop(gateway_server, dispatcher, SimpleNamespace(info=lambda *_, **__: None), None) == 0
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -16,15 +16,15 @@
 from lemonlead.balance import (
     GOLDEN_RATIO,
     MS,
-    MIN_STRETCH,
+    MIN_SUBSET_SIZE,
     PAIR_TIME,
     MIN_PAIR_OUTCOMES,
     RETRIES_PER_REQUEST,
     JUDGE_INTERVAL,
     TRIAL_WARM_UP,
     Balancer,
-    median_time,
-    recent,
+    median_time_per_work,
+    prune_and_count,
 )
 from lemonlead.instance_table import InstanceTable
 from lemonlead.planning import fleet, world
@@ -72,7 +72,7 @@
         request.work = request.work or int(self.class_work[request.request_class.number])
         for counted in self.cap_keys(request):
             self.arrivals.setdefault(counted, deque()).append(now)
-            recent(self.arrivals[counted], now - self.arrivals_window)
+            prune_and_count(self.arrivals[counted], now - self.arrivals_window)
         self.mean_work += 0.01 * (request.work - self.mean_work)
         self.request_gap, self.last_arrival = (
             self.request_gap + 0.05 * (now - self.last_arrival - self.request_gap),
@@ -83,13 +83,14 @@
         )
         if self.trial_build is not None:
             able = [
-                (m, self.capacity_share(m, now) / (m.group.slowness or 1.0)) for m in self.instances.values()
+                (m, self.capacity_share(m, now) / (m.group.time_per_work or 1.0))
+                for m in self.instances.values()
             ]
             self.trial_share = sum(can for m, can in able if m.build is self.trial_build) / sum(
                 can for _, can in able
             )
             self.trial_build.attempt_credit = min(self.trial_build.attempt_credit + self.trial_share, 2.0)
-        self.due.append(request)
+        self.requests_to_decide.append(request)
 
     def choose(self, request, now, whole=False):
         tried = [attempt.instance for attempt in request.attempts]
@@ -101,7 +102,7 @@
         if self.unconnected_share > 0.05 and not whole:
             pool = [m for m in pool if now < m.connection_open_until] or pool
         if not whole and len(pool) > (
-            near := max(MIN_STRETCH, int(self.idle_time / 8 / (self.request_gap + 1)))
+            near := max(MIN_SUBSET_SIZE, int(self.idle_time / 8 / (self.request_gap + 1)))
         ):
             pool = [m for m in pool if now >= m.avoided_until][:near]
         best = least = None
@@ -140,7 +141,7 @@
         kinds = {(member.kind, member.build is judged) for member in self.instances.values()}
         self.comparable_kinds = {kind for kind, on in kinds if (kind, not on) in kinds}
 
-    def tick(self, now):
+    def update_pair(self, now):
         self.next_judging, self.vote_check_due = now + JUDGE_INTERVAL, True
         build = self.judged_build
         if self.pair_started_at is None:
@@ -152,7 +153,7 @@
             alone = build is None or build.phase == interface.RELEASED
             if len(on if build else off) >= MIN_PAIR_OUTCOMES and (alone or len(off) >= MIN_PAIR_OUTCOMES):
                 if build is None:
-                    self.baseline_time = median_time(off)
+                    self.baseline_time_per_work = median_time_per_work(off)
                 else:
                     build.pairs.append(self.compare(build, on, off))
                     build.recent_outcomes.extend(on)
@@ -181,11 +182,14 @@
         made.comparable_kinds,
         made.trial_share,
         made.pair_started_at,
-        made.baseline_time,
+        made.baseline_time_per_work,
         list(made.groups),
         made.wake_at(),
         made.rng.getstate(),
-        [(m.cold_work_due, m.request_limit, m.slowness, m.avoided_until) for m in made.instances.values()],
+        [
+            (m.cold_work_interval, m.request_limit, m.time_per_work, m.avoided_until)
+            for m in made.instances.values()
+        ],
     )
 
 
@@ -234,7 +238,7 @@
         retry_after_cap=500 * MS,
         release=interface.Release(
             window=2000 * MS,
-            free_attempts=chance.choice((2, 50)),
+            attempts_above_cap=chance.choice((2, 50)),
             vote_lifetime=4000 * MS,
             bake=1000 * MS,
             vote_timeout=800 * MS,
@@ -342,7 +346,7 @@
 
     def begin(self):
         if (pair := self.attempts()) is not None:
-            until = [made.may_begin(self.now, one) for made, one in zip(self.both, pair, strict=True)]
+            until = [made.write_deadline(self.now, one) for made, one in zip(self.both, pair, strict=True)]
             assert until[0] == until[1]
 
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -39,7 +39,7 @@
 
 
 def release(**more):
-    values = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_lifetime=4 * SECOND,
+    values = dict(window=2 * SECOND, attempts_above_cap=2, caps=[0.1], vote_lifetime=4 * SECOND,
                   vote_timeout=800 * MS, votes_per_s=100.0, bake=SECOND)  # fmt: skip
     return at.Release(**{**values, **more})
 
@@ -121,7 +121,7 @@
         self.at(self.now + self.connects, lambda: self.with_simulated_clock(self.carry, *trip))
 
     def carry(self, attempt, id):
-        if not self.dispatcher.may_begin(attempt):
+        if not self.dispatcher.write_deadline(attempt):
             return self.dispatcher.handle(self.dispatcher.attempt_ended, attempt, at.NOT_SENT, None)
         self.attempts.append((self.now, id, id.startswith("f")))
         end, took = self.works(id, self.rng)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -438,10 +438,10 @@
 
 def test_past_what_all_can_bear_too_at_most_one_gateway_in_ten_rejects_all_for_four_seconds(tmp_path):
     """In bursts of a fifth more than all can bear 16 to 21 of 60 gateways reject all that they get. The
-    cause: `Balancer.waits` holds a tenant's times against the best of classes as well as of tenants, so that
-    with one tenant each request counts as waiting alone once most are slow, and all but one in two latency
-    objectives is rejected. Held against its own kind alone, some classes get under half in a third of a long
-    day."""
+    cause: `Balancer.is_throttled_everywhere` holds a tenant's times against the best of classes as well as
+    of tenants, so that with one tenant each request counts as waiting alone once most are slow, and all but
+    one in two latency objectives is rejected. Held against its own kind alone, some classes get under half in
+    a third of a long day."""
     for seed in (1, 2, 3):
         assert calm(tmp_path, 0.8, seed).rejects_all() <= 6
 
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -19,7 +19,7 @@
 from test_standing import driver
 
 pytestmark = pytest.mark.parallel
-RULES = {"ask_for_list": True, "assumed_known_after": MAX_LIST_DELAY_NS, "balancers": 100}
+RULES = {"ask_for_list": True, "max_unconfirmed_list_age": MAX_LIST_DELAY_NS, "balancers": 100}
 
 
 def chosen_id(made, time, id=9):
@@ -92,7 +92,7 @@
     made.request_arrived(NOW + 5300 * MS, asked)
     host.pull(made, NOW + 5300 * MS)
     (attempt,) = asked.attempts
-    assert made.may_begin(NOW + 5400 * MS, attempt) and not made.may_begin(NOW + 5600 * MS, attempt)
+    assert made.write_deadline(NOW + 5400 * MS, attempt) and not made.write_deadline(NOW + 5600 * MS, attempt)
 
 
 def test_request_without_a_permitted_instance_is_rejected_unsent():
