--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -55,27 +55,33 @@
 SERVICE_TIME_TOLERANCE = 0.5  # ratio; the same for the service time that instances report
 ERROR_TOLERANCE = 0.02  # share of answers; a larger increase of errors is a breach
 OBJECTIVE_PER_WORK = 6  # a request without a hint is expected to need 1/6 of its latency objective
-INTERIM_TESTS_PER_TRIAL = (
-    8  # looks at thin evidence in one trial, which share the probability of a false alarm
-)
+# Up to this many balancers, the share of an instance's load that other balancers send counts as 0.
+MAX_BALANCERS_SEEING_ALL = 6
+# Tests of a build on few outcomes in one trial. The allowed probability of a false alarm is divided among
+# them.
+INTERIM_TESTS_PER_TRIAL = 8
 MIN_WRONG_ANSWERS = 3  # this many wrong answers make a build bad, at over twice the rate of other builds
 LATENCY_RATIO_AGE = 2000 * MS  # a lower ratio after this long without an answer replaces the average
-# Of the mean revenue: when requests are shed, those worth least are let in half as often as the average ones.
+# Lower bound of a request's revenue divided by the mean, when requests are shed. With heavy shedding the
+# cheapest requests are accepted half as often as average ones.
 MIN_REVENUE_WEIGHT = 0.5
-SHED_THRESHOLD = 0.45  # time to answer by latency objective above which requests are shed
+SHED_THRESHOLD = 0.45  # time to answer divided by latency objective; above it requests are shed
 SHED_SLOPE = 2  # the share of requests shed is this multiple of the excess above the threshold
 OVERDUE_FACTOR = 2.5  # of the usual time for an attempt's work; one answer in twenty or thirty takes longer
 LOSS_COST = 4  # added cost factor of a zone and kind to which all recent attempts were lost on the way
 RETRIES_PER_REQUEST = 0.1  # limits second attempts, so that they don't feed an overload
-MIN_SUBSET_SIZE = 24  # instances of the ring that a balancer uses; more if it can use each of them often
-GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' stretches evenly over the ring
-PROPAGATION_GRACE = 500 * MS  # time that a balancer has to act on news before it counts as known
-RESTARTED_LIST_AGE = 2000 * MS  # the shortest time for which a list of unknown age is taken to be complete
-QUIET_TIME_DIVISOR = 8  # such a list is complete for 1/8 of the time since the last start of an instance
+MIN_SUBSET_SIZE = 24  # instances of the ring that a balancer uses; more if it still uses each of them often
+GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' subsets evenly over the ring
+PROPAGATION_GRACE = 500 * MS  # time from sending a list change until a balancer is expected to obey it
+# After a restart the first list is of unknown age. It is trusted for 1/8 of the time since the newest
+# instance started, and for at least RESTARTED_LIST_AGE.
+RESTARTED_LIST_AGE = 2000 * MS
+QUIET_TIME_DIVISOR = 8
 DRAIN_ANSWER_TIME = 3000 * MS  # an instance may still answer for this long after its drain was announced
 STALE_TIME = 5000 * MS  # an instance's own latency counts half when its last answer is this old
-THROTTLE_SAMPLES = 8  # outcomes that show that a request class or tenant waits
-BASELINE_SLOWDOWN_METRIC = (-1, "strain")  # earlier builds' service time by what it was before the trial
+THROTTLE_SAMPLES = 8  # outcomes needed to find that a request class or tenant is throttled
+# Service time of earlier builds during the trial, divided by that before it. Logs name it "strain".
+BASELINE_SLOWDOWN_METRIC = (-1, "strain")
 
 
 class Balancer:
@@ -103,7 +109,7 @@
         self.attempts_cap = start.attempts_cap
         self.retry_after_cap = start.retry_after_cap
         self.connect_time = start.connect_time
-        self.dedup_margin = 2 * start.step  # before an instance stops dropping repeats
+        self.dedup_margin = 2 * start.step  # before the end of an instance's deduplication window
         self.max_list_call_gap = start.max_list_call_gap
         self.cold_time = start.cold_time
         self.cold_share = max(start.cold_share, 0.01)
@@ -118,8 +124,8 @@
             request_class.number: request_class.latency_objective / OBJECTIVE_PER_WORK
             for request_class in request_classes
         }
-        # The share of an instance's load that other balancers send, which this one can't see.
-        self.unseen_share = max(0.0, 1 - OBJECTIVE_PER_WORK / balancers)
+        # The share of an instance's load that other balancers send and this one can't see.
+        self.unseen_share = max(0.0, 1 - MAX_BALANCERS_SEEING_ALL / balancers)
 
         # Settings of releases.
         self.builds = Builds(*release.caps[:1] or [0.0], MAX_PAIRS, MAX_RECENT_OUTCOMES)
@@ -138,8 +144,8 @@
         self.min_last_stage_time = max(self.min_stage_time, release.bake + sum(objectives) // len(objectives))
         self.started_at = start.now
         self.latency_ratio_at = start.now  # when `latency_ratio` was last updated
-        # How often one balancer may call a sound build bad. As many votes as a rollback needs are then all
-        # wrong only very rarely.
+        # The probability, for each test of one balancer, that a sound build is found bad. It is so small that
+        # enough wrong votes for a rollback are very rare.
         self.false_alarm_probability = (
             max(max(release.roll_back_votes_needed, 1) ** 0.5 - 1.3, 0.07) ** 2
             / balancers
@@ -155,22 +161,22 @@
         self.ring = self.instances.arc(())  # the instances in the order in which this balancer uses them
         self.request_gap = 1e9  # ns between requests, smoothed
         self.last_arrival = start.now  # time of the last request
-        self.reported_build = None  # the build that the last release news was about
+        self.reported_build = None  # the build of the last release report
         self.trial_build = None  # the build on trial that has instances
         self.judged_build = None  # the build that votes can still promote or roll back
         # The kinds of instance that run both the judged build and an earlier one; empty if there are none.
         self.comparable_kinds = set()
         self.arrivals = {}  # times of requests by cap key, as `Build.sent_times`
         self.accepted_work = 0  # sum of the work of all accepted requests
-        # The mean work of a request, smoothed.
+        # The mean work of a request, smoothed (ns).
         self.mean_work = sum(self.class_work.values()) / max(len(self.class_work), 1)
-        self.latency_ratio = 0.0  # time to answer by latency objective, smoothed
+        self.latency_ratio = 0.0  # time to answer divided by latency objective, smoothed
         self.retry_budget = 5.0  # unspent part of RETRIES_PER_REQUEST
 
         # By request class and by tenant (see `latency_keys`).
-        self.latency_ratios = {}  # the last times to answer by latency objective
+        self.latency_ratios = {}  # the last times to answer, each divided by the latency objective
         self.lower_quartiles = {}  # the lower quartile of those
-        self.last_throttle_probe_at = {}  # when a request of a class or tenant that waits was last let in
+        self.last_throttle_probe_at = {}  # when a throttled class or tenant last had a request accepted
 
         # What is left to do.
         self.requests_to_decide = deque()  # requests to decide on
@@ -182,33 +188,35 @@
         first_call = start.now + int(self.rng.random() * spread)
         self.next_judging = start.now
         self.list_call_at = first_call if start.ask_for_list else None
-        # News that was not received counts as known after this time.
+        # After this time without a confirmation the list may no longer be relied on.
         self.max_unconfirmed_list_age = (
             start.max_unconfirmed_list_age - PROPAGATION_GRACE if start.max_unconfirmed_list_age else inf
         )
-        self.list_current_at = -inf  # the list in hand holds all that was known at this time
+        self.list_current_at = -inf  # the list contains all changes made until this time
 
         # The open pair, the release votes and the connections.
         self.pair_started_at = None
-        self.pair_outcomes = {}  # by (of the judged build?, number of the request class)
+        self.pair_outcomes = {}  # by (whether of the judged build, number of the request class)
         self.unconnected_share = 0.0  # share of attempts that got no connection, smoothed
         self.idle_time = start.idle_time - start.step
         self.has_new_outcomes = False  # outcomes came since the open pair was last judged
         self.vote_check_due = False  # a vote may be due
         self.trial_share = 0.0  # share of the load that instances on trial should get
-        self.baseline_time_per_work = 0.0  # median time by work of the last pair without a trial
+        self.baseline_time_per_work = (
+            0.0  # median time to answer divided by work, in the last pair without a trial
+        )
         self.last_vote = None  # (build, stage, verdict)
         self.next_vote_at = start.now
         self.vote_busy_until = start.now  # the answer to the last vote is awaited until then
-        self.vote_backoff = 0  # ns to wait after a vote was refused as one too many
+        self.vote_backoff = 0  # ns to wait after the platform refused a vote because it had too many
 
     # ---- inputs: these only update the state
 
     def list_received(self, now, lines, whole, fresh):
-        """The host received the list of instances, whole or only changes of it.
+        """The host received the list of instances, complete or only its changes.
 
-        `fresh` says that it is current. A list that isn't may be old, and an id in it may stand for a
-        restarted instance.
+        `fresh` says that it is current. Otherwise it may be old, and an id in it may belong to an instance
+        that has restarted since.
         """
         listed_ids = {line.id for line in lines}
         for line in lines:
@@ -230,7 +238,7 @@
             [id for id in candidates if id not in listed_ids or not self.instances[id].ready]
         )
         if self.list_current_at == -inf and self.max_unconfirmed_list_age < inf and self.list_call_at:
-            # The first list after a start: how long it is taken to be complete.
+            # The first list after a start: how long it is trusted.
             complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_TIME_DIVISOR
             complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.max_unconfirmed_list_age)
             self.list_current_at = now - self.max_unconfirmed_list_age + complete_for
@@ -246,7 +254,8 @@
     def list_failed(self, now, current):
         """A call for the list failed, or the watch of it ended; the list was current up to `current`."""
         self.list_current_at = current if self.list_current_at == inf else max(current, self.list_current_at)
-        # A failed call satisfies the rule behind max_list_call_gap for four times that gap.
+        # After a failed call the rule of max_list_call_gap allows four times that gap until the next call. At
+        # most half of that is used.
         longest = min(900 * MS, 2 * self.max_list_call_gap or 900 * MS)
         self.list_call_at = now + int(self.rng.uniform(longest / 3, longest))
 
@@ -265,8 +274,8 @@
             self.retry_budget + RETRIES_PER_REQUEST * (1 - self.latency_ratio * self.unseen_share), 20.0
         )
         if self.trial_build is not None:
-            # Instances on trial get as much load as earlier ones, by what each can do: only outcomes under
-            # like load can be compared.
+            # Instances on trial get as much load as earlier ones in proportion to their capacity, because
+            # only outcomes under similar load can be compared.
             def rate(instance):
                 return self.capacity_share(instance, now) / (instance.group.time_per_work or 1.0)
 
@@ -280,7 +289,7 @@
         self.requests_to_decide.append(request)
 
     def request_closed(self, now, request):
-        """The client left, or its answer is being streamed to it: either way nothing is left to decide."""
+        """The client left, or its answer is being streamed to it. Nothing is left to decide then."""
         request.finished = True
 
     def attempt_ended(self, now, attempt, end, took, over, report):
@@ -307,8 +316,8 @@
             for key in latency_keys(request):
                 ratios = self.latency_ratios.setdefault(key, deque(maxlen=THROTTLE_SAMPLES))
                 if took < 0.4 * objective and self.lower_quartiles.get(key, 0.0) > 0.8:
-                    # The class or tenant waits no longer. Few of its requests are let in, so the old times
-                    # would stay for long.
+                    # The class or tenant is no longer throttled. Few of its requests are accepted, so the old
+                    # times would otherwise stay for long.
                     ratios.clear()
                 ratios.append(took / objective)
                 self.lower_quartiles[key] = (
@@ -334,17 +343,17 @@
         if not throttled and (answered or end in (TIMED_OUT, CANCELLED) and slow and not written_off):
             # An error counts as the whole objective: otherwise an instance that fails at once would look fast
             # and draw all requests. This may idle an instance that fails only one kind of request.
-            spent = objective if end in (ERRED, REJECTED) else took
+            counted_time = objective if end in (ERRED, REJECTED) else took
             # The average moves by a tenth for each answer. After a pause it falls the whole way, because a
             # balancer that sheds gets few answers. It doesn't rise faster: one late answer is no overload.
-            ratio_to_objective = min(spent / objective, 2.0)
+            ratio_to_objective = min(counted_time / objective, 2.0)
             age = (now - self.latency_ratio_at) / LATENCY_RATIO_AGE
             self.latency_ratio_at = now
             self.latency_ratio += (
                 min(max(age, 0.1), 1.0) if ratio_to_objective < self.latency_ratio else 0.1
             ) * (ratio_to_objective - self.latency_ratio)
-            ratio_to_work = spent / max(request.work, 1)
-            # A light request that waited in a queue says little about the time by work.
+            ratio_to_work = counted_time / max(request.work, 1)
+            # A light request that waited in a queue says little about the time per work.
             weight = min(request.work / self.mean_work, 1) ** (1 - self.unseen_share)
             for known, rate in ((instance.group, 0.1), (instance, 0.15)):
                 known.time_per_work += (
@@ -353,14 +362,14 @@
                     else ratio_to_work
                 )
             self.class_work[number] += 0.01 * (request.work - self.class_work[number])
-        # The limit of requests in flight prevents queues at an instance, whatever fills them. It never falls
+        # The limit of requests in flight prevents queues at an instance, whatever their cause. It never falls
         # below 1, so that instances that are slow but idle still get requests.
         if (
             end == REJECTED
             or not throttled
             and instance.time_per_work * self.class_work[number] > objective / 2.5
         ):
-            # One overload lowers it once, however many attempts it delays.
+            # An overload lowers it only once, however many attempts it delays.
             if now - instance.limit_lowered_at > 200 * MS:
                 instance.limit_lowered_at = now
                 instance.request_limit = max(instance.request_limit * 0.8, 1.0)
@@ -374,8 +383,8 @@
             group.mean_answered_work = smoothed(group.mean_answered_work, max(request.work, 1), 0.05)
         if end == SUCCEEDED and self.never_return_to_older_build and request.key:
             instance.build.answered_keys.update({request.key, request.client_key or request.key})
-        # Answers speak for or against the build, and so does a request that waited in vain while others got
-        # answers. Failures of the network don't.
+        # Answers count for the build's error and latency figures. So does a request without an answer in time
+        # while the instance answered others. Failures of the network don't count.
         caused_by_build = (
             end in (SUCCEEDED, ERRED) or slow and not over and (self.unseen_share > 0.5 or not silent)
         )
@@ -393,7 +402,8 @@
         enough. It could be unfair to instances to which connecting is slow.
         """
         instance.path_failures += weight
-        # The pause fits networks and restarts, not deadlines: the instance is tried again within 3 s.
+        # The pause is chosen for network faults and restarts, not by the deadlines of requests: the instance
+        # is tried again within 3 s.
         pause = (
             min(250 * MS << min(int(instance.path_failures), 4), 3000 * MS)
             if instance.path_failures >= 1
@@ -424,9 +434,9 @@
     def vote_answered(self, now, answer):
         """The release platform answered the last vote, or didn't answer in time.
 
-        When the platform has no room for more votes, balancers without a vote to roll back ask less and less
-        often. Votes to roll back then get through, and a vote that still stands is not renewed early at the
-        cost of another.
+        When the platform has no room for more votes, balancers without a vote to roll back vote less and
+        less often. Votes to roll back then get through, and a vote that still counts is not renewed early at
+        the cost of another.
         """
         rolls_back = self.last_vote is not None and self.last_vote[2] == VERDICT_ROLL_BACK
         if answer == OVER_ALLOWANCE and not rolls_back:
@@ -481,12 +491,12 @@
         if in_flight and now < request.deadline:
             return self.retry_overdue(request, in_flight, now, host)
         # A rejected request needs budget for its next attempt. Otherwise, when all instances are full, each
-        # request would be turned away by many of them.
-        spent = any(
+        # request would be rejected by many of them.
+        is_hopeless = any(
             previous.end == BAD_REQUEST or previous.end == REJECTED and self.retry_budget < 1
             for previous in request.attempts[-1:]
         )
-        if spent or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
+        if is_hopeless or now == request.arrived and self.sheds(request, now) or now >= request.deadline:
             return self.give_up(request, host)
         self.accepted_work += request.work if now == request.arrived else 0
         if (instance := self.choose(request, now)) is not None:
@@ -495,7 +505,7 @@
         wait = int(request_class.latency_objective / 8 * min(request_class.revenue / self.mean_revenue, 1.0))
         if now >= request.arrived + wait or len(request.attempts) >= self.attempts_cap:
             return self.give_up(request, host)
-        # The longer the request has waited, the less often it is looked at.
+        # The longer the request has waited, the less often a decision on it is tried.
         until = min(request.arrived + wait, request.deadline)
         self.timers.add(min(until, now + max(JUDGE_INTERVAL // 4, (until - request.arrived) // 32)), request)
         return False
@@ -537,7 +547,7 @@
             instance.held_work -= request.work
             self.record_path_failure(instance, now, silent * min(0.5 + self.unseen_share, 1.0))
             if silent:
-                # With few attempts this is the best sign there is; an answer that still comes clears it.
+                # With few attempts this is the best evidence of a lost path. A later answer resets it.
                 instance.group.loss_rate += 0.2 * (1 - instance.group.loss_rate)
                 pause = int((request.deadline - now) * self.unseen_share)
                 instance.avoided_until = max(instance.avoided_until, now + pause)
@@ -560,7 +570,7 @@
         """
         request = attempt.request
         group = attempt.instance.group
-        # Half of the usual time is waiting, which heavy and light requests share.
+        # Half of the usual time is spent waiting, which is the same for heavy and light requests.
         usual_time = (
             group.answer_time * (1 + request.work / group.mean_answered_work) / 2
             if group.mean_answered_work
@@ -592,7 +602,7 @@
         """Returns the instance for the next attempt, or None.
 
         Among the instances that may be used it is the cheapest one: untried before tried, and the build that
-        is due an attempt first. `whole` looks at all instances instead of this balancer's part of the ring.
+        is due an attempt first. `whole` considers all instances instead of this balancer's part of the ring.
         """
         tried = [attempt.instance for attempt in request.attempts]
         trial_due = (
@@ -608,11 +618,11 @@
             # Connections are scarce or slow, or instances died: keep to those with an open connection.
             pool = pool.open(now) or pool
         if not whole and len(pool) > (
-            stretch := max(MIN_SUBSET_SIZE, int(self.idle_time / 8 / (self.request_gap + 1)))
+            subset_size := max(MIN_SUBSET_SIZE, int(self.idle_time / 8 / (self.request_gap + 1)))
         ):
             # With many balancers and instances each attempt would need a new connection. Keeping to a part
             # of the ring avoids that, at the price of some imbalance.
-            pool = islice((candidate for candidate in pool if now >= candidate.avoided_until), stretch)
+            pool = islice((candidate for candidate in pool if now >= candidate.avoided_until), subset_size)
         best = least = None
         for instance in pool:
             rank = (
@@ -634,7 +644,8 @@
         request for which another instance has room.
         """
         if self.is_throttled_everywhere(request):
-            # The request would only occupy a slot. One is let in every two objectives, to see when this ends.
+            # The request would only occupy a slot. One is accepted every two latency objectives, to find out
+            # when the throttling ends.
             keys = latency_keys(request)
             pause = 2 * request.request_class.latency_objective
             if now < max(self.last_throttle_probe_at.get(key, 0) for key in keys) + pause:
@@ -645,9 +656,10 @@
         return excess > 0 and self.rng.random() < excess**weight
 
     def is_throttled_everywhere(self, request):
-        """Returns whether only the request's class or tenant waits, and does so at all instances.
+        """Returns whether the request's class or tenant is slow at all instances while others are quick.
 
-        Its times then say nothing about an instance or a build.
+        Something that all instances share then throttles it, and its times say nothing about an instance or
+        a build.
         """
         own_quartile = max(self.lower_quartiles.get(key, 0.0) for key in latency_keys(request))
         return own_quartile > 0.8 and min(self.lower_quartiles.values()) < 0.4
@@ -656,9 +668,9 @@
         """Returns the expected time to answer (ns), with random variation.
 
         It grows with the work that the instance holds. The instance's own figures lose weight against its
-        group's as they age. The less of the load this balancer sees, the larger the variation. With few
-        attempts of its own it finds a lost zone sooner than each lost instance. The time until a connection
-        is free is added.
+        group's as they age. The less of the load this balancer sees, the larger the variation. A balancer
+        with few attempts notices a lost zone before it notices each lost instance, so the loss rate is that
+        of the group. The time until a connection is free is added.
         """
         time_per_work = instance.group.time_per_work or 1.0
         if instance.time_per_work:
@@ -680,14 +692,14 @@
         """Returns whether the instance looks healthy and has room for the request."""
         request_class = request.request_class
         barred = instance.held_work >= instance.request_limit * self.mean_work or now < instance.avoided_until
-        # After a failure of the path one request at a time tests it, and none that must not run twice.
+        # After a failure of the path one request at a time tests it, and never a non-idempotent one.
         under_test = instance.path_failures >= 1 and (
             instance.in_flight or request_class.effect == NON_IDEMPOTENT
         )
         if barred or under_test or self.avoids_build(instance.build, request_class):
             return False
         quiet_time = now - instance.quiet_since if instance.in_flight else 0
-        # Below 300 ms `retry_overdue` goes by the latency objective alone.
+        # For shorter times `retry_overdue` suffices, which uses the latency objective.
         return quiet_time <= max(
             4 * (instance.group.time_per_work or 2.0) * self.class_work[request_class.number], 300 * MS
         )
@@ -708,8 +720,8 @@
 
     def may_attempt(self, request, instance, now):
         """Returns whether the rules allow an attempt. Every attempt is checked here, whatever its reason."""
-        spent = now >= request.deadline or len(request.attempts) >= self.attempts_cap
-        if spent or not self.listing_valid(instance, now):
+        is_over = now >= request.deadline or len(request.attempts) >= self.attempts_cap
+        if is_over or not self.listing_valid(instance, now):
             return False
         request_class = request.request_class
         may_have_run = [attempt for attempt in request.attempts if attempt.end not in NEVER_RAN]
@@ -739,9 +751,10 @@
     def listing_valid(self, instance, now):
         """Returns whether the instance is ready as far as this balancer has to know.
 
-        This guards against drains of which discovery could not inform this gateway. An instance whose
-        connections date from a time at which all news counted as known had not been drained
-        DRAIN_ANSWER_TIME before. It could leave no usable instance.
+        This guards against drains of which discovery could not inform this gateway. If a connection has been
+        open since the list was last certain to be complete, and the instance answered on it at time t, then
+        the instance had not been drained by DRAIN_ANSWER_TIME before t. With an old list no instance may be
+        usable.
         """
         proven_until = (
             instance.proven_up_until(
@@ -769,7 +782,7 @@
         fit = not request.finished and now < deadline and self.instances.get(instance.id) is instance
         fit = fit and self.listing_valid(instance, now) and not self.returns_to_older_build(request, instance)
         if fit and self.on_trial(instance.build):
-            # It counts against the cap from now on, as it may have waited longer than the cap's window.
+            # It counts against the cap from now on, because it may have waited longer than the cap's window.
             sent_times = [
                 instance.build.sent_times.setdefault(key, deque()) for key in self.cap_keys(request)
             ]
@@ -867,7 +880,8 @@
         )
         if trial is not self.trial_build or judged is not self.judged_build:
             if trial is not None and trial is not self.trial_build:
-                # A random start: over all balancers, small shares of little traffic then add up.
+                # A random start: balancers that are each due less than one attempt then still send the right
+                # number in total.
                 trial.attempt_credit = self.rng.random()
             self.trial_build = trial
             self.judged_build = judged
@@ -884,10 +898,10 @@
         self.comparable_kinds = earlier_kinds.intersection(judged.kinds) if judged else set()
 
     def record_outcome(self, now, instance, request, end, took):
-        """Adds an outcome to the open pair: (time by work, whether it is an error, the instance)."""
+        """Adds an outcome to the open pair: (time divided by work, whether it is an error, the instance)."""
         of_judged = instance.build is self.judged_build
         warmth = self.warmth(instance, now)
-        # Only like instances are compared: of the same kinds, and earlier builds only on warm ones.
+        # Only similar instances are compared: of the same kinds, and earlier builds only on warm ones.
         if (not self.comparable_kinds or instance.kind in self.comparable_kinds) and (
             of_judged or warmth == 1
         ):
@@ -952,8 +966,8 @@
             [instance.service_time for instance in fit if (instance.build is build) is side]
             for side in (False, True)
         ]
-        # Few instances on trial may have a queue that is not the build's fault. If service times are
-        # reported, a longer time to answer only counts together with a longer service time.
+        # If only few instances are on trial, they may have a queue for other reasons than the build. If
+        # service times are reported, a longer time to answer only counts together with a longer service time.
         alike = all(service_times) and median(service_times[1]) <= median(service_times[0]) * (
             1 + SERVICE_TIME_TOLERANCE
         )
@@ -972,8 +986,8 @@
                 figures[number, "errors"] = error_figures(
                     outcomes, self.pair_outcomes.get((False, number), ())
                 )
-        # Whether the trial slows earlier builds: their service times by those before it. The lower quartile
-        # is used because other programs slow down some instances.
+        # Whether the trial slows earlier builds: their service times divided by those before it. The lower
+        # quartile is used because other programs slow down some instances.
         increases = sorted(
             instance.service_time / instance.usual_service_time
             for instance in fit
@@ -1039,8 +1053,8 @@
     def mark_bad(self, build, why, known, lasting):
         """Marks a build as bad and logs why, unless that was `known`.
 
-        What thin evidence shows (`lasting` is false) only holds until the next look: over many looks false
-        alarms would add up.
+        A result from few outcomes (`lasting` is false) only holds until the next test, because false alarms
+        would add up over many tests.
         """
         self.log_lines.extend([] if known else [f"build {build.number} bad: {why}"])
         build.provisionally_bad = True
@@ -1052,13 +1066,13 @@
             return VERDICT_ROLL_BACK
         if build.phase != ON_TRIAL or self.automatic_stages:
             return VERDICT_HOLD if build.in_doubt and build.phase == ON_TRIAL else None
-        # Without any pair there is no verdict until one has been open for the time of two: an old list must
-        # not promote a build that this balancer has not met.
+        # Without any pair there is no verdict until one has been open for the time of two: with an old
+        # list, this balancer must not promote a build of which it has no outcomes.
         unmet = not build.pairs and (
             self.pair_started_at is None or now < self.pair_started_at + 2 * PAIR_TIME
         )
-        # Promoting means that earlier instances stop. A balancer with an old list may not know the instances
-        # to come, and one that has just started has no answers yet to what it sent in this stage.
+        # After a promotion earlier instances stop. A balancer with an old list may not know their successors,
+        # and one that has just started has no answers yet to what it sent in this stage.
         earliest = build.stage_began_at + (
             self.min_last_stage_time if build.cap >= 1 else self.min_stage_time
         )
@@ -1069,7 +1083,8 @@
             or self.list_call_at is not None
         ):
             return None
-        # Errors that are too few for most pairs, as of a build that fails late, still prevent a promotion.
+        # Errors that are too few to show in most pairs still prevent a promotion, such as those of a build
+        # that fails after a time.
         earlier, ours, *_ = error_figures(list(build.recent_outcomes) + self.pooled(True), self.pooled(False))
         return VERDICT_PROMOTE if ours - earlier <= ERROR_TOLERANCE else None
 
@@ -1097,7 +1112,7 @@
 
 
 def median_time_per_work(outcomes):
-    """Returns the median time by work of these outcomes."""
+    """Returns the median of time to answer divided by work over these outcomes."""
     return median(time for time, _, _ in outcomes)
 
 
@@ -1114,7 +1129,8 @@
     """Returns the outcomes without those of one faulty instance, if there is one.
 
     An instance is faulty if it errs more than three times as often as those that have run at least as long.
-    A build that fails late fails on its oldest instance first, which therefore stays in.
+    A build that fails after a time fails on its oldest instance first, so younger instances don't count as
+    peers.
     """
     instances = list(dict.fromkeys(outcome[2] for outcome in outcomes))
     worst = max(
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -74,10 +74,10 @@
     bake: int = 0  # the shortest time of a stage
     vote_lifetime: int = 0  # a vote lapses after this
     vote_timeout: int = 0  # of a call to the release platform
-    votes_per_s: float = 0.0  # that the platform takes from all gateways
+    votes_per_s: float = 0.0  # that the platform accepts from all gateways
     window: int = 0  # of the exposure cap
-    attempts_above_cap: float = 0.0  # in a window, beyond the cap
-    per_class: bool = False  # the cap counts each request class apart
+    attempts_above_cap: float = 0.0  # attempts in a window that the cap does not limit
+    per_class: bool = False  # the cap is counted for each request class separately
     idempotent_only_stages: int = 0  # in these first stages a build on trial gets idempotent requests only
     never_return_to_older_build: bool = False  # a key that a build has answered must not go to an older one
     caps: list = field(default_factory=list)  # by stage: the share of requests that a build on trial may get
@@ -94,17 +94,18 @@
     now: int
     seed: int  # of its random numbers
     balancer_index: int = 0
-    balancers: int = 1  # how many there are
+    balancers: int = 1  # number of balancers
     zone: int = 0
     step: int = 0  # events may be reported up to this much late
     request_classes: list = field(default_factory=list)
-    tenant_shares: list = field(default_factory=list)  # requests a second over all gateways
+    tenant_shares: list = field(default_factory=list)  # requests per second over all gateways
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False  # the balancer has to call for the list
     # Without a watch or call for this long, the gateway counts as knowing everything listed; 0: no such rule.
     max_list_call_gap: int = 0
-    # News counts as known this long after discovery has it, received or not; 0: only once it is received.
+    # The longest time for which the list may be used without confirmation. Afterwards the gateway counts as
+    # knowing what discovery knows, received or not; 0: it only counts as knowing what it has received.
     max_unconfirmed_list_age: int = 0
     attempts_cap: int = 1  # attempts that a request may get
     may_cancel: bool = False
@@ -175,7 +176,7 @@
 
 
 class BalancerHost(Protocol):
-    """What a balancer may ask its host to do; each call takes effect at once."""
+    """The calls by which a balancer acts through its host. Each takes effect immediately."""
 
     def attempt(self, request: Request, instance_id: int, time_out: int) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -13,7 +13,7 @@
 
 
 def prune_and_count(times, since):
-    """Drops the times up to `since` from the front of a deque and returns how many are left."""
+    """Removes the times up to `since` from the front of a deque and returns how many are left."""
     while times and times[0] <= since:
         times.popleft()
     return len(times)
@@ -28,10 +28,10 @@
     __slots__ = "time_per_work", "loss_rate", "answer_time", "mean_answered_work"
 
     def __init__(self):
-        self.time_per_work = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.time_per_work = 0.0  # time to answer divided by work, smoothed; 0: not known yet
         self.loss_rate = 0.0  # share of attempts that were lost on the way, smoothed
         self.answer_time = 0.0  # time that successful answers took, smoothed (ns)
-        self.mean_answered_work = 0.0  # their work, smoothed (ns)
+        self.mean_answered_work = 0.0  # mean work of successfully answered requests, smoothed (ns)
 
 
 class InstanceState:
@@ -81,24 +81,24 @@
         self.ring_position = 0  # the same at every balancer; set by `InstanceTable.put`
         self.ready = True
         self.held_work = 0  # work of the attempts in flight
-        self.quiet_since = now  # time of its last answer, or of the first attempt after it was idle
+        self.quiet_since = now  # when it last answered, or when an attempt was sent to it while idle
         self.newest_answered_sent_at = 0  # when the latest of the attempts that it answered was sent
         # Between these two times it was up without a break, as the connections to it show.
         self.up_from = 0
         self.up_until = 0
-        self.time_per_work = 0.0  # time to answer by work, smoothed; 0: not known yet
+        self.time_per_work = 0.0  # time to answer divided by work, smoothed; 0: not known yet
         self.request_limit = request_limit  # requests of mean work that it may hold for this balancer
         self.limit_lowered_at = 0
         self.service_time = 0.0  # as it reports it, smoothed (ms)
         self.usual_service_time = 0.0  # the same, updated only while no build is on trial
         self.error_count = 0
         self.answer_count = 0  # errors included
-        self.connection_open_until = 0  # as far as the host's settings tell
-        self.connection_free_at = 0  # when its next unused connection may be used, as last reported
+        self.connection_open_until = 0  # assuming the configured idle timeout; 0: not known
+        self.connection_free_at = 0  # when a pooled connection to it may be used again, as last reported
         self.path_failures = 0  # failures of the path to it since its last answer
         self.avoided_until = 0
-        # While it is cold: the balancer's accepted work when it last got a request, and how much more work
-        # has to be accepted before the next one.
+        # While it is cold: the balancer's total accepted work when this instance last got a request, and the
+        # additional work that has to be accepted before it gets another.
         self.accepted_work_at_last_request = accepted_work_at_last_request
         self.cold_work_interval = cold_work_interval
 
@@ -131,22 +131,24 @@
         self.phase = ON_TRIAL
         self.sent_times = {}  # by cap key: when the attempts within the cap's window were sent
         self.answered_keys = set()  # idempotency keys that it answered, kept where they matter
-        self.attempt_credit = 0.0  # attempts that it should get, by its instances' share of the load
+        self.attempt_credit = (
+            0.0  # attempts that it should get, in proportion to its instances' share of the load
+        )
         self.stage_began_at = 0
-        self.seen_on_trial = False  # if so, an earlier build exists
+        self.seen_on_trial = False  # a build that was never on trial may be the only one, so it gets no votes
         self.pairs = deque(maxlen=max_pairs)  # of the last closed pairs: figures by (request class, metric)
         self.recent_outcomes = deque(maxlen=max_outcomes)  # its last outcomes in closed pairs
         self.answer_count = 0
         self.wrong_answers = 0  # answers that clients reported as wrong
         self.in_doubt = False  # a median breaches its bound
-        self.bad = False  # found bad for good
+        self.bad = False  # found bad permanently
         self.provisionally_bad = False  # found bad on an open pair; the trial goes on
         self.ring = []  # its instances in the order of the ring
         self.kinds = Counter()  # how many of its instances are of each kind
         self.start_times = []  # of its instances, in ascending order
 
     def update_instances(self, gone, added):
-        """Takes out instances that no longer run it and puts in those that now do."""
+        """Removes instances that no longer run it and adds those that now do."""
         self.ring = updated_ring(self.ring, gone, added)
         self.kinds.update(instance.kind for instance in added)
         self.kinds.subtract(instance.kind for instance in gone)
@@ -172,7 +174,7 @@
 
 
 class RequestTimers:
-    """The times at which requests have to be looked at again.
+    """The times at which a decision on a request is due, as a heap.
 
     When there are many timers, those of finished requests are dropped. This guards against clients whose
     deadlines are days away.
@@ -181,7 +183,7 @@
     def __init__(self):
         self.heap = []
         self.sequence = count()
-        self.cleanup_size = 1000
+        self.cleanup_size = 1000  # with this many timers, those of finished requests are dropped
 
     def __len__(self):
         return len(self.heap)
