--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -9,7 +9,7 @@
 import traceback
 from collections import deque
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import ms_to_ns
 from . import resp
 from .admission import is_stale
@@ -73,24 +73,24 @@
     end. Only the connection's own thread reads and closes it. Other threads ask that thread to, so that
     everything received by then is still answered."""
 
-    def __init__(self, sock, server, extra):
+    def __init__(self, sock, server, over_limit):
         self.sock = sock
         self.server = server
-        self.extra = extra  # it was accepted past the limit
+        self.over_limit = over_limit  # it was accepted past the limit
         self.reader = resp.Reader(commands=True)
         self.condition = threading.Condition()
         self.pending_requests = deque()  # those without a sent response, in order
         self.unsent = bytearray()
         self.writing = False  # another thread sends what the client did not take at once
         self.reason = None  # why the gateway ends the connection
-        self.reading_stopped = False
+        self.is_draining = False
         self.broken = False  # nothing more can be sent
-        self.since = time.monotonic()  # when bytes of a response were last sent or queued
+        self.last_response_at = time.monotonic()  # when bytes of a response were last sent or queued
         self.partial_since = None  # when the current partial command was first seen
         self.has_sent_command = False  # a whole command has arrived
-        self.faults = 0  # invalid commands
+        self.invalid_commands = 0  # invalid commands
         self.counted_bytes = 0  # the size of the read buffer, if it counts against the memory limit
-        self.answered = False  # it has had a response, so it is no longer a new connection
+        self.has_had_response = False  # it has had a response, so it is no longer a new connection
 
     def run(self):
         reason = "fault"
@@ -110,7 +110,7 @@
     def read(self):
         """Reads and handles commands until the connection ends. Returns the reason of the end."""
         while True:
-            if self.reading_stopped:
+            if self.is_draining:
                 with self.condition:
                     self.condition.wait_for(lambda: not (self.pending_requests or self.unsent) or self.broken)
                 return self.reason
@@ -151,11 +151,11 @@
             else MAX_IDLE_SECONDS_CROWDED
         )
         with self.condition:
-            is_expired = time.monotonic() - self.since >= (
+            is_expired = time.monotonic() - self.last_response_at >= (
                 max_idle if self.has_sent_command else MAX_COMMAND_SECONDS
             )
             if is_expired and not (self.pending_requests or self.unsent) and self.reader.empty():
-                self.stop_reading("rest" if self.has_sent_command else "silent")
+                self.shut_down_reading("rest" if self.has_sent_command else "silent")
 
     def check_partial_command(self):
         """Raises Malformed for a partial command that takes too long, and for one that would exceed the
@@ -189,7 +189,7 @@
             return self.penalize()
         pending, size = PendingRequest(self, words, None, request), sum(map(len, words))
         self.enqueue(pending)
-        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.is_over_limit()
+        dispatcher, turned_away = self.server.dispatcher, self.over_limit and self.server.is_over_limit()
         if is_stale(unread, request.deadline - request.arrived):
             turned_away = True
             self.server.counters.add("stale requests")
@@ -207,10 +207,11 @@
         """Delays the reading of more commands after an invalid one, whose error response is queued already.
         Such a client may send at full speed."""
         self.server.counters.add("bad requests")
-        self.faults += 1
+        self.invalid_commands += 1
         with self.condition:  # no delay while stopping: later commands may have no time left
             self.wait_until(
-                lambda: self.server.stopping, min(self.faults * PENALTY_SECONDS, MAX_PENALTY_SECONDS)
+                lambda: self.server.stopping,
+                min(self.invalid_commands * PENALTY_SECONDS, MAX_PENALTY_SECONDS),
             )
 
     def wait_until(self, ready, timeout=math.inf):
@@ -269,7 +270,7 @@
 
     def is_suspect(self):
         """Returns whether the client has sent no command at all, or an invalid one."""
-        return not self.has_sent_command or self.faults > 0
+        return not self.has_sent_command or self.invalid_commands > 0
 
     def is_idle(self):
         """Returns whether the connection is between requests, as far as another thread can see."""
@@ -281,9 +282,9 @@
         """Makes the client's thread close the connection if it is idle. What has arrived is read first."""
         with self.condition:
             if self.is_idle():
-                self.stop_reading(reason)
+                self.shut_down_reading(reason)
 
-    def stop_reading(self, reason):
+    def shut_down_reading(self, reason):
         self.reason = self.reason or reason
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
@@ -295,10 +296,10 @@
             while self.pending_requests and self.pending_requests[0].answer is not None:
                 pending = self.pending_requests.popleft()
                 self.unsent += pending.answer
-                self.answered = True
+                self.has_had_response = True
                 if pending.counted_bytes:
                     self.server.reserve_bytes(-pending.counted_bytes)
-            self.since = time.monotonic()
+            self.last_response_at = time.monotonic()
             if self.unsent and not self.writing:
                 with contextlib.suppress(OSError):
                     del self.unsent[: self.sock.send(self.unsent, socket.MSG_DONTWAIT)]
@@ -333,7 +334,7 @@
             else:
                 with self.condition:
                     del self.unsent[:sent]
-                    self.since = time.monotonic()
+                    self.last_response_at = time.monotonic()
                     self.condition.notify_all()
 
     def end(self, reason):
@@ -346,7 +347,7 @@
     def ended_unserved(self):
         """Returns whether this is a new connection that sent at least part of a request and got no
         response."""
-        return not self.answered and (
+        return not self.has_had_response and (
             self.has_sent_command or not self.reader.empty() or self.has_unread_bytes()
         )
 
@@ -443,7 +444,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, seconds(SEND_TIMEOUT_SECONDS))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(READ_TIMEOUT_SECONDS))
-        client = Client(sock, self, extra=not self.make_room())
+        client = Client(sock, self, over_limit=not self.make_room())
         with self.condition:
             self.clients.add(client)
         self.counters.add("clients accepted")
@@ -481,12 +482,12 @@
             with self.condition:
                 clients = list(self.clients)
             idle = [client for client in clients if client.is_idle()]
-            idle.sort(key=lambda client: (not client.is_suspect(), client.since))
+            idle.sort(key=lambda client: (not client.is_suspect(), client.last_response_at))
             self.idle_clients, self.idle_clients_until = deque(idle), time_now + MIN_IDLE_SECONDS_SUSPECT
         while self.idle_clients:
             client = self.idle_clients.popleft()
             needed = MIN_IDLE_SECONDS_SUSPECT if client.is_suspect() else min_idle
-            if client.since < time_now - needed and client.is_idle():
+            if client.last_response_at < time_now - needed and client.is_idle():
                 return client
         return None
 
@@ -528,7 +529,7 @@
             clients = list(self.clients)
         new_since = time.monotonic() - MIN_IDLE_SECONDS_SUSPECT
         for client in clients:
-            if client.has_sent_command or client.since < new_since:
+            if client.has_sent_command or client.last_response_at < new_since:
                 client.close_when_idle("stopping")
         return bool(clients)
 
@@ -543,7 +544,7 @@
                 requests = client.unanswered_requests()
                 if not any(request.arrived > since for request in requests):
                     continue
-                client.reading_stopped, client.reason = True, client.reason or "stopping"
+                client.is_draining, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
             self.dispatcher.handle(self.dispatcher.abort_requests, requests)
 
@@ -563,14 +564,14 @@
             or not (wait := float(fields["d"]))
         ):
             raise ValueError("a wait or a hint that is no number")
-        if request_class.effect == at.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
+        if request_class.effect == interface.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
             raise ValueError("an idempotency key out of bounds")
-        if (request_class.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
+        if (request_class.effect == interface.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this request class goes by the other command")
         tenant = self.config.tenants.get(fields.get("t"), -1)
         deadline = arrived + ms_to_ns(wait)
         work, repeat = int(float(hint) * 1e3), fields.get("r") == "1"
-        request = at.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
+        request = interface.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.request_rules is not None:
             self.request_rules.apply(arrived, request, words, fields)
         return request
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import EFFECTS, InvalidSettings, SettingsReader, describe_value, start_from_settings
 from .platform import PHASES
 
@@ -41,7 +41,7 @@
     platform: tuple | None
     connections: int  # descriptors for clients and instances, half for each
     memory: int  # the memory limit in bytes
-    start: at.StartSettings
+    start: interface.StartSettings
     request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import ms_to_ns
 from . import http
 from .config import MAX_LIST_DELAY_NS, address, now
@@ -144,7 +144,7 @@
         """Returns the version, the lines of the list, and the instances' addresses and start times of one of
         discovery's objects. Empties the object's list of entries, because a whole list is large and need not
         be in memory twice. Raises ValueError, TypeError, KeyError, AttributeError or ArithmeticError."""
-        states = {"up": at.READY, "draining": at.DRAINING, "removed": at.GONE}
+        states = {"up": interface.READY, "draining": interface.DRAINING, "removed": interface.GONE}
         lines, addresses, ports = [], {}, {}
         entries, update["servers"] = [*update["servers"]], None
         entries.reverse()
@@ -158,7 +158,7 @@
                 for name, otherwise in (("revision_no", 0), ("cell", 0), ("weight", 1.0), ("started_ms", 0))
             )
             lines.append(
-                at.Instance(
+                interface.Instance(
                     id,
                     self.config.zones.get(entry.get("zone"), -1),
                     self.config.kinds.get(entry.get("kind"), -1),
@@ -170,7 +170,7 @@
                 )
             )
             instance_address = None
-            if state == at.READY:
+            if state == interface.READY:
                 host, port = address(entry["addr"])
                 # Most instances have the same port, so they share one int object.
                 instance_address = host, ports.setdefault(port, port)
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -3,7 +3,7 @@
 import threading
 import traceback
 
-from .. import interface as at
+from .. import interface
 from ..balance import Balancer
 from ..start_settings import NS_PER_MS
 from . import resp
@@ -13,7 +13,7 @@
 MAX_FAULTS = 8
 MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS_PER_MS  # the timer does not ask again sooner than this
 # The ends of attempts of which no instance received the whole request.
-UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)
+UNWRITTEN = (interface.UNCONNECTED, interface.NOT_SENT)
 
 
 class Dispatcher:
@@ -125,7 +125,7 @@
                 self.balancer.request_closed(time_now, request)
 
     def attempt_ended(self, time_now, attempt, end, value):
-        if end == at.SUCCEEDED and attempt.request in self.pending_requests:
+        if end == interface.SUCCEEDED and attempt.request in self.pending_requests:
             self.answer(attempt.request, "succeeded", resp.bulk(value))
         self.counters.add(f"attempts {end}")
         if self.service is not None:
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -9,7 +9,7 @@
 import time
 import traceback
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
@@ -23,7 +23,7 @@
 # instance more.
 REUSE_DELAY_NS = 10 * NS_PER_MS
 # The ends of attempts that received a whole response.
-ANSWERED = (at.SUCCEEDED, at.ERRED, at.REJECTED, at.BAD_REQUEST)
+ANSWERED = (interface.SUCCEEDED, interface.ERRED, interface.REJECTED, interface.BAD_REQUEST)
 
 
 class Connection:
@@ -184,7 +184,7 @@
         try:
             self.thread_pool.submit(self.run, in_flight)
         except RuntimeError:  # the system gives no thread
-            self.finish(in_flight, at.NOT_SENT, None)
+            self.finish(in_flight, interface.NOT_SENT, None)
 
     def cancel(self, attempt):
         with self.lock:
@@ -206,7 +206,7 @@
             end, value = self.execute(in_flight)
         except Exception:  # an attempt always ends, and one that may have run never ends as not sent
             self.dispatcher.fault(traceback.format_exc())
-            end, value = (at.RESET if in_flight.begun else at.UNCONNECTED), None
+            end, value = (interface.RESET if in_flight.begun else interface.UNCONNECTED), None
         unread = unread_for(in_flight.connection.sock) if end in ANSWERED else 0
         in_flight.attempt.took = max(now() - started_at - unread, 0)
         self.finish(in_flight, end, value)
@@ -216,11 +216,13 @@
         connection, pool, ended = in_flight.connection, in_flight.pool, []
         with self.lock:
             del self.attempts_in_flight[in_flight.attempt]
-            clean = end in (at.SUCCEEDED, at.ERRED, at.REJECTED, at.NOT_SENT)
+            clean = end in (interface.SUCCEEDED, interface.ERRED, interface.REJECTED, interface.NOT_SENT)
             keep = clean and not (in_flight.begun and in_flight.cancelled)
             more = keep and connection is not None and not connection.reader.empty()
             if connection is not None and keep and not more and not pool.closed:
-                if end == at.NOT_SENT:  # the instance's idle timer was not reset, so ours is not either
+                if (
+                    end == interface.NOT_SENT
+                ):  # the instance's idle timer was not reset, so ours is not either
                     pool.unused.insert(0, connection)
                 else:
                     connection.idle_since = now()
@@ -228,7 +230,11 @@
             elif connection is not None:
                 # Bytes after the response would be taken for the response to the next request.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
-            if connection is not None and end in (at.TIMED_OUT, at.RESET, at.UNCONNECTED):
+            if connection is not None and end in (
+                interface.TIMED_OUT,
+                interface.RESET,
+                interface.UNCONNECTED,
+            ):
                 # A machine that vanished leaves open connections that stay silent even after it is back.
                 # For a machine that is only slow, this may close good connections, at the cost of a new
                 # connection each.
@@ -257,7 +263,7 @@
                     else self.dispatcher.write_deadline(in_flight.attempt)
                 )
                 if not by:
-                    return at.NOT_SENT, None
+                    return interface.NOT_SENT, None
                 # The last check before writing. Unexpected bytes would be taken for this request's response,
                 # and if the connection has ended, nothing of this attempt has been written.
                 if made or in_flight.connection.is_quiet():
@@ -266,7 +272,7 @@
                 in_flight.connection = None
             with self.lock:
                 if in_flight.cancelled or in_flight.pool.closed:
-                    return at.NOT_SENT, None
+                    return interface.NOT_SENT, None
                 in_flight.begun = True
             in_flight.attempt.connected_since = in_flight.connection.connected_at
             wait = max((in_flight.until - now()) // NS_PER_MS, 1)
@@ -274,7 +280,9 @@
                 resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, by)
             )
         except OSError:
-            return (at.NOT_SENT if in_flight.begun and in_flight.cancelled else at.UNCONNECTED), None
+            return (
+                interface.NOT_SENT if in_flight.begun and in_flight.cancelled else interface.UNCONNECTED
+            ), None
         with self.lock:
             in_flight.written = True
             if in_flight.cancelled:
@@ -282,11 +290,11 @@
         try:
             value = in_flight.connection.read(in_flight.until)
         except TimeoutError:
-            return at.TIMED_OUT, None
+            return interface.TIMED_OUT, None
         except resp.Malformed:
-            return at.UNREADABLE, None
+            return interface.UNREADABLE, None
         except OSError:
-            return at.CANCELLED if in_flight.cancelled else at.RESET, None
+            return interface.CANCELLED if in_flight.cancelled else interface.RESET, None
         return classify_response(value)
 
     def get_connection(self, in_flight):
@@ -349,15 +357,15 @@
     succeeded. A value that the protocol does not list ends as UNREADABLE; only the load report may be any
     value that can be parsed."""
     if type(value) is list and len(value) == 3 and type(value[0]) is bytes and value[1] is None:
-        return at.SUCCEEDED, value[0]
+        return interface.SUCCEEDED, value[0]
     if isinstance(value, resp.Fault):
         if value == b"ERR failed":
-            return at.ERRED, None
+            return interface.ERRED, None
         if value.split(b" ")[0] == b"BUSY":
-            return at.REJECTED, None
+            return interface.REJECTED, None
         if value.startswith(b"ERR ") or value == b"SYNTAX":
-            return at.BAD_REQUEST, None  # any other error is about the command
-    return at.UNREADABLE, None
+            return interface.BAD_REQUEST, None  # any other error is about the command
+    return interface.UNREADABLE, None
 
 
 def forwarded_words(words, wait):
--- a/lemonlead/gateway/platform.py
+++ b/lemonlead/gateway/platform.py
@@ -1,23 +1,23 @@
 """The platform's line protocol: a parser that is fed bytes and returns lines, and what the lines mean."""
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import ms_to_ns
 from .buffer import Buffer, Malformed
 
 MAX_LINE_BYTES = 8192
 PHASES = {
-    "trial": at.ON_TRIAL,
-    "rolling_back": at.ROLLING_BACK,
-    "released": at.RELEASED,
-    "withdrawn": at.WITHDRAWN,
+    "trial": interface.ON_TRIAL,
+    "rolling_back": interface.ROLLING_BACK,
+    "released": interface.RELEASED,
+    "withdrawn": interface.WITHDRAWN,
 }
 VERDICTS = {
-    at.VERDICT_NONE: "blank",
-    at.VERDICT_PROMOTE: "go",
-    at.VERDICT_HOLD: "stay",
-    at.VERDICT_ROLL_BACK: "stop",
+    interface.VERDICT_NONE: "blank",
+    interface.VERDICT_PROMOTE: "go",
+    interface.VERDICT_HOLD: "stay",
+    interface.VERDICT_ROLL_BACK: "stop",
 }
-REFUSALS = {"Throttling": at.OVER_ALLOWANCE, "ConditionFailed": at.MOOT}
+REFUSALS = {"Throttling": interface.OVER_ALLOWANCE, "ConditionFailed": interface.MOOT}
 
 
 class Reader:
@@ -56,7 +56,7 @@
     """Returns the outcome of a vote, and the state of the build that the response carries or None. Raises
     Malformed."""
     if words[:1] == ["OK"]:
-        return at.COUNTED, parse_stage(words[1:])
+        return interface.COUNTED, parse_stage(words[1:])
     if words[:1] == ["ERR"]:
-        return REFUSALS.get(" ".join(words[1:2]), at.VOTE_ERRED), None
+        return REFUSALS.get(" ".join(words[1:2]), interface.VOTE_ERRED), None
     raise Malformed("no answer to a vote")
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -5,7 +5,7 @@
 import time
 import traceback
 
-from .. import interface as at
+from .. import interface
 from . import platform
 from .managed_connection import ManagedConnection, read_until
 
@@ -72,7 +72,7 @@
                 outcome, news = self.send_vote(until, vote)
             except Exception:  # the thread must survive to send the next vote
                 self.dispatcher.fault(traceback.format_exc())
-                outcome, news = at.UNANSWERED, None
+                outcome, news = interface.UNANSWERED, None
             self.counters.add(f"votes {outcome}")
             build, stage, verdict = vote
             self.log.info("vote", build=build, stage=stage, verdict=platform.VERDICTS[verdict], ended=outcome)
@@ -86,12 +86,14 @@
                 sock.connect(self.connection.address)
                 sock.sendall(platform.vote_line(*vote))
             except OSError:
-                return at.VOTE_ERRED, None  # it was not counted
+                return interface.VOTE_ERRED, None  # it was not counted
             try:
                 words = self.read_words(sock, platform.Reader(), until)
-                return platform.parse_vote_response(words) if words is not None else (at.UNANSWERED, None)
+                return (
+                    platform.parse_vote_response(words) if words is not None else (interface.UNANSWERED, None)
+                )
             except (OSError, platform.Malformed):
-                return at.UNANSWERED, None  # it may have been counted
+                return interface.UNANSWERED, None  # it may have been counted
 
     def vote_answered(self, now, outcome, news):
         """Reports the outcome of a vote, and the state of the build that came with it. A state that is older
--- a/lemonlead/gateway/request_rules.py
+++ b/lemonlead/gateway/request_rules.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from .. import settings
-from .. import interface as at
+from .. import interface
 from ..matching import load
 from ..matching.request_fields import RequestFields
 from ..matching.active_rules import ActiveRules
@@ -111,7 +111,7 @@
     def request_fields(self, request, words, fields):
         """Returns a function that gives the request's fields for a rule set's declared limits. The fields are
         those that the client sent; what rules change later does not show in them."""
-        stamped = request.request_class.effect == at.DEDUPLICATED or bool(fields.get("k"))
+        stamped = request.request_class.effect == interface.DEDUPLICATED or bool(fields.get("k"))
         values = (
             COMMANDS[words[0].upper()],
             request.key,
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -427,7 +427,7 @@
     def ends(reader):
         words = next_of(reader)
         if reader is ours.reader and words is not resp.MORE:
-            ours.stop_reading(reason)
+            ours.shut_down_reading(reason)
         return words
 
     with gateway(tmp_path, server) as ran:
@@ -515,7 +515,7 @@
             assert client.ask().read() == b"aa"
         monkeypatch.setattr(clients.Client, "end_if_idle", decided)
         ours = ran.ours(client)
-        ours.since = time.monotonic() - 60
+        ours.last_response_at = time.monotonic() - 60
         assert client.read() == b"late" and client.read() is None and ours.reason == reason
         assert ran.count("new connections ended in vain") == 0
 
@@ -655,11 +655,14 @@
 def test_idle_time_starts_after_a_slowly_read_response(tmp_path):
     with gateway(tmp_path, InstanceServer().start()) as ran:
         client, ours, slow = held(ran)
-        ours.since, resumed = time.monotonic() - 60, time.monotonic()  # sending has taken a minute so far
+        ours.last_response_at, resumed = (
+            time.monotonic() - 60,
+            time.monotonic(),
+        )  # sending has taken a minute so far
         slow.go.set()
         assert client.read() == b"aa"
         until(lambda: not ours.writing)
-        assert ours.since >= resumed
+        assert ours.last_response_at >= resumed
 
 
 # ---- one id in two requests
--- a/tests/test_crossings_stop.py
+++ b/tests/test_crossings_stop.py
@@ -148,7 +148,7 @@
 leave = Client.close_when_idle
 
 def late(client, reason):
-    while client.answered and client.reason is None and not client.pending_requests:
+    while client.has_had_response and client.reason is None and not client.pending_requests:
         if select.select([client.sock], [], [], 0.001)[0]:
             break
     leave(client, reason)
@@ -228,7 +228,7 @@
     ours, theirs = socket.socketpair()
     gateway_server = SimpleNamespace(clients=set(), condition=threading.Condition())
     client = Client(ours, gateway_server, False)
-    client.has_sent_command, client.since = (
+    client.has_sent_command, client.last_response_at = (
         asked,
         time.monotonic() + (-before if before else 60),
     )  # so that no time limit matters
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -272,7 +272,7 @@
     config = SimpleNamespace(connections=16, memory=16000, listen=("127.0.0.1", 0))
     server, (ours, theirs) = Server(config, None, None, SilentLog(), Counters()), socket.socketpair()
     client, server.clients = Client(ours, server, False), set(range(others))
-    client.has_sent_command, client.since = asked, time.monotonic() - rested
+    client.has_sent_command, client.last_response_at = asked, time.monotonic() - rested
     client.end_if_idle()
     assert client.reason == ends
     server.listener.close()
@@ -286,9 +286,12 @@
     pairs = [socket.socketpair() for _ in range(2)]
     clients = [Client(ours, server, False) for ours, _ in pairs]
     for number, client in enumerate(clients):
-        client.has_sent_command, client.since = True, number  # both are idle for long, the first for longer
+        client.has_sent_command, client.last_response_at = (
+            True,
+            number,
+        )  # both are idle for long, the first for longer
         client.close_when_idle = lambda reason, number=number: left.append(number)
-    clients[1].has_sent_command, clients[1].faults = asked, faults
+    clients[1].has_sent_command, clients[1].invalid_commands = asked, faults
     server.clients = set(clients)
     assert server.make_room() and left == [gone]
     server.listener.close()
