--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonlead.gateway`: runs one gateway, as its environment and configuration file say."""
+"""`python -m lemonlead.gateway`: runs one gateway, configured by its environment and configuration file."""
 
 import errno
 import os
@@ -89,7 +89,7 @@
     threads += [releases.run_news, releases.run_votes] if config.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
-    if config.pushed:  # no request is served by the list from before the start, if discovery can be reached
+    if config.pushed:  # if discovery can be reached, no request is served with the list from before the start
         discovery.request_list()
         until = time.monotonic() + FIRST_LIST_SECONDS
         while not (is_ending() or discovery.first_result.wait(POLL_SECONDS)) and time.monotonic() < until:
@@ -196,7 +196,7 @@
 
 def stop(server, dispatcher, log, follower):
     """Serves what still arrives, then closes idle connections and finishes the accepted requests. At the end
-    the follower tells the ledger that this gateway sends no more. A request that arrives by the end of
+    the follower notifies the ledger that this gateway sends no more. A request that arrives by the end of
     LINGER_SECONDS has until its deadline. A later one, on a connection that was never idle, has until the
     earliest time of SIGKILL. The process ends LINGER_SECONDS, the longest deadline and LAST_RESPONSES_SECONDS
     after SIGTERM at the latest, besides the time that the ledger takes."""
@@ -208,13 +208,13 @@
     closing = time.monotonic() + LINGER_SECONDS
     soon, until = closing + min(longest, MAX_COUNTED_DEADLINE_SECONDS), closing + longest
     time.sleep(LINGER_SECONDS)
-    late = configs.now()
+    accepting_until = configs.now()
     server.close()
     while server.close_idle() or not server.closed.is_set() or dispatcher.pending_requests:
         if (time_now := time.monotonic()) >= until + LAST_RESPONSES_SECONDS:
             break
         if time_now >= soon:
-            server.abort_requests_after(late if time_now < until else 0)
+            server.abort_requests_after(accepting_until if time_now < until else 0)
         time.sleep(POLL_SECONDS)
     return finish(dispatcher, log, follower, until + LAST_RESPONSES_SECONDS)
 
--- a/lemonlead/gateway/admission.py
+++ b/lemonlead/gateway/admission.py
@@ -1,8 +1,8 @@
 """Decides which requests to reject because the gateway itself is behind with reading. No I/O and no clock:
 the caller measures the times, in nanoseconds."""
 
-# The share of its wait for which a request may have lain unread. Past half, the time that it has left is less
-# than the delay of all requests behind it. Served in turn, each of them would end just too late.
+# The share of its wait for which a request may have lain unread. Past half, its remaining time is shorter
+# than the delay of all requests behind it. If they were served in order, each would end just too late.
 MAX_UNREAD_SHARE = 0.5
 
 
--- a/lemonlead/gateway/buffer.py
+++ b/lemonlead/gateway/buffer.py
@@ -1,6 +1,8 @@
 """A buffer for the bytes that a connection has received and its parser has not used yet."""
 
-RETAINED_BYTES = 8192  # an empty buffer shrinks to this, so that one large command takes no memory for good
+RETAINED_BYTES = (
+    8192  # an empty buffer shrinks to this, so that one large command does not hold memory permanently
+)
 
 
 class Malformed(ValueError):
@@ -58,11 +60,11 @@
     def line(self, max_length):
         """Removes and returns the next line without its CRLF. Returns None until it is complete. Raises
         Malformed if it is longer than `max_length` bytes."""
-        at = self.data.find(b"\r\n", self.start, self.end)
-        if (len(self) if at < 0 else at - self.start) > max_length:
+        index = self.data.find(b"\r\n", self.start, self.end)
+        if (len(self) if index < 0 else index - self.start) > max_length:
             raise Malformed(f"a line of over {max_length} bytes")
-        if at < 0:
+        if index < 0:
             return None
-        line = bytes(self.data[self.start : at])
-        self.start = at + 2
+        line = bytes(self.data[self.start : index])
+        self.start = index + 2
         return line
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -29,12 +29,13 @@
 # connection. The shorter time holds once half the limit is in use.
 MAX_IDLE_SECONDS = 2.0
 MAX_IDLE_SECONDS_CROWDED = 0.25
-# The time without a request after which a connection may be closed to make room: one that never sent a valid
-# request, any other at the limit, and any other past the extra connections. The next request may be on its
-# way, and more probably so soon after the last response.
-MIN_IDLE_SECONDS_SUSPECT = 0.1
-MIN_IDLE_SECONDS = 0.5
-MIN_IDLE_SECONDS_FULL = 0.05
+# The time without a request after which a connection may be closed to make room. The shorter it is, the more
+# probable it is that the next request is already on its way.
+MIN_IDLE_SECONDS_SUSPECT = 0.1  # of a client that sent no command or an invalid one
+MIN_IDLE_SECONDS = 0.5  # of other clients, when the limit is reached
+MIN_IDLE_SECONDS_FULL = 0.05  # of other clients, when the extra connections are used too
+THREAD_RETRY_SECONDS = 0.05  # between attempts to start a thread
+ROOM_CHECK_SECONDS = 0.05  # between checks for an idle connection while all connections are used
 # After malformed input: how long earlier requests are waited for, and how many bytes are still read, for how
 # long, so that the client receives the error.
 ERROR_WAIT_SECONDS = 0.5
@@ -81,7 +82,7 @@
         self.condition = threading.Condition()
         self.pending_requests = deque()  # those without a sent response, in order
         self.unsent = bytearray()
-        self.writing = False  # another thread sends what the client did not take at once
+        self.writing = False  # another thread sends what the socket did not accept immediately
         self.reason = None  # why the gateway ends the connection
         self.is_draining = False
         self.broken = False  # nothing more can be sent
@@ -121,7 +122,7 @@
             else:
                 if not count and (self.reason is None or self.broken or self.is_done()):
                     return self.reason or CLIENT_CLOSED
-                if not count:  # the gateway ends the connection, and the client sent before it could know
+                if not count:  # the gateway ends the connection; the client may not have known when it sent
                     with self.condition:
                         self.wait_until(lambda: not (self.pending_requests or self.unsent))
                     if not self.reader.empty():
@@ -142,8 +143,8 @@
 
     def end_if_idle(self):
         """Ends the connection if it has been idle, or without a first command, for too long. What has arrived
-        by then is read first. Clients may have a connection limit of their own, and those that hold idle
-        connections lock out the others long before our limit is reached. A connection that would have been
+        by then is read first. Clients may have a connection limit of their own, and idle
+        connections use it up long before our limit is reached. A connection that would have been
         used again may be closed; its client reconnects."""
         max_idle = (
             MAX_IDLE_SECONDS
@@ -160,7 +161,7 @@
     def check_partial_command(self):
         """Raises Malformed for a partial command that takes too long, and for one that would exceed the
         memory limit of all clients. Bytes that arrived while this thread was delayed are read before the
-        command counts as late; this ends, because a command's length is limited."""
+        command counts as too slow. This ends, because a command's length is limited."""
         if self.reader.empty():
             self.partial_since = None
         elif self.partial_since is None:
@@ -204,11 +205,11 @@
             self.penalize()
 
     def penalize(self):
-        """Delays the reading of more commands after an invalid one, whose error response is queued already.
-        Such a client may send at full speed."""
+        """Delays the reading of more commands after an invalid one, because such a client may send at full
+        speed. The error response is queued already."""
         self.server.counters.add("bad requests")
         self.invalid_commands += 1
-        with self.condition:  # no delay while stopping: later commands may have no time left
+        with self.condition:  # no delay while stopping, because later commands may have no time left
             self.wait_until(
                 lambda: self.server.stopping,
                 min(self.invalid_commands * PENALTY_SECONDS, MAX_PENALTY_SECONDS),
@@ -243,8 +244,8 @@
             self.flush()
 
     def reject_malformed(self, error):
-        """Answers malformed input with an error, soon even if earlier requests wait, and ends the
-        connection."""
+        """Answers malformed input with an error and ends the connection. Earlier requests get at most
+        ERROR_WAIT_SECONDS to finish; then they are aborted."""
         with self.condition:
             self.wait_until(lambda: not self.pending_requests, ERROR_WAIT_SECONDS)
             if self.broken:
@@ -290,8 +291,8 @@
             self.sock.shutdown(socket.SHUT_RD)
 
     def flush(self):
-        """Sends the responses that are next in order. A thread of the pool sends what the client does not
-        take at once."""
+        """Sends the responses that are next in order. A thread of the pool sends what the socket does not
+        accept immediately."""
         with self.condition:
             while self.pending_requests and self.pending_requests[0].answer is not None:
                 pending = self.pending_requests.popleft()
@@ -338,7 +339,7 @@
                     self.condition.notify_all()
 
     def end(self, reason):
-        """Shuts the connection down at once. Its own thread then notices, and closes it."""
+        """Shuts the connection down immediately. Its own thread notices this and closes the socket."""
         with self.condition, contextlib.suppress(OSError):
             self.reason, self.broken = self.reason or reason, True
             self.condition.notify_all()
@@ -434,10 +435,11 @@
 
     def admit(self, sock):
         """Accepts one connection. If all connections within the limit have a request, the requests of a few
-        extra connections are rejected at once: they would be late after a wait, and no attempt has begun.
-        This can reject a request that would have found room a little later. A client that has hung up
-        costs no more than this check. Otherwise, once clients wait for too long, all work would be done
-        for clients that have gone."""
+        extra connections are rejected immediately. Waiting would make them miss their deadline, and
+        rejecting is safe because no attempt was sent. This can reject a request that would have found room a
+        little later."""
+        # Without this check, once clients wait for too long, all work would be done for clients that have
+        # gone.
         if hung_up(sock):
             self.counters.add("clients gone unaccepted")
             return sock.close()
@@ -459,11 +461,11 @@
             except RuntimeError:
                 if time.monotonic() > until:
                     return client.close("no thread")
-            time.sleep(MIN_IDLE_SECONDS_FULL)
+            time.sleep(THREAD_RETRY_SECONDS)
 
     def make_room(self):
         """Returns whether there is room within the limit, and closes an idle connection if there is none.
-        Past the extra connections it waits until one has ended. Suspect clients go before the others."""
+        Past the extra connections it waits until one has ended. Suspect clients are closed first."""
         while (count := len(self.clients)) >= self.max_clients:
             full = count >= self.max_clients + MAX_EXTRA_CLIENTS
             if client := self.pick_idle_client(MIN_IDLE_SECONDS_FULL if full else MIN_IDLE_SECONDS):
@@ -471,7 +473,7 @@
             if not full:
                 return client is not None
             with self.condition:
-                self.condition.wait(MIN_IDLE_SECONDS_FULL)
+                self.condition.wait(ROOM_CHECK_SECONDS)
         return True
 
     def pick_idle_client(self, min_idle):
@@ -534,7 +536,7 @@
         return bool(clients)
 
     def abort_requests_after(self, since):
-        """Answers each request that arrived after `since` at once, together with the earlier ones on the same
+        """Aborts each request that arrived after `since`, together with the earlier ones on the same
         connection, and stops reading there. A connection that is never idle would otherwise still have
         unanswered requests at SIGKILL. Some of the aborted requests might have been served."""
         with self.condition:
@@ -550,7 +552,8 @@
 
     def parse_request(self, arrived, name, words):
         """Returns the request of `Q.ASK key id extras` or `Q.DO key id extras [body]`. Raises ValueError or
-        KeyError if it is invalid. `arrived`: nanoseconds."""
+        KeyError if it is invalid. `arrived`: nanoseconds. The extras are `name=value` pairs: c request class,
+        d the client's timeout (ms), h work hint (ms), k idempotency key, t tenant, r=1 a repeat."""
         if len(words) not in WORD_COUNTS.get(name, ()):
             raise ValueError("no such command")
         key, id, extras = words[1], words[2], words[3].decode()
@@ -561,7 +564,7 @@
         if (
             not NUMBER.fullmatch(fields["d"])
             or not NUMBER.fullmatch(hint)
-            or not (wait := float(fields["d"]))
+            or not (timeout := float(fields["d"]))
         ):
             raise ValueError("a wait or a hint that is no number")
         if request_class.effect == interface.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
@@ -569,7 +572,7 @@
         if (request_class.effect == interface.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this request class goes by the other command")
         tenant = self.config.tenants.get(fields.get("t"), -1)
-        deadline = arrived + ms_to_ns(wait)
+        deadline = arrived + ms_to_ns(timeout)
         work, repeat = int(float(hint) * 1e3), fields.get("r") == "1"
         request = interface.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.request_rules is not None:
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -16,7 +16,7 @@
 # are on the wall clock, which is synchronized between the machines.
 EPOCH = time.time_ns() - time.monotonic_ns()
 
-# The time after which the balancer is assumed to have what discovery has, whether it was received or not.
+# The time after which the balancer is assumed to have discovery's list, whether it was received or not.
 MAX_LIST_DELAY_NS = 6_000_000_000
 RESERVED_DESCRIPTORS = 24  # for everything but the connections to clients and instances
 
--- a/lemonlead/gateway/discovery.py
+++ b/lemonlead/gateway/discovery.py
@@ -26,8 +26,8 @@
         self.config, self.dispatcher, self.log, self.counters = config, dispatcher, log, counters
         self.list_requested = threading.Event()
         self.version = -1
-        # The pause comes on top of the balancer's own. A failed call binds the balancer to its list for four
-        # times this long.
+        # The pause comes on top of the balancer's own. After a failed call the rule of max_list_call_gap
+        # allows four times that gap until the next call.
         max_crowded_pause = min(
             config.start.max_list_call_gap / 1e9 or MAX_CROWDED_PAUSE_SECONDS, MAX_CROWDED_PAUSE_SECONDS
         )
@@ -61,14 +61,14 @@
             self.mark_processed(None)
             self.counters.add(f"watches ended: {reason}")
             self.log.info("watch ended", reason=reason, detail=detail, version=self.version)
-            if reason != "unavailable":  # a service with too many callers has a list, which counts
+            if reason != "unavailable":  # a service that is only overloaded still has a list to wait for
                 self.first_result.set()
             if reason == "moved":
                 self.current_as_of = min(
                     self.current_as_of, now() + MAX_LIST_DELAY_AFTER_MOVE_NS - MAX_LIST_DELAY_NS
                 )
             elif reason in ("refused", "unreachable") or self.watch_started and reason in ("closed", "reset"):
-                self.current_as_of = now()  # what the service learns from now on has not been sent to us
+                self.current_as_of = now()  # changes from now on have not been sent to us
             # Reported before the pause, during which the list already ages.
             self.dispatcher.handle(self.dispatcher.balancer.list_failed, self.current_as_of)
             self.connection.pause_before_retry(crowded=reason == "unavailable")
@@ -178,7 +178,7 @@
         return int(number(update["version"], -1)), lines, addresses
 
     def listed(self, now, version, lines, addresses, whole, fresh):
-        """Takes a list or the changes of one, under the dispatcher's lock. A version that is not newer shows
+        """Processes a list or its changes, under the dispatcher's lock. A version that is not newer shows
         only that discovery answers."""
         self.list_requested.clear()
         if version <= self.version:
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -9,7 +9,8 @@
 from . import resp
 from .config import now
 
-# Of one event, besides one for each open request; after that many the rest waits for the next event.
+# Exceptions that are tolerated during the decisions on one event, besides one for each open request. After
+# that many the remaining decisions wait for the next event.
 MAX_FAULTS = 8
 MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS_PER_MS  # the timer does not ask again sooner than this
 # The ends of attempts of which no instance received the whole request.
@@ -52,7 +53,7 @@
     def process_event(self, event, *values):
         time_now, faults = now(), MAX_FAULTS + len(self.pending_requests)
         self.call_guarded(event, time_now, *values)
-        # A decision takes its subject off its list first, so after a fault the others are still made.
+        # A decision first removes its subject from its list, so after a fault the others are still made.
         while (
             (more := self.call_guarded(self.balancer.decide, time_now, self)) or more is None and faults > 0
         ):
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -60,7 +60,7 @@
         return False
 
     def write(self, data, until):
-        """Sends all of `data`; at once if the socket's buffer has room, as it has for most commands."""
+        """Sends all of `data`, without blocking if the socket's buffer has room; for most commands it has."""
         with contextlib.suppress(BlockingIOError):
             data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
         while data:
@@ -199,8 +199,8 @@
 
     def run(self, in_flight):
         """Runs an attempt on a thread of the pool. Its reported duration leaves out the wait for the thread
-        and the time for which the response lay unread. Otherwise a gateway that lacks processor time would
-        take all instances for slow."""
+        and the time for which the response lay unread. Otherwise all instances would look slow to a
+        gateway that lacks processor time."""
         started_at = now()
         try:
             end, value = self.execute(in_flight)
@@ -228,7 +228,7 @@
                     connection.idle_since = now()
                     pool.unused.append(connection)
             elif connection is not None:
-                # Bytes after the response would be taken for the response to the next request.
+                # Bytes after the response would be mistaken for the response to the next request.
                 ended.append((connection, "more came" if more else "instance gone" if keep else end))
             if connection is not None and end in (
                 interface.TIMED_OUT,
--- a/lemonlead/gateway/managed_connection.py
+++ b/lemonlead/gateway/managed_connection.py
@@ -91,8 +91,8 @@
 
     def pause_before_retry(self, crowded=False):
         """Waits before the next connection. `crowded`: the server had too many callers. A caller that waits
-        there in vain takes the place of one that would be served, so all callers must come less often until
-        each gets through. The price is that updates arrive later."""
+        there without success takes the place of one that would be served, so all callers must connect less
+        often until each gets through. The price is that updates arrive later."""
         # The lock is held throughout, because a failure at the old address must not lengthen the pause at a
         # new one.
         with self.condition:
--- a/lemonlead/wirehost/host.py
+++ b/lemonlead/wirehost/host.py
@@ -94,7 +94,7 @@
     def reply_to(self, frame):
         """Handles a batch of events and returns the frame that replies to it.
 
-        Raises `BadFrame` for events that make no sense. A balancer that fails is reported; the others go on.
+        Raises `BadFrame` for invalid events. A balancer that fails is reported, and the others continue.
         """
         number, clock, events, self.tail = frame
         self.now = round(clock * NS_PER_MS)
@@ -197,7 +197,8 @@
             hosted.balancer.request_closed(self.now, request)
 
     def wakeup(self, hosted, token):
-        # A timer that was replaced by an earlier one must not set another. The protocol's clock is rounded.
+        # A timer that was replaced by an earlier one still fires. It must not clear the current timer, or a
+        # second one would be set. The comparison allows for 1 ms because the protocol's clock is rounded.
         if hosted.timer_at is not None and hosted.timer_at - self.now < NS_PER_MS:
             hosted.timer_at = None
 
