--- a/lemonlead/planning/world.py
+++ b/lemonlead/planning/world.py
@@ -146,7 +146,7 @@
     def client_gave_up(self, request):
         if (client_request := self.open_requests.pop(request, None)) is not None:
             self.world.request_ended(client_request, "given up", 0)
-            self.notify(self.balancer.request_left, request)
+            self.notify(self.balancer.request_closed, request)
 
 
 @dataclass
@@ -232,7 +232,7 @@
             vote_timeout=800 * NS_PER_MS,
             votes_per_s=75.0,
             window=fleet.window,
-            free_attempts=fleet.free_attempts,
+            attempts_above_cap=fleet.free_attempts,
             caps=list(fleet.traffic_caps),
             steps=list(fleet.stage_shares),
         )
