--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -200,7 +200,9 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * NS_PER_SECOND,
-            release=at.Release(window=4 * NS_PER_SECOND, attempts_above_cap=50, vote_lifetime=4 * NS_PER_SECOND),
+            release=at.Release(
+                window=4 * NS_PER_SECOND, attempts_above_cap=50, vote_lifetime=4 * NS_PER_SECOND
+            ),
         )
     )
     entries = [
--- a/benchmarks/slopes/gateways.py
+++ b/benchmarks/slopes/gateways.py
@@ -114,7 +114,9 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * NS_PER_SECOND,
-            release=at.Release(window=4 * NS_PER_SECOND, attempts_above_cap=50, vote_lifetime=4 * NS_PER_SECOND),
+            release=at.Release(
+                window=4 * NS_PER_SECOND, attempts_above_cap=50, vote_lifetime=4 * NS_PER_SECOND
+            ),
         )
     )
     entries = [at.Instance(f"s-{n}", n % 3, 0, 1, 0, at.READY, 1.0, 0) for n in range(20)]
@@ -144,7 +146,9 @@
     request = min(cpu_per_call(300, lambda n: send_request(size + n, n)) for _ in range(3))
     balancer.lower_quartiles["tenant", 0] = 0.9  # only this tenant is held back
     waiting = min(
-        cpu_per_call(20, lambda n: balancer.is_throttled_everywhere(at.Request(n, request_class, 0, 0, now, now, 0)))
+        cpu_per_call(
+            20, lambda n: balancer.is_throttled_everywhere(at.Request(n, request_class, 0, 0, now, now, 0))
+        )
         for _ in range(3)
     )
     assert len(tenant_numbers) == size
