--- a/benchmarks/list_changes.py
+++ b/benchmarks/list_changes.py
@@ -200,7 +200,9 @@
             cold_share=0.4,
             cold_multiple=3.0,
             cold_window=2 * NS_PER_SECOND,
-            release=at.Release(window=4 * NS_PER_SECOND, free_attempts=50, vote_lifetime=4 * NS_PER_SECOND),
+            release=at.Release(
+                window=4 * NS_PER_SECOND, attempts_above_cap=50, vote_lifetime=4 * NS_PER_SECOND
+            ),
         )
     )
     entries = [
@@ -228,7 +230,7 @@
 
     def tick(n):
         balancer.pair_started_at = None
-        balancer.tick(now)
+        balancer.update_pair(now)
 
     figures = {
         MODULE_PREFIX + "change": cpu_per_call(100, change) / 2,
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -9,7 +9,7 @@
 import traceback
 from collections import deque
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import ms_to_ns
 from . import resp
 from .admission import is_stale
@@ -29,12 +29,13 @@
 # connection. The shorter time holds once half the limit is in use.
 MAX_IDLE_SECONDS = 2.0
 MAX_IDLE_SECONDS_CROWDED = 0.25
-# The time without a request after which a connection may be closed to make room: one that never sent a valid
-# request, any other at the limit, and any other past the extra connections. The next request may be on its
-# way, and more probably so soon after the last response.
-MIN_IDLE_SECONDS_SUSPECT = 0.1
-MIN_IDLE_SECONDS = 0.5
-MIN_IDLE_SECONDS_FULL = 0.05
+# The time without a request after which a connection may be closed to make room. The shorter it is, the more
+# probable it is that the next request is already on its way.
+MIN_IDLE_SECONDS_SUSPECT = 0.1  # of a client that sent no command or an invalid one
+MIN_IDLE_SECONDS = 0.5  # of other clients, when the limit is reached
+MIN_IDLE_SECONDS_FULL = 0.05  # of other clients, when the extra connections are used too
+THREAD_RETRY_SECONDS = 0.05  # between attempts to start a thread
+ROOM_CHECK_SECONDS = 0.05  # between checks for an idle connection while all connections are used
 # After malformed input: how long earlier requests are waited for, and how many bytes are still read, for how
 # long, so that the client receives the error.
 ERROR_WAIT_SECONDS = 0.5
@@ -73,24 +74,24 @@
     end. Only the connection's own thread reads and closes it. Other threads ask that thread to, so that
     everything received by then is still answered."""
 
-    def __init__(self, sock, server, extra):
+    def __init__(self, sock, server, over_limit):
         self.sock = sock
         self.server = server
-        self.extra = extra  # it was accepted past the limit
+        self.over_limit = over_limit  # it was accepted past the limit
         self.reader = resp.Reader(commands=True)
         self.condition = threading.Condition()
         self.pending_requests = deque()  # those without a sent response, in order
         self.unsent = bytearray()
-        self.writing = False  # another thread sends what the client did not take at once
+        self.writing = False  # another thread sends what the socket did not accept immediately
         self.reason = None  # why the gateway ends the connection
-        self.reading_stopped = False
+        self.is_draining = False
         self.broken = False  # nothing more can be sent
-        self.since = time.monotonic()  # when bytes of a response were last sent or queued
+        self.last_response_at = time.monotonic()  # when bytes of a response were last sent or queued
         self.partial_since = None  # when the current partial command was first seen
         self.has_sent_command = False  # a whole command has arrived
-        self.faults = 0  # invalid commands
+        self.invalid_commands = 0  # invalid commands
         self.counted_bytes = 0  # the size of the read buffer, if it counts against the memory limit
-        self.answered = False  # it has had a response, so it is no longer a new connection
+        self.has_had_response = False  # it has had a response, so it is no longer a new connection
 
     def run(self):
         reason = "fault"
@@ -110,7 +111,7 @@
     def read(self):
         """Reads and handles commands until the connection ends. Returns the reason of the end."""
         while True:
-            if self.reading_stopped:
+            if self.is_draining:
                 with self.condition:
                     self.condition.wait_for(lambda: not (self.pending_requests or self.unsent) or self.broken)
                 return self.reason
@@ -121,7 +122,7 @@
             else:
                 if not count and (self.reason is None or self.broken or self.is_done()):
                     return self.reason or CLIENT_CLOSED
-                if not count:  # the gateway ends the connection, and the client sent before it could know
+                if not count:  # the gateway ends the connection; the client may not have known when it sent
                     with self.condition:
                         self.wait_until(lambda: not (self.pending_requests or self.unsent))
                     if not self.reader.empty():
@@ -142,8 +143,8 @@
 
     def end_if_idle(self):
         """Ends the connection if it has been idle, or without a first command, for too long. What has arrived
-        by then is read first. Clients may have a connection limit of their own, and those that hold idle
-        connections lock out the others long before our limit is reached. A connection that would have been
+        by then is read first. Clients may have a connection limit of their own, and idle
+        connections use it up long before our limit is reached. A connection that would have been
         used again may be closed; its client reconnects."""
         max_idle = (
             MAX_IDLE_SECONDS
@@ -151,16 +152,16 @@
             else MAX_IDLE_SECONDS_CROWDED
         )
         with self.condition:
-            is_expired = time.monotonic() - self.since >= (
+            is_expired = time.monotonic() - self.last_response_at >= (
                 max_idle if self.has_sent_command else MAX_COMMAND_SECONDS
             )
             if is_expired and not (self.pending_requests or self.unsent) and self.reader.empty():
-                self.stop_reading("rest" if self.has_sent_command else "silent")
+                self.shut_down_reading("rest" if self.has_sent_command else "silent")
 
     def check_partial_command(self):
         """Raises Malformed for a partial command that takes too long, and for one that would exceed the
         memory limit of all clients. Bytes that arrived while this thread was delayed are read before the
-        command counts as late; this ends, because a command's length is limited."""
+        command counts as too slow. This ends, because a command's length is limited."""
         if self.reader.empty():
             self.partial_since = None
         elif self.partial_since is None:
@@ -189,7 +190,7 @@
             return self.penalize()
         pending, size = PendingRequest(self, words, None, request), sum(map(len, words))
         self.enqueue(pending)
-        dispatcher, turned_away = self.server.dispatcher, self.extra and self.server.is_over_limit()
+        dispatcher, turned_away = self.server.dispatcher, self.over_limit and self.server.is_over_limit()
         if is_stale(unread, request.deadline - request.arrived):
             turned_away = True
             self.server.counters.add("stale requests")
@@ -204,13 +205,14 @@
             self.penalize()
 
     def penalize(self):
-        """Delays the reading of more commands after an invalid one, whose error response is queued already.
-        Such a client may send at full speed."""
+        """Delays the reading of more commands after an invalid one, because such a client may send at full
+        speed. The error response is queued already."""
         self.server.counters.add("bad requests")
-        self.faults += 1
-        with self.condition:  # no delay while stopping: later commands may have no time left
+        self.invalid_commands += 1
+        with self.condition:  # no delay while stopping, because later commands may have no time left
             self.wait_until(
-                lambda: self.server.stopping, min(self.faults * PENALTY_SECONDS, MAX_PENALTY_SECONDS)
+                lambda: self.server.stopping,
+                min(self.invalid_commands * PENALTY_SECONDS, MAX_PENALTY_SECONDS),
             )
 
     def wait_until(self, ready, timeout=math.inf):
@@ -242,8 +244,8 @@
             self.flush()
 
     def reject_malformed(self, error):
-        """Answers malformed input with an error, soon even if earlier requests wait, and ends the
-        connection."""
+        """Answers malformed input with an error and ends the connection. Earlier requests get at most
+        ERROR_WAIT_SECONDS to finish; then they are aborted."""
         with self.condition:
             self.wait_until(lambda: not self.pending_requests, ERROR_WAIT_SECONDS)
             if self.broken:
@@ -269,7 +271,7 @@
 
     def is_suspect(self):
         """Returns whether the client has sent no command at all, or an invalid one."""
-        return not self.has_sent_command or self.faults > 0
+        return not self.has_sent_command or self.invalid_commands > 0
 
     def is_idle(self):
         """Returns whether the connection is between requests, as far as another thread can see."""
@@ -281,24 +283,24 @@
         """Makes the client's thread close the connection if it is idle. What has arrived is read first."""
         with self.condition:
             if self.is_idle():
-                self.stop_reading(reason)
+                self.shut_down_reading(reason)
 
-    def stop_reading(self, reason):
+    def shut_down_reading(self, reason):
         self.reason = self.reason or reason
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
 
     def flush(self):
-        """Sends the responses that are next in order. A thread of the pool sends what the client does not
-        take at once."""
+        """Sends the responses that are next in order. A thread of the pool sends what the socket does not
+        accept immediately."""
         with self.condition:
             while self.pending_requests and self.pending_requests[0].answer is not None:
                 pending = self.pending_requests.popleft()
                 self.unsent += pending.answer
-                self.answered = True
+                self.has_had_response = True
                 if pending.counted_bytes:
                     self.server.reserve_bytes(-pending.counted_bytes)
-            self.since = time.monotonic()
+            self.last_response_at = time.monotonic()
             if self.unsent and not self.writing:
                 with contextlib.suppress(OSError):
                     del self.unsent[: self.sock.send(self.unsent, socket.MSG_DONTWAIT)]
@@ -333,11 +335,11 @@
             else:
                 with self.condition:
                     del self.unsent[:sent]
-                    self.since = time.monotonic()
+                    self.last_response_at = time.monotonic()
                     self.condition.notify_all()
 
     def end(self, reason):
-        """Shuts the connection down at once. Its own thread then notices, and closes it."""
+        """Shuts the connection down immediately. Its own thread notices this and closes the socket."""
         with self.condition, contextlib.suppress(OSError):
             self.reason, self.broken = self.reason or reason, True
             self.condition.notify_all()
@@ -346,7 +348,7 @@
     def ended_unserved(self):
         """Returns whether this is a new connection that sent at least part of a request and got no
         response."""
-        return not self.answered and (
+        return not self.has_had_response and (
             self.has_sent_command or not self.reader.empty() or self.has_unread_bytes()
         )
 
@@ -433,17 +435,18 @@
 
     def admit(self, sock):
         """Accepts one connection. If all connections within the limit have a request, the requests of a few
-        extra connections are rejected at once: they would be late after a wait, and no attempt has begun.
-        This can reject a request that would have found room a little later. A client that has hung up
-        costs no more than this check. Otherwise, once clients wait for too long, all work would be done
-        for clients that have gone."""
+        extra connections are rejected immediately. Waiting would make them miss their deadline, and
+        rejecting is safe because no attempt was sent. This can reject a request that would have found room a
+        little later."""
+        # Without this check, once clients wait for too long, all work would be done for clients that have
+        # gone.
         if hung_up(sock):
             self.counters.add("clients gone unaccepted")
             return sock.close()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, seconds(SEND_TIMEOUT_SECONDS))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, seconds(READ_TIMEOUT_SECONDS))
-        client = Client(sock, self, extra=not self.make_room())
+        client = Client(sock, self, over_limit=not self.make_room())
         with self.condition:
             self.clients.add(client)
         self.counters.add("clients accepted")
@@ -458,11 +461,11 @@
             except RuntimeError:
                 if time.monotonic() > until:
                     return client.close("no thread")
-            time.sleep(MIN_IDLE_SECONDS_FULL)
+            time.sleep(THREAD_RETRY_SECONDS)
 
     def make_room(self):
         """Returns whether there is room within the limit, and closes an idle connection if there is none.
-        Past the extra connections it waits until one has ended. Suspect clients go before the others."""
+        Past the extra connections it waits until one has ended. Suspect clients are closed first."""
         while (count := len(self.clients)) >= self.max_clients:
             full = count >= self.max_clients + MAX_EXTRA_CLIENTS
             if client := self.pick_idle_client(MIN_IDLE_SECONDS_FULL if full else MIN_IDLE_SECONDS):
@@ -470,7 +473,7 @@
             if not full:
                 return client is not None
             with self.condition:
-                self.condition.wait(MIN_IDLE_SECONDS_FULL)
+                self.condition.wait(ROOM_CHECK_SECONDS)
         return True
 
     def pick_idle_client(self, min_idle):
@@ -481,12 +484,12 @@
             with self.condition:
                 clients = list(self.clients)
             idle = [client for client in clients if client.is_idle()]
-            idle.sort(key=lambda client: (not client.is_suspect(), client.since))
+            idle.sort(key=lambda client: (not client.is_suspect(), client.last_response_at))
             self.idle_clients, self.idle_clients_until = deque(idle), time_now + MIN_IDLE_SECONDS_SUSPECT
         while self.idle_clients:
             client = self.idle_clients.popleft()
             needed = MIN_IDLE_SECONDS_SUSPECT if client.is_suspect() else min_idle
-            if client.since < time_now - needed and client.is_idle():
+            if client.last_response_at < time_now - needed and client.is_idle():
                 return client
         return None
 
@@ -528,12 +531,12 @@
             clients = list(self.clients)
         new_since = time.monotonic() - MIN_IDLE_SECONDS_SUSPECT
         for client in clients:
-            if client.has_sent_command or client.since < new_since:
+            if client.has_sent_command or client.last_response_at < new_since:
                 client.close_when_idle("stopping")
         return bool(clients)
 
-    def finish_late_requests(self, since):
-        """Answers each request that arrived after `since` at once, together with the earlier ones on the same
+    def abort_requests_after(self, since):
+        """Aborts each request that arrived after `since`, together with the earlier ones on the same
         connection, and stops reading there. A connection that is never idle would otherwise still have
         unanswered requests at SIGKILL. Some of the aborted requests might have been served."""
         with self.condition:
@@ -543,13 +546,14 @@
                 requests = client.unanswered_requests()
                 if not any(request.arrived > since for request in requests):
                     continue
-                client.reading_stopped, client.reason = True, client.reason or "stopping"
+                client.is_draining, client.reason = True, client.reason or "stopping"
                 client.sock.shutdown(socket.SHUT_RD)
             self.dispatcher.handle(self.dispatcher.abort_requests, requests)
 
     def parse_request(self, arrived, name, words):
         """Returns the request of `Q.ASK key id extras` or `Q.DO key id extras [body]`. Raises ValueError or
-        KeyError if it is invalid. `arrived`: nanoseconds."""
+        KeyError if it is invalid. `arrived`: nanoseconds. The extras are `name=value` pairs: c request class,
+        d the client's timeout (ms), h work hint (ms), k idempotency key, t tenant, r=1 a repeat."""
         if len(words) not in WORD_COUNTS.get(name, ()):
             raise ValueError("no such command")
         key, id, extras = words[1], words[2], words[3].decode()
@@ -560,17 +564,17 @@
         if (
             not NUMBER.fullmatch(fields["d"])
             or not NUMBER.fullmatch(hint)
-            or not (wait := float(fields["d"]))
+            or not (timeout := float(fields["d"]))
         ):
             raise ValueError("a wait or a hint that is no number")
-        if request_class.effect == at.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
+        if request_class.effect == interface.DEDUPLICATED and not 0 < len(fields["k"]) <= MAX_ID_LENGTH:
             raise ValueError("an idempotency key out of bounds")
-        if (request_class.effect == at.IDEMPOTENT) != (name == b"Q.ASK"):
+        if (request_class.effect == interface.IDEMPOTENT) != (name == b"Q.ASK"):
             raise ValueError("this request class goes by the other command")
         tenant = self.config.tenants.get(fields.get("t"), -1)
-        deadline = arrived + ms_to_ns(wait)
+        deadline = arrived + ms_to_ns(timeout)
         work, repeat = int(float(hint) * 1e3), fields.get("r") == "1"
-        request = at.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
+        request = interface.Request(id, request_class, tenant, key, arrived, deadline, work, repeat)
         if self.request_rules is not None:
             self.request_rules.apply(arrived, request, words, fields)
         return request
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from .. import interface as at
+from .. import interface
 from ..start_settings import EFFECTS, InvalidSettings, SettingsReader, describe_value, start_from_settings
 from .platform import PHASES
 
@@ -16,7 +16,7 @@
 # are on the wall clock, which is synchronized between the machines.
 EPOCH = time.time_ns() - time.monotonic_ns()
 
-# The time after which the balancer is assumed to have what discovery has, whether it was received or not.
+# The time after which the balancer is assumed to have discovery's list, whether it was received or not.
 MAX_LIST_DELAY_NS = 6_000_000_000
 RESERVED_DESCRIPTORS = 24  # for everything but the connections to clients and instances
 
@@ -41,7 +41,7 @@
     platform: tuple | None
     connections: int  # descriptors for clients and instances, half for each
     memory: int  # the memory limit in bytes
-    start: at.StartSettings
+    start: interface.StartSettings
     request_classes: dict  # by the name that clients give
     tenants: dict
     zones: dict
@@ -172,7 +172,7 @@
         start, request_classes, tenants, settings = settings_of(config, seed_of(config))
         start.ask_for_list = True  # on sockets, discovery sends the list only to those that ask for it
         pushed = settings.values.get("Discovery") != "ask"
-        start.assumed_known_after = 0 if pushed else MAX_LIST_DELAY_NS
+        start.max_unconfirmed_list_age = 0 if pushed else MAX_LIST_DELAY_NS
         api, known = optional_part(config, "release_api"), optional_part(config, "known")
         connections, memory = limits_of(config)
         return Config(
--- a/lemonlead/planning/loopback.py
+++ b/lemonlead/planning/loopback.py
@@ -62,7 +62,7 @@
 def make_machine(kind, seed):
     """Returns a stand-in that takes the work that a request states, divided by the kind's speed."""
     machine = WorkerInstance(slots=kind.cores, queue=kind.slots - kind.cores, seed=seed, backlog=512)
-    machine.needs_of = lambda fields: float(fields.get("h", 0)) / 1e6 / kind.speed
+    machine.needed_seconds = lambda fields: float(fields.get("h", 0)) / 1e6 / kind.speed
     return machine
 
 
--- a/lemonlead/standins/distributed/log.py
+++ b/lemonlead/standins/distributed/log.py
@@ -1,18 +1,22 @@
-"""The log of one cluster as members tell it: entries that put or drop one record of a scope each. Every
-record carries a stamp of its own, so that whoever sees one knows which entry it is from."""
+"""The log of one cluster as its members report it. Each entry puts or drops one record of a scope. Each
+record has its own stamp, which shows the entry that it is from."""
 
 import random
 
-MAX_KEPT_ENTRIES = 120  # entries that are told one by one; who is further behind gets the whole state
+MAX_KEPT_ENTRIES = 120  # reported one by one; a relay that is further behind gets the whole state
 
 
 class Log:
-    """`history`: (scope, key) to [(index, record)], oldest first. `told`: index up to which members tell."""
+    """`history`: (scope, key) to [(index, record)], oldest first. `stamps`: stamp to (scope, key, index).
+    `reported_index`: the index up to which members report. `is_silent`: whether they report nothing."""
 
     def __init__(self, cluster):
-        self.cluster, self.entries, self.history, self.stamps = cluster, [], {}, {}
-        self.keys = {}  # scope to its keys, ever
-        self.touched = {}  # scope to the indexes of its changes
+        self.cluster = cluster
+        self.entries = []
+        self.history = {}
+        self.stamps = {}
+        self.keys = {}  # scope to all keys that it ever had
+        self.changed_indexes = {}  # scope to the indexes of its changes
         self.reported_index, self.is_silent = 0, False
 
     @property
@@ -20,7 +24,7 @@
         return len(self.entries)
 
     def commit(self, scope, key, record):
-        """The record with its stamp in it; None drops it. Its index."""
+        """Appends a record with a stamp, or the removal of the record if it is None. Returns the index."""
         index = self.index + 1
         if record is not None:
             stamp = f"{self.cluster}-{index}"
@@ -29,27 +33,27 @@
         self.entries.append((scope, key, record))
         self.history.setdefault((scope, key), []).append((index, record))
         self.keys.setdefault(scope, {})[key] = True
-        self.touched.setdefault(scope, []).append(index)
+        self.changed_indexes.setdefault(scope, []).append(index)
         if not self.is_silent:
             self.reported_index = index
         return index
 
     def silence(self):
-        """No leader: nothing is told."""
+        """Reports nothing, as without a leader, until `resume`."""
         self.is_silent = True
 
     def resume(self):
         self.is_silent, self.reported_index = False, self.index
 
     def record_at(self, scope, key, index):
-        """(index of the last change up to this index, record); (0, None) where there is none."""
+        """Returns (index, record) of the last change up to this index; (0, None) if there is none."""
         for changed, record in reversed(self.history.get((scope, key), ())):
             if changed <= index:
                 return changed, record
         return 0, None
 
     def records_of(self, scope, index):
-        """key to (index, record) of all that stands in this scope as of this index."""
+        """Returns the records of a scope as of this index: key to (index, record)."""
         found = {}
         for key in self.keys.get(scope, ()):
             changed, record = self.record_at(scope, key, index)
@@ -58,30 +62,35 @@
         return found
 
     def state(self, index):
-        """scope to key to (index, record)."""
+        """Returns the state as of this index: scope to key to (index, record)."""
         return {scope: self.records_of(scope, index) for scope in sorted(self.keys)}
 
     def changes_since(self, index):
-        """[(index, (scope, key, record))] of what is told after this index; None where that is not kept."""
+        """Returns the reported entries after this index as [(index, (scope, key, record))]. None if they
+        are not all kept."""
         if index < self.reported_index - MAX_KEPT_ENTRIES or index > self.reported_index:
             return None
         return [(at + 1, self.entries[at]) for at in range(index, self.reported_index)]
 
 
-SERVICES, INSTANCES, LARGE, SETTINGS, ZONES = 8, 10, 240, 6, 4
+SERVICES = 8
+INSTANCES = 10  # of each service
+LARGE_INSTANCES = 240  # of the scope `large`
+SETTINGS = 6
+ZONES = 4
 
 
 class Changes:
-    """What is committed from second to second: restarts, drains, settings, a zone at once."""
+    """Commits changes to a log: restarts, drains, settings, and the drain of a whole zone."""
 
     def __init__(self, log, seed):
-        self.log, self.chance, self.number = log, random.Random(f"changes {seed}"), 0
+        self.log, self.rng, self.number = log, random.Random(f"changes {seed}"), 0
         for number in range(SETTINGS):
             log.commit("", f"setting-{number}", {"limit": number})
         for service in range(SERVICES):
             for number in range(INSTANCES):
                 log.commit(f"svc-{service}", f"i{number}", self.ready(number))
-        for number in range(LARGE):
+        for number in range(LARGE_INSTANCES):
             log.commit("large", f"i{number}", self.ready(number))
 
     def ready(self, number, started=0):
@@ -95,24 +104,24 @@
     def scopes(self):
         return ["", "large", *(f"svc-{number}" for number in range(SERVICES))]
 
-    def standing(self, scope):
+    def current_keys(self, scope):
         return [key for key, (_, _) in self.log.records_of(scope, self.log.index).items()]
 
-    def one(self):
-        """One change as on an ordinary day."""
-        chance, log = self.chance, self.log
-        scope = chance.choice(self.scopes())
+    def make_change(self):
+        """Commits one ordinary change."""
+        rng, log = self.rng, self.log
+        scope = rng.choice(self.scopes())
         if not scope:
-            return log.commit("", f"setting-{chance.randrange(SETTINGS)}", {"limit": chance.randrange(99)})
-        size = LARGE if scope == "large" else INSTANCES
-        number = chance.randrange(size + 2)
+            return log.commit("", f"setting-{rng.randrange(SETTINGS)}", {"limit": rng.randrange(99)})
+        size = LARGE_INSTANCES if scope == "large" else INSTANCES
+        number = rng.randrange(size + 2)
         _, record = log.record_at(scope, f"i{number}", log.index)
         if record is None:
             self.number += 1
             return log.commit(scope, f"i{number}", self.ready(number, started=self.number))
         if record["state"] == "draining":
-            return log.commit(scope, f"i{number}", None if chance.random() < 0.6 else self.ready(number))
-        how = chance.random()
+            return log.commit(scope, f"i{number}", None if rng.random() < 0.6 else self.ready(number))
+        how = rng.random()
         if how < 0.4:
             return log.commit(scope, f"i{number}", {**record, "state": "draining"})
         if how < 0.55:
@@ -120,19 +129,19 @@
         return log.commit(scope, f"i{number}", self.ready(number))
 
     def wave(self):
-        """A zone goes: most of its instances drain at once."""
-        zone = self.chance.randrange(ZONES)
+        """Drains most instances of a zone at once."""
+        zone = self.rng.randrange(ZONES)
         for scope in self.scopes()[2:]:
-            for key in self.standing(scope):
+            for key in self.current_keys(scope):
                 _, record = self.log.record_at(scope, key, self.log.index)
-                if record.get("zone") == zone and record["state"] == "ready" and self.chance.random() < 0.8:
+                if record.get("zone") == zone and record["state"] == "ready" and self.rng.random() < 0.8:
                     self.log.commit(scope, key, {**record, "state": "draining"})
 
     def unfit(self):
-        """A setting that no gateway can use; the same setting, sound again, comes by `mend`."""
-        return self.log.commit("", f"setting-{self.chance.randrange(SETTINGS)}", {"unfit": True})
+        """Commits a setting that no gateway can use. `repair_settings` commits it with a usable value."""
+        return self.log.commit("", f"setting-{self.rng.randrange(SETTINGS)}", {"unfit": True})
 
-    def mend(self):
-        for key in self.standing(""):
+    def repair_settings(self):
+        for key in self.current_keys(""):
             if self.log.record_at("", key, self.log.index)[1].get("unfit"):
                 self.log.commit("", key, {"limit": 1})
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -39,7 +39,7 @@
 
 
 def release(**more):
-    values = dict(window=2 * SECOND, free_attempts=2, caps=[0.1], vote_lifetime=4 * SECOND,
+    values = dict(window=2 * SECOND, attempts_above_cap=2, caps=[0.1], vote_lifetime=4 * SECOND,
                   vote_timeout=800 * MS, votes_per_s=100.0, bake=SECOND)  # fmt: skip
     return at.Release(**{**values, **more})
 
@@ -121,7 +121,7 @@
         self.at(self.now + self.connects, lambda: self.with_simulated_clock(self.carry, *trip))
 
     def carry(self, attempt, id):
-        if not self.dispatcher.may_begin(attempt):
+        if not self.dispatcher.write_deadline(attempt):
             return self.dispatcher.handle(self.dispatcher.attempt_ended, attempt, at.NOT_SENT, None)
         self.attempts.append((self.now, id, id.startswith("f")))
         end, took = self.works(id, self.rng)
@@ -504,7 +504,7 @@
     assert gateway.ready() == ["i0", "i1"] and gateway.dispatcher.balancer.reported_build.number == 1
     ledger.acknowledged("g0", ledger.put("moves", "n", move_record(share=1000, epoch=40, at=41)))
     assert gateway.ready() == ["f0", "f1"]
-    ledger.forget()  # a gateway without the changes gets the whole state
+    ledger.drop_changes()  # a gateway without the changes gets the whole state
     ledger.acknowledged("g0", ledger.put("moves", "n", move_record("done", 4, 1000, epoch=40, at=41)))
     assert gateway.ready() == ["f0", "f1"]
 
@@ -538,7 +538,7 @@
     until(lambda: gateway.follower.polling.counts["failures"], "it was read")
     assert gateway.ready() == ["i0", "i1"]
     ledger.put("moves", "m", move_record(share=1000))
-    ledger.forget()
+    ledger.drop_changes()
     until(lambda: gateway.ready() == ["f0", "f1"], "it hears again")
 
 
