--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -68,7 +68,7 @@
 SHED_THRESHOLD = 0.45  # time to answer divided by latency objective; above it requests are shed
 SHED_SLOPE = 2  # the share of requests shed is this multiple of the excess above the threshold
 OVERDUE_FACTOR = 2.5  # of the usual time for an attempt's work; one answer in twenty or thirty takes longer
-LOSS_COST = 4  # added cost factor of a zone and kind to which all recent attempts were lost on the way
+LOSS_COST = 4  # added cost factor of a zone and kind if all recent attempts to it were lost on the way
 RETRIES_PER_REQUEST = 0.1  # limits second attempts, so that they don't feed an overload
 MIN_SUBSET_SIZE = 24  # instances of the ring that a balancer uses; more if it still uses each of them often
 GOLDEN_RATIO = 0.618034  # multiples of it, modulo 1, spread the balancers' subsets evenly over the ring
@@ -377,9 +377,9 @@
             instance.request_limit += 0.25 / instance.request_limit
         if end == SUCCEEDED:
             instance.record_connection(attempt.connected_since, attempt.sent_at)
-            instance.build.answer_count = instance.build.answer_count + 1
+            instance.build.success_count = instance.build.success_count + 1
             group = instance.group
-            group.answer_time = smoothed(group.answer_time, took, 0.05)
+            group.mean_answer_time = smoothed(group.mean_answer_time, took, 0.05)
             group.mean_answered_work = smoothed(group.mean_answered_work, max(request.work, 1), 0.05)
         if end == SUCCEEDED and self.never_return_to_older_build and request.key:
             instance.build.answered_keys.update({request.key, request.client_key or request.key})
@@ -572,7 +572,7 @@
         group = attempt.instance.group
         # Half of the usual time is spent waiting, which is the same for heavy and light requests.
         usual_time = (
-            group.answer_time * (1 + request.work / group.mean_answered_work) / 2
+            group.mean_answer_time * (1 + request.work / group.mean_answered_work) / 2
             if group.mean_answered_work
             else request.work
         )
@@ -743,8 +743,8 @@
             self.accepted_work - instance.accepted_work_at_last_request
         ) * share < instance.cold_work_interval:
             return False
-        fit = not self.returns_to_older_build(request, instance)
-        return fit and (
+        allowed = not self.returns_to_older_build(request, instance)
+        return allowed and (
             not self.on_trial(instance.build) or self.within_exposure_cap(instance.build, request, now)
         )
 
@@ -779,20 +779,24 @@
         ]
         if may_have_run and request.request_class.effect == DEDUPLICATED:
             deadline = min(deadline, self.dedup_deadline(may_have_run))
-        fit = not request.finished and now < deadline and self.instances.get(instance.id) is instance
-        fit = fit and self.listing_valid(instance, now) and not self.returns_to_older_build(request, instance)
-        if fit and self.on_trial(instance.build):
+        allowed = not request.finished and now < deadline and self.instances.get(instance.id) is instance
+        allowed = (
+            allowed
+            and self.listing_valid(instance, now)
+            and not self.returns_to_older_build(request, instance)
+        )
+        if allowed and self.on_trial(instance.build):
             # It counts against the cap from now on, because it may have waited longer than the cap's window.
             sent_times = [
                 instance.build.sent_times.setdefault(key, deque()) for key in self.cap_keys(request)
             ]
             for times in [times for times in sent_times if attempt.counted_from in times]:
                 times.remove(attempt.counted_from)
-            if fit := self.within_exposure_cap(instance.build, request, now):
+            if allowed := self.within_exposure_cap(instance.build, request, now):
                 attempt.counted_from = now
                 for times in sent_times:
                     times.append(now)
-        return deadline if fit else 0
+        return deadline if allowed else 0
 
     def returns_to_older_build(self, request, instance):
         """Returns whether an older build would get a key that the reported build has already answered."""
@@ -957,13 +961,13 @@
         allows, of how many, the probability that one of an earlier build is). After the release there are
         no earlier outcomes, and only errors are compared.
         """
-        fit = [
+        comparable = [
             instance
             for instance in self.instances.values()
             if instance.service_time and (not self.comparable_kinds or instance.kind in self.comparable_kinds)
         ]
         service_times = [
-            [instance.service_time for instance in fit if (instance.build is build) is side]
+            [instance.service_time for instance in comparable if (instance.build is build) is side]
             for side in (False, True)
         ]
         # If only few instances are on trial, they may have a queue for other reasons than the build. If
@@ -979,8 +983,8 @@
                 sum(time > earlier_time * (1 + LATENCY_TOLERANCE) for time, *_ in sample)
                 for sample in (earlier, () if alike else ours)
             ]
-            usual = (slow_counts[0] + 1) / (len(earlier) + 2)
-            figures[-1, "p50"] = (earlier_time, our_time, slow_counts[1], len(ours), usual)
+            slow_probability = (slow_counts[0] + 1) / (len(earlier) + 2)
+            figures[-1, "p50"] = (earlier_time, our_time, slow_counts[1], len(ours), slow_probability)
         for (of_judged, number), outcomes in self.pair_outcomes.items():
             if of_judged:
                 figures[number, "errors"] = error_figures(
@@ -990,7 +994,7 @@
         # quartile is used because other programs slow down some instances.
         increases = sorted(
             instance.service_time / instance.usual_service_time
-            for instance in fit
+            for instance in comparable
             if instance.usual_service_time and instance.build is not build
         )
         if (
@@ -1017,14 +1021,14 @@
         build.provisionally_bad = False
         others = [other for other in self.builds.values() if other is not build]
         wrong_answers = sum(other.wrong_answers for other in others)
-        answers = sum(other.answer_count for other in others)
+        answers = sum(other.success_count for other in others)
         if (
             build.wrong_answers >= MIN_WRONG_ANSWERS
-            and build.wrong_answers * answers > 2 * wrong_answers * build.answer_count
+            and build.wrong_answers * answers > 2 * wrong_answers * build.success_count
         ):
             self.mark_bad(
                 build,
-                f"{build.wrong_answers} of {build.answer_count} flagged, {wrong_answers} before",
+                f"{build.wrong_answers} of {build.success_count} flagged, {wrong_answers} before",
                 known,
                 True,
             )
@@ -1120,9 +1124,9 @@
     """Returns the figures on errors, as `Balancer.compare` describes them."""
     earlier = without_faulty_instance(earlier_outcomes)
     ours = without_faulty_instance(ours)
-    usual = sum(erred for _, erred, _ in earlier) / max(len(earlier), 1)
+    earlier_rate = sum(erred for _, erred, _ in earlier) / max(len(earlier), 1)
     erred = sum(erred for _, erred, _ in ours)
-    return usual, erred / max(len(ours), 1), erred, len(ours), usual + ERROR_TOLERANCE
+    return earlier_rate, erred / max(len(ours), 1), erred, len(ours), earlier_rate + ERROR_TOLERANCE
 
 
 def without_faulty_instance(outcomes):
--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -201,22 +201,25 @@
     earliest time of SIGKILL. The process ends LINGER_SECONDS, the longest deadline and LAST_RESPONSES_SECONDS
     after SIGTERM at the latest, besides the time that the ledger takes."""
     log.info("stopping", open=len(dispatcher.pending_requests))
-    longest = (
+    longest_deadline_seconds = (
         max((request_class.deadline for request_class in server.config.start.request_classes), default=0)
         / 1e9
     )
     closing = time.monotonic() + LINGER_SECONDS
-    soon, until = closing + min(longest, MAX_COUNTED_DEADLINE_SECONDS), closing + longest
+    abort_late_from, abort_all_from = (
+        closing + min(longest_deadline_seconds, MAX_COUNTED_DEADLINE_SECONDS),
+        closing + longest_deadline_seconds,
+    )
     time.sleep(LINGER_SECONDS)
     accepting_until = configs.now()
     server.close()
     while server.close_idle() or not server.closed.is_set() or dispatcher.pending_requests:
-        if (time_now := time.monotonic()) >= until + LAST_RESPONSES_SECONDS:
+        if (time_now := time.monotonic()) >= abort_all_from + LAST_RESPONSES_SECONDS:
             break
-        if time_now >= soon:
-            server.abort_requests_after(accepting_until if time_now < until else 0)
+        if time_now >= abort_late_from:
+            server.abort_requests_after(accepting_until if time_now < abort_all_from else 0)
         time.sleep(POLL_SECONDS)
-    return finish(dispatcher, log, follower, until + LAST_RESPONSES_SECONDS)
+    return finish(dispatcher, log, follower, abort_all_from + LAST_RESPONSES_SECONDS)
 
 
 def finish(dispatcher, log, follower, until):
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -190,16 +190,21 @@
             return self.penalize()
         pending, size = PendingRequest(self, words, None, request), sum(map(len, words))
         self.enqueue(pending)
-        dispatcher, turned_away = self.server.dispatcher, self.over_limit and self.server.is_over_limit()
+        dispatcher, rejects_on_arrival = (
+            self.server.dispatcher,
+            self.over_limit and self.server.is_over_limit(),
+        )
         if is_stale(unread, request.deadline - request.arrived):
-            turned_away = True
+            rejects_on_arrival = True
             self.server.counters.add("stale requests")
         if size > LARGE_COMMAND_BYTES and self.server.reserve_bytes(size):
             pending.counted_bytes = size
         elif size > LARGE_COMMAND_BYTES:
-            turned_away = True
+            rejects_on_arrival = True
         dispatcher.handle(
-            dispatcher.request_turned_away if turned_away else dispatcher.request_arrived, pending, request
+            dispatcher.reject_on_arrival if rejects_on_arrival else dispatcher.request_arrived,
+            pending,
+            request,
         )
         if pending.answer is dispatcher.DUPLICATE_ID_ERROR:
             self.penalize()
@@ -345,7 +350,7 @@
             self.condition.notify_all()
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def ended_unserved(self):
+    def ended_without_response(self):
         """Returns whether this is a new connection that sent at least part of a request and got no
         response."""
         return not self.has_had_response and (
@@ -360,7 +365,7 @@
 
     def close(self, reason):
         self.end(reason)
-        if not {reason, self.reason} & {CLIENT_CLOSED, RESET} and self.ended_unserved():
+        if not {reason, self.reason} & {CLIENT_CLOSED, RESET} and self.ended_without_response():
             self.server.counters.add("new connections ended in vain")
         with self.condition:
             while self.writing:
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -94,7 +94,7 @@
         request.arrived = time_now
         self.balancer.request_arrived(time_now, request)
 
-    def request_turned_away(self, time_now, pending, request):
+    def reject_on_arrival(self, time_now, pending, request):
         """Has a request rejected without an attempt, as the balancer gives up any other."""
         if self.register(pending, request):
             self.balancer.give_up(request, self)
--- a/lemonlead/gateway/instances.py
+++ b/lemonlead/gateway/instances.py
@@ -213,7 +213,7 @@
 
     def finish(self, in_flight, end, value):
         """Returns the attempt's connection to its pool or closes it, and reports the end."""
-        connection, pool, ended = in_flight.connection, in_flight.pool, []
+        connection, pool, to_close = in_flight.connection, in_flight.pool, []
         with self.lock:
             del self.attempts_in_flight[in_flight.attempt]
             clean = end in (interface.SUCCEEDED, interface.ERRED, interface.REJECTED, interface.NOT_SENT)
@@ -229,7 +229,7 @@
                     pool.unused.append(connection)
             elif connection is not None:
                 # Bytes after the response would be mistaken for the response to the next request.
-                ended.append((connection, "more came" if more else "instance gone" if keep else end))
+                to_close.append((connection, "more came" if more else "instance gone" if keep else end))
             if connection is not None and end in (
                 interface.TIMED_OUT,
                 interface.RESET,
@@ -238,14 +238,14 @@
                 # A machine that vanished leaves open connections that stay silent even after it is back.
                 # For a machine that is only slow, this may close good connections, at the cost of a new
                 # connection each.
-                ended += [
+                to_close += [
                     (old, "instance silent")
                     for old in pool.unused
                     if old.idle_since < in_flight.attempt.sent_at
                 ]
                 pool.unused = [old for old in pool.unused if old.idle_since >= in_flight.attempt.sent_at]
             in_flight.attempt.connection_free_at = 0 if pool is None else pool.connection_free_at()
-        for connection, reason in ended:
+        for connection, reason in to_close:
             self.close(connection, reason)
         self.dispatcher.handle(self.dispatcher.attempt_ended, in_flight.attempt, end, value)
 
@@ -253,20 +253,20 @@
         """Returns how the attempt ended, and the value if it succeeded."""
         try:
             while True:
-                if (made := self.get_connection(in_flight)) is False and (
+                if (is_new := self.get_connection(in_flight)) is False and (
                     in_flight.connection.wait_until_reusable()
                 ):
                     self.counters.add("connections rested")
-                by = (
+                write_until = (
                     0
-                    if made is None or in_flight.cancelled
+                    if is_new is None or in_flight.cancelled
                     else self.dispatcher.write_deadline(in_flight.attempt)
                 )
-                if not by:
+                if not write_until:
                     return interface.NOT_SENT, None
                 # The last check before writing. Unexpected bytes would be taken for this request's response,
                 # and if the connection has ended, nothing of this attempt has been written.
-                if made or in_flight.connection.is_quiet():
+                if is_new or in_flight.connection.is_quiet():
                     break
                 self.close(in_flight.connection, "instance closed")
                 in_flight.connection = None
@@ -277,7 +277,7 @@
             in_flight.attempt.connected_since = in_flight.connection.connected_at
             wait = max((in_flight.until - now()) // NS_PER_MS, 1)
             in_flight.connection.write(
-                resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, by)
+                resp.command(forwarded_words(in_flight.words, wait)), min(in_flight.until, write_until)
             )
         except OSError:
             return (
@@ -300,7 +300,7 @@
     def get_connection(self, in_flight):
         """Gives the attempt the longest unused connection, or makes a new one. Returns whether it is new, or
         None if the limit allows none. The longest unused one is the least likely to bring a late response."""
-        pool, ended = in_flight.pool, []
+        pool, to_close = in_flight.pool, []
         if pool is None:
             return None
         with self.lock:
@@ -308,9 +308,9 @@
             while (
                 in_flight.connection is not None and in_flight.connection.idle_since + self.idle_time < now()
             ):
-                ended.append(in_flight.connection)
+                to_close.append(in_flight.connection)
                 in_flight.connection = pool.pop_longest_unused()
-        for connection in ended:
+        for connection in to_close:
             self.close(connection, "unused")
         if in_flight.connection is not None:
             return False
--- a/lemonlead/gateway/releases.py
+++ b/lemonlead/gateway/releases.py
@@ -9,7 +9,7 @@
 from . import platform
 from .managed_connection import ManagedConnection, read_until
 
-# News without a whole line for this long are cut off; the platform sends a line each second.
+# The news connection is ended after this long without a whole line; the platform sends a line each second.
 SILENCE_TIMEOUT_SECONDS = 3.5
 
 
--- a/lemonlead/records.py
+++ b/lemonlead/records.py
@@ -25,12 +25,12 @@
     They stand in for the figures of instances that have not answered recently.
     """
 
-    __slots__ = "time_per_work", "loss_rate", "answer_time", "mean_answered_work"
+    __slots__ = "time_per_work", "loss_rate", "mean_answer_time", "mean_answered_work"
 
     def __init__(self):
         self.time_per_work = 0.0  # time to answer divided by work, smoothed; 0: not known yet
         self.loss_rate = 0.0  # share of attempts that were lost on the way, smoothed
-        self.answer_time = 0.0  # time that successful answers took, smoothed (ns)
+        self.mean_answer_time = 0.0  # time that successful answers took, smoothed (ns)
         self.mean_answered_work = 0.0  # mean work of successfully answered requests, smoothed (ns)
 
 
@@ -138,7 +138,7 @@
         self.seen_on_trial = False  # a build that was never on trial may be the only one, so it gets no votes
         self.pairs = deque(maxlen=max_pairs)  # of the last closed pairs: figures by (request class, metric)
         self.recent_outcomes = deque(maxlen=max_outcomes)  # its last outcomes in closed pairs
-        self.answer_count = 0
+        self.success_count = 0  # successful answers
         self.wrong_answers = 0  # answers that clients reported as wrong
         self.in_doubt = False  # a median breaches its bound
         self.bad = False  # found bad permanently
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -241,7 +241,7 @@
 
 def test_wrong_answers_make_a_build_bad():
     made = trial()
-    made.instances[1].build.answer_count = made.instances[3].build.answer_count = 100
+    made.instances[1].build.success_count = made.instances[3].build.success_count = 100
     for _ in range(3):
         made.wrong_answer_reported(NOW, 3)
     made.wrong_answer_reported(NOW, 999)
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -342,7 +342,7 @@
     config = SimpleNamespace(connections=4, memory=16000, listen=("127.0.0.1", 0))
     reported, dispatcher = (
         [],
-        SimpleNamespace(request_turned_away="away", request_arrived="arrived", DUPLICATE_ID_ERROR=b"-"),
+        SimpleNamespace(reject_on_arrival="away", request_arrived="arrived", DUPLICATE_ID_ERROR=b"-"),
     )
     dispatcher.handle = lambda event, *_: reported.append(event)
     server = Server(config, dispatcher, None, SilentLog(), Counters())
