--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -202,9 +202,7 @@
         self.has_new_outcomes = False  # outcomes came since the open pair was last judged
         self.vote_check_due = False  # a vote may be due
         self.trial_share = 0.0  # share of the load that instances on trial should get
-        self.baseline_time_per_work = (
-            0.0  # median time to answer divided by work, in the last pair without a trial
-        )
+        self.baseline_time_per_work = 0.0  # median of the last pair without a trial
         self.last_vote = None  # (build, stage, verdict)
         self.next_vote_at = start.now
         self.vote_busy_until = start.now  # the answer to the last vote is awaited until then
@@ -1026,6 +1024,7 @@
             build.wrong_answers >= MIN_WRONG_ANSWERS
             and build.wrong_answers * answers > 2 * wrong_answers * build.success_count
         ):
+            # Reported wrong answers and successful answers of this build; wrong answers of all other builds.
             self.mark_bad(
                 build,
                 f"{build.wrong_answers} of {build.success_count} flagged, {wrong_answers} before",
@@ -1048,6 +1047,7 @@
                     and (probability := probability_bound([figures[2:] for figures in seen]))
                     <= self.false_alarm_probability
                 ):
+                    # Request class -1 stands for all classes together.
                     why = (
                         f"request class {key[0]} {key[1]} "
                         f"{earlier:.2f} to {ours:.2f}, chance {probability:.5f}"
--- a/lemonlead/gateway/config.py
+++ b/lemonlead/gateway/config.py
@@ -70,7 +70,7 @@
     try:
         return address(text)
     except ValueError:
-        settings.unfit(key, text, "an IPv4 address and a port, as 10.0.0.4:6379")
+        settings.raise_invalid(key, text, "an IPv4 address and a port, as 10.0.0.4:6379")
 
 
 def index_by_name(names):
@@ -160,7 +160,7 @@
     try:
         return int(config.text("seed"), 16)
     except ValueError:
-        config.unfit("seed", config.values["seed"], "a number in hexadecimal")
+        config.raise_invalid("seed", config.values["seed"], "a number in hexadecimal")
 
 
 def read(environment=os.environ):
--- a/lemonlead/start_settings.py
+++ b/lemonlead/start_settings.py
@@ -39,10 +39,10 @@
     def __init__(self, value, where):
         self.where = where
         if not isinstance(value, dict):
-            self.unfit("", value, "an object")
+            self.raise_invalid("", value, "an object")
         self.values = value
 
-    def unfit(self, key, value, expected):
+    def raise_invalid(self, key, value, expected):
         """Raises `InvalidSettings` for the value at this key."""
         where = ".".join(part for part in (self.where, key) if part)
         raise InvalidSettings(f"{where} is {describe_value(value)}; expected {expected}")
@@ -51,42 +51,42 @@
         """Returns a number between two bounds, both included."""
         value = self.values.get(key, default)
         if type(value) not in (int, float) or not minimum <= value <= maximum:  # NaN fails this too
-            self.unfit(key, value, f"a number from {minimum} to {maximum:.15g}")
+            self.raise_invalid(key, value, f"a number from {minimum} to {maximum:.15g}")
         return value
 
     def count(self, key, default, minimum=0):
         """Returns a whole number."""
         value = self.number(key, default, minimum)
         if value != int(value):
-            self.unfit(key, value, "a whole number")
+            self.raise_invalid(key, value, "a whole number")
         return int(value)
 
     def time(self, key, default=0):
         """Returns a time in nanoseconds; the settings hold milliseconds."""
         value = self.values.get(key, default)
         if type(value) not in (int, float) or not 0 <= value <= MAX_TIME_MS:
-            self.unfit(key, value, f"milliseconds from 0 to {MAX_TIME_MS:.15g}")
+            self.raise_invalid(key, value, f"milliseconds from 0 to {MAX_TIME_MS:.15g}")
         return ms_to_ns(value)
 
     def flag(self, key):
         """Returns a boolean, False if absent."""
         value = self.values.get(key, False)
         if type(value) is not bool:
-            self.unfit(key, value, "true or false")
+            self.raise_invalid(key, value, "true or false")
         return value
 
     def one_of(self, key, choices, default):
         """Returns one of these strings."""
         value = self.values.get(key, default)
         if type(value) is not str or value not in choices:
-            self.unfit(key, value, f"one of {', '.join(choices)}")
+            self.raise_invalid(key, value, f"one of {', '.join(choices)}")
         return value
 
     def word(self, key):
         """Returns a string, empty if absent."""
         value = self.values.get(key, "")
         if type(value) is not str:
-            self.unfit(key, value, "a text")
+            self.raise_invalid(key, value, "a text")
         return value
 
     def text(self, key):
@@ -94,14 +94,14 @@
         if key not in self.values:
             raise InvalidSettings(f"{self.where}.{key} is missing; expected a text".lstrip("."))
         if type(value := self.values[key]) is not str or not value:
-            self.unfit(key, value, "a text")
+            self.raise_invalid(key, value, "a text")
         return value
 
     def list(self, key):
         """Returns a list, empty if absent."""
         value = self.values.get(key, [])
         if type(value) is not list:
-            self.unfit(key, value, "a list")
+            self.raise_invalid(key, value, "a list")
         return value
 
     def part(self, key):
@@ -116,7 +116,7 @@
         """Returns a list of distinct strings."""
         names = self.list(key)
         if any(type(name) is not str for name in names) or len(set(names)) < len(names):
-            self.unfit(key, names, "a list of texts, none of them twice")
+            self.raise_invalid(key, names, "a list of texts, none of them twice")
         return names
 
     def numbers(self, key, maximum=MAX_NUMBER):
