--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -475,7 +475,7 @@
     ledger.acknowledged("g0", 3)
     with running.dispatcher.lock:
         index = ledger.permit("i0")
-        until(lambda: ledger.wires.passed(running.follower.polling.member, "g0")["pieces"] > 3)
+        until(lambda: ledger.wires.link_counts(running.follower.polling.member, "g0")["pieces"] > 3)
         polls = dict(ledger.polls)
     assert polls["g0"] < index
     ledger.acknowledged("g0", index)
@@ -784,7 +784,7 @@
         cluster.run_command(id="r", kind="group", group="r", nodes=[node.name for node in fleet], quorum=2)
         replicas = GroupMonitor("r", fleet, 2)
         follow = f'follow: {{members: {{m1: "{cluster.addresses["m1"]}"}}, wait: 10s}}'
-        with gateway(tmp_path, *(node.ears["g0"] for node in fleet), follow=follow) as running:
+        with gateway(tmp_path, *(node.listeners["g0"] for node in fleet), follow=follow) as running:
             crowd = RepeatingClients(running.port, 4, lambda client, number: client.ask() and None).start()
             agents = [Agent(node, MemberClient(cluster.addresses["m1"])).start() for node in fleet]
             code, _ = cluster.run_command(
