--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -179,7 +179,7 @@
         self.last_throttle_probe_at = {}  # when a throttled class or tenant last had a request accepted
 
         # What is left to do.
-        self.requests_to_decide = deque()  # requests to decide on
+        self.requests_to_decide = deque()
         self.log_lines = deque()
         self.timers = RequestTimers()
 
@@ -236,7 +236,7 @@
             [id for id in candidates if id not in listed_ids or not self.instances[id].ready]
         )
         if self.list_current_at == -inf and self.max_unconfirmed_list_age < inf and self.list_call_at:
-            # The first list after a start: how long it is trusted.
+            # How long the first list after a start is trusted.
             complete_for = (now - max((line.started for line in lines), default=now)) // QUIET_TIME_DIVISOR
             complete_for = min(max(complete_for, RESTARTED_LIST_AGE), self.max_unconfirmed_list_age)
             self.list_current_at = now - self.max_unconfirmed_list_age + complete_for
--- a/lemonlead/gateway/clients.py
+++ b/lemonlead/gateway/clients.py
@@ -390,8 +390,8 @@
         self.log = log
         self.counters = counters
         self.max_clients = config.connections // 2
-        self.stopping = False
-        self.closing = False
+        self.stopping = False  # each connection ends after its responses
+        self.closing = False  # only connections that wait already are accepted
         self.closed = threading.Event()
         self.clients, self.condition = set(), threading.Condition()
         # Candidates for closing, found at most MIN_IDLE_SECONDS_SUSPECT ago.
--- a/lemonlead/gateway/managed_connection.py
+++ b/lemonlead/gateway/managed_connection.py
@@ -7,8 +7,8 @@
 import time
 
 MAX_CROWDED_PAUSE_SECONDS = 16.0  # after a server that had too many callers
-# The first pause after such a server. After a shorter one, all callers that waited in vain would fill the
-# server's queue again at once.
+# The first pause after such a server. After a shorter one, all callers that were not served would fill
+# the server's queue again immediately.
 MIN_CROWDED_PAUSE_SECONDS = 2.0
 CONNECT_TIMEOUT_SECONDS = 1.0  # short, so that a server that becomes reachable is found soon
 # The reason codes of connections that ended with these errors.
--- a/lemonlead/interface.py
+++ b/lemonlead/interface.py
@@ -102,7 +102,8 @@
     over_share_worth: float = 1.0
     release: Release = field(default_factory=Release)
     ask_for_list: bool = False  # the balancer has to call for the list
-    # Without a watch or call for this long, the gateway counts as knowing everything listed; 0: no such rule.
+    # After this long without a watch of the list or a call for it, the gateway counts as knowing all that
+    # discovery lists; 0: no such rule.
     max_list_call_gap: int = 0
     # The longest time for which the list may be used without confirmation. Afterwards the gateway counts as
     # knowing what discovery knows, received or not; 0: it only counts as knowing what it has received.
