--- a/lemonlead/distribution/outbox.py
+++ b/lemonlead/distribution/outbox.py
@@ -2,9 +2,10 @@
 
 The outbox reads from the store whenever there is budget, so nothing queues: a later change of a key replaces
 an earlier one. Over all scopes of the subscriber, drains and removals are sent first, then `complete` for
-finished scopes, then cold or new records, then other changes, then the rest of snapshots. For each scope the
-outbox holds how far it has got in a key list that the store shares between all subscribers, and the keys that
-changed after that list was made and were sent ahead of `complete`."""
+finished scopes, then cold or new records, then other changes, then the rest of snapshots. `complete` names an
+index up to which the subscriber has everything of a scope. For each scope the outbox holds how far it has got
+in a key list that the store shares between all subscribers, and the keys that changed after that list was
+made and were sent ahead of `complete`."""
 
 from .faults import Senseless
 from .records import (
@@ -25,10 +26,10 @@
 # Budget before anything but drains is sent; with less, each record would get a line of its own.
 MIN_BUDGET_BYTES = 1024
 ADVANCE_INTERVAL_NS = 30 * SECOND  # between two updates of `complete` for scopes in which nothing changed
-SNAPSHOT = 3  # the level after REST: what a snapshot holds of urgency REST
+SNAPSHOT = 3  # lowest level: records of urgency REST that are sent as part of a snapshot
 LEVELS = (DRAIN, COLD, REST, SNAPSHOT)
 NO_KEYS = ((), (), ())
-NOT_KEPT = ()  # compared by identity
+NOT_KEPT = ()  # compared by identity: the store no longer keeps the record
 
 
 class ScopePosition:
@@ -65,7 +66,7 @@
         self.rate, self.burst = check_amount(rate, "rate"), check_amount(burst, "burst", MIN_BURST_BYTES)
         self.store = store
         self.updated_at = now
-        self.credit = 0  # bytes times nanoseconds; 0 at first, because the previous stream spent its budget
+        self.credit = 0  # bytes times nanoseconds; 0 at first, so that reconnecting gives no new burst
         self.positions = {}  # ScopePosition by scope
         self.pending = tuple({} for _ in LEVELS)  # by level: the scopes that have keys of it left
         self.completed_scopes = {}  # scopes whose `complete` has to be sent
@@ -152,7 +153,7 @@
         self.seen_index = store.index
 
     def start_scope(self, scope, from_snapshot=False):
-        """Takes up a scope that may have something to send, with `from_snapshot` from a snapshot. A scope in
+        """Updates what is to be sent of a scope; `from_snapshot` sends all its records again. A scope in
         which the subscriber is ahead of the store has nothing to send until the store has caught up."""
         store, position = self.store, self.positions[scope]
         if position.base is None or from_snapshot:
@@ -330,8 +331,8 @@
         return room
 
     def advance(self, now):
-        """Marks scopes in which nothing changed as complete up to the store's index. This is sent once in a
-        while, so that another relay need not send them again."""
+        """Marks scopes in which nothing changed as complete up to the store's index. Sent from time to
+        time, so that after a reconnect another relay only sends the changes after this index."""
         if now < self.next_advance_at or self.store.index <= self.advanced_index:
             return
         self.next_advance_at, self.advanced_index = now + ADVANCE_INTERVAL_NS, self.store.index
--- a/lemonlead/distribution/relay.py
+++ b/lemonlead/distribution/relay.py
@@ -127,7 +127,7 @@
         self.log.info("ready", listen=self.settings.listen, region=self.settings.region)
 
     async def stop(self):
-        """Stops the relay. The listener is closed first, so that new gateways go to another relay at once."""
+        """Stops the relay. The listener is closed first, so that new gateways go to another relay."""
         if self.server is not None:
             self.server.close()
         for task in self.tasks:
--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -59,7 +59,7 @@
         site.away += 1
         site.permitted += node.state != FAILED and name in permits
         if load is not None and not node.out:
-            # A gang on a node that went down by itself is lost and needs no units anywhere.
+            # A gang on a node that is down without a permit is lost and needs no units anywhere.
             site.required -= sum(gangs[gang].units for gang in load.gangs)
     return sums
 
--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -1,5 +1,7 @@
-"""The leader task of drains, a `ledger.dispatcher.LeaderTask`: proposes one command at a time. All that
-counts is in the state. The plan and other values that are kept here are computed again by a new leader."""
+"""The leader task of drains, a `ledger.dispatcher.LeaderTask`: proposes one command at a time. All
+durable data is in the replicated state. A new leader computes the plan and the other values kept here again.
+
+A gang uses capacity units on each of its nodes until it ends (`ledger.capacity.Gang`)."""
 
 from ..ledger.capacity import CATCHING_UP, FAILED, SERVING, up
 from . import constraints
@@ -43,23 +45,23 @@
 )
 PLANNING_INTERVAL_NS = 200_000_000  # between planning passes while only reservations change
 ACK_INTERVAL_NS = 20_000_000  # between checks whether each gateway has acknowledged
-LATE_CORDON_MS = 3_600_000  # time past its cordon for which a late drain keeps gangs off its nodes
-CORDON_PAUSE_MS = 900_000  # gangs that end within this time may start then; after it the cordon holds again
+LATE_CORDON_MS = 3_600_000  # an overdue drain blocks new gangs for this time after its cordon time
+CORDON_PAUSE_MS = 900_000  # then gangs that end within this time may start; afterwards it is set again
 GIVE_UP_NS = (
     24 * 3600 * 1_000_000_000
 )  # past its deadline, a drain with no node done for so long ends unfinished
 MAX_SINGLE_TRIES = 200  # nodes tried one by one if a wave does not fit as a whole
-MAX_GANG_WAIT_MS = 600_000  # time for which a wave that would save no waves may wait for gangs that end
+MAX_GANG_WAIT_MS = 600_000  # longest delay of a wave that saves nothing if it runs before gangs have ended
 GANG_OVERRUN_MS = 5000  # time past its announced end for which such a gang is still waited for
-SLICE = 500  # nodes looked at or placed in one call of `next`, which takes some milliseconds
-MAX_WAVES_TRIED = 3  # planned waves that are tried until one may go now
+SLICE = 500  # nodes examined or placed in one call of `next`, which then takes a few ms
+MAX_WAVES_TRIED = 3  # planned waves that are checked for one that is allowed now
 REPORT_INTERVAL_NS = 1_000_000_000  # between progress reports, so that not each event builds a plan for them
 WATCHED_PARTS = ("nodes", "permits", "wants", "drains", "groups", "terms")  # a change starts a planning pass
 
 
 class DrainTask:
     """Plans the waves of all running drains and proposes the commands for them. `late`: nanoseconds after
-    which a node that stays in one phase no longer holds up the next wave."""
+    which a node that stays in one phase is overdue and no longer delays the next wave."""
 
     def __init__(self, late=LATE_NS):
         self.late_ns = late
@@ -71,7 +73,7 @@
         self.next_ack_check = 0
         self.wake_time = NEVER
         self.index, self.index_seen = -1, now  # the last entry, and when it was seen
-        self.held_until = 0  # ledger time until which the next wave is held back, unless something changes
+        self.held_until = 0  # ledger time before which no wave starts, unless something changes
         self.permits = None  # as last seen
         self.given = {}  # index of the granting entry to the names of its nodes that are not clear yet
         self.next_report = 0
@@ -81,7 +83,7 @@
         """Stops the planning pass and forgets what was planned."""
         self.planning_work = None  # the generator of the planning pass that is under way
         self.planning_parts = None  # the watched parts as of its start
-        self.alarm_parts = None  # the watched parts as of the last search for urgent commands
+        self.alarm_parts = None  # the watched parts as of the last search for urgent commands (`alarm`)
         self.next_alarm = 0
         self.slice_spent = 0
         self.alarm_work = None  # the generator of the search that is under way
@@ -95,7 +97,7 @@
 
     def called(self, now, call, code, body):
         """Never used, because this task makes no calls to other clusters."""
-        raise AssertionError("drains call nobody")
+        raise AssertionError("DrainTask makes no calls")
 
     def wake_at(self):
         return self.wake_time
@@ -116,7 +118,7 @@
             for name, permit in permits.items():
                 if permit.phase == GIVEN:
                     self.given.setdefault(permit.index, []).append(name)
-        ledger_time = state.moment + now - self.index_seen  # exact or a little too early
+        ledger_time = state.moment + now - self.index_seen  # never later than the true ledger time
         command = self.clear_acknowledged(now, state, followers)
         watched = tuple(state.part(name) for name in WATCHED_PARTS)
         if command is None and (
@@ -208,7 +210,7 @@
         return permit.phase != GIVEN and ledger_time - permit.moment >= self.late_ns
 
     def next_wave(self, wall_ms, ledger_time, state, running):
-        """Returns the next nodes to go, once those of the last wave are back, late or failed."""
+        """Returns the next nodes to take down, once those of the last wave are back, overdue or failed."""
         nodes, permits = state.part("nodes"), state.part("permits")
         busy = any(
             permit.phase != RECALLED and nodes[name].state != FAILED and not self.is_late(permit, ledger_time)
@@ -244,8 +246,9 @@
         return ()
 
     def should_wait_for_gangs(self, wall_ms, ledger_time, state):
-        """Returns whether the next wave would save no waves: with the nodes whose gangs end soon, as many
-        waves are needed after it as without it. Waiting for those gangs then costs no time and spares a wave.
+        """Returns whether running the next wave now gains nothing: the remaining nodes, together with those
+        whose gangs end soon, need as many waves after it as without it. Waiting for those gangs then costs no
+        time and saves a wave.
         The wait is short, and does not go past the cordon of their drains. A generator."""
         progress, wants = state.part("progress"), state.part("wants")
         soon_free = {}
@@ -291,10 +294,10 @@
             self.plan.change(names, limits)
         return bool(names or limits)
 
-    # ---- progress reports, and drains that are late
+    # ---- progress reports, and overdue drains
 
     def report_progress(self, now, wall_ms, ledger_time, state, running):
-        """Returns a command for one drain whose plan has changed, or that is late; a generator."""
+        """Returns a command for one drain whose plan has changed, or that is overdue; a generator."""
         if not running or now < self.next_report:
             return None
         yield from self.update_plan(ledger_time, state, running)
@@ -314,7 +317,7 @@
 
 
 def cost_of_sums(state):
-    """Returns the cost of summing over all nodes, in nodes placed: placing takes some ten times as long."""
+    """Returns the cost of summing over all nodes. Unit: one node placement, which costs about ten sums."""
     return len(state.part("nodes")) // 10
 
 
@@ -324,14 +327,14 @@
 
 
 def may_go_together(state, ledger_time, names):
-    """Whether each of these nodes may go, and all of them together violate no constraint."""
+    """Whether each of these nodes may be taken down, and all of them together violate no constraint."""
     return all(may_go(state, name) for name in names) and not constraints.find_violations(
         state, ledger_time, names
     )
 
 
 def may_go(state, name):
-    """Whether a drain wants the node and no gang holds it; False for a node that is down by itself."""
+    """Whether a drain wants the node and no gang holds it; False for a node that is down without a permit."""
     permit = state.part("permits").get(name)
     if name not in state.part("wants") or (permit is not None and permit.phase != RECALLED):
         return False
@@ -340,7 +343,7 @@
 
 
 def down_by_themselves(state):
-    """Returns the nodes that a drain wants and that went down by themselves: they need no wave."""
+    """Returns the nodes that a drain wants and that are down without a permit: they need no wave."""
     nodes, permits = state.part("nodes"), state.part("permits")
     return [
         name
@@ -356,7 +359,7 @@
 
 
 def subset_that_may_go(state, ledger_time, names, sums):
-    """Returns as many nodes of a wave as may go now, tried one by one; a generator."""
+    """Returns as many nodes of a wave as may be taken down now, tried one by one; a generator."""
     chosen = ()
     for name in names[:MAX_SINGLE_TRIES]:
         yield len(chosen) + 1
@@ -367,7 +370,7 @@
 
 def find_urgent_command(state, ledger_time):
     """Returns the command that goes before any plan, as a generator that works in pieces: it revokes permits,
-    or grants them to nodes that went down by themselves."""
+    or grants them to nodes that are down without a permit."""
     revoked = yield from find_permits_to_revoke(state, ledger_time)
     if revoked:
         return PermitRevoke(nodes=tuple(sorted(revoked)[:MAX_PERMITS]))
@@ -423,7 +426,7 @@
 
 
 def units_if_back(state, node, ledger_time):
-    """Returns the units that a node with a permit would bear if the permit were revoked."""
+    """Returns the capacity units that a node with a permit would provide if the permit were revoked."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
     return int(node.units * state.settings.cold_share) if node.warm > ledger_time else node.units
--- a/lemonlead/following/move_routing.py
+++ b/lemonlead/following/move_routing.py
@@ -42,7 +42,9 @@
         self.shown_list = {}  # by id: the (line, address) that the balancer has
         self.move_name = ""
         self.move = None  # the newest record of the service's moves
-        self.first_far_build = FIRST_FAR_BUILD  # lowest far build number for the followed cluster
+        self.first_far_build = (
+            FIRST_FAR_BUILD  # raised at each cluster change, because epochs start again at 1
+        )
         self.is_past_move = False  # whether `move` comes from a cluster that was followed before
         self.platform_state = None  # (build, stage, phase, cap) as the platform reported it
         self.stage_began = 0  # when that stage began
@@ -102,8 +104,8 @@
         self.platform_state, self.build_on_trial = (number, stage, phase, cap), None
 
     def attempt_ended(self, zone, end):
-        """Takes the end of an attempt in this zone. Losses on the path aren't counted when builds are judged,
-        but a far side that can't be reached would hold up the move, and what is sent there, forever."""
+        """Takes the end of an attempt in this zone. Builds are not judged by losses on the path, so an
+        unreachable far side would never be judged: the move would stall and its requests would fail."""
         far = zone in self.far_zones
         self.recent_ends[far].append(end in LOST_ENDS)
         near, ours = self.recent_ends[False], self.recent_ends[True]
@@ -114,8 +116,8 @@
             self.far_lost_at = self.current_stage()
 
     def mostly_lost(self):
-        """Returns whether most attempts on the far side were lost. Such a stage must not be passed, because
-        too little is known of it."""
+        """Returns whether most attempts on the far side were lost. There are then too few outcomes to
+        vote for the next stage."""
         return 2 * sum(self.recent_ends[True]) > len(self.recent_ends[True])
 
     def vote_counted(self, vote):
--- a/lemonlead/ledger/dispatcher.py
+++ b/lemonlead/ledger/dispatcher.py
@@ -24,7 +24,7 @@
 MAX_SNAPSHOT_INTERVAL = 32_768  # entries that a start has to apply at most, however many records there are
 MAX_LOG_BYTES = 64 * 1024 * 1024  # of entries in memory; beyond it a snapshot is taken, however few there are
 MAX_TRANSFER_FACTOR = 4  # times these intervals while a peer is being sent the last snapshot
-MAX_POLLS = 2000  # calls that wait for the next change; beyond it a call is answered at once
+MAX_POLLS = 2000  # calls that wait for the next change; beyond it a call is answered immediately
 REFUSED_TASK_DELAY_NS = 1_000_000_000  # before a leader task may propose again after a refused command
 
 
--- a/lemonlead/ledger/elections.py
+++ b/lemonlead/ledger/elections.py
@@ -1,7 +1,7 @@
 """Elections: requesting votes and granting them.
 
 A candidate first runs a pre-vote: it asks the voters whether they would vote for it, which changes nothing
-anywhere (9.6). Only after it wins the pre-vote does it raise the term.
+anywhere (Raft, 9.6). Only after it wins the pre-vote does it raise the term.
 """
 
 from .leader import LeaderState
@@ -83,7 +83,7 @@
 
 
 def handle_timeout_now(replica, now, message):
-    """The leader asks this member to start an election at once (3.10)."""
+    """The leader asks this member to start an election immediately (Raft, 3.10)."""
     if replica.leader_state is None and replica.may_stand() and message.sender == replica.leader:
         replica.count("took over")
         start_election(replica, now, True)
--- a/lemonlead/ledger/leader.py
+++ b/lemonlead/ledger/leader.py
@@ -1,4 +1,6 @@
-"""The state that a replica has only while it leads. It is dropped when the replica steps down."""
+"""The state that a replica has only while it leads. It is dropped when the replica steps down.
+
+Section numbers in comments refer to Ongaro's dissertation on Raft (see the package's docstring)."""
 
 from collections import deque
 
@@ -20,7 +22,7 @@
 )
 
 MAX_ROUNDS = 64  # heartbeat rounds whose time is remembered
-MAX_PENDING_MESSAGES = 64  # client entries that wait to be committed hold at most this times `most_bytes`
+MAX_PENDING_MESSAGES = 64  # limit of uncommitted client bytes, as a multiple of `most_bytes`
 COMMIT_NOTICE_DIVISOR = 8  # an idle peer is sent a new commit index after this part of a heartbeat
 SLOW_DISK_ELECTIONS = 2  # election timeouts that one Write may take before the leader steps down
 
@@ -39,9 +41,12 @@
         self.peers, self.leaving = {}, []  # `leaving`: names that are no longer in the membership
         self.pending = deque()  # (index, ticket, bytes) of entries whose result is awaited
         self.pending_bytes = 0  # of client entries
-        # Reads without a round; reads as (round, index, tickets); how many wait in all.
-        self.unassigned_reads, self.reads, self.waiting_reads = [], deque(), 0
-        self.round, self.rounds, self.confirmed_round = 0, deque(), -1
+        self.unassigned_reads = []  # tickets of reads that have no heartbeat round yet
+        self.reads = deque()  # (round, index, tickets) of reads that wait for their round and index
+        self.waiting_reads = 0  # number of reads in both
+        self.round = 0  # number of the current heartbeat round
+        self.rounds = deque()  # rounds that are not confirmed yet
+        self.confirmed_round = -1  # the newest round that a majority has answered
         self.heartbeat_due = now
         self.quorum_check_due = now + self.config.election
         self.commit_advanced_at = 0
@@ -72,15 +77,16 @@
         self.pending.append((entry.index, ticket, len(data)))
 
     def applied(self, upto):
-        """The entries up to `upto` were applied to the state, so the calls waiting for them end."""
+        """The entries up to `upto` were applied to the state, so their callers get a result."""
         while self.pending and self.pending[0][0] <= upto:
             index, ticket, size = self.pending.popleft()
             self.pending_bytes -= size
             self.replica.results.append((index, ticket, "", ""))
 
     def advance_commit(self, now):
-        """Advances the commit index to what a majority of the voters have on disk. Only an entry of the own
-        term is committed by counting (3.6.2)."""
+        """Advances the commit index to what a majority of the voters have on disk. Only an entry of
+        the current term is committed by counting replicas; earlier ones are committed with it (Raft,
+        3.6.2)."""
         replica = self.replica
         index = replica.majority(lambda name: self.peers[name].match_index, replica.pending_writes.on_disk)
         if index > replica.committed and self.log.term(index) == self.term:
@@ -124,8 +130,8 @@
         self.leaving = [other for other in self.peers if other not in members]
 
     def may_change_members(self):
-        """Whether the members may be changed now: no change is in progress, and an entry of the own term is
-        committed (4.1 and its published correction)."""
+        """Whether the members may be changed now: no change is in progress, and an entry of the current
+        term is committed (Raft, 4.1 and its published correction)."""
         replica = self.replica
         return (
             not replica.is_changing_members() and self.first_index <= replica.committed and not self.transfer
@@ -160,7 +166,7 @@
                 return True
         return False
 
-    # ---- leadership transfer (3.10)
+    # ---- leadership transfer (Raft, 3.10)
 
     def hand_over(self, now, to):
         if self.transfer:
@@ -186,7 +192,7 @@
             return True
         return False
 
-    # ---- reads (6.4)
+    # ---- reads (Raft, 6.4)
 
     def read(self, ticket):
         if self.waiting_reads >= self.config.waiting:
@@ -271,7 +277,7 @@
             self.confirm_rounds()
 
     def note_vote_request(self, now, name):
-        """A peer that requests votes is alive, so a long retry delay for it ends."""
+        """A peer that requests votes is alive, so its retry delay is reset to one heartbeat."""
         peer = self.peers.get(name)
         if peer is not None and peer.retry_delay > self.config.heartbeat:
             peer.retry_delay, peer.send_due = self.config.heartbeat, now
@@ -360,7 +366,8 @@
 
     def send_chunk(self, now, peer, host):
         base = self.replica.base
-        if peer.snapshot_base.index != base.index:  # a host keeps only one snapshot
+        # The host keeps only one snapshot. If it was replaced, the transfer starts again.
+        if peer.snapshot_base.index != base.index:
             peer.start_snapshot(now, base, self.config.heartbeat)
         peer.back_off_chunk(now, self.config.heartbeat, self.replica.rng)
         peer.sent_round = self.round
@@ -411,7 +418,7 @@
     # ---- stepping down
 
     def close(self):
-        """Refuses all calls that wait. Returns the tickets of committed entries, which are answered once they
+        """Refuses all waiting calls. Returns the tickets of committed entries, which are answered once they
         are applied."""
         replica, kept = self.replica, deque()
         for index, ticket, size in self.pending:
--- a/lemonlead/ledger/peers.py
+++ b/lemonlead/ledger/peers.py
@@ -34,7 +34,8 @@
         self.snapshot_offset = 0
         self.chunk_due = now
         self.chunk_delay = heartbeat
-        # A learner catches up in rounds: each ends once the log's end as of its start is on its disk (4.2.1).
+        # A learner catches up in rounds: each ends once the log's end as of its start is on its disk (Raft,
+        # 4.2.1).
         self.catch_up_index = last
         self.catch_up_start = now
         self.caught_up = False
--- a/lemonlead/ledger/records.py
+++ b/lemonlead/ledger/records.py
@@ -87,8 +87,8 @@
 class VoteRequest(Message, frozen=True, tag="Canvass"):
     """Asks for a vote.
 
-    `early` marks a pre-vote, which changes nothing at the receiver (9.6). `handed` means that the leader
-    started this election, so a receiver must not refuse because that leader is alive (4.2.3).
+    `early` marks a pre-vote, which changes nothing at the receiver (Raft, 9.6). `handed` means that the
+    leader started this election, so a receiver must not refuse because that leader is alive (Raft, 4.2.3).
     """
 
     last_index: int = 0
@@ -108,7 +108,7 @@
     """Entries that follow (`prev_index`, `prev_term`); a heartbeat has none.
 
     `round` grows with each heartbeat and comes back in the response, so the leader knows that it was still
-    the leader when it sent that heartbeat (6.4).
+    the leader when it sent that heartbeat (Raft, 6.4).
     """
 
     prev_index: int = 0
@@ -151,7 +151,7 @@
 
 
 class TimeoutNow(Message, frozen=True, tag="TakeOver"):
-    """Tells the receiver to start an election at once (3.10)."""
+    """Tells the receiver to start an election immediately (Raft, 3.10)."""
 
 
 PeerMessage = (
--- a/lemonlead/ledger/replica.py
+++ b/lemonlead/ledger/replica.py
@@ -143,7 +143,7 @@
         self.leader_state.propose(now, wall_ms, data, ticket)
 
     def read(self, now, ticket):
-        """Starts a linearizable read (6.4). It ends by `host.readable` or `host.refuse`."""
+        """Starts a linearizable read (Raft, 6.4). It ends by `host.readable` or `host.refuse`."""
         self.tick(now)
         if self.leader_state is None:
             return self.refuse(ticket, NOT_DONE)
@@ -161,8 +161,8 @@
         self.leader_state.change_members(now, members, ticket)
 
     def hand_over(self, now, to=""):
-        """Transfers leadership to the named voter, or to the one with the most entries (3.10). Does nothing
-        if this member does not lead."""
+        """Transfers leadership to the named voter, or to the one with the most entries (Raft, 3.10). Does
+        nothing if this member does not lead."""
         self.tick(now)
         if self.leader_state is not None:
             self.leader_state.hand_over(now, to)
@@ -327,7 +327,7 @@
 
     def refresh_members(self):
         """Updates the membership after the newest MEMBERS entry of the log has changed. The entry counts from
-        then on, even before it is committed (4.1)."""
+        then on, even before it is committed (Raft, 4.1)."""
         self.members = self.log.memberships[-1][1]
         self.voters = [name for name, member in self.members.items() if member.votes]
         self.quorum = len(self.voters) // 2 + 1
@@ -348,7 +348,7 @@
 
     def may_stand(self):
         """Whether it may become a candidate: a voter may, and also one whose removal is not known to be
-        committed, because it may still be needed (4.2.2)."""
+        committed, because it may still be needed (Raft, 4.2.2)."""
         if self.failed or self.pending_writes.base is not None:
             return False
         return self.is_voter() or self.was_voter()
--- a/lemonlead/ledger/state.py
+++ b/lemonlead/ledger/state.py
@@ -44,7 +44,7 @@
     grace: int = 1_000_000_000  # ... after this much more time, for messages still in flight
     cold: int = 5_000_000_000  # for how long a node that came back is cold
     cold_share: float = 0.5  # the share of its units that a cold node can use
-    site_share: float = 0.25  # of a site's nodes that may be out at once for drains; one always may
+    site_share: float = 0.25  # of a site's nodes that drains may take out together; one always may
 
 
 class Answered(Struct, frozen=True, array_like=True):
--- a/lemonlead/member/disk.py
+++ b/lemonlead/member/disk.py
@@ -205,8 +205,8 @@
         return False
 
     def create(self):
-        """Creates a new folder. Until the file `making` is gone nobody has been told anything that it
-        holds."""
+        """Creates a new folder. While the file `making` exists, nothing that the folder holds
+        has been sent to anyone."""
         os.close(os.open(self.path / "making", os.O_CREAT | os.O_CLOEXEC, 0o600))
         sync_folder(self.path)
         for name in FILES - {"lock", "making"}:
--- a/lemonlead/member/faults.py
+++ b/lemonlead/member/faults.py
@@ -96,7 +96,7 @@
 
 
 class TooMany(NotNow):
-    """There are more calls at once than a member serves."""
+    """There are more concurrent calls than a member serves."""
 
     do = "try again after retry_ms, less often, or spread the calls over the members"
 
--- a/lemonlead/member/http_client.py
+++ b/lemonlead/member/http_client.py
@@ -13,7 +13,7 @@
 REACHED_HEADER = "X-Lemonlead-Reached"  # the address at which the calling member is reached
 HOP_HEADER = "X-Lemonlead-Hop"  # set on a call that a member passes on: it is not passed on again
 MAX_RESPONSE_BYTES = 1024 * 1024
-MAX_CLUSTER_CALLS = 64  # to other clusters at once; a further call gets code 0, as if no member answered
+MAX_CLUSTER_CALLS = 64  # to other clusters, concurrent; a further call gets code 0, as if no member answered
 GREETING = msgspec.json.Decoder(Greeting)
 
 
--- a/lemonlead/member/http_server.py
+++ b/lemonlead/member/http_server.py
@@ -19,10 +19,10 @@
 from .forming import is_numeric
 from .http_client import HOP_HEADER, REACHED_HEADER
 
-MAX_CALLS = 2000  # answered at once, without those of peers; a further one gets 503
+MAX_CALLS = 2000  # handled concurrently, without those of peers; a further one gets 503
 MAX_POLLS = 1500  # of these, calls that wait for events
-MAX_PEER_CALLS = 64  # of other members, answered at once
-MAX_LARGE_RESPONSES = 4  # encoded at once; others wait for their turn
+MAX_PEER_CALLS = 64  # of other members, handled concurrently
+MAX_LARGE_RESPONSES = 4  # encoded concurrently; others wait for their turn
 MAX_PASSED_ON_BYTES = 256 * 1024 * 1024  # of a response that is passed on
 MAX_FORM_BYTES = 64 * 1024 * 1024
 BODY_TIMEOUT_SECONDS = 5  # for a body to arrive
--- a/lemonlead/member/run.py
+++ b/lemonlead/member/run.py
@@ -28,7 +28,7 @@
 from .memory import pause_gc
 from .peers import Peers
 
-MAX_CONNECTIONS = 4000  # past it, or what descriptors allow, a new one is closed at once
+MAX_CONNECTIONS = 4000  # past it, or what descriptors allow, a new one is closed immediately
 RESERVED_DESCRIPTORS = 200  # for everything but connections of others to this member
 MEMBER_CONNECTIONS = 64  # above the bound, for other members only
 LISTEN_BACKLOG = 512
--- a/lemonlead/moves/rules.py
+++ b/lemonlead/moves/rules.py
@@ -122,7 +122,7 @@
 
 
 class Hold(Struct, frozen=True):
-    """The destination's record. `warm_at`: ledger time at which the destination can bear all requests. `by`:
+    """The destination's record. `warm_at`: ledger time at which the destination can serve all requests. `by`:
     the reason that an operator gave for ending the hold."""
 
     source: str
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -36,10 +36,10 @@
 # The wait after a call without a response: doubled with each call up to the maximum, with random jitter.
 MIN_WAIT_NS = SECOND // 4
 MAX_WAIT_NS = 5 * SECOND
-CALL_TIMEOUT_NS = 15 * SECOND  # a call without any result from the host counts as unknown then
-RESPONSE_LIFETIME_NS = 2 * SECOND  # a response that led to no command is requested again then
+CALL_TIMEOUT_NS = 15 * SECOND  # after this the outcome of a call is treated as unknown, and it is repeated
+RESPONSE_LIFETIME_NS = 2 * SECOND  # after this an unused response is discarded, and the call repeated
 HOLD_CHECK_NS = 5 * SECOND  # between checks that the hold still exists while requests go there
-ACK_CHECK_NS = SECOND // 5  # between checks whether the gateways have obeyed
+ACK_CHECK_NS = SECOND // 5  # between checks whether the gateways have acknowledged the new share
 NEVER = 1 << 62
 HTTP_OK, HTTP_BAD_REQUEST, HTTP_CONFLICT = 200, 400, 409
 
@@ -86,7 +86,7 @@
         self.progress = {}  # name of a move to its StepProgress
         self.ledger_clock = (0, 0)  # local time and ledger time at which the ledger time last changed
         self.wake_time = NEVER
-        self.turn = 0  # which move is looked at first
+        self.turn = 0  # number of calls of `next`; decides which move is looked at first
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
     def became_leader(self, now):
@@ -165,8 +165,8 @@
         self.wake_time = min(self.wake_time, at)
 
     def call_destination(self, now, name, move, state, progress, command, **fields):
-        """Returns ((code, Response), None) if there is a response. Otherwise returns (None, None) with the
-        Call to make, or with None if no call is due."""
+        """Returns two values: the response and the call to make, at most one of them set. With a response:
+        (code, Response) and None. Without: (None, None), and the Call or, if none is due, None."""
         if progress.response is not None:
             self.wake_by(progress.response_time + RESPONSE_LIFETIME_NS)
             return progress.response, None
@@ -187,7 +187,7 @@
         return (None, None), progress.call
 
     def retry_after(self, progress, now, wait):
-        """Discards a response that is not yet the one awaited, and calls again after this wait."""
+        """Discards a response that is not yet the one awaited, and calls again after this time."""
         progress.response, progress.wait_until = None, now + wait
         self.wake_by(progress.wait_until)
 
@@ -295,7 +295,7 @@
         )
 
     def run_rolling_back(self, now, ledger_time, name, move, state, followers, progress):
-        """Waits while a gateway may still send to the destination; nothing is dropped there before."""
+        """Waits while a gateway may still send to the destination. Its hold is only released afterwards."""
         if followers.waited_for(now, state, move.at):
             return self.wake_by(now + ACK_CHECK_NS)
         return self.advance(name, move)
@@ -324,7 +324,8 @@
 
 
 def read_response(code, body):
-    """Returns the Response of a body, or None if it cannot be used. A 200 must name its entry."""
+    """Returns the Response of a body, or None if it cannot be used. A 200 without the ledger
+    index `at` is invalid."""
     try:
         response = (
             msgspec.convert(body, Response) if code in (HTTP_OK, HTTP_CONFLICT, HTTP_BAD_REQUEST) else None
