--- a/lemonlead/distribution/outbox.py
+++ b/lemonlead/distribution/outbox.py
@@ -29,17 +29,17 @@
 SNAPSHOT = 3  # lowest level: records of urgency REST that are sent as part of a snapshot
 LEVELS = (DRAIN, COLD, REST, SNAPSHOT)
 NO_KEYS = ((), (), ())
-NOT_KEPT = ()  # compared by identity: the store no longer keeps the record
+COMPACTED = ()  # compared by identity: the store no longer keeps the record
 
 
 class ScopePosition:
     """How far one scope has been sent.
 
     `complete` is the index up to which the subscriber has the scope. `base` is the KeyList being sent and
-    `late` the KeyList of what changed after `base` was made; both are None when everything has been sent.
-    `base_done` and `late_done` count, by urgency, the keys already sent of each list."""
+    `newer` the KeyList of what changed after `base` was made; both are None when everything has been sent.
+    `base_sent` and `newer_sent` count, by urgency, the keys already sent of each list."""
 
-    __slots__ = ("complete", "base", "base_done", "late", "late_done", "ahead", "announced")
+    __slots__ = ("complete", "base", "base_sent", "newer", "newer_sent", "ahead", "announced")
 
     def __init__(self, complete):
         self.complete = complete
@@ -47,13 +47,13 @@
 
     def finish(self):
         """Marks everything as sent."""
-        self.base = self.late = self.base_done = self.late_done = self.ahead = None
+        self.base = self.newer = self.base_sent = self.newer_sent = self.ahead = None
         self.announced = False
 
     def begin(self, base):
         """Starts to send a KeyList."""
-        self.base, self.base_done, self.late, self.late_done = base, [0, 0, 0], None, [0, 0, 0]
-        self.ahead, self.announced = {}, False  # ahead: index sent by key, of the `late` list
+        self.base, self.base_sent, self.newer, self.newer_sent = base, [0, 0, 0], None, [0, 0, 0]
+        self.ahead, self.announced = {}, False  # ahead: index sent by key, of the `newer` list
 
 
 class Outbox:
@@ -66,10 +66,10 @@
         self.rate, self.burst = check_amount(rate, "rate"), check_amount(burst, "burst", MIN_BURST_BYTES)
         self.store = store
         self.updated_at = now
-        self.credit = 0  # bytes times nanoseconds; 0 at first, so that reconnecting gives no new burst
+        self.credit_byte_ns = 0  # 0 at first, so that reconnecting gives no new burst
         self.positions = {}  # ScopePosition by scope
         self.pending = tuple({} for _ in LEVELS)  # by level: the scopes that have keys of it left
-        self.completed_scopes = {}  # scopes whose `complete` has to be sent
+        self.scopes_to_confirm = {}  # scopes whose `complete` has to be sent
         self.cluster = store.cluster
         self.cluster_sent = False  # whether the line that names the cluster was sent
         self.line_count = 0
@@ -95,25 +95,27 @@
         """Starts scopes, small ones first, so that a large one delays none."""
         for scope in sorted(check_scope_indexes(scopes), key=self.store.record_count):
             self.positions[scope] = ScopePosition(scopes[scope])
-            self.start_scope(scope)
+            self.refresh_scope(scope)
 
     # ---- decisions
 
     def next(self, now):
         """Returns the next line, or None when there is nothing to send or the budget is spent."""
         if now > self.updated_at:
-            self.credit = min(self.burst * SECOND, self.credit + (now - self.updated_at) * self.rate)
+            self.credit_byte_ns = min(
+                self.burst * SECOND, self.credit_byte_ns + (now - self.updated_at) * self.rate
+            )
             self.updated_at = now
         self.sync_with_store()
-        if self.credit < self.needed_bytes() * SECOND:
+        if self.credit_byte_ns < self.needed_bytes() * SECOND:
             return None
-        limit = min(MAX_LINE_BYTES, self.credit // SECOND)
+        limit = min(MAX_LINE_BYTES, self.credit_byte_ns // SECOND)
         line = self.build_line(now, limit - SEAL_BYTES)
         if line is None:
             return None
         self.line_count += 1
         data = seal_line(line, self.line_count)
-        self.credit -= len(data) * SECOND
+        self.credit_byte_ns -= len(data) * SECOND
         self.counts["lines"] += 1
         self.counts["bytes"] += len(data)
         return data
@@ -127,7 +129,7 @@
             return (
                 max(self.next_advance_at, self.updated_at) if self.store.index > self.advanced_index else None
             )
-        missing = needed * SECOND - self.credit
+        missing = needed * SECOND - self.credit_byte_ns
         return self.updated_at + max(-(-missing // self.rate), 0)
 
     # ---- what is left to send
@@ -138,41 +140,41 @@
         if store.cluster != self.cluster:
             self.cluster, self.cluster_sent, self.seen_index = store.cluster, False, store.index
             self.advanced_index = 0
-            self.completed_scopes.clear()
+            self.scopes_to_confirm.clear()
             for scopes in self.pending:
                 scopes.clear()
             for scope in sorted(self.positions, key=store.record_count):
                 self.positions[scope] = ScopePosition(0)
-                self.start_scope(scope)
+                self.refresh_scope(scope)
         if store.index == self.seen_index:
             return
         changed = store.changed_scopes(self.seen_index)
         for scope in list(self.positions) if changed is None else changed:
             if scope in self.positions:
-                self.start_scope(scope)
+                self.refresh_scope(scope)
         self.seen_index = store.index
 
-    def start_scope(self, scope, from_snapshot=False):
+    def refresh_scope(self, scope, from_snapshot=False):
         """Updates what is to be sent of a scope; `from_snapshot` sends all its records again. A scope in
         which the subscriber is ahead of the store has nothing to send until the store has caught up."""
         store, position = self.store, self.positions[scope]
         if position.base is None or from_snapshot:
             base = None if from_snapshot else store.list_changes(scope, position.complete)
             position.begin(base or store.list_all(scope))
-        late = store.list_changes(scope, position.base.at)
-        if late is None:  # no longer in the store's log
+        newer = store.list_changes(scope, position.base.at)
+        if newer is None:  # no longer in the store's log
             position.begin(store.list_all(scope))
-            late = store.list_changes(scope, position.base.at)
-        position.late, position.late_done = late, [0, 0, 0]
-        whole, at, base = position.base.whole, position.base_done, position.base.levels
+            newer = store.list_changes(scope, position.base.at)
+        position.newer, position.newer_sent = newer, [0, 0, 0]
+        whole, at, base = position.base.whole, position.base_sent, position.base.levels
         rest = at[REST] < len(base[REST])
         left = (
-            at[DRAIN] < len(base[DRAIN]) or late.levels[DRAIN],
-            at[COLD] < len(base[COLD]) or late.levels[COLD],
-            rest and not whole or late.levels[REST],
+            at[DRAIN] < len(base[DRAIN]) or newer.levels[DRAIN],
+            at[COLD] < len(base[COLD]) or newer.levels[COLD],
+            rest and not whole or newer.levels[REST],
             rest and whole,
         )
-        self.completed_scopes.pop(scope, None)
+        self.scopes_to_confirm.pop(scope, None)
         for scopes, some in zip(self.pending, left, strict=True):
             if some:
                 scopes[scope] = None
@@ -180,50 +182,50 @@
                 scopes.pop(scope, None)
         if not any(left):
             if whole or base != NO_KEYS or store.last_change(scope) > position.complete:
-                self.completed_scopes[scope] = None
+                self.scopes_to_confirm[scope] = None
             else:
                 position.finish()
 
     def first_pending(self):
-        """Returns what to send first as (level, scope, key, VersionedRecord, whether it comes from the `late`
-        list), or None when nothing is left."""
+        """Returns what to send first as (level, scope, key, VersionedRecord, whether it comes from the
+        `newer` list), or None when nothing is left."""
         for level in LEVELS:
             scopes = self.pending[level]
             while scopes:
                 scope = next(iter(scopes))
                 found = self.first_pending_of(scope, level)
-                if found is NOT_KEPT:
+                if found is COMPACTED:
                     self.restart_scope(scope)
                 elif found is not None:
                     return level, scope, *found
                 else:
                     del scopes[scope]
                     if not any(scope in other for other in self.pending):
-                        self.completed_scopes[scope] = None
+                        self.scopes_to_confirm[scope] = None
         return None
 
     def first_pending_of(self, scope, level):
-        """Returns (key, VersionedRecord, whether it comes from the `late` list) of a scope, None when the
-        scope has nothing left of this level, or NOT_KEPT when the store no longer keeps the newest record of
+        """Returns (key, VersionedRecord, whether it comes from the `newer` list) of a scope, None when the
+        scope has nothing left of this level, or COMPACTED when the store no longer keeps the newest record of
         a key."""
         position, store, kind = self.positions[scope], self.store, min(level, REST)
         if level != SNAPSHOT:
-            keys, at = position.late.levels[kind], position.late_done
+            keys, at = position.newer.levels[kind], position.newer_sent
             while at[kind] < len(keys):
                 key = keys[at[kind]]
                 record = store.newest(scope, key)
                 if record is None:
-                    return NOT_KEPT
+                    return COMPACTED
                 if position.ahead.get(key) != record.index:
                     return key, record, True
                 at[kind] += 1
         if level < REST or position.base.whole == (level == SNAPSHOT):
-            keys, at = position.base.levels[kind], position.base_done
+            keys, at = position.base.levels[kind], position.base_sent
             while at[kind] < len(keys):
                 key = keys[at[kind]]
                 record = store.newest(scope, key)
                 if record is None:
-                    return NOT_KEPT
+                    return COMPACTED
                 if record.index <= position.base.at:
                     return key, record, False
                 at[kind] += 1
@@ -235,7 +237,7 @@
         its lists."""
         for scopes in self.pending:
             scopes.pop(scope, None)
-        self.start_scope(scope, from_snapshot=True)
+        self.refresh_scope(scope, from_snapshot=True)
 
     def needed_bytes(self):
         """Returns the bytes of budget that the next line needs, 0 when there is nothing to send."""
@@ -245,7 +247,7 @@
             return MIN_BUDGET_BYTES
         found = self.first_pending()
         if found is None:
-            return min(MIN_BUDGET_BYTES, self.burst) if self.completed_scopes else 0
+            return min(MIN_BUDGET_BYTES, self.burst) if self.scopes_to_confirm else 0
         level, scope, key, record, _ = found
         size = len(encode_change(scope, key, record)) + len(scope) + 32 + SEAL_BYTES
         return size if level == DRAIN else max(size, MIN_BUDGET_BYTES)
@@ -261,10 +263,10 @@
             self.cluster_sent = True
             return b'"cluster":%b,"at":%d' % (encode(self.cluster), self.store.index)
         found = self.first_pending()
-        if found is None and not self.completed_scopes:
-            self.advance(now)
+        if found is None and not self.scopes_to_confirm:
+            self.confirm_unchanged_scopes(now)
         if found is None or found[0] == SNAPSHOT:
-            for scope in self.completed_scopes:
+            for scope in self.scopes_to_confirm:
                 if self.needs_announcement(scope):
                     return self.announce_snapshot(scope)
         if found is not None and self.needs_announcement(found[1]):
@@ -298,7 +300,7 @@
         """Appends changes of these levels to `changes`, as many as there is room for. Returns the bytes that
         are left."""
         while (found := self.first_pending()) is not None and found[0] in levels:
-            level, scope, key, record, late = found
+            level, scope, key, record, newer = found
             change = encode_change(scope, key, record)
             if len(change) + 1 > room or self.needs_announcement(scope):
                 break
@@ -306,18 +308,18 @@
             room -= len(change) + 1
             self.counts["told"] += 1
             position, kind = self.positions[scope], min(level, REST)
-            if late:
+            if newer:
                 position.ahead[key] = record.index
-                position.late_done[kind] += 1
+                position.newer_sent[kind] += 1
             else:
-                position.base_done[kind] += 1
+                position.base_sent[kind] += 1
         return room
 
     def add_complete(self, complete, room):
         """Appends to `complete` how far scopes are complete. Returns the bytes that are left."""
-        self.first_pending()  # updates `completed_scopes`
+        self.first_pending()  # updates `scopes_to_confirm`
         index = self.store.index
-        for scope in list(self.completed_scopes):
+        for scope in list(self.scopes_to_confirm):
             entry = b"%b:%d" % (encode(scope), index)
             if len(entry) + 1 > room:
                 break
@@ -325,12 +327,12 @@
                 continue
             complete.append(entry)
             room -= len(entry) + 1
-            del self.completed_scopes[scope]
+            del self.scopes_to_confirm[scope]
             self.positions[scope].complete = index
             self.positions[scope].finish()
         return room
 
-    def advance(self, now):
+    def confirm_unchanged_scopes(self, now):
         """Marks scopes in which nothing changed as complete up to the store's index. Sent from time to
         time, so that after a reconnect another relay only sends the changes after this index."""
         if now < self.next_advance_at or self.store.index <= self.advanced_index:
@@ -338,7 +340,7 @@
         self.next_advance_at, self.advanced_index = now + ADVANCE_INTERVAL_NS, self.store.index
         for scope, position in self.positions.items():
             if position.complete < self.store.index:
-                self.completed_scopes[scope] = None
+                self.scopes_to_confirm[scope] = None
 
 
 def encode_change(scope, key, record):
--- a/lemonlead/drains/leader_task.py
+++ b/lemonlead/drains/leader_task.py
@@ -45,15 +45,15 @@
 )
 PLANNING_INTERVAL_NS = 200_000_000  # between planning passes while only reservations change
 ACK_INTERVAL_NS = 20_000_000  # between checks whether each gateway has acknowledged
-LATE_CORDON_MS = 3_600_000  # an overdue drain blocks new gangs for this time after its cordon time
-CORDON_PAUSE_MS = 900_000  # then gangs that end within this time may start; afterwards it is set again
+OVERDUE_CORDON_MS = 3_600_000  # an overdue drain blocks new gangs for this time after its cordon time
+CORDON_REOPEN_MS = 900_000  # then gangs that end within this time may start; afterwards it is set again
 GIVE_UP_NS = (
     24 * 3600 * 1_000_000_000
 )  # past its deadline, a drain with no node done for so long ends unfinished
 MAX_SINGLE_TRIES = 200  # nodes tried one by one if a wave does not fit as a whole
 MAX_GANG_WAIT_MS = 600_000  # longest delay of a wave that saves nothing if it runs before gangs have ended
 GANG_OVERRUN_MS = 5000  # time past its announced end for which such a gang is still waited for
-SLICE = 500  # nodes examined or placed in one call of `next`, which then takes a few ms
+NODES_PER_SLICE = 500  # nodes examined or placed in one call of `next`, which then takes a few ms
 MAX_WAVES_TRIED = 3  # planned waves that are checked for one that is allowed now
 REPORT_INTERVAL_NS = 1_000_000_000  # between progress reports, so that not each event builds a plan for them
 WATCHED_PARTS = ("nodes", "permits", "wants", "drains", "groups", "terms")  # a change starts a planning pass
@@ -73,9 +73,10 @@
         self.next_ack_check = 0
         self.wake_time = NEVER
         self.index, self.index_seen = -1, now  # the last entry, and when it was seen
-        self.held_until = 0  # ledger time before which no wave starts, unless something changes
+        self.next_wave_not_before = 0  # ledger time before which no wave starts, unless something changes
         self.permits = None  # as last seen
-        self.given = {}  # index of the granting entry to the names of its nodes that are not clear yet
+        # Index of the granting entry to the names of its nodes that are not clear yet.
+        self.unacknowledged_permits = {}
         self.next_report = 0
         self.reset_plan()
 
@@ -83,17 +84,17 @@
         """Stops the planning pass and forgets what was planned."""
         self.planning_work = None  # the generator of the planning pass that is under way
         self.planning_parts = None  # the watched parts as of its start
-        self.alarm_parts = None  # the watched parts as of the last search for urgent commands (`alarm`)
-        self.next_alarm = 0
+        self.urgent_search_parts = None  # the watched parts as of the last search for urgent commands
+        self.next_urgent_search = 0
         self.slice_spent = 0
-        self.alarm_work = None  # the generator of the search that is under way
+        self.urgent_search = None  # the generator of the search that is under way
         self.builder, self.rest_of_wave = PlanRequestBuilder(), ()
         self.plan = Plan(self.builder.request)
 
     @property
     def planning(self):
         """Whether a planning pass or a search is under way, of which each call of `next` does a slice."""
-        return self.planning_work is not None or self.alarm_work is not None
+        return self.planning_work is not None or self.urgent_search is not None
 
     def called(self, now, call, code, body):
         """Never used, because this task makes no calls to other clusters."""
@@ -114,20 +115,22 @@
         if state.index != self.index:
             self.index, self.index_seen = state.index, now
         if permits is not self.permits:
-            self.permits, self.given = permits, {}
+            self.permits, self.unacknowledged_permits = permits, {}
             for name, permit in permits.items():
                 if permit.phase == GIVEN:
-                    self.given.setdefault(permit.index, []).append(name)
+                    self.unacknowledged_permits.setdefault(permit.index, []).append(name)
         ledger_time = state.moment + now - self.index_seen  # never later than the true ledger time
         command = self.clear_acknowledged(now, state, followers)
         watched = tuple(state.part(name) for name in WATCHED_PARTS)
         if command is None and (
             self.planning or now >= self.next_planning or not is_same(watched, self.planned_parts)
         ):
-            command = self.run_alarm_slice(now, ledger_time, state, watched)
-            if command is None and self.alarm_work is None:
+            command = self.run_urgent_search_slice(now, ledger_time, state, watched)
+            if command is None and self.urgent_search is None:
                 command = self.run_planning_slice(now, wall_ms, ledger_time, state, running, watched)
-        self.wake_time = now + ACK_INTERVAL_NS if self.given else max(self.next_planning, now + 1)
+        self.wake_time = (
+            now + ACK_INTERVAL_NS if self.unacknowledged_permits else max(self.next_planning, now + 1)
+        )
         if self.planning:
             self.wake_time = now + 1
         return command
@@ -137,34 +140,35 @@
         out."""
         if now < self.next_ack_check:
             return None
-        for index, names in sorted(self.given.items()):
+        for index, names in sorted(self.unacknowledged_permits.items()):
             if not followers.waited_for(now, state, index):
                 return PermitClear(nodes=tuple(sorted(names)[:MAX_PERMITS]), index=index)
         self.next_ack_check = now + ACK_INTERVAL_NS
         return None
 
-    def run_alarm_slice(self, now, ledger_time, state, watched):
+    def run_urgent_search_slice(self, now, ledger_time, state, watched):
         """Does a slice of the search for urgent commands, which do not wait for a planning pass. While a
         planning pass is under way the search runs at most every other time, so that the pass ends even if
         there are many events."""
-        if self.alarm_work is None:
+        if self.urgent_search is None:
             if self.planning_work is not None and (
-                self.slice_spent or (is_same(watched, self.alarm_parts) and now < self.next_alarm)
+                self.slice_spent
+                or (is_same(watched, self.urgent_search_parts) and now < self.next_urgent_search)
             ):
                 self.slice_spent = 0
                 return None
-            self.alarm_work, self.alarm_parts, self.next_alarm = (
+            self.urgent_search, self.urgent_search_parts, self.next_urgent_search = (
                 find_urgent_command(state, ledger_time),
                 watched,
                 now + PLANNING_INTERVAL_NS,
             )
         self.slice_spent = 0
         try:
-            while self.slice_spent < SLICE:
-                self.slice_spent += next(self.alarm_work)
+            while self.slice_spent < NODES_PER_SLICE:
+                self.slice_spent += next(self.urgent_search)
             return None
         except StopIteration as ended:
-            self.alarm_work = None
+            self.urgent_search = None
             return ended.value
 
     def run_planning_slice(self, now, wall_ms, ledger_time, state, running, watched):
@@ -176,7 +180,7 @@
                 self.run_planning(now, wall_ms, ledger_time, state, running),
                 watched,
             )
-        left, command = SLICE - self.slice_spent, None
+        left, command = NODES_PER_SLICE - self.slice_spent, None
         try:
             while left > 0:
                 left -= next(self.planning_work)
@@ -187,7 +191,7 @@
         if (
             isinstance(command, PermitCommand)
             and not fresh
-            and not may_go_together(state, ledger_time, command.nodes)
+            and not may_be_taken_down_together(state, ledger_time, command.nodes)
         ):
             self.rest_of_wave, command = (), None
         if command is None:
@@ -218,16 +222,19 @@
         )
         if self.rest_of_wave:  # the wave was too long for one entry
             rest, self.rest_of_wave = self.rest_of_wave[:MAX_PERMITS], self.rest_of_wave[MAX_PERMITS:]
-            if may_go_together(state, ledger_time, rest):
+            if may_be_taken_down_together(state, ledger_time, rest):
                 return rest
         if busy:
             return ()
-        if not (yield from self.update_plan(ledger_time, state, running)) and ledger_time < self.held_until:
+        if (
+            not (yield from self.update_plan(ledger_time, state, running))
+            and ledger_time < self.next_wave_not_before
+        ):
             return ()
         if self.plan.should_rebuild():
             yield from self.plan.rebuild_in_pieces(self.builder.request)
         if self.plan.waves and (yield from self.should_wait_for_gangs(wall_ms, ledger_time, state)):
-            self.held_until = ledger_time + REPORT_INTERVAL_NS
+            self.next_wave_not_before = ledger_time + REPORT_INTERVAL_NS
             return ()
         sums = constraints.sum_sites(state, ledger_time) if self.plan.waves else {}
         yield cost_of_sums(state)
@@ -240,7 +247,7 @@
                 return names[:MAX_PERMITS]
             if all(isinstance(fault, SiteShort) for fault in faults) and any_site_cold(state, names, sums):
                 return ()  # the wave fits once the nodes that came back are warm
-            names = yield from subset_that_may_go(state, ledger_time, names, sums)
+            names = yield from subset_that_may_be_taken_down(state, ledger_time, names, sums)
             if names:
                 return names
         return ()
@@ -301,7 +308,7 @@
         if not running or now < self.next_report:
             return None
         yield from self.update_plan(ledger_time, state, running)
-        yield SLICE
+        yield NODES_PER_SLICE
         reports = progress_of_drains(self.plan, state, running, wall_ms, ledger_time, self.late_ns)
         for name, drain in sorted(running.items()):
             progress = state.part("progress")[name]
@@ -310,8 +317,8 @@
                 return DrainPlanReport(drain=name, waves=waves, next=next_nodes, stuck=stuck)
             if wall_ms >= max(drain.deadline_ms, 1) and ledger_time >= progress.moved + GIVE_UP_NS:
                 return DrainGivenUp(drain=name, moved=progress.moved)
-            if wall_ms >= progress.cordon_ms + LATE_CORDON_MS:
-                return DrainCordon(drain=name, cordon_ms=wall_ms + CORDON_PAUSE_MS)
+            if wall_ms >= progress.cordon_ms + OVERDUE_CORDON_MS:
+                return DrainCordon(drain=name, cordon_ms=wall_ms + CORDON_REOPEN_MS)
         self.next_report = now + REPORT_INTERVAL_NS
         return None
 
@@ -326,14 +333,14 @@
     return before is not None and all(a is b for a, b in zip(watched, before, strict=True))
 
 
-def may_go_together(state, ledger_time, names):
+def may_be_taken_down_together(state, ledger_time, names):
     """Whether each of these nodes may be taken down, and all of them together violate no constraint."""
-    return all(may_go(state, name) for name in names) and not constraints.find_violations(
+    return all(may_be_taken_down(state, name) for name in names) and not constraints.find_violations(
         state, ledger_time, names
     )
 
 
-def may_go(state, name):
+def may_be_taken_down(state, name):
     """Whether a drain wants the node and no gang holds it; False for a node that is down without a permit."""
     permit = state.part("permits").get(name)
     if name not in state.part("wants") or (permit is not None and permit.phase != RECALLED):
@@ -342,7 +349,7 @@
     return bool(up(node) or node.out) and not state.part("loads").get(name, NO_LOAD).gangs
 
 
-def down_by_themselves(state):
+def unplanned_down_nodes(state):
     """Returns the nodes that a drain wants and that are down without a permit: they need no wave."""
     nodes, permits = state.part("nodes"), state.part("permits")
     return [
@@ -358,12 +365,14 @@
     return any(sums[nodes[name].site].warm_at for name in names)
 
 
-def subset_that_may_go(state, ledger_time, names, sums):
+def subset_that_may_be_taken_down(state, ledger_time, names, sums):
     """Returns as many nodes of a wave as may be taken down now, tried one by one; a generator."""
     chosen = ()
     for name in names[:MAX_SINGLE_TRIES]:
         yield len(chosen) + 1
-        if may_go(state, name) and not constraints.find_violations(state, ledger_time, (*chosen, name), sums):
+        if may_be_taken_down(state, name) and not constraints.find_violations(
+            state, ledger_time, (*chosen, name), sums
+        ):
             chosen = (*chosen, name)
     return chosen
 
@@ -374,7 +383,7 @@
     revoked = yield from find_permits_to_revoke(state, ledger_time)
     if revoked:
         return PermitRevoke(nodes=tuple(sorted(revoked)[:MAX_PERMITS]))
-    down = down_by_themselves(state)
+    down = unplanned_down_nodes(state)
     if down:
         return PermitCommand(nodes=tuple(sorted(down)[:MAX_PERMITS]))
     return None
@@ -417,15 +426,17 @@
         short = site_sums.required - site_sums.capacity
         if short <= 0:
             continue
-        short -= sum(units_if_back(state, nodes[name], ledger_time) for name in revoked_by_site.get(site, ()))
+        short -= sum(
+            capacity_if_revoked(state, nodes[name], ledger_time) for name in revoked_by_site.get(site, ())
+        )
         for name in revocable_by_site[site]:
             if short > 0 and name not in revoked:
                 revoked.add(name)
-                short -= units_if_back(state, nodes[name], ledger_time)
+                short -= capacity_if_revoked(state, nodes[name], ledger_time)
     return revoked
 
 
-def units_if_back(state, node, ledger_time):
+def capacity_if_revoked(state, node, ledger_time):
     """Returns the capacity units that a node with a permit would provide if the permit were revoked."""
     if node.state not in (SERVING, CATCHING_UP):
         return 0
--- a/lemonlead/following/move_routing.py
+++ b/lemonlead/following/move_routing.py
@@ -24,9 +24,9 @@
 )
 
 SHIFTING = "shifting"  # a move's step
-ALL_THOUSANDTHS = 1000  # the share that sends all requests to the far side
+FULL_SHARE_PERMILLE = 1000  # the share that sends all requests to the far side
 FIRST_FAR_BUILD = 1 << 40  # the far side is shown as a build of this number plus the move's epoch
-ENDS_IN_VIEW = 8  # last attempts of each side that are considered
+MAX_RECENT_ENDS = 8  # last attempts of each side that are considered
 # Ends of attempts that a comparison of builds doesn't count.
 LOST_ENDS = (UNCONNECTED, RESET, TIMED_OUT, UNREADABLE, CANCELLED)
 
@@ -39,27 +39,27 @@
         self.service, self.far = service, {name: frozenset(zones) for name, zones in far.items()}
         self.far_zones = frozenset().union(*self.far.values())
         self.lines, self.addresses = {}, {}  # by id, as merged from discovery and the ledger
-        self.shown_list = {}  # by id: the (line, address) that the balancer has
+        self.last_sent_list = {}  # by id: the (line, address) that the balancer has
         self.move_name = ""
         self.move = None  # the newest record of the service's moves
-        self.first_far_build = (
-            FIRST_FAR_BUILD  # raised at each cluster change, because epochs start again at 1
-        )
-        self.is_past_move = False  # whether `move` comes from a cluster that was followed before
+        # Raised by FIRST_FAR_BUILD at each cluster change: epochs then start again at 1, builds must not.
+        self.far_build_base = FIRST_FAR_BUILD
+        # Whether `move` comes from a cluster that was followed before.
+        self.is_move_of_previous_cluster = False
         self.platform_state = None  # (build, stage, phase, cap) as the platform reported it
         self.stage_began = 0  # when that stage began
-        self.shown_stage = None  # (build, stage, phase, cap) that the balancer has
+        self.last_sent_stage = None  # (build, stage, phase, cap) that the balancer has
         # Whether each of the last attempts was lost, by whether it went to the far side.
-        self.recent_ends = {False: deque(maxlen=ENDS_IN_VIEW), True: deque(maxlen=ENDS_IN_VIEW)}
-        self.far_lost_at = None  # (epoch, stage) at which the far side lost most attempts
+        self.recent_ends = {False: deque(maxlen=MAX_RECENT_ENDS), True: deque(maxlen=MAX_RECENT_ENDS)}
+        self.far_unreachable_stage = None  # (epoch, stage) at which the far side lost most attempts
         self.counted_vote = None  # the last vote that the ledger counted: (epoch, stage, verdict)
-        self.build_on_trial = None  # whether a real build is on trial; None: not evaluated
+        self.has_build_on_trial = None  # whether a real build is on trial; None: not evaluated
 
     # ---- inputs
 
     def listed(self, lines, addresses, whole):
         """Takes merged lines and addresses: all of them (`whole`), or changes."""
-        self.build_on_trial = None
+        self.has_build_on_trial = None
         if whole:
             self.lines, self.addresses = {}, {}
         for line in lines:
@@ -76,20 +76,20 @@
             if part != "moves" or move is None or move["service"] != self.service:
                 continue
             newer = self.move is None or (move["epoch"], move["at"]) >= (self.move["epoch"], self.move["at"])
-            if newer or self.is_past_move:
-                before, self.build_on_trial = self.current_stage(), None
-                self.move_name, self.move, self.is_past_move = key, move, False
+            if newer or self.is_move_of_previous_cluster:
+                before, self.has_build_on_trial = self.current_stage(), None
+                self.move_name, self.move, self.is_move_of_previous_cluster = key, move, False
                 if self.current_stage() != before:
-                    self.far_lost_at = None
+                    self.far_unreachable_stage = None
                     self.recent_ends[True].clear()
 
     def cluster_changed(self):
         """Records that another cluster is followed, whose entries count from 1 again. Requests are routed as
         before until that cluster has a move of the service."""
-        self.is_past_move, self.counted_vote, self.first_far_build = (
+        self.is_move_of_previous_cluster, self.counted_vote, self.far_build_base = (
             True,
             None,
-            self.first_far_build + FIRST_FAR_BUILD,
+            self.far_build_base + FIRST_FAR_BUILD,
         )
 
     def platform_changed(self, now, number, stage, phase, cap, age):
@@ -101,7 +101,7 @@
             self.platform_state[0],
         ):
             self.stage_began = now - age
-        self.platform_state, self.build_on_trial = (number, stage, phase, cap), None
+        self.platform_state, self.has_build_on_trial = (number, stage, phase, cap), None
 
     def attempt_ended(self, zone, end):
         """Takes the end of an attempt in this zone. Builds are not judged by losses on the path, so an
@@ -110,10 +110,12 @@
         self.recent_ends[far].append(end in LOST_ENDS)
         near, ours = self.recent_ends[False], self.recent_ends[True]
         most = (
-            len(ours) == ENDS_IN_VIEW and 2 * sum(ours) > ENDS_IN_VIEW and 0 < self.share() < ALL_THOUSANDTHS
+            len(ours) == MAX_RECENT_ENDS
+            and 2 * sum(ours) > MAX_RECENT_ENDS
+            and 0 < self.share() < FULL_SHARE_PERMILLE
         )
-        if far and most and 2 * sum(near) * ENDS_IN_VIEW <= sum(ours) * len(near):
-            self.far_lost_at = self.current_stage()
+        if far and most and 2 * sum(near) * MAX_RECENT_ENDS <= sum(ours) * len(near):
+            self.far_unreachable_stage = self.current_stage()
 
     def mostly_lost(self):
         """Returns whether most attempts on the far side were lost. There are then too few outcomes to
@@ -143,17 +145,17 @@
             return ""
         if move["to"] not in self.far:
             return "no zone is told"
-        if move["share"] == ALL_THOUSANDTHS:
+        if move["share"] == FULL_SHARE_PERMILLE:
             return ""
-        if self.far_lost_at is not None:
+        if self.far_unreachable_stage is not None:
             return "lost there"
-        if self.build_on_trial is None:
-            self.build_on_trial = self.any_build_on_trial()
-        return "a build is on trial" if self.build_on_trial else ""
+        if self.has_build_on_trial is None:
+            self.has_build_on_trial = self.any_build_on_trial()
+        return "a build is on trial" if self.has_build_on_trial else ""
 
     def is_shifting(self):
         """Returns whether the balancer now judges a far side."""
-        return self.shown_stage is not None and self.shown_stage[0] >= FIRST_FAR_BUILD
+        return self.last_sent_stage is not None and self.last_sent_stage[0] >= FIRST_FAR_BUILD
 
     def any_build_on_trial(self):
         """Returns whether a real build is on trial on either side."""
@@ -185,13 +187,13 @@
         far = [line.id for line in ready if line.zone in zones]
         there = far[: instances_for_share(len(far), share)]
         here = (
-            max(instances_for_share(len(near), ALL_THOUSANDTHS - share), len(near) - len(there))
-            if share < ALL_THOUSANDTHS
+            max(instances_for_share(len(near), FULL_SHARE_PERMILLE - share), len(near) - len(there))
+            if share < FULL_SHARE_PERMILLE
             else 0
         )
         return frozenset(near[:here]), frozenset(there)
 
-    def list_changes(self, whole):
+    def list_update_for_balancer(self, whole):
         """Returns the lines and addresses for the balancer: all of them (`whole`), or those that differ from
         what it has."""
         share = self.share()
@@ -201,10 +203,10 @@
             address = self.addresses[id]
             if line.state == READY and id not in here and id not in there:
                 line, address = replace(line, state=DRAINING), (None, line.started)
-            elif id in there and share < ALL_THOUSANDTHS:
-                line = replace(line, build=self.first_far_build + self.move["epoch"])
+            elif id in there and share < FULL_SHARE_PERMILLE:
+                line = replace(line, build=self.far_build_base + self.move["epoch"])
             shown[id] = line, address
-        old, self.shown_list = self.shown_list, shown
+        old, self.last_sent_list = self.last_sent_list, shown
         new = {id: entry for id, entry in shown.items() if whole or entry != old.get(id)}
         lines = [line for line, _ in new.values()]
         addresses = {id: address for id, (_, address) in new.items()}
@@ -213,40 +215,42 @@
             addresses[id] = None, old[id][0].started
         return lines, addresses
 
-    def stage_to_show(self, now, again=False):
+    def stage_update_for_balancer(self, now, again=False):
         """Returns what the balancer is to receive about builds, in the form of the platform's reports, or
         None if it has that already. With `again` a repeated report of the platform is passed on too."""
         share, age = self.share(), 0
-        if 0 < share < ALL_THOUSANDTHS:
+        if 0 < share < FULL_SHARE_PERMILLE:
             stage = (
-                self.first_far_build + self.move["epoch"],
+                self.far_build_base + self.move["epoch"],
                 self.move["stage"],
                 ON_TRIAL,
-                share / ALL_THOUSANDTHS,
+                share / FULL_SHARE_PERMILLE,
             )
         elif self.platform_state is not None:
             stage, age = self.platform_state, now - self.stage_began
-        elif self.shown_stage is not None:  # no platform: the listed build is the released one
+        elif self.last_sent_stage is not None:  # no platform: the listed build is the released one
             builds = {line.build for line in self.lines.values()}
             stage = max(builds, default=0), 0, RELEASED, 1.0
         else:
             return None
-        if stage == self.shown_stage and not (again and stage == self.platform_state):
+        if stage == self.last_sent_stage and not (again and stage == self.platform_state):
             return None
-        self.shown_stage = stage
+        self.last_sent_stage = stage
         return *stage, max(age, 0)
 
     def vote_target(self, build, stage):
         """Returns the epoch and stage that a vote on this build is about, or None if it is about a real
         build."""
-        return (build - self.first_far_build, stage) if build >= FIRST_FAR_BUILD else None
+        return (build - self.far_build_base, stage) if build >= FIRST_FAR_BUILD else None
 
     def is_current_stage(self, epoch, stage):
         """Returns whether a vote on this epoch and stage still counts."""
-        shifting = self.move is not None and self.move["step"] == SHIFTING and not self.is_past_move
+        shifting = (
+            self.move is not None and self.move["step"] == SHIFTING and not self.is_move_of_previous_cluster
+        )
         return shifting and self.current_stage() == (epoch, stage)
 
 
 def instances_for_share(count, share):
     """Returns how many of `count` instances take requests at this share: at least one."""
-    return max(-(-count * share // ALL_THOUSANDTHS), 1) if count and share else 0
+    return max(-(-count * share // FULL_SHARE_PERMILLE), 1) if count and share else 0
--- a/lemonlead/following/service.py
+++ b/lemonlead/following/service.py
@@ -55,7 +55,7 @@
         """Starts with the platform's state as the balancer received it, or None."""
         if update is not None:
             self.routing.platform_changed(now, *update)
-            self.routing.stage_to_show(now)
+            self.routing.stage_update_for_balancer(now)
         self.dispatcher.service = self
 
     # ---- lists
@@ -80,12 +80,12 @@
     def list_update(self, now, whole=False, again=False):
         """Reports builds to the balancer if they changed, and returns the lines and addresses that it is to
         receive."""
-        if (stage := self.routing.stage_to_show(now, again)) is not None:
+        if (stage := self.routing.stage_update_for_balancer(now, again)) is not None:
             self.dispatcher.balancer.stage_reported(now, *stage)
         self.log_shift()
-        if self.routing.far_lost_at is not None:
-            self.vote_in_ledger((*self.routing.far_lost_at, "back"), False)
-        return self.routing.list_changes(whole)
+        if self.routing.far_unreachable_stage is not None:
+            self.vote_in_ledger((*self.routing.far_unreachable_stage, "back"), False)
+        return self.routing.list_update_for_balancer(whole)
 
     def log_shift(self):
         """Logs one line each time the share, or the reason for it, changes."""
@@ -122,9 +122,9 @@
         self.counters.add(
             f"shift attempts {'far' if attempt.instance.zone in self.routing.far_zones else 'near'}"
         )
-        before = self.routing.far_lost_at
+        before = self.routing.far_unreachable_stage
         self.routing.attempt_ended(attempt.instance.zone, end)
-        if self.routing.far_lost_at != before:
+        if self.routing.far_unreachable_stage != before:
             self.counters.add("shift far lost")
             self.publish(now, self.list_update(now))
 
--- a/lemonlead/ledger/leader.py
+++ b/lemonlead/ledger/leader.py
@@ -22,7 +22,7 @@
 )
 
 MAX_ROUNDS = 64  # heartbeat rounds whose time is remembered
-MAX_PENDING_MESSAGES = 64  # limit of uncommitted client bytes, as a multiple of `most_bytes`
+MAX_PENDING_BYTES_FACTOR = 64  # limit of uncommitted client bytes, as a multiple of `most_bytes`
 COMMIT_NOTICE_DIVISOR = 8  # an idle peer is sent a new commit index after this part of a heartbeat
 SLOW_DISK_ELECTIONS = 2  # election timeouts that one Write may take before the leader steps down
 
@@ -35,10 +35,10 @@
         self.config = replica.config
         self.log = replica.log
         self.term = replica.term
-        self.start = now
-        self.start_moment = self.log.moment  # the ledger time at `start`
+        self.started_at = now
+        self.start_moment = self.log.moment  # the ledger time at `started_at`
         self.wall_ms = self.log.wall_ms
-        self.peers, self.leaving = {}, []  # `leaving`: names that are no longer in the membership
+        self.peers, self.removed_peers = {}, []  # `removed_peers`: names that are no longer in the membership
         self.pending = deque()  # (index, ticket, bytes) of entries whose result is awaited
         self.pending_bytes = 0  # of client entries
         self.unassigned_reads = []  # tickets of reads that have no heartbeat round yet
@@ -58,7 +58,7 @@
 
     def append_entry(self, now, what, data, wall_ms=0):
         self.wall_ms = max(self.wall_ms, wall_ms)
-        moment = self.start_moment + max(now - self.start, 0)
+        moment = self.start_moment + max(now - self.started_at, 0)
         entry = Entry(self.log.last + 1, self.term, what, moment, self.wall_ms, data)
         self.log.extend([entry])
         return entry
@@ -67,7 +67,7 @@
         full = self.log.last - self.replica.committed >= self.config.uncommitted
         if (
             full
-            or self.pending_bytes + len(data) > MAX_PENDING_MESSAGES * self.config.most_bytes
+            or self.pending_bytes + len(data) > MAX_PENDING_BYTES_FACTOR * self.config.most_bytes
             or self.transfer
         ):
             self.replica.count("turned away: handing over" if self.transfer else "turned away: uncommitted")
@@ -98,12 +98,12 @@
         """Once the newest MEMBERS entry is committed, notifies each removed peer once and forgets it."""
         if self.replica.is_changing_members():
             return
-        for name in self.leaving:
+        for name in self.removed_peers:
             if (peer := self.peers.pop(name, None)) is not None and not peer.is_silent(
                 now, self.config.election
             ):
                 self.replica.post(self.message(AppendEntries, peer, committed=self.replica.committed))
-        self.leaving = []
+        self.removed_peers = []
         if not self.replica.is_voter():
             self.leave(now)
 
@@ -127,7 +127,7 @@
                     last = self.log.last
                     self.peers[other] = Peer(other, member, last, now, self.config.heartbeat)
                 self.peers[other].member = member
-        self.leaving = [other for other in self.peers if other not in members]
+        self.removed_peers = [other for other in self.peers if other not in members]
 
     def may_change_members(self):
         """Whether the members may be changed now: no change is in progress, and an entry of the current
@@ -138,7 +138,7 @@
         )
 
     def change_members(self, now, members, ticket):
-        if not self.may_change_members() or not one_apart(self.log.memberships[-1][1], members):
+        if not self.may_change_members() or not is_single_member_change(self.log.memberships[-1][1], members):
             self.replica.count("turned away: members")
             return self.replica.refuse(ticket, NOT_DONE)
         self.pending.append((self.append_members(now, members), ticket, 0))
@@ -383,7 +383,7 @@
             config.cluster, config.name, config.folder, peer.name, peer.member.folder, self.term, **fields
         )
 
-    def needed_index(self, now):
+    def lowest_peer_index(self, now):
         """Returns the last index that all responding peers have, or will have with their snapshot."""
         return min(
             (
@@ -417,7 +417,7 @@
 
     # ---- stepping down
 
-    def close(self):
+    def refuse_waiting_calls(self):
         """Refuses all waiting calls. Returns the tickets of committed entries, which are answered once they
         are applied."""
         replica, kept = self.replica, deque()
@@ -434,7 +434,7 @@
         return kept
 
 
-def one_apart(before, after):
+def is_single_member_change(before, after):
     """Whether the two memberships differ by one new learner, one removed member or one changed address, and a
     voter is left."""
     names = set(before) ^ set(after)
--- a/lemonlead/ledger/replica.py
+++ b/lemonlead/ledger/replica.py
@@ -435,7 +435,7 @@
         leader_state, self.leader_state, self.candidacy = self.leader_state, None, None
         if leader_state is not None:
             self.leader = ""
-            self.committed_tickets.extend(leader_state.close())
+            self.committed_tickets.extend(leader_state.refuse_waiting_calls())
         if self.role in (LEADER, CANDIDATE):
             self.reset_election_timer(now)
         self.role = self.resting_role()
@@ -483,7 +483,7 @@
         upto = self.base.index - keep
         if self.leader_state is not None:
             upto = max(
-                min(upto, self.leader_state.needed_index(self.now)),
+                min(upto, self.leader_state.lowest_peer_index(self.now)),
                 self.base.index - MAX_KEEP_FACTOR * keep,
             )
         self.log.discard_through(upto, self.base)
--- a/lemonlead/member/http_server.py
+++ b/lemonlead/member/http_server.py
@@ -24,7 +24,7 @@
 MAX_PEER_CALLS = 64  # of other members, handled concurrently
 MAX_LARGE_RESPONSES = 4  # encoded concurrently; others wait for their turn
 MAX_PASSED_ON_BYTES = 256 * 1024 * 1024  # of a response that is passed on
-MAX_FORM_BYTES = 64 * 1024 * 1024
+MAX_BOOTSTRAP_BYTES = 64 * 1024 * 1024
 BODY_TIMEOUT_SECONDS = 5  # for a body to arrive
 COMMAND_TIMEOUT_SECONDS = 10  # then a command without an answer is UNKNOWN, and a read NOT_DONE
 ROWS_PER_SLICE = 500  # records encoded before the event loop does other things
@@ -75,10 +75,10 @@
     def __init__(self, member):
         self.member, self.client, self.log = member, member.client, member.log
         self.open_calls = self.open_polls = self.open_peer_calls = 0
-        self.large_responses = asyncio.Semaphore(MAX_LARGE_RESPONSES)
+        self.large_response_slots = asyncio.Semaphore(MAX_LARGE_RESPONSES)
         self.counts = {"calls": 0, "calls_turned_away": 0, "senseless": 0, "late": 0, "garbled": 0}
         self.counts.update({"passed_on": 0, "most_calls": 0})
-        self.app = web.Application(client_max_size=MAX_FORM_BYTES, middlewares=[self.limit_calls])
+        self.app = web.Application(client_max_size=MAX_BOOTSTRAP_BYTES, middlewares=[self.limit_calls])
         self.app.add_routes(
             [
                 web.get("/readyz", self.ready),
@@ -88,7 +88,7 @@
                 web.get("/v1/events", self.events),
                 web.get("/peer/hello", self.hello),
                 web.post("/peer/messages", self.messages),
-                web.post("/peer/form", self.form),
+                web.post("/peer/form", self.bootstrap_cluster),
             ]
         )
 
@@ -236,7 +236,7 @@
             state, leader = await self.wait_for(host.read(), NOT_DONE)
             if state is None:
                 return await self.pass_on(request, leader)
-        async with self.large_responses:
+        async with self.large_response_slots:
             head = ENCODE({"at": state.index, "moment": state.moment, "cluster_id": self.cluster_id, **more})
             return json_response(
                 200, head[:-1], b',"items":', await encode_rows(assembly.describe_part(state, name)), b"}"
@@ -262,7 +262,7 @@
             ledger_time = self.host.dispatcher.state.moment
             body = {"at": at, "moment": ledger_time, "leader": leader, "cluster_id": self.cluster_id}
             return json_response(200, {**body, "events": items})
-        async with self.large_responses:
+        async with self.large_response_slots:
             body = {"at": at, "moment": state.moment, "leader": leader, "cluster_id": self.cluster_id}
             head = ENCODE(body)[:-1] + b',"whole":{'
             names = [name for name in sorted(state.parts) if not parts or name in parts]
@@ -343,10 +343,12 @@
             status=self.member.receive_messages(batch, address if is_numeric(address) else "")
         )
 
-    async def form(self, request):
+    async def bootstrap_cluster(self, request):
         if self.member.host is not None:
             return json_response(409, {"reason": f"{self.member.name} is in a cluster"})
-        reason = await self.member.forming.receive_snapshot(await self.read_body(request, MAX_FORM_BYTES))
+        reason = await self.member.forming.receive_snapshot(
+            await self.read_body(request, MAX_BOOTSTRAP_BYTES)
+        )
         return json_response(409, {"reason": reason}) if reason else json_response(200, {})
 
 
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -86,7 +86,7 @@
         self.progress = {}  # name of a move to its StepProgress
         self.ledger_clock = (0, 0)  # local time and ledger time at which the ledger time last changed
         self.wake_time = NEVER
-        self.turn = 0  # number of calls of `next`; decides which move is looked at first
+        self.next_call_count = 0  # number of calls of `next`; decides which move is looked at first
         self.counts = {"calls": 0, "unknown": 0, "refused there": 0, "late": 0}
 
     def became_leader(self, now):
@@ -130,9 +130,9 @@
         names = sorted(state.part("moving"))
         for name in [name for name in self.progress if name not in state.part("moving")]:
             del self.progress[name]
-        self.wake_time, self.turn = NEVER, self.turn + 1
+        self.wake_time, self.next_call_count = NEVER, self.next_call_count + 1
         for at in range(len(names)):  # each turn starts with another move, so that none is starved by others
-            name = names[(at + self.turn) % len(names)]
+            name = names[(at + self.next_call_count) % len(names)]
             move = state.part("moves")[name]
             action = self.run_step(now, ledger_time, name, move, state, followers)
             if action is not None:
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -315,7 +315,7 @@
     def add_complete(self, complete, room):
         room = super().add_complete(complete, room)
         for scope, position in self.positions.items():
-            if position.base is not None and scope not in self.completed_scopes and not complete:
+            if position.base is not None and scope not in self.scopes_to_confirm and not complete:
                 complete.append(b"%b:%d" % (json.dumps(scope).encode(), self.store.index))
         return room
 
@@ -327,7 +327,7 @@
         pending = super().first_pending()
         if pending is not None and pending[0] == 0 and pending[3].index % 2:
             position = self.positions[pending[1]]
-            (position.late_done if pending[4] else position.base_done)[0] += 1
+            (position.newer_sent if pending[4] else position.base_sent)[0] += 1
             return self.first_pending()
         return pending
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -807,7 +807,7 @@
 def test_random_events_during_planning_keep_invariants(seed):
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(planner, "NODES_PER_PIECE", 2)
-        patch.setattr(leader_task, "SLICE", 8)
+        patch.setattr(leader_task, "NODES_PER_SLICE", 8)
         events = RandomEvents(seed)
         events.world.slow = True
         run_random_events(events, 20_000)
@@ -834,7 +834,7 @@
             )
             most, before, calls = max(most, placed[0] - before), placed[0], calls + 1
     assert len(found.nodes) == 620 and placed[0] >= 2500  # a quarter of each site
-    assert most <= leader_task.SLICE + planner.NODES_PER_PIECE
+    assert most <= leader_task.NODES_PER_SLICE + planner.NODES_PER_PIECE
 
 
 def test_wave_is_planned_again_after_a_node_fails():
@@ -842,7 +842,7 @@
     world.ask("group", group="g", nodes=node_names(3), quorum=2)
     start_drain(world, node_names(2))
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leader_task, "SLICE", 1)
+        patch.setattr(leader_task, "NODES_PER_SLICE", 1)
         while not world.drain_task.plan.wave_of:
             assert world.drain_task.next(world.now, world.wall, world.state, world.follow) is None
         assert world.drain_task.planning
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -25,7 +25,7 @@
 )
 
 from lemonlead.ledger import records as r
-from lemonlead.ledger.leader import one_apart
+from lemonlead.ledger.leader import is_single_member_change
 from lemonlead.ledger.log import MAX_WRITES_IN_FLIGHT, Log
 from lemonlead.ledger.replica import Replica
 
@@ -744,11 +744,11 @@
     ],
 )
 def test_which_membership_changes_are_allowed(after, allowed):
-    assert one_apart(members_of(), after) is allowed
+    assert is_single_member_change(members_of(), after) is allowed
 
 
 def test_the_last_voter_can_not_be_removed():
-    assert not one_apart(members_of("ab", "b"), members_of("b", "b"))
+    assert not is_single_member_change(members_of("ab", "b"), members_of("b", "b"))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -23,7 +23,12 @@
 from lemonlead.following import service as services
 from lemonlead.following.faults import Unusable
 from lemonlead.following.service import Service
-from lemonlead.following.move_routing import ENDS_IN_VIEW, FIRST_FAR_BUILD, MoveRouting, instances_for_share
+from lemonlead.following.move_routing import (
+    MAX_RECENT_ENDS,
+    FIRST_FAR_BUILD,
+    MoveRouting,
+    instances_for_share,
+)
 from lemonlead.following.responses import LedgerUpdate
 from lemonlead.gateway import dispatcher as dispatchers
 from lemonlead.gateway.counters import Counters
@@ -357,9 +362,9 @@
 def test_equal_losses_on_both_sides_blame_neither():
     sides = MoveRouting("search", {"ebene": {THERE}})
     sides.apply_changes([("moves", "m", move_record())])
-    for n in range(4 * ENDS_IN_VIEW):
+    for n in range(4 * MAX_RECENT_ENDS):
         sides.attempt_ended((HERE, THERE)[n % 2], at.RESET)
-    assert sides.far_lost_at is None
+    assert sides.far_unreachable_stage is None
 
 
 def test_votes_of_real_gateways_roll_a_worse_move_back():
