--- a/lemonlead/gateway/__main__.py
+++ b/lemonlead/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonlead.gateway`: runs one gateway, as its environment and configuration file say."""
+"""`python -m lemonlead.gateway`: runs one gateway, configured by its environment and configuration file."""
 
 import errno
 import os
@@ -89,7 +89,7 @@
     threads += [releases.run_news, releases.run_votes] if config.platform else []
     for thread in threads:
         threading.Thread(target=thread, daemon=True).start()
-    if config.pushed:  # no request is served by the list from before the start, if discovery can be reached
+    if config.pushed:  # if discovery can be reached, no request is served with the list from before the start
         discovery.request_list()
         until = time.monotonic() + FIRST_LIST_SECONDS
         while not (is_ending() or discovery.first_result.wait(POLL_SECONDS)) and time.monotonic() < until:
@@ -196,27 +196,30 @@
 
 def stop(server, dispatcher, log, follower):
     """Serves what still arrives, then closes idle connections and finishes the accepted requests. At the end
-    the follower tells the ledger that this gateway sends no more. A request that arrives by the end of
+    the follower notifies the ledger that this gateway sends no more. A request that arrives by the end of
     LINGER_SECONDS has until its deadline. A later one, on a connection that was never idle, has until the
     earliest time of SIGKILL. The process ends LINGER_SECONDS, the longest deadline and LAST_RESPONSES_SECONDS
     after SIGTERM at the latest, besides the time that the ledger takes."""
     log.info("stopping", open=len(dispatcher.pending_requests))
-    longest = (
+    longest_deadline_seconds = (
         max((request_class.deadline for request_class in server.config.start.request_classes), default=0)
         / 1e9
     )
     closing = time.monotonic() + LINGER_SECONDS
-    soon, until = closing + min(longest, MAX_COUNTED_DEADLINE_SECONDS), closing + longest
+    abort_late_from, abort_all_from = (
+        closing + min(longest_deadline_seconds, MAX_COUNTED_DEADLINE_SECONDS),
+        closing + longest_deadline_seconds,
+    )
     time.sleep(LINGER_SECONDS)
-    late = configs.now()
+    accepting_until = configs.now()
     server.close()
     while server.close_idle() or not server.closed.is_set() or dispatcher.pending_requests:
-        if (time_now := time.monotonic()) >= until + LAST_RESPONSES_SECONDS:
+        if (time_now := time.monotonic()) >= abort_all_from + LAST_RESPONSES_SECONDS:
             break
-        if time_now >= soon:
-            server.finish_late_requests(late if time_now < until else 0)
+        if time_now >= abort_late_from:
+            server.abort_requests_after(accepting_until if time_now < abort_all_from else 0)
         time.sleep(POLL_SECONDS)
-    return finish(dispatcher, log, follower, until + LAST_RESPONSES_SECONDS)
+    return finish(dispatcher, log, follower, abort_all_from + LAST_RESPONSES_SECONDS)
 
 
 def finish(dispatcher, log, follower, until):
--- a/lemonlead/gateway/dispatcher.py
+++ b/lemonlead/gateway/dispatcher.py
@@ -3,17 +3,18 @@
 import threading
 import traceback
 
-from .. import interface as at
+from .. import interface
 from ..balance import Balancer
 from ..start_settings import NS_PER_MS
 from . import resp
 from .config import now
 
-# Of one event, besides one for each open request; after that many the rest waits for the next event.
+# Exceptions that are tolerated during the decisions on one event, besides one for each open request. After
+# that many the remaining decisions wait for the next event.
 MAX_FAULTS = 8
 MIN_WAKEUP_NS_AFTER_FAULT = 10 * NS_PER_MS  # the timer does not ask again sooner than this
 # The ends of attempts of which no instance received the whole request.
-UNWRITTEN = (at.UNCONNECTED, at.NOT_SENT)
+UNWRITTEN = (interface.UNCONNECTED, interface.NOT_SENT)
 
 
 class Dispatcher:
@@ -52,7 +53,7 @@
     def process_event(self, event, *values):
         time_now, faults = now(), MAX_FAULTS + len(self.pending_requests)
         self.call_guarded(event, time_now, *values)
-        # A decision takes its subject off its list first, so after a fault the others are still made.
+        # A decision first removes its subject from its list, so after a fault the others are still made.
         while (
             (more := self.call_guarded(self.balancer.decide, time_now, self)) or more is None and faults > 0
         ):
@@ -93,7 +94,7 @@
         request.arrived = time_now
         self.balancer.request_arrived(time_now, request)
 
-    def request_turned_away(self, time_now, pending, request):
+    def reject_on_arrival(self, time_now, pending, request):
         """Has a request rejected without an attempt, as the balancer gives up any other."""
         if self.register(pending, request):
             self.balancer.give_up(request, self)
@@ -122,10 +123,10 @@
                 self.ids.discard(request.id)
                 self.count("left", request)
                 self.drop_unwritten(request)
-                self.balancer.request_left(time_now, request)
+                self.balancer.request_closed(time_now, request)
 
     def attempt_ended(self, time_now, attempt, end, value):
-        if end == at.SUCCEEDED and attempt.request in self.pending_requests:
+        if end == interface.SUCCEEDED and attempt.request in self.pending_requests:
             self.answer(attempt.request, "succeeded", resp.bulk(value))
         self.counters.add(f"attempts {end}")
         if self.service is not None:
@@ -138,13 +139,17 @@
         """Reports the state of the newest build, as the platform sent it."""
         (self.service or self.balancer).stage_reported(time_now, *release_state)
 
-    def may_begin(self, attempt):
+    def write_deadline(self, attempt):
         """Returns the time, in nanoseconds, by which the attempt's last byte must be written, or 0 if the
         attempt may not begin. Waits until the updates of the list that have arrived are processed."""
         if self.list_source is not None:
             self.list_source.wait_until_processed(attempt.request.deadline)
         with self.lock:
-            return self.balancer.may_begin(now(), attempt) if attempt.request in self.pending_requests else 0
+            return (
+                self.balancer.write_deadline(now(), attempt)
+                if attempt.request in self.pending_requests
+                else 0
+            )
 
     def count(self, what, request):
         self.counters.add(what)
--- a/lemonlead/gateway/managed_connection.py
+++ b/lemonlead/gateway/managed_connection.py
@@ -7,8 +7,8 @@
 import time
 
 MAX_CROWDED_PAUSE_SECONDS = 16.0  # after a server that had too many callers
-# The first pause after such a server. After a shorter one, all callers that waited in vain would fill the
-# server's queue again at once.
+# The first pause after such a server. After a shorter one, all callers that were not served would fill
+# the server's queue again immediately.
 MIN_CROWDED_PAUSE_SECONDS = 2.0
 CONNECT_TIMEOUT_SECONDS = 1.0  # short, so that a server that becomes reachable is found soon
 # The reason codes of connections that ended with these errors.
@@ -91,8 +91,8 @@
 
     def pause_before_retry(self, crowded=False):
         """Waits before the next connection. `crowded`: the server had too many callers. A caller that waits
-        there in vain takes the place of one that would be served, so all callers must come less often until
-        each gets through. The price is that updates arrive later."""
+        there without success takes the place of one that would be served, so all callers must connect less
+        often until each gets through. The price is that updates arrive later."""
         # The lock is held throughout, because a failure at the old address must not lengthen the pause at a
         # new one.
         with self.condition:
--- a/lemonlead/ledger/leader.py
+++ b/lemonlead/ledger/leader.py
@@ -1,4 +1,6 @@
-"""The state that a replica has only while it leads. It is dropped when the replica steps down."""
+"""The state that a replica has only while it leads. It is dropped when the replica steps down.
+
+Section numbers in comments refer to Ongaro's dissertation on Raft (see the package's docstring)."""
 
 from collections import deque
 
@@ -20,7 +22,7 @@
 )
 
 MAX_ROUNDS = 64  # heartbeat rounds whose time is remembered
-MAX_PENDING_MESSAGES = 64  # client entries that wait to be committed hold at most this times `most_bytes`
+MAX_PENDING_BYTES_FACTOR = 64  # limit of uncommitted client bytes, as a multiple of `most_bytes`
 COMMIT_NOTICE_DIVISOR = 8  # an idle peer is sent a new commit index after this part of a heartbeat
 SLOW_DISK_ELECTIONS = 2  # election timeouts that one Write may take before the leader steps down
 
@@ -33,15 +35,18 @@
         self.config = replica.config
         self.log = replica.log
         self.term = replica.term
-        self.start = now
-        self.start_moment = self.log.moment  # the ledger time at `start`
+        self.started_at = now
+        self.start_moment = self.log.moment  # the ledger time at `started_at`
         self.wall_ms = self.log.wall_ms
-        self.peers, self.leaving = {}, []  # `leaving`: names that are no longer in the membership
+        self.peers, self.removed_peers = {}, []  # `removed_peers`: names that are no longer in the membership
         self.pending = deque()  # (index, ticket, bytes) of entries whose result is awaited
         self.pending_bytes = 0  # of client entries
-        # Reads without a round; reads as (round, index, tickets); how many wait in all.
-        self.unassigned_reads, self.reads, self.waiting_reads = [], deque(), 0
-        self.round, self.rounds, self.confirmed_round = 0, deque(), -1
+        self.unassigned_reads = []  # tickets of reads that have no heartbeat round yet
+        self.reads = deque()  # (round, index, tickets) of reads that wait for their round and index
+        self.waiting_reads = 0  # number of reads in both
+        self.round = 0  # number of the current heartbeat round
+        self.rounds = deque()  # rounds that are not confirmed yet
+        self.confirmed_round = -1  # the newest round that a majority has answered
         self.heartbeat_due = now
         self.quorum_check_due = now + self.config.election
         self.commit_advanced_at = 0
@@ -53,7 +58,7 @@
 
     def append_entry(self, now, what, data, wall_ms=0):
         self.wall_ms = max(self.wall_ms, wall_ms)
-        moment = self.start_moment + max(now - self.start, 0)
+        moment = self.start_moment + max(now - self.started_at, 0)
         entry = Entry(self.log.last + 1, self.term, what, moment, self.wall_ms, data)
         self.log.extend([entry])
         return entry
@@ -62,7 +67,7 @@
         full = self.log.last - self.replica.committed >= self.config.uncommitted
         if (
             full
-            or self.pending_bytes + len(data) > MAX_PENDING_MESSAGES * self.config.most_bytes
+            or self.pending_bytes + len(data) > MAX_PENDING_BYTES_FACTOR * self.config.most_bytes
             or self.transfer
         ):
             self.replica.count("turned away: handing over" if self.transfer else "turned away: uncommitted")
@@ -72,15 +77,16 @@
         self.pending.append((entry.index, ticket, len(data)))
 
     def applied(self, upto):
-        """The entries up to `upto` were applied to the state, so the calls waiting for them end."""
+        """The entries up to `upto` were applied to the state, so their callers get a result."""
         while self.pending and self.pending[0][0] <= upto:
             index, ticket, size = self.pending.popleft()
             self.pending_bytes -= size
             self.replica.results.append((index, ticket, "", ""))
 
     def advance_commit(self, now):
-        """Advances the commit index to what a majority of the voters have on disk. Only an entry of the own
-        term is committed by counting (3.6.2)."""
+        """Advances the commit index to what a majority of the voters have on disk. Only an entry of
+        the current term is committed by counting replicas; earlier ones are committed with it (Raft,
+        3.6.2)."""
         replica = self.replica
         index = replica.majority(lambda name: self.peers[name].match_index, replica.pending_writes.on_disk)
         if index > replica.committed and self.log.term(index) == self.term:
@@ -92,12 +98,12 @@
         """Once the newest MEMBERS entry is committed, notifies each removed peer once and forgets it."""
         if self.replica.is_changing_members():
             return
-        for name in self.leaving:
+        for name in self.removed_peers:
             if (peer := self.peers.pop(name, None)) is not None and not peer.is_silent(
                 now, self.config.election
             ):
                 self.replica.post(self.message(AppendEntries, peer, committed=self.replica.committed))
-        self.leaving = []
+        self.removed_peers = []
         if not self.replica.is_voter():
             self.leave(now)
 
@@ -121,18 +127,18 @@
                     last = self.log.last
                     self.peers[other] = Peer(other, member, last, now, self.config.heartbeat)
                 self.peers[other].member = member
-        self.leaving = [other for other in self.peers if other not in members]
+        self.removed_peers = [other for other in self.peers if other not in members]
 
     def may_change_members(self):
-        """Whether the members may be changed now: no change is in progress, and an entry of the own term is
-        committed (4.1 and its published correction)."""
+        """Whether the members may be changed now: no change is in progress, and an entry of the current
+        term is committed (Raft, 4.1 and its published correction)."""
         replica = self.replica
         return (
             not replica.is_changing_members() and self.first_index <= replica.committed and not self.transfer
         )
 
     def change_members(self, now, members, ticket):
-        if not self.may_change_members() or not one_apart(self.log.memberships[-1][1], members):
+        if not self.may_change_members() or not is_single_member_change(self.log.memberships[-1][1], members):
             self.replica.count("turned away: members")
             return self.replica.refuse(ticket, NOT_DONE)
         self.pending.append((self.append_members(now, members), ticket, 0))
@@ -160,7 +166,7 @@
                 return True
         return False
 
-    # ---- leadership transfer (3.10)
+    # ---- leadership transfer (Raft, 3.10)
 
     def hand_over(self, now, to):
         if self.transfer:
@@ -186,7 +192,7 @@
             return True
         return False
 
-    # ---- reads (6.4)
+    # ---- reads (Raft, 6.4)
 
     def read(self, ticket):
         if self.waiting_reads >= self.config.waiting:
@@ -271,7 +277,7 @@
             self.confirm_rounds()
 
     def note_vote_request(self, now, name):
-        """A peer that requests votes is alive, so a long retry delay for it ends."""
+        """A peer that requests votes is alive, so its retry delay is reset to one heartbeat."""
         peer = self.peers.get(name)
         if peer is not None and peer.retry_delay > self.config.heartbeat:
             peer.retry_delay, peer.send_due = self.config.heartbeat, now
@@ -360,7 +366,8 @@
 
     def send_chunk(self, now, peer, host):
         base = self.replica.base
-        if peer.snapshot_base.index != base.index:  # a host keeps only one snapshot
+        # The host keeps only one snapshot. If it was replaced, the transfer starts again.
+        if peer.snapshot_base.index != base.index:
             peer.start_snapshot(now, base, self.config.heartbeat)
         peer.back_off_chunk(now, self.config.heartbeat, self.replica.rng)
         peer.sent_round = self.round
@@ -376,7 +383,7 @@
             config.cluster, config.name, config.folder, peer.name, peer.member.folder, self.term, **fields
         )
 
-    def needed_index(self, now):
+    def lowest_peer_index(self, now):
         """Returns the last index that all responding peers have, or will have with their snapshot."""
         return min(
             (
@@ -410,8 +417,8 @@
 
     # ---- stepping down
 
-    def close(self):
-        """Refuses all calls that wait. Returns the tickets of committed entries, which are answered once they
+    def refuse_waiting_calls(self):
+        """Refuses all waiting calls. Returns the tickets of committed entries, which are answered once they
         are applied."""
         replica, kept = self.replica, deque()
         for index, ticket, size in self.pending:
@@ -427,7 +434,7 @@
         return kept
 
 
-def one_apart(before, after):
+def is_single_member_change(before, after):
     """Whether the two memberships differ by one new learner, one removed member or one changed address, and a
     voter is left."""
     names = set(before) ^ set(after)
--- a/lemonlead/standins/simulated/network.py
+++ b/lemonlead/standins/simulated/network.py
@@ -1,4 +1,5 @@
-"""What carries messages between the machines: late, lost, twice, out of order, garbled, cut."""
+"""The network between the machines. It delays, loses, duplicates, reorders and garbles messages, and its
+lines can be cut."""
 
 import random
 from dataclasses import dataclass
@@ -10,29 +11,29 @@
 
 MS = 1_000_000
 ENCODE, DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(PeerMessage).decode
-MOST_UNDER_WAY = 20_000  # messages; past it one is lost, and counted
+MAX_MESSAGES_IN_FLIGHT = 20_000  # further messages are lost, and counted
 
 
 @dataclass(slots=True)
-class Weather:
-    """How the lines are at present. Shares from 0 to 1, times in nanoseconds."""
+class NetworkConditions:
+    """The current faults of all lines. Delays are in nanoseconds, all other fields are shares from 0 to 1."""
 
-    least: int = 1 * MS
-    most: int = 8 * MS
+    min_delay: int = 1 * MS
+    max_delay: int = 8 * MS
     lost: float = 0.0
-    twice: float = 0.0
+    duplicated: float = 0.0
     garbled: float = 0.0
-    late: float = 0.0  # share that is later than `most`
-    late_by: int = 400 * MS
+    late: float = 0.0  # share of messages that are later than `max_delay`
+    max_extra_delay: int = 400 * MS
 
 
-def packed(message):
+def pack(message):
     data = ENCODE(message)
     return xxh64_digest(data) + data
 
 
-def unpacked(frame):
-    """The message of these bytes, or None: whatever was cut short or changed is dropped."""
+def unpack(frame):
+    """Returns the message in this frame, or None if the frame was cut short or changed."""
     if xxh64_digest(frame[8:]) != frame[:8]:
         return None
     try:
@@ -41,19 +42,19 @@
         return None
 
 
-def garble(frame, chance):
-    """Cut short, with a bit turned, or with a piece that stands twice."""
-    at = chance.randrange(len(frame))
-    how = chance.randrange(3)
-    if how == 0:
+def garble(frame, rng):
+    """Returns the frame cut short, with one bit flipped, or with a piece repeated."""
+    at = rng.randrange(len(frame))
+    kind = rng.randrange(3)
+    if kind == 0:
         return frame[:at]
-    if how == 1:
-        return frame[:at] + bytes([frame[at] ^ 1 << chance.randrange(8)]) + frame[at + 1 :]
+    if kind == 1:
+        return frame[:at] + bytes([frame[at] ^ 1 << rng.randrange(8)]) + frame[at + 1 :]
     return frame[:at] + frame[at : at + 7] + frame[at:]
 
 
-class Cuts:
-    """Who can't reach whom. `cuts`: (from, to) to how many cuts lie on it."""
+class LinkCuts:
+    """Which ends can't reach each other. `cuts`: (sender, receiver) to the number of cuts of this line."""
 
     def __init__(self):
         self.cuts = {}
@@ -62,7 +63,7 @@
         for pair in pairs:
             self.cuts[pair] = self.cuts.get(pair, 0) + 1
 
-    def mend(self, pairs):
+    def restore(self, pairs):
         for pair in pairs:
             if self.cuts.get(pair, 0) > 1:
                 self.cuts[pair] -= 1
@@ -73,48 +74,48 @@
         self.cuts.clear()
 
 
-class Network(Cuts):
-    """Lines between ends that are called by name. `after(delay, function)` is the world's."""
+class Network(LinkCuts):
+    """Lines between endpoints, which have names. `after`: World.after."""
 
     def __init__(self, seed, after):
         super().__init__()
-        self.chance, self.after = random.Random(f"network {seed}"), after
-        self.weather = Weather()
-        self.under_way, self.counts = 0, {}
+        self.rng, self.after = random.Random(f"network {seed}"), after
+        self.conditions = NetworkConditions()
+        self.in_flight, self.counts = 0, {}
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def heal(self):
         super().heal()
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
 
     def carry(self, sender, to, deliver, message=None):
-        """Calls `deliver(message)` once, later, twice or never. A line that is cut by the time loses it. A
-        message may come garbled, and is then dropped where it does not read; without one (a client's call)
-        it is lost instead."""
-        weather, chance = self.weather, self.chance
-        for _ in range(2 if message is not None and chance.random() < weather.twice else 1):
-            if (sender, to) in self.cuts or weather.lost and chance.random() < weather.lost:
+        """Calls `deliver(message)` after a delay, once, twice or never. The message is lost if the line is
+        cut when it is sent or when it arrives. A garbled message is dropped if it can't be decoded. A call
+        without a message (a client's call) is lost instead of garbled."""
+        conditions, rng = self.conditions, self.rng
+        for _ in range(2 if message is not None and rng.random() < conditions.duplicated else 1):
+            if (sender, to) in self.cuts or conditions.lost and rng.random() < conditions.lost:
                 self.count("lost")
                 continue
-            if self.under_way >= MOST_UNDER_WAY:
+            if self.in_flight >= MAX_MESSAGES_IN_FLIGHT:
                 self.count("lost: too many under way")
                 continue
             arrives = message
-            if weather.garbled and chance.random() < weather.garbled:
-                arrives = unpacked(garble(packed(message), chance)) if message is not None else None
+            if conditions.garbled and rng.random() < conditions.garbled:
+                arrives = unpack(garble(pack(message), rng)) if message is not None else None
                 if arrives is None:
                     self.count("garbled")
                     continue
-            delay = chance.randint(weather.least, weather.most)
-            if weather.late and chance.random() < weather.late:
-                delay += chance.randint(0, weather.late_by)
-            self.under_way += 1
+            delay = rng.randint(conditions.min_delay, conditions.max_delay)
+            if conditions.late and rng.random() < conditions.late:
+                delay += rng.randint(0, conditions.max_extra_delay)
+            self.in_flight += 1
             self.after(delay, self.arrive, (sender, to), deliver, arrives)
 
     def arrive(self, pair, deliver, message):
-        self.under_way -= 1
+        self.in_flight -= 1
         if pair in self.cuts:
             return self.count("lost")
         deliver(message)
--- a/tests/test_distribution_simulated.py
+++ b/tests/test_distribution_simulated.py
@@ -15,7 +15,7 @@
 from lemonlead.standins.distributed import links
 from lemonlead.standins.distributed.checks import deep_size
 from lemonlead.standins.distributed.log import MAX_KEPT_ENTRIES, Changes, Log
-from lemonlead.standins.distributed.schedules import KINDS, Schedule, InjectedFault, draw, play, shrink
+from lemonlead.standins.distributed.schedules import KINDS, InjectedFault, Schedule, draw, play, shrink
 from lemonlead.standins.simulated.world import World
 
 MAX_SCHEDULES = 30  # schedules within which each injected fault has to be caught
@@ -100,7 +100,7 @@
     fixture.stream.send(b"3")
     fixture.run(5)
     assert fixture.got == [b"1", b"2"] and fixture.stream.bytes_in_flight == 1
-    fixture.links.mend([("r", "g")])
+    fixture.links.restore([("r", "g")])
     fixture.stream.end("over")
     fixture.run(1)
     assert fixture.got == [b"1", b"2", b"3"] and fixture.over == ["over"] and not fixture.lost
@@ -315,7 +315,7 @@
     def add_complete(self, complete, room):
         room = super().add_complete(complete, room)
         for scope, position in self.positions.items():
-            if position.base is not None and scope not in self.completed_scopes and not complete:
+            if position.base is not None and scope not in self.scopes_to_confirm and not complete:
                 complete.append(b"%b:%d" % (json.dumps(scope).encode(), self.store.index))
         return room
 
@@ -327,7 +327,7 @@
         pending = super().first_pending()
         if pending is not None and pending[0] == 0 and pending[3].index % 2:
             position = self.positions[pending[1]]
-            (position.late_done if pending[4] else position.base_done)[0] += 1
+            (position.newer_sent if pending[4] else position.base_sent)[0] += 1
             return self.first_pending()
         return pending
 
@@ -397,8 +397,8 @@
 INJECTED_FAULTS = {
     # fault: (checker that has to catch it, how it is injected, events that expose it, and the first seed
     # where earlier ones are known to show nothing)
-    "applies older changes": ("Acting", {"make_subscriber": AppliesOlderChanges}, ["repeated"]),
-    "mixes clusters": ("Acting", {"make_subscriber": MixesClusters}, ["impostor"]),
+    "applies older changes": ("RecordsInForce", {"make_subscriber": AppliesOlderChanges}, ["repeated"]),
+    "mixes clusters": ("RecordsInForce", {"make_subscriber": MixesClusters}, ["impostor"]),
     "acknowledges what it received": ("Complete", {"make_subscriber": AcknowledgesReceived}, []),
     "keeps removed records": (
         "Complete",
@@ -406,9 +406,9 @@
         ["older", "thaw_late", "region"],
         3,
     ),
-    "forgets removals": ("Acting", {"make_subscriber": ForgetsRemovals}, ["repeated"]),
+    "forgets removals": ("RecordsInForce", {"make_subscriber": ForgetsRemovals}, ["repeated"]),
     "ignores unreadable lines": (
-        "Unmoved",
+        "InvalidLinesIgnored",
         {"make_subscriber": IgnoresUnreadableLines},
         ["garbled", "short", "endless"],
     ),
