--- a/lemonlead/drains/constraints.py
+++ b/lemonlead/drains/constraints.py
@@ -12,8 +12,8 @@
 
 @dataclass(slots=True)
 class SiteSums:
-    """Sums over the nodes of one site. `capacity`: units that its nodes that are up bear now;
-    `warm_capacity`: units that they bear once all of them are warm; `required`: units promised there, on
+    """Sums over the nodes of one site. `capacity`: units that its nodes that are up provide now;
+    `warm_capacity`: units that they provide once all of them are warm; `required`: units promised there, on
     nodes that are up or not; `away`: number of nodes that are not up; `permitted`: those among them that a
     drain has sent away and that have not failed; `warm_at`: ledger time at which the next cold node is warm,
     0 if none is cold."""
--- a/lemonlead/member/http_server.py
+++ b/lemonlead/member/http_server.py
@@ -189,8 +189,8 @@
             raise NoLeader(f"{self.member.name} knows no leader")
         return address
 
-    async def pass_on(self, request, leader, data=None):
-        """Passes a call on to the leader, and waits for the response as long as that member leads."""
+    async def forward_to_leader(self, request, leader, data=None):
+        """Forwards a call to the leader, and waits for the response as long as that member leads."""
         address = self.leader_address(request, leader)
         self.counts["passed_on"] += 1
         method, path = request.method, request.path_qs
@@ -205,6 +205,7 @@
             response.cancel()
         if status > 0:
             return json_response(status, body)
+        # 0: nothing was sent. -1: the result is unknown.
         if status == 0 or method == "GET":
             raise NoLeader(f"{leader} led and did not answer")
         raise Undecided(f"{leader} led and did not answer: it may yet be done")
@@ -220,7 +221,7 @@
         if code != 503:
             return json_response(code, {**body, "cluster_id": self.cluster_id} if code == 200 else body)
         if body.get("outcome") == NOT_DONE:
-            return await self.pass_on(request, body.get("leader"), data)
+            return await self.forward_to_leader(request, body.get("leader"), data)
         raise Undecided("leadership was lost before the command was committed: it may yet be done")
 
     async def state(self, request):
@@ -235,7 +236,7 @@
         else:
             state, leader = await self.wait_for(host.read(), NOT_DONE)
             if state is None:
-                return await self.pass_on(request, leader)
+                return await self.forward_to_leader(request, leader)
         async with self.large_response_slots:
             head = ENCODE({"at": state.index, "moment": state.moment, "cluster_id": self.cluster_id, **more})
             return json_response(
@@ -254,7 +255,7 @@
             ticket = self.host.poll(after, gateway, since, parts)
             events, at, state, leader = await self.wait_for(ticket, NOT_DONE)
         if events is None and state is None:
-            return await self.pass_on(request, leader)
+            return await self.forward_to_leader(request, leader)
         if events is not None:
             items = [
                 {"index": index, "changes": list(describe_changes(changes))} for index, changes in events
--- a/lemonlead/moves/steps.py
+++ b/lemonlead/moves/steps.py
@@ -207,6 +207,7 @@
     # ---- the steps of a move
 
     def run_asked(self, now, ledger_time, name, move, state, followers, progress):
+        """Only proposes the next step: in this one the destination has not been called yet."""
         return self.advance(name, move)
 
     def run_reserving(self, now, ledger_time, name, move, state, followers, progress):
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -24,8 +24,8 @@
 from lemonlead.following.faults import Unusable
 from lemonlead.following.service import Service
 from lemonlead.following.move_routing import (
-    MAX_RECENT_ENDS,
     FIRST_FAR_BUILD,
+    MAX_RECENT_ENDS,
     MoveRouting,
     instances_for_share,
 )
