--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -537,7 +537,7 @@
     assert spoilt.answers == 1 and spoilt.answer[:5] == (b"$1\r\n0" if name == "overdue_at" else b"-BUSY")
 
 
-@pytest.mark.parametrize("name", ["tick", "cast_vote", "wake_at"])
+@pytest.mark.parametrize("name", ["update_pair", "cast_vote", "wake_at"])
 def test_permanently_failing_decision_blocks_no_request(gateway, monkeypatch, name):
     made = gateway(InstanceServer().start())
     made.faulty = True
