--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -992,7 +992,7 @@
     net.run(lambda: net[late].base.index >= 300)
     assert sum(type(one) is r.SnapshotChunk and one.to == late for one in net.log) >= 4
     net.loss_rate = 0
-    net.run(net.same)
+    net.run(net.all_applied)
 
 
 @pytest.mark.parametrize("waits", [True, False])
@@ -1008,7 +1008,7 @@
             net.members[net.run_until_leader().name].compact()
     bases = {one.base.index for one in net.log if type(one) is r.SnapshotChunk and one.to == late}
     assert len(bases) == 1 if waits else len(bases) > 3
-    net.run(net.same)
+    net.run(net.all_applied)
     assert net[late].base.index >= 300
 
 
@@ -1102,7 +1102,7 @@
     net.run(lambda: "after" in net.results)
     term = net.run_until_leader().term
     net.members[name].frozen = False
-    net.run(net.same)
+    net.run(net.all_applied)
     assert net.run_until_leader().term == term
     assert "before" in net.results
 
