--- a/lemonlead/balance.py
+++ b/lemonlead/balance.py
@@ -87,7 +87,8 @@
 class Balancer:
     """Decides for one gateway. `start` is an `interface.StartSettings`.
 
-    The host calls the input methods and `decide` from one thread; a balancer does no I/O and reads no clock.
+    The host calls the input methods and `decide` one at a time, from any thread under a lock of its own. A
+    balancer does no I/O and reads no clock.
     """
 
     def __init__(self, start):
