--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -505,7 +505,7 @@
     theirs.sendall(data)
     if data:
         client.sock.recv(1, socket.MSG_PEEK)  # wait for the data
-    client.answered = answered
+    client.has_had_response = answered
     client.close(reason)
     assert client.server.counters.read().get("new connections ended in vain", 0) == counted
 
